--- /dev/null
+++ b/internal/agents/wire_test.go
@@ -0,0 +1,50 @@
+package agents
+
+import (
+	"testing"
+
+	"lemonmoor/internal/wiretest"
+)
+
+// TestWireReport: what a worker says of its machine.
+func TestWireReport(t *testing.T) {
+	const report = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
+		`"pieces":[{"piece":"wk-000001/2","try":7,"phase":"ended","cause":"done","stored":true},{"piece":"wk-000001/3","try":8,"phase":"running"}]}`
+	wiretest.Same(t, report, &Report{})
+	parsed, err := ParseReport([]byte(report))
+	if err != nil {
+		t.Fatal(err)
+	}
+	wiretest.Written(t, parsed, report)
+	for _, text := range []string{`{"shift":3}`, `{"host":"vm-1"}`, `{"host":"vm-1","shift":0}`} {
+		if _, err := ParseReport([]byte(text)); err == nil || err.Error() != `report: "host" or "shift" missing` {
+			t.Errorf("%s: %v", text, err)
+		}
+	}
+}
+
+// TestWireOrders: what a worker is answered and ordered.
+func TestWireOrders(t *testing.T) {
+	wiretest.Same(t, `{"baton":1,"shift":2,"orders":[{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5},`+
+		`{"verb":"launch","piece":"wk-000001/3","try":5},{"verb":"forget","piece":"wk-000001/4","try":6}]}`, &Orders{})
+	wiretest.Written(t, Orders{Token: 1, Orders: []Order{}}, `{"baton":1,"orders":[]}`)
+	wiretest.Written(t, halt("wk-000001/2", 3, 0), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":0}`)
+	wiretest.Written(t, halt("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
+	wiretest.Written(t, forget(&ReportedTask{Task: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
+	if string(Unreachable) != `{"error":"not the owner of this machine"}` {
+		t.Errorf("%s", Unreachable)
+	}
+}
+
+// TestWireTaskNames: the form of tasks' names.
+func TestWireTaskNames(t *testing.T) {
+	job, index, ok := splitRef("wk-000412/7")
+	if !ok || job != "wk-000412" || index != 7 {
+		t.Error(job, index, ok)
+	}
+	for _, name := range []string{"wk-000412", "wk-000412/", "wk-000412/-1", "wk-000412/100000", "job-1/2", "wk-1/2/3"} {
+		if _, _, ok := splitRef(name); ok {
+			t.Errorf("%s is taken for a task", name)
+		}
+	}
+}
