--- /dev/null
+++ b/internal/statestore/wire_test.go
@@ -0,0 +1,146 @@
+package statestore
+
+import (
+	"encoding/json"
+	"log/slog"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/wiretest"
+)
+
+// TestWireRows: rows, guards, changes and events.
+func TestWireRows(t *testing.T) {
+	wiretest.Same(t, `{"key":"job/wk-1","v":{"at":1},"stamp":2}`, &Row{})
+	wiretest.Same(t, `{"key":"job/wk-1","stamp":2}`, &Guard{})
+	wiretest.Written(t, Guard{Key: "job/wk-1"}, `{"key":"job/wk-1","stamp":0}`)
+	wiretest.Same(t, `{"set":"job/wk-1","v":{"at":1},"permit":3,"remove":"job/wk-2"}`, &Change{})
+	wiretest.Written(t, Change{Remove: "job/wk-2"}, `{"remove":"job/wk-2"}`)
+	wiretest.Same(t, `{"set":"job/wk-1","v":{"at":1},"remove":"job/wk-2","stamp":4}`, &Event{})
+}
+
+// TestWireLeases: the keys and values of leases.
+func TestWireLeases(t *testing.T) {
+	wiretest.Same(t, `{"node":"n0","nonce":1125899906842623,"permit":3,"unfit":true}`, &holder{})
+	wiretest.Written(t, holder{}, `{"node":"","nonce":0}`)
+	if LeadKey != "lease/lead" || BlockKey(12) != "lease/block/12" || nodePrefix != "lease/node/" || leasePrefix != "lease/" {
+		t.Error(LeadKey, BlockKey(12), nodePrefix, leasePrefix)
+	}
+}
+
+// sent takes the one request that a client has sent and checks it.
+func (s *store) sent(t *testing.T, method, target, body string) func(httpwire.Answer, error) {
+	t.Helper()
+	if len(s.calls) != 1 {
+		t.Fatalf("%d requests instead of %s %s", len(s.calls), method, target)
+	}
+	c := s.calls[0].call
+	if c.Method != method || c.Target != target || string(c.Body) != body {
+		t.Errorf("sent %s %s %s\nnot  %s %s %s", c.Method, c.Target, c.Body, method, target, body)
+	}
+	fn := s.calls[0].fn
+	s.calls = nil
+	return fn
+}
+
+func reply(status int, body string) httpwire.Answer {
+	return httpwire.Answer{Status: status, Body: []byte(body)}
+}
+
+// TestWireCommit: a commit and the answers to it.
+func TestWireCommit(t *testing.T) {
+	s := newStore()
+	c := New(s, "state", slog.New(slog.DiscardHandler))
+	for _, answer := range []struct {
+		status int
+		body   string
+		want   Result
+	}{
+		{200, `{"epoch":7}`, Result{Outcome: OK, Epoch: 7}},
+		{409, `{"epoch":8,"failed":["lease/lead"]}`, Result{Outcome: Conflict, Epoch: 8, Failed: []string{"lease/lead"}}},
+		{400, `{"error":"no such lease"}`, Result{Outcome: Invalid}},
+		{429, `{}`, Result{Outcome: Refused}},
+		{503, `{}`, Result{Outcome: Refused}},
+		{410, `{}`, Result{Outcome: Gone}},
+		{404, `{}`, Result{Outcome: Gone}},
+		{500, `{}`, Result{Outcome: Unknown}},
+		{200, `{}`, Result{Outcome: Unknown}},
+	} {
+		var got Result
+		c.Commit([]Guard{{Key: "lease/lead", Stamp: 3}, {Key: "job/wk-1"}},
+			[]Change{{Set: "job/wk-1", Value: json.RawMessage(`{"at":1}`), Permit: 4}, {Remove: "work/0/wk-1/0"}}, func(r Result) { got = r })
+		s.sent(t, "POST", "/commit", `{"guards":[{"key":"lease/lead","stamp":3},{"key":"job/wk-1","stamp":0}],`+
+			`"apply":[{"set":"job/wk-1","v":{"at":1},"permit":4},{"remove":"work/0/wk-1/0"}]}`)(reply(answer.status, answer.body), nil)
+		if !reflect.DeepEqual(got, answer.want) {
+			t.Errorf("%d %s: %+v", answer.status, answer.body, got)
+		}
+	}
+	c.Commit(nil, nil, func(Result) {})
+	s.sent(t, "POST", "/commit", `{"guards":[]}`)
+}
+
+// TestWireList: keys are listed page by page.
+func TestWireList(t *testing.T) {
+	s := newStore()
+	c := New(s, "state", slog.New(slog.DiscardHandler))
+	var got []Row
+	var at uint64
+	c.List("job/", func(rows []Row, epoch uint64, out Outcome) {
+		if out != OK {
+			t.Errorf("outcome %v", out)
+		}
+		got, at = rows, epoch
+	})
+	first := s.calls[0].call.Target
+	limit, _ := strings.CutPrefix(first, "/keys?under=job%2F&limit=")
+	s.sent(t, "GET", "/keys?under=job%2F&limit="+limit, "")(reply(200, `{"rows":[{"key":"job/a&b","v":{"at":1},"stamp":5}],"hasNext":true,"epoch":6}`), nil)
+	s.sent(t, "GET", "/keys?under=job%2F&limit="+limit+"&since=job%2Fa%26b", "")(reply(200, `{"rows":[{"key":"job/c","v":2,"stamp":7}],"hasNext":false,"epoch":8}`), nil)
+	wiretest.Written(t, got, `[{"key":"job/a\u0026b","v":{"at":1},"stamp":5},{"key":"job/c","v":2,"stamp":7}]`)
+	if at != 6 || limit == "" {
+		t.Errorf("epoch %d, limit %q", at, limit)
+	}
+}
+
+// TestWireWatch: changes are watched from an epoch on.
+func TestWireWatch(t *testing.T) {
+	s := newStore()
+	c := New(s, "state", slog.New(slog.DiscardHandler))
+	var got []Event
+	var at uint64
+	c.Watch("work/", 6, 1500*time.Millisecond, func(events []Event, epoch uint64, out Outcome) {
+		if out != OK {
+			t.Errorf("outcome %v", out)
+		}
+		got, at = events, epoch
+	})
+	s.sent(t, "GET", "/watch?under=work%2F&since=6&waitMs=1500", "")(reply(200, `{"epoch":9,"log":[{"set":"work/0/wk-1/0","v":{"i":"0"},"stamp":7},`+
+		`{"remove":"work/0/wk-2/0","stamp":9}]}`), nil)
+	if len(got) != 2 || at != 9 || got[0].Set != "work/0/wk-1/0" || string(got[0].Value) != `{"i":"0"}` || got[0].Stamp != 7 ||
+		got[1].Remove != "work/0/wk-2/0" || got[1].Stamp != 9 {
+		t.Errorf("%+v at %d", got, at)
+	}
+}
+
+// TestWireGrants: grants are asked for, renewed and ended.
+func TestWireGrants(t *testing.T) {
+	s := newStore()
+	c := New(s, "state", slog.New(slog.DiscardHandler))
+	permit, touched, ended := uint64(0), Unknown, Unknown
+	c.Grant(1500*time.Millisecond, func(p uint64, out Outcome) { permit = p })
+	s.sent(t, "POST", "/grants", `{"ttlMs":1500}`)(reply(201, `{"permit":12}`), nil)
+	c.Touch(12, func(out Outcome) { touched = out })
+	s.sent(t, "POST", "/grants/12/touch", "")(reply(200, `{}`), nil)
+	c.Drop(12, func(out Outcome) { ended = out })
+	s.sent(t, "DELETE", "/grants/12", "")(reply(204, ""), nil)
+	if permit != 12 || touched != OK || ended != OK {
+		t.Error(permit, touched, ended)
+	}
+	c.Touch(13, func(out Outcome) { touched = out })
+	s.sent(t, "POST", "/grants/13/touch", "")(reply(404, `{}`), nil)
+	if touched != Gone {
+		t.Error(touched)
+	}
+}
