--- /dev/null
+++ b/cmd/lemonmoor/surface_test.go
@@ -0,0 +1,270 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"lemonmoor/internal/peers"
+)
+
+// program is the built program, made once for all tests.
+var program string
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "lemonmoor")
+	if err != nil {
+		panic(err)
+	}
+	program = filepath.Join(dir, "lemonmoor")
+	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", program, ".").CombinedOutput(); err != nil {
+		panic(string(out))
+	}
+	status := m.Run()
+	_ = os.RemoveAll(dir)
+	os.Exit(status)
+}
+
+// result is how the program ended.
+type result struct {
+	status         int
+	stdout, stderr string
+}
+
+// run runs the program to its end.
+func run(t *testing.T, args ...string) result {
+	t.Helper()
+	var out, errs bytes.Buffer
+	command := exec.Command(program, args...)
+	command.Stdout, command.Stderr = &out, &errs
+	err := command.Run()
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
+		t.Fatal(err)
+	}
+	return result{command.ProcessState.ExitCode(), out.String(), errs.String()}
+}
+
+// configOf writes a settings file of a controller whose peers listen at an address, and
+// which names another one that does not answer.
+func configOf(t *testing.T, address string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "settings.json")
+	text := `{"node":"n0","area":"a","serve_on":"127.0.0.1:1","peer_bind":"` + address + `","seeds":[],` +
+		`"external":{"cloud":"127.0.0.1:1","state":"127.0.0.1:1"},` +
+		`"deployment":{"initial_size":3,"zones":["a"],"teams":[{"name":"red","cpus":64,"cpus_max":192,"gpus":0,"gpus_max":0}],` +
+		`"workers":{"report_s":3,"lease_s":36,"cancel_s":66},"state":{"rps":80,"write_rps":15,"value_kb":8,"txn_ops":12},` +
+		`"cloud":{"rps":3,"list_lag_s":10},"quota":{"core_share":0.096,"mem_mb":98,"sockets":700},"skew_ms":250}}`
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// flagLine is a line of a command's help on a flag: its name, what it takes, and its
+// default if it has one.
+var flagLine = regexp.MustCompile(`(?m)^ +--([a-z-]+)(?: ([A-Za-z]+))? {2,}.*?(?: \(default (.*)\))?$`)
+
+// TestSurfaceCommands: each command with its flags, what they take, and their defaults.
+func TestSurfaceCommands(t *testing.T) {
+	drainFlags := []string{"json", "timeout duration=20s"}
+	selection := []string{"from FILE", "kind KIND", "machine NAME", "prefix PREFIXES", "replace", "type TYPES", "zone ZONES"}
+	id := []string{"id NAME"}
+	want := map[string][]string{
+		"lemonmoor":              {"config FILE", "operator FILE"},
+		"lemonmoor version":      nil,
+		"lemonmoor check":        nil,
+		"lemonmoor drain":        drainFlags,
+		"lemonmoor drain plan":   selection,
+		"lemonmoor drain start":  {"from FILE", "id NAME", "kind KIND", "machine NAME", "prefix PREFIXES", "replace", "type TYPES", "zone ZONES"},
+		"lemonmoor drain status": id,
+		"lemonmoor drain pause":  id,
+		"lemonmoor drain resume": id,
+		"lemonmoor drain cancel": id,
+	}
+	var walk func(c *cobra.Command)
+	walk = func(c *cobra.Command) {
+		var flags []string
+		usages := c.LocalNonPersistentFlags().FlagUsages() + c.PersistentFlags().FlagUsages()
+		for _, line := range flagLine.FindAllStringSubmatch(usages, -1) {
+			text := strings.TrimSpace(line[1] + " " + line[2])
+			if line[3] != "" {
+				text += "=" + line[3]
+			}
+			flags = append(flags, text)
+		}
+		slices.Sort(flags)
+		expected, known := want[c.CommandPath()]
+		if !known || !slices.Equal(flags, expected) || len(flags) != strings.Count(usages, "\n") {
+			t.Errorf("%s: %q, not %q", c.CommandPath(), flags, expected)
+		}
+		delete(want, c.CommandPath())
+		for _, sub := range c.Commands() {
+			walk(sub)
+		}
+	}
+	walk(command())
+	for path := range want {
+		t.Errorf("%s is missing", path)
+	}
+}
+
+// TestSurfaceExits: exit statuses and the one line that says why.
+func TestSurfaceExits(t *testing.T) {
+	config := configOf(t, "127.0.0.1:1")
+	bad := filepath.Join(t.TempDir(), "bad.hcl")
+	if err := os.WriteFile(bad, []byte("\nnovel = 1\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	empty := filepath.Join(t.TempDir(), "names")
+	if err := os.WriteFile(empty, []byte("# none\n\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	missing := filepath.Join(t.TempDir(), "missing.json")
+	for _, c := range []struct {
+		args   string
+		status int
+		stdout string // regular expressions of the whole
+		stderr string
+	}{
+		{"version", 0, `lemonmoor 0\.1\.0 go1\.[0-9a-z.-]+\n`, ``},
+		{"--config " + config + " check", 0, `settings are in order\n`, ``},
+		{"check --config " + config + " --operator ../../deploy/drains.hcl", 0, `settings are in order\n`, ``},
+		{"check", 1, ``, `lemonmoor: --config FILE is needed\n`},
+		{"check --config " + missing, 1, ``, `lemonmoor: read settings: open .*missing\.json: no such file or directory\n`},
+		{"check --config " + config + " --operator " + bad, 1, ``, `lemonmoor: .*bad\.hcl:2: .*novel.*\n`},
+		{"", 1, ``, `lemonmoor: --config FILE is needed \(see --help\)\n`},
+		{"--config " + missing, 1, ``, `lemonmoor: read settings: .*\n`},
+		{"--help", 0, `(?s)A cluster scheduler: .*Usage:\n  lemonmoor --config FILE \[flags\]\n.*  check .*  drain .*  version .*--config FILE .*--operator FILE .*`, ``},
+		{"novel", 1, ``, `lemonmoor: unknown command "novel" for "lemonmoor"\n`},
+		{"--novel", 1, ``, `lemonmoor: unknown flag: --novel\n`},
+		{"version novel", 1, ``, `lemonmoor: unknown command "novel" for "lemonmoor version"\n`},
+		{"drain", 0, `(?s)Empty and replace machines .*  cancel .*  pause .*  plan .*  resume .*  start .*  status .*--json .*--timeout .*`, ``},
+		{"drain plan --help", 0, `(?s).*--from FILE .*--kind KIND .*--machine NAME .*--prefix PREFIXES .*--replace .*--type TYPES .*--zone ZONES .*`, ``},
+		{"drain plan --machine vm-1", 2, ``, `lemonmoor: config: missing, name a controller's settings file with --config\n`},
+		{"drain plan --config " + missing + " --machine vm-1", 2, ``, `lemonmoor: read settings: .*\n`},
+		{"drain plan --config " + config, 2, ``, `lemonmoor: selection: empty: name machines, zones, types, prefixes or a kind\n`},
+		{"drain plan --config " + config + " --kind novel", 2, ``, `lemonmoor: kind: "novel" is neither spot nor ordinary\n`},
+		{"drain plan --config " + config + " --prefix novel", 2, ``, `lemonmoor: prefix: "novel" is not an IP prefix such as 10\.1\.0\.0/24\n`},
+		{"drain plan --config " + config + " --from " + empty, 2, ``, `lemonmoor: from: .* names no machine\n`},
+		{"drain plan --config " + config + " --from " + missing, 2, ``, `lemonmoor: from: open .*\n`},
+		{"drain start --config " + config + " --id NOVEL --machine vm-1", 2, ``, `lemonmoor: id: .*\n`},
+		{"drain pause --config " + config, 2, ``, `lemonmoor: id: missing, name the drain with --id\n`},
+		{"drain resume --config " + config, 2, ``, `lemonmoor: id: missing, name the drain with --id\n`},
+		{"drain cancel --config " + config, 2, ``, `lemonmoor: id: missing, name the drain with --id\n`},
+		{"drain plan --id d", 1, ``, `lemonmoor: unknown flag: --id\n`},
+		{"drain status --timeout 100ms --config " + config, 3, ``, `lemonmoor: no leader reachable; asked n0 \(127\.0\.0\.1:1\): .*\n`},
+	} {
+		r := run(t, strings.Fields(c.args)...)
+		if r.status != c.status {
+			t.Errorf("lemonmoor %s: status %d, not %d", c.args, r.status, c.status)
+		}
+		for what, pair := range map[string][2]string{"standard output": {r.stdout, c.stdout}, "standard error": {r.stderr, c.stderr}} {
+			if !regexp.MustCompile(`^(?:` + pair[1] + `)$`).MatchString(pair[0]) {
+				t.Errorf("lemonmoor %s: %s is %q", c.args, what, pair[0])
+			}
+		}
+	}
+}
+
+// TestSurfaceDrain: what the command sends to a controller, and what it prints of the
+// answer.
+func TestSurfaceDrain(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	type message struct{ path, body string }
+	asked, answers := make(chan message, 100), make(chan string, 100)
+	go func() {
+		_ = peers.Serve(address, func(path string, body []byte, answer func([]byte, bool)) {
+			asked <- message{path, string(body)}
+			answer([]byte(<-answers), true)
+		}, slog.New(slog.DiscardHandler))
+	}()
+	for range 100 {
+		connection, err := net.Dial("tcp", address)
+		if err == nil {
+			_ = connection.Close()
+			break
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	config := configOf(t, address)
+	names := filepath.Join(t.TempDir(), "names")
+	if err := os.WriteFile(names, []byte("vm-3 # old\n\nvm-4\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	const (
+		drains = `{"status":"ok","node":"n0","drains":[{"id":"d-1","phase":"running","replace":true,"machines":5,"states":{"waiting":3,"closed":2},` +
+			`"disturbed":4,"waits":["no room"]}],"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},` +
+			`"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}}}`
+		drainsText = "drain d-1: running, 5 machines, 2 closed, 3 waiting; 4 tasks disturbed\n  waits: no room\n" +
+			"team  running  disturbed by drains  otherwise  CPUs disturbed  budget\n" +
+			"red   1        3                    5          11              tasks 8\n"
+		plan     = `{"status":"ok","node":"n0","plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`
+		planText = "1 machines, with tasks of 5 jobs\nteam  tasks  CPUs  budget used up at least  budget\nred   2      3.5   4 times                  cpus 9\n"
+	)
+	for _, c := range []struct {
+		args, sent, answer string
+		status             int
+		stdout, stderr     string
+	}{
+		{"plan --machine vm-1,vm-2 --from " + names + " --zone yard-a --type g8 --prefix 10.0.0.0/8 --kind spot --replace",
+			`{"verb":"plan","selection":{"machines":["vm-1","vm-2","vm-3","vm-4"],"zones":["yard-a"],"types":["g8"],"kind":"spot",` +
+				`"prefixes":["10.0.0.0/8"]},"replace":true}`, plan, 0, planText, ""},
+		{"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`, drains, 0, drainsText, ""},
+		{"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`,
+			`{"status":"refused","node":"n0","field":"id","reason":"d-1 selects others"}`, 2, "", "lemonmoor: id: d-1 selects others\n"},
+		{"status", `{"verb":"status","selection":{}}`, drains, 0, drainsText, ""},
+		{"status --id d-1", `{"verb":"status","id":"d-1","selection":{}}`, `{"status":"ok","node":"n0"}`, 0, "no drains\n", ""},
+		{"pause --id d-1", `{"verb":"pause","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
+		{"resume --id d-1", `{"verb":"resume","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
+		{"cancel --id d-1", `{"verb":"cancel","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
+		{"status --timeout 1s", `{"verb":"status","selection":{}}`, `{"status":"unavailable","node":"n0","reason":"no leader is known to this node","retryMs":3000}`,
+			3, "", "lemonmoor: no leader reachable; asked n0 (" + address + "): no leader is known to this node\n"},
+	} {
+		answers <- c.answer
+		r := run(t, append([]string{"drain", "--config", config}, strings.Fields(c.args)...)...)
+		if r != (result{c.status, c.stdout, c.stderr}) {
+			t.Errorf("drain %s: %+v", c.args, r)
+		}
+		if m := <-asked; m != (message{"/operator/drain", c.sent}) {
+			t.Errorf("drain %s sends %+v", c.args, m)
+		}
+	}
+
+	answers <- drains
+	r := run(t, "drain", "status", "--json", "--config", config)
+	<-asked
+	var compact bytes.Buffer
+	if err := json.Compact(&compact, []byte(r.stdout)); err != nil || r.status != 0 || r.stderr != "" ||
+		compact.String() != strings.Replace(drains, `{"waiting":3,"closed":2}`, `{"closed":2,"waiting":3}`, 1) {
+		t.Errorf("as JSON: %+v (%v)", r, err)
+	}
+	if !strings.HasPrefix(r.stdout, "{\n  \"status\": \"ok\",\n") {
+		t.Errorf("not indented: %s", r.stdout)
+	}
+
+	answers <- drains
+	run(t, "drain", "start", "--kind", "spot", "--config", config)
+	if m := <-asked; !regexp.MustCompile(`^{"verb":"start","id":"d-[0-9a-z]{1,13}","selection":{"kind":"spot"}}$`).MatchString(m.body) {
+		t.Errorf("a start without an id sends %s", m.body)
+	}
+}
