--- a/internal/agents/wire_test.go
+++ b/internal/agents/wire_test.go
@@ -2,10 +2,36 @@
 
 import (
 	"testing"
+	"time"
 
+	"lemonmoor/internal/httpwire"
 	"lemonmoor/internal/wiretest"
 )
 
+// addressed is a bench that keeps where calls go to.
+type addressed struct {
+	*bench
+	sent []string
+}
+
+func (a *addressed) Call(addr string, c httpwire.Call, timeout time.Duration, fn func(httpwire.Answer, error)) {
+	a.sent = append(a.sent, addr+" "+c.Method+" "+c.Target+" "+string(c.Body))
+	a.bench.Call(addr, c, timeout, fn)
+}
+
+// TestWireAnnouncement: how a machine is told directly who its owner is.
+func TestWireAnnouncement(t *testing.T) {
+	b := newBench(1)
+	b.token = 9
+	a := &addressed{bench: b}
+	b.table.rt = a
+	b.table.Announce("vm-7", "10.0.0.7:7")
+	b.table.Settle()
+	if len(a.sent) != 1 || a.sent[0] != `10.0.0.7:7 POST /orders {"baton":9,"shift":1,"orders":[]}` {
+		t.Errorf("sent %q", a.sent)
+	}
+}
+
 // TestWireReport: what a worker says of its machine.
 func TestWireReport(t *testing.T) {
 	const report = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
