--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -39,9 +39,10 @@
 
 // Digest tells whether two requests of the same id ask for the same.
 func (r *Request) Digest() string {
+	// Digests are stored and compared across versions: these names must stay.
 	contents := struct {
-		Selection Selection
-		Replace   bool
+		Selection Selection `json:"Selection"`
+		Replace   bool      `json:"Replace"`
 	}{r.Selection.sorted(), r.Replace}
 	raw, err := json.Marshal(contents)
 	if err != nil {
