--- a/internal/agents/registry_test.go
+++ b/internal/agents/registry_test.go
@@ -642,3 +642,29 @@
 		t.Errorf("called gone %v before the worker's lease may end", last-goneAt)
 	}
 }
+
+// TestAnsweredHeartbeatBelowTheTokenExtendsTheLease: a worker that has not seen the
+// owner's token yet renews its lease by each answer all the same. Counted from an
+// earlier moment, its tasks were called gone while they ran on.
+func TestAnsweredHeartbeatBelowTheTokenExtendsTheLease(t *testing.T) {
+	b := newBench(1)
+	b.table.Report(b.report())
+	b.worker.token = b.token
+	k := b.job.Tasks[0]
+	k.State, k.Host, k.Attempt, k.Sent, k.Durable = work.Placed, "vm-1", 1, true, true
+	b.worker.tasks[k.Ref()] = 1
+	b.term()
+	b.now += 20 * time.Second
+	if status, _ := b.table.Report(b.report()); status != 200 {
+		t.Fatalf("answered %d", status)
+	}
+	last := b.now + b.table.set.WorkerLease() // the worker may run until then
+	goneAt := time.Duration(0)
+	b.gone = func(*work.Task) { goneAt = b.now }
+	for ; b.now < last+time.Minute && goneAt == 0; b.now += 100 * time.Millisecond {
+		b.table.Tick()
+	}
+	if goneAt < last {
+		t.Errorf("called gone %v before the worker's lease may end", last-goneAt)
+	}
+}
