--- /dev/null
+++ b/internal/statestore/leases_test.go
@@ -0,0 +1,225 @@
+package statestore
+
+import (
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/engine"
+	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/tuning"
+)
+
+// newLeases returns the lease manager of node-0 for two blocks, with its empty copy of
+// the leases read, and the requests that it has sent since.
+func newLeases(t *testing.T) (*store, *LeaseManager) {
+	t.Helper()
+	s := newStore()
+	s.now = time.Hour
+	o := NewLeaseManager(s, New(s, "state", slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler), "node-0", 1, 0, 2)
+	o.Hold = 4 * time.Second
+	o.LeadWon, o.LeadLost = func(uint64) {}, func() {}
+	o.BlockWon, o.BlockLost = func(int, uint64) {}, func(int) {}
+	o.Start()
+	s.reply(t, "/keys", `{"rows":[],"epoch":1}`)
+	return s, o
+}
+
+// take finds the first request to a path that has not been answered.
+func (s *store) take(t *testing.T, path string) request {
+	t.Helper()
+	i := slices.IndexFunc(s.calls, func(r request) bool { return strings.HasPrefix(r.call.Target, path) })
+	if i < 0 {
+		t.Fatalf("no request to %s", path)
+	}
+	r := s.calls[i]
+	s.calls = slices.Delete(s.calls, i, i+1)
+	return r
+}
+
+// reply answers the first request to a path.
+func (s *store) reply(t *testing.T, path, body string) {
+	t.Helper()
+	s.take(t, path).fn(httpwire.Answer{Status: 200, Body: []byte(body)}, nil)
+}
+
+// fire lets the timers run that are set now.
+func (s *store) fire() {
+	timers := s.timers
+	s.timers = nil
+	for _, fn := range timers {
+		fn()
+	}
+}
+
+// guards are those of a commit.
+func (r request) guards(t *testing.T) []Guard {
+	t.Helper()
+	var c struct {
+		Guards []Guard `json:"guards"`
+	}
+	if err := json.Unmarshal(r.call.Body, &c); err != nil {
+		t.Fatal(err)
+	}
+	return c.Guards
+}
+
+func holderValue(t *testing.T, h holder) json.RawMessage {
+	t.Helper()
+	raw, err := json.Marshal(h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// TestValidityCountsFromBeforeTheRequest: however late its answer, a grant or a renewal
+// counts from when the request left, less the drift of the clocks and a margin.
+func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
+	s, o := newLeases(t)
+	ends := func(asked time.Duration) time.Duration {
+		return asked + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
+	}
+	check := func(what string, asked time.Duration) {
+		t.Helper()
+		for _, c := range []struct {
+			at    time.Duration
+			valid bool
+		}{{ends(asked) - time.Millisecond, true}, {ends(asked), false}} {
+			if s.now = c.at; o.Valid() != c.valid {
+				t.Errorf("%s: valid %v, %v after the request", what, o.Valid(), c.at-asked)
+			}
+		}
+	}
+	asked := s.now
+	s.now += 2 * time.Second
+	s.reply(t, "/grants", `{"permit":5}`)
+	check("grant", asked)
+	s.now = asked + 3*time.Second
+	s.fire() // the renewal leaves
+	asked = s.now
+	s.now += 2 * time.Second
+	s.reply(t, "/grants/5/touch", `{}`)
+	check("renewal", asked)
+}
+
+// TestExpiredGrantHoldsNothing: when its grant has expired, a process holds nothing any
+// more, also while its copy of the leases still shows its old entries.
+func TestExpiredGrantHoldsNothing(t *testing.T) {
+	s, o := newLeases(t)
+	s.reply(t, "/grants", `{"permit":5}`)
+	o.apply(BlockKey(0), holderValue(t, holder{Node: "node-0", Nonce: 1}), 7)
+	o.look()
+	if o.Block(0) != 7 || !o.Valid() {
+		t.Fatalf("token %d, valid %v", o.Block(0), o.Valid())
+	}
+	s.fire()
+	s.take(t, "/grants/5/touch").fn(httpwire.Answer{Status: 404, Body: []byte(`{}`)}, nil)
+	s.fire()
+	s.reply(t, "/grants", `{"permit":6}`)
+	if o.Block(0) != 0 {
+		t.Errorf("holds a block of the expired grant under token %d", o.Block(0))
+	}
+}
+
+// TestEarlierOwnersLastAnswer: a new owner waits out the hold after a lease that has
+// expired, the lease time besides if the block was taken from a live holder or if how it
+// changed hands was not seen; a renewal by the same process moves nothing.
+func TestEarlierOwnersLastAnswer(t *testing.T) {
+	first, second := holder{Node: "node-1", Nonce: 1}, holder{Node: "node-0", Nonce: 1}
+	for _, c := range []struct {
+		name string
+		do   func(*LeaseManager)
+		wait time.Duration
+	}{
+		{"expired", func(o *LeaseManager) {
+			o.apply(BlockKey(0), nil, 8)
+			o.apply(BlockKey(0), holderValue(t, second), 9)
+		}, 4 * time.Second},
+		{"taken from a live holder", func(o *LeaseManager) {
+			o.apply(BlockKey(0), holderValue(t, second), 8)
+		}, 4*time.Second + tuning.LeaseTTL},
+		{"read anew", func(o *LeaseManager) {
+			rows := []Row{{BlockKey(0), holderValue(t, second), 8}}
+			o.row.Reset(rows)
+			o.apply(rows[0].Key, rows[0].Value, rows[0].Stamp)
+		}, 4*time.Second + tuning.LeaseTTL},
+		{"renewed by its holder", func(o *LeaseManager) {
+			o.apply(BlockKey(0), holderValue(t, first), 8)
+		}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s, o := newLeases(t)
+			o.apply(BlockKey(0), holderValue(t, first), 7)
+			before := o.AnsweredBefore(0)
+			s.now += time.Hour
+			c.do(o)
+			want := before
+			if c.wait > 0 {
+				want = s.now + c.wait
+			}
+			if got := o.AnsweredBefore(0); got != want {
+				t.Errorf("answers of earlier owners until %v from now, want %v", got-s.now, want-s.now)
+			}
+		})
+	}
+}
+
+// TestAnswersEndWithTheCopyOfTheLeases: an owner answers no longer than its copy of the
+// leases is young enough, however often its grant is renewed, since the block may be
+// another's.
+func TestAnswersEndWithTheCopyOfTheLeases(t *testing.T) {
+	s, o := newLeases(t)
+	proven := s.now
+	s.reply(t, "/grants", `{"permit":5}`)
+	s.now += 5 * time.Second
+	s.fire()
+	s.reply(t, "/grants/5/touch", `{}`)
+	if got, want := o.AnswersUntil(), proven+tuning.LeaseTTL+o.Hold; got != want {
+		t.Errorf("answers until %v after the proof, want %v", got-proven, want-proven)
+	}
+}
+
+// TestLeaseChangesAreGuarded: leadership is taken only if it is as it was seen; a block is
+// assigned only under the leader's token, and taken or renewed only as it was seen.
+func TestLeaseChangesAreGuarded(t *testing.T) {
+	s, o := newLeases(t)
+	s.reply(t, "/grants", `{"permit":5}`)
+	next := func(key string) request {
+		t.Helper()
+		for range 20 {
+			for i, r := range s.calls {
+				if r.call.Target == "/commit" && strings.Contains(string(r.call.Body), `"set":"`+key+`"`) {
+					s.calls = slices.Delete(s.calls, i, i+1)
+					return r
+				}
+			}
+			s.now += 100 * time.Millisecond
+			s.fire()
+		}
+		t.Fatalf("no commit of %s", key)
+		return request{}
+	}
+	if g := next(LeadKey).guards(t); !slices.Contains(g, Guard{LeadKey, 0}) {
+		t.Errorf("leadership is taken under %v", g)
+	}
+	o.apply(nodePrefix+"node-1", holderValue(t, holder{Node: "node-1", Nonce: 1, Permit: 9}), 3)
+	o.apply(LeadKey, holderValue(t, holder{Node: "node-0", Nonce: 1}), 4)
+	s.now += time.Second // it has let the controllers enrol
+	o.look()
+	o.valid = s.now + time.Hour
+	if g := next(BlockKey(0)).guards(t); !slices.Contains(g, Guard{LeadKey, 4}) || !slices.Contains(g, Guard{BlockKey(0), 0}) {
+		t.Errorf("a block is assigned under %v", g)
+	}
+	o.apply(BlockKey(1), holderValue(t, holder{Node: "node-0", Nonce: 1}), 6)
+	o.look()
+	o.Renew(1)
+	if g := next(BlockKey(1)).guards(t); !slices.Contains(g, Guard{BlockKey(1), 6}) {
+		t.Errorf("a token is renewed under %v", g)
+	}
+}
+
+var _ engine.Runtime = (*store)(nil)
