--- a/internal/statestore/mirror_test.go
+++ b/internal/statestore/mirror_test.go
@@ -289,3 +289,31 @@
 		}
 	}
 }
+
+// TestProofCountsFromTheRequest: what an answer proves, it proves of the moment at which its
+// request was sent. It may have been given long before it came, and a watch proves nothing
+// of the time for which it was open.
+func TestProofCountsFromTheRequest(t *testing.T) {
+	s := newStore()
+	s.now = time.Hour
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
+	m.Apply = func(string, json.RawMessage, uint64) {}
+	deliver := func(what string) {
+		t.Helper()
+		asked := s.now
+		r := s.calls[len(s.calls)-1]
+		s.calls = s.calls[:len(s.calls)-1]
+		given := s.answer(r.call)
+		s.now += 4 * time.Second
+		r.fn(given, nil)
+		if at, known := m.Proven(); !known || at != asked {
+			t.Errorf("%s: proven of %v after its request", what, at-asked)
+		}
+	}
+	m.Start()
+	deliver("listing")
+	deliver("watch")
+	s.now += time.Second
+	m.Check(func(error) {})
+	deliver("check")
+}
