--- a/internal/agents/registry_test.go
+++ b/internal/agents/registry_test.go
@@ -33,6 +33,7 @@
 	off, proven time.Duration
 	knows       bool
 	stuck       bool          // there is no new token to be had
+	expired     bool          // the lease is not surely valid
 	earlier     time.Duration // until then an earlier owner may answer
 	worker      struct {
 		shift, tick, token uint64
@@ -58,7 +59,7 @@
 }
 
 func (b *bench) Token() uint64 { return b.token }
-func (b *bench) Valid() bool   { return true }
+func (b *bench) Valid() bool   { return !b.expired }
 func (b *bench) Answering() bool {
 	return !b.away && (!b.knows || b.now < b.proven+b.table.set.AnswerWithin())
 }
