--- a/internal/userapi/durable_test.go
+++ b/internal/userapi/durable_test.go
@@ -32,18 +32,8 @@
 	return waiting{}
 }
 
-// commits counts the commits that have not been answered.
-func (l *line) commits() (n int) {
-	for _, w := range l.calls {
-		if w.call.Target == "/commit" {
-			n++
-		}
-	}
-	return n
-}
-
-// stored is a row of one job.
-func stored(t *testing.T, id int, stamp uint64, r Record) string {
+// storedRow is a row of one job.
+func storedRow(t *testing.T, id int, stamp uint64, r Record) string {
 	t.Helper()
 	var raw map[string]any
 	if err := json.Unmarshal(submission(id), &raw); err != nil {
@@ -114,7 +104,7 @@
 // TestPollWithoutProofIsUnavailable: without a proof that the copy is current, a poll gets
 // 503, whether the job is known here or not; never 404, nor an answer that may be old.
 func TestPollWithoutProofIsUnavailable(t *testing.T) {
-	l, _, d := newAPI(8000, stored(t, 1, 5, Record{At: 1}))
+	l, _, d := newAPI(8000, storedRow(t, 1, 5, Record{At: 1}))
 	for _, id := range []string{"wk-000001", "wk-000002"} {
 		for _, fail := range []func(func(httpwire.Answer, error)){
 			func(fn func(httpwire.Answer, error)) { fn(httpwire.Answer{}, engine.ErrNoAnswer) },
@@ -137,7 +127,7 @@
 // TestCancellationIsConfirmedWhenDurable: a cancellation is guarded by the revision of the
 // job that was looked at, and confirmed only when its commit was carried out.
 func TestCancellationIsConfirmedWhenDurable(t *testing.T) {
-	l, _, d := newAPI(8000, stored(t, 1, 5, Record{At: 1}))
+	l, _, d := newAPI(8000, storedRow(t, 1, 5, Record{At: 1}))
 	var told answers
 	d.Cancel("wk-000001", told.reply)
 	l.take(t, "/watch").fn(httpwire.Answer{Status: 200, Body: []byte(`{"epoch":9,"log":[]}`)}, nil)
@@ -154,7 +144,7 @@
 // TestCatalogNeverGoesBack: a final phase never changes, and an older record never replaces
 // a newer one.
 func TestCatalogNeverGoesBack(t *testing.T) {
-	_, cat, _ := newAPI(8000, stored(t, 1, 5, Record{At: 1, Phase: Cancelled})+","+stored(t, 2, 6, Record{At: 2}))
+	_, cat, _ := newAPI(8000, storedRow(t, 1, 5, Record{At: 1, Phase: Cancelled})+","+storedRow(t, 2, 6, Record{At: 2}))
 	cat.Learn("wk-000001", json.RawMessage(`{"at":1,"phase":"done","n":3}`), 7)
 	cat.Learn("wk-000001", json.RawMessage(`{"at":1}`), 8)
 	if e := cat.Get("wk-000001"); e.Phase != Cancelled {
@@ -169,7 +159,7 @@
 // TestAgeOfACancellation: it counts from the time that its record tells, with the bound of
 // the clocks added; a record that does not tell counts as old.
 func TestAgeOfACancellation(t *testing.T) {
-	l, cat, _ := newAPI(8000, stored(t, 1, 5, Record{At: 1, Phase: Cancelled, Off: 50_000})+","+stored(t, 2, 6, Record{At: 2, Phase: Cancelled}))
+	l, cat, _ := newAPI(8000, storedRow(t, 1, 5, Record{At: 1, Phase: Cancelled, Off: 50_000})+","+storedRow(t, 2, 6, Record{At: 2, Phase: Cancelled}))
 	l.now = 53 * time.Second
 	if age, off := cat.CancelledFor("wk-000001", 2*time.Second); !off || age != 5*time.Second {
 		t.Errorf("cancelled %v, for %v", off, age)
