--- a/internal/drain/book.go
+++ b/internal/drain/book.go
@@ -15,27 +15,27 @@
 
 // Drain is a drain as the records have it.
 type Drain struct {
-	ID     string
-	Head   Head
-	Stamp  uint64 // of the head
-	Pages  map[int]*StoredPage
-	Grants map[uint64]*StoredGrant
+	ID       string
+	Head     Head
+	Revision uint64 // of the head
+	Pages    map[int]*StoredPage
+	Grants   map[uint64]*StoredGrant
 }
 
 // StoredPage is a page with the stamp of its key.
 type StoredPage struct {
 	Page
-	Stamp uint64
+	Revision uint64
 }
 
 // StoredGrant is a grant with the stamp of its key.
 type StoredGrant struct {
 	Grant
-	Stamp uint64
+	Revision uint64
 }
 
 // exists tells whether the drain was accepted. Pages are written before the head.
-func (d *Drain) exists() bool { return d.Stamp != 0 }
+func (d *Drain) exists() bool { return d.Revision != 0 }
 
 // grantNumbers lists the grants in the order in which they were given.
 func (d *Drain) grantNumbers() []uint64 { return slices.Sorted(maps.Keys(d.Grants)) }
@@ -59,9 +59,9 @@
 }
 
 // Book is a node's copy of all drains, fed by a watch.
-type Book struct {
+type Records struct {
 	// Changed is called after the records have changed.
-	Changed func()
+	OnChange func()
 
 	mirror *statestore.Mirror
 	log    *slog.Logger
@@ -79,37 +79,37 @@
 }
 
 // NewBook returns an empty book.
-func NewBook(rt engine.Runtime, state *statestore.Client, log *slog.Logger) *Book {
-	b := &Book{Changed: func() {}, log: log, mirror: statestore.NewMirror(rt, state, Prefix)}
+func NewRecords(rt engine.Runtime, state *statestore.Client, log *slog.Logger) *Records {
+	b := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
 	b.clear()
-	b.mirror.Reset = func([]statestore.Row) { b.clear() }
+	b.mirror.Reset = func([]statestore.KeyValue) { b.clear() }
 	b.mirror.Apply = b.apply
-	b.mirror.Taken = func() { b.Changed() }
+	b.mirror.Updated = func() { b.OnChange() }
 	return b
 }
 
-func (b *Book) clear() {
+func (b *Records) clear() {
 	b.drains, b.closed, b.byTask, b.stale = map[string]*Drain{}, map[string]int{}, map[TaskName][]held{}, false
 	b.broken = map[string]bool{}
 }
 
 // Start begins to follow the records.
-func (b *Book) Start() { b.mirror.Start() }
+func (b *Records) Start() { b.mirror.Start() }
 
 // Ready tells whether the records have been read.
-func (b *Book) Ready() bool { return b.mirror.IsReady() }
+func (b *Records) Ready() bool { return b.mirror.IsReady() }
 
 // Check calls fn when the book is proven to hold all that was committed before.
-func (b *Book) Check(fn func(error)) { b.mirror.Check(fn) }
+func (b *Records) Verify(fn func(error)) { b.mirror.Verify(fn) }
 
 // Proven is the moment up to which the book is proven to be complete.
-func (b *Book) Proven() (time.Duration, bool) { return b.mirror.Proven() }
+func (b *Records) VerifiedAt() (time.Duration, bool) { return b.mirror.VerifiedAt() }
 
 // Prove has the book shown to be current if that was longer ago than age.
-func (b *Book) Prove(age time.Duration) { b.mirror.Prove(age) }
+func (b *Records) VerifyIfOlder(age time.Duration) { b.mirror.VerifyIfOlder(age) }
 
 // Get finds a drain.
-func (b *Book) Get(id string) *Drain {
+func (b *Records) Get(id string) *Drain {
 	if d := b.drains[id]; d != nil && d.exists() {
 		return d
 	}
@@ -117,7 +117,7 @@
 }
 
 // Drains lists the drains, the oldest first.
-func (b *Book) Drains() []*Drain {
+func (b *Records) Drains() []*Drain {
 	var list []*Drain
 	for _, d := range b.drains {
 		if d.exists() {
@@ -131,7 +131,7 @@
 }
 
 // Idle tells whether nothing is to be done for any drain.
-func (b *Book) Idle() bool {
+func (b *Records) IsIdle() bool {
 	for _, d := range b.drains {
 		if d.Head.Phase.Active() || len(d.Grants) > 0 {
 			return false
@@ -142,29 +142,29 @@
 
 // Quiet tells whether there is nothing to do at all: no drain is active, and nothing is
 // left of those that are over.
-func (b *Book) Quiet() bool {
+func (b *Records) IsQuiet() bool {
 	for _, d := range b.drains {
 		if d.Head.Phase.Active() || len(d.Pages)+len(d.Grants) > 0 {
 			return false
 		}
 	}
-	return len(b.drains) <= tuning.DrainsKept
+	return len(b.drains) <= tuning.MaxFinishedDrains
 }
 
 // Closed tells whether a machine takes no new tasks.
-func (b *Book) Closed(machine string) bool {
+func (b *Records) IsClosed(machine string) bool {
 	b.index()
 	return b.closed[machine] > 0
 }
 
 // grantsOf lists the grants of a task or gang.
-func (b *Book) grantsOf(name TaskName) []held {
+func (b *Records) grantsOf(name TaskName) []held {
 	b.index()
 	return b.byTask[name]
 }
 
 // Granted tells whether a task, of a gang or not, is granted.
-func (b *Book) Granted(job string, index int, gang bool) bool {
+func (b *Records) IsGranted(job string, index int, gang bool) bool {
 	if gang {
 		index = wholeGang
 	}
@@ -172,10 +172,10 @@
 }
 
 // Broken tells whether a record does not parse: what it grants is not known.
-func (b *Book) Broken() bool { return len(b.broken) > 0 }
+func (b *Records) HasUnreadable() bool { return len(b.broken) > 0 }
 
 // index makes the look-up tables anew if the records have changed.
-func (b *Book) index() {
+func (b *Records) index() {
 	if !b.stale {
 		return
 	}
@@ -185,7 +185,7 @@
 	for _, d := range b.drains {
 		if d.Head.Phase.Active() {
 			d.Each(func(_, _ int, m *Machine) {
-				if m.State == Closed {
+				if m.State == MachineClosed {
 					b.closed[m.ID]++
 				}
 			})
@@ -198,7 +198,7 @@
 	}
 }
 
-func (b *Book) apply(raw string, value json.RawMessage, stamp uint64) {
+func (b *Records) apply(raw string, value json.RawMessage, stamp uint64) {
 	k, err := parseKey(raw)
 	if err != nil {
 		b.log.Warn("unknown drain record", "key", raw)
@@ -217,14 +217,14 @@
 	}
 	switch k.part {
 	case headPart:
-		d.Head, d.Stamp = Head{}, stamp
+		d.Head, d.Revision = Head{}, stamp
 		err = json.Unmarshal(value, &d.Head)
 	case pagePart:
-		page := &StoredPage{Stamp: stamp}
+		page := &StoredPage{Revision: stamp}
 		err = json.Unmarshal(value, &page.Page)
 		d.Pages[int(k.number)] = page
 	case grantPart:
-		grant := &StoredGrant{Stamp: stamp}
+		grant := &StoredGrant{Revision: stamp}
 		err = json.Unmarshal(value, &grant.Grant)
 		d.Grants[k.number] = grant
 	}
@@ -234,10 +234,10 @@
 	}
 }
 
-func (b *Book) remove(d *Drain, k key) {
+func (b *Records) remove(d *Drain, k key) {
 	switch k.part {
 	case headPart:
-		d.Head, d.Stamp = Head{}, 0
+		d.Head, d.Revision = Head{}, 0
 	case pagePart:
 		delete(d.Pages, int(k.number))
 	case grantPart:
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -84,20 +84,20 @@
 
 // Shortage is why a budget does not allow a disturbance.
 type Shortage struct {
-	Team    string
-	What    string // the limit: tasks, cpus, share or replicas_up
-	Used    float64
-	Want    float64
-	Most    float64
-	Service string // of which too few replicas would be up
+	Team      string
+	Limit     string // the limit: tasks, cpus, share or replicas_up
+	Used      float64
+	Requested float64
+	Max       float64
+	Service   string // of which too few replicas would be up
 }
 
 // String is the reason as operators read it.
 func (s *Shortage) String() string {
-	if s.What == limitReplicas {
-		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", s.Team, s.What, s.Want, s.Service, s.Most)
+	if s.Limit == limitReplicas {
+		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", s.Team, s.Limit, s.Requested, s.Service, s.Max)
 	}
-	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", s.Team, s.What, s.Used, s.Want, s.Most)
+	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", s.Team, s.Limit, s.Used, s.Requested, s.Max)
 }
 
 // Names of the limits, as in the settings.
@@ -112,15 +112,15 @@
 func (b Budget) Allows(team string, use *TeamUse, more Amount) *Shortage {
 	used := use.Disturbed()
 	if used.Tasks+more.Tasks > b.Tasks {
-		return &Shortage{Team: team, What: limitTasks, Used: float64(used.Tasks), Want: float64(more.Tasks), Most: float64(b.Tasks)}
+		return &Shortage{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(more.Tasks), Max: float64(b.Tasks)}
 	}
 	if used.CPUs+more.CPUs > b.CPUs+slack {
-		return &Shortage{Team: team, What: limitCPUs, Used: used.CPUs, Want: more.CPUs, Most: b.CPUs}
+		return &Shortage{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: more.CPUs, Max: b.CPUs}
 	}
 	// What is disturbed belongs to the work that would run.
 	most := b.Share * (use.Running.CPUs + used.CPUs)
 	if !math.IsInf(b.Share, 1) && used.CPUs+more.CPUs > most+slack {
-		return &Shortage{Team: team, What: limitShare, Used: used.CPUs, Want: more.CPUs, Most: most}
+		return &Shortage{Team: team, Limit: limitShare, Used: used.CPUs, Requested: more.CPUs, Max: most}
 	}
 	return nil
 }
--- a/internal/drain/commit_test.go
+++ b/internal/drain/commit_test.go
@@ -26,23 +26,23 @@
 
 type pendingCall struct {
 	body   string
-	answer func(httpwire.Answer, error)
+	answer func(httpwire.Response, error)
 }
 
-func (r *fakeRuntime) Now() time.Duration                                              { return r.now }
-func (r *fakeRuntime) Wall() time.Time                                                 { return time.UnixMilli(1_790_000_000_000).Add(r.now) }
-func (r *fakeRuntime) Rand() float64                                                   { return 0.5 }
-func (r *fakeRuntime) After(_ time.Duration, fn func())                                { r.timers = append(r.timers, fn) }
-func (r *fakeRuntime) Peer(string, string, []byte, time.Duration, func([]byte, error)) {}
+func (r *fakeRuntime) Now() time.Duration                                                  { return r.now }
+func (r *fakeRuntime) WallClock() time.Time                                                { return time.UnixMilli(1_790_000_000_000).Add(r.now) }
+func (r *fakeRuntime) Rand() float64                                                       { return 0.5 }
+func (r *fakeRuntime) After(_ time.Duration, fn func())                                    { r.timers = append(r.timers, fn) }
+func (r *fakeRuntime) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
-func (r *fakeRuntime) Call(_ string, c httpwire.Call, _ time.Duration, fn func(httpwire.Answer, error)) {
+func (r *fakeRuntime) CallHTTP(_ string, c httpwire.ClientRequest, _ time.Duration, fn func(httpwire.Response, error)) {
 	switch {
 	case c.Target == "/commit":
 		r.commits = append(r.commits, pendingCall{string(c.Body), fn})
 	case strings.HasPrefix(c.Target, "/keys"):
-		fn(httpwire.Answer{Status: 200, Body: []byte(`{"rows":[],"epoch":1}`)}, nil)
+		fn(httpwire.Response{Status: 200, Body: []byte(`{"rows":[],"epoch":1}`)}, nil)
 	case strings.Contains(c.Target, "waitMs=0"):
-		fn(httpwire.Answer{Status: 200, Body: []byte(`{"epoch":1,"log":[]}`)}, nil)
+		fn(httpwire.Response{Status: 200, Body: []byte(`{"epoch":1,"log":[]}`)}, nil)
 	}
 }
 
@@ -59,23 +59,23 @@
 // emptyCluster has no machines and no work.
 type emptyCluster struct{}
 
-func (emptyCluster) Known() bool                                   { return true }
-func (emptyCluster) Machines(func(*MachineInfo))                   {}
-func (emptyCluster) Machine(string) (MachineInfo, bool)            { return MachineInfo{}, false }
-func (emptyCluster) Gone(string) bool                              { return false }
-func (emptyCluster) Load(string) float64                           { return 0 }
-func (emptyCluster) Job(string) (*jobs.Description, bool)          { return nil, false }
-func (emptyCluster) Mark(string, int) (work.Mark, bool)            { return work.Mark{}, false }
-func (emptyCluster) Replicas(string) int                           { return 0 }
-func (emptyCluster) Placements(func(*jobs.Description, work.Mark)) {}
-func (emptyCluster) Interrupted(func(*jobs.Description, int))      {}
-func (emptyCluster) Room(*jobs.Description, string) int            { return 0 }
-func (emptyCluster) Waits(jobs.Priority) bool                      { return false }
-func (emptyCluster) Rent(string, MachineInfo) (string, bool)       { return "", false }
-func (emptyCluster) Keep(map[string]bool)                          {}
-func (emptyCluster) BlockKey(int) string                           { return "lease/block/0" }
-func (emptyCluster) Blocks() int                                   { return 1 }
-func (emptyCluster) Valid() bool                                   { return true }
+func (emptyCluster) IsKnown() bool                                   { return true }
+func (emptyCluster) EachMachine(func(*MachineInfo))                  {}
+func (emptyCluster) Machine(string) (MachineInfo, bool)              { return MachineInfo{}, false }
+func (emptyCluster) IsGone(string) bool                              { return false }
+func (emptyCluster) CPUsPlacedOn(string) float64                     { return 0 }
+func (emptyCluster) Job(string) (*jobs.Spec, bool)                   { return nil, false }
+func (emptyCluster) TaskStatus(string, int) (work.TaskStatus, bool)  { return work.TaskStatus{}, false }
+func (emptyCluster) PlacedReplicas(string) int                       { return 0 }
+func (emptyCluster) EachPlacement(func(*jobs.Spec, work.TaskStatus)) {}
+func (emptyCluster) EachInterrupted(func(*jobs.Spec, int))           {}
+func (emptyCluster) CapacityFor(*jobs.Spec, string) int              { return 0 }
+func (emptyCluster) HasUrgentWaiting(jobs.Priority) bool             { return false }
+func (emptyCluster) RentMachine(string, MachineInfo) (string, bool)  { return "", false }
+func (emptyCluster) KeepIdle(map[string]bool)                        {}
+func (emptyCluster) ShardKey(int) string                             { return "lease/block/0" }
+func (emptyCluster) ShardCount() int                                 { return 1 }
+func (emptyCluster) LeaseValid() bool                                { return true }
 
 // TestCommitIsRepeatedUntilItsOutcomeIsKnown: a commit without an answer may be carried
 // out at any time. Until it is known whether it was, the same is sent again, nothing else
@@ -84,23 +84,23 @@
 	rt := &fakeRuntime{}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	state := statestore.New(rt, "state", log)
-	book := NewBook(rt, state, log)
+	book := NewRecords(rt, state, log)
 	book.Start()
 	set := &settings.Settings{}
 	set.Deployment.State.WriteRPS = 100
 	set.Operator.Drains = &settings.Drains{}
 	c := NewCoordinator(rt, state, emptyCluster{}, book, emptyCluster{}, set, nil, log)
-	c.Begin(7)
+	c.BeginTerm(7)
 	for range 3 {
 		rt.fire()
 	}
 	outcomes := []bool{}
-	c.commit(nil, []statestore.Change{{Set: HeadKey("a"), Value: json.RawMessage(`{}`)}}, func(ok bool) { outcomes = append(outcomes, ok) })
-	for try, answer := range []func(func(httpwire.Answer, error)){
-		func(fn func(httpwire.Answer, error)) { fn(httpwire.Answer{}, engine.ErrNoAnswer) },
-		func(fn func(httpwire.Answer, error)) { fn(httpwire.Answer{Status: 503}, nil) },
-		func(fn func(httpwire.Answer, error)) { fn(httpwire.Answer{}, engine.ErrNotSent) },
-		func(fn func(httpwire.Answer, error)) { fn(httpwire.Answer{}, engine.ErrNoAnswer) },
+	c.commit(nil, []statestore.Operation{{PutKey: HeadKey("a"), Value: json.RawMessage(`{}`)}}, func(ok bool) { outcomes = append(outcomes, ok) })
+	for try, answer := range []func(func(httpwire.Response, error)){
+		func(fn func(httpwire.Response, error)) { fn(httpwire.Response{}, engine.ErrNoAnswer) },
+		func(fn func(httpwire.Response, error)) { fn(httpwire.Response{Status: 503}, nil) },
+		func(fn func(httpwire.Response, error)) { fn(httpwire.Response{}, engine.ErrNotSent) },
+		func(fn func(httpwire.Response, error)) { fn(httpwire.Response{}, engine.ErrNoAnswer) },
 	} {
 		c.Tick()
 		if len(rt.commits) != try+1 || rt.commits[try].body != rt.commits[0].body || !c.flying || len(outcomes) > 0 {
@@ -112,17 +112,17 @@
 	if !strings.Contains(rt.commits[0].body, `{"key":"lease/lead","stamp":7}`) {
 		t.Errorf("not guarded by the lead: %s", rt.commits[0].body)
 	}
-	rt.commits[4].answer(httpwire.Answer{Status: 409, Body: []byte(`{"failed":["drain/a/head"],"epoch":9}`)}, nil)
+	rt.commits[4].answer(httpwire.Response{Status: 409, Body: []byte(`{"failed":["drain/a/head"],"epoch":9}`)}, nil)
 	for range 3 {
 		rt.fire()
 	}
 	if len(outcomes) != 1 || outcomes[0] || c.flying {
 		t.Errorf("outcomes %v, flying %v", outcomes, c.flying)
 	}
-	c.commit(nil, []statestore.Change{{Set: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
-	c.Begin(8)
+	c.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
+	c.BeginTerm(8)
 	sent := len(rt.commits)
-	rt.commits[sent-1].answer(httpwire.Answer{}, engine.ErrNoAnswer)
+	rt.commits[sent-1].answer(httpwire.Response{}, engine.ErrNoAnswer)
 	rt.fire()
 	if len(rt.commits) != sent {
 		t.Error("a commit of an earlier term is repeated")
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -14,8 +14,8 @@
 )
 
 // Lead is what the Coordinator asks of the leader's lease.
-type Lead interface {
-	Valid() bool
+type LeaderLease interface {
+	LeaseValid() bool
 }
 
 // Coordinator runs the drains while this process leads. Each of its rounds starts from
@@ -24,8 +24,8 @@
 type Coordinator struct {
 	rt      engine.Runtime
 	state   *statestore.Client
-	lease   Lead
-	book    *Book
+	lease   LeaderLease
+	book    *Records
 	cluster Cluster
 	set     *settings.Settings
 	conf    *settings.Drains
@@ -49,34 +49,34 @@
 
 // NewCoordinator returns a coordinator without the lead. set.Operator.Drains must not
 // be nil.
-func NewCoordinator(rt engine.Runtime, state *statestore.Client, lease Lead, book *Book, cluster Cluster,
+func NewCoordinator(rt engine.Runtime, state *statestore.Client, lease LeaderLease, book *Records, cluster Cluster,
 	set *settings.Settings, trace *Tracer, log *slog.Logger) *Coordinator {
 	c := &Coordinator{rt: rt, state: state, lease: lease, book: book, cluster: cluster, set: set,
 		conf: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), trace: trace, log: log, node: set.Node}
-	c.End()
+	c.EndTerm()
 	return c
 }
 
 // Begin starts a term: earlier leaders' commits fail from now on, so the records
 // proven to be current hold all that was ever granted.
-func (c *Coordinator) Begin(token uint64) {
-	c.End()
+func (c *Coordinator) BeginTerm(token uint64) {
+	c.EndTerm()
 	c.token = token
 	c.read(c.term, 0)
 }
 
 // End forgets everything: the lead is lost.
-func (c *Coordinator) End() {
+func (c *Coordinator) EndTerm() {
 	c.term++
 	c.token, c.loaded, c.flying = 0, false, false
-	c.reports = make([]blockHeard, c.cluster.Blocks())
+	c.reports = make([]blockHeard, c.cluster.ShardCount())
 	c.ran, c.waits, c.stuck = map[TaskName]uint64{}, map[string][]string{}, map[string]time.Duration{}
 	c.trace.End()
 	c.reply(c.unavailable("the leader has changed"))
 }
 
 func (c *Coordinator) read(term, try int) {
-	c.book.Check(func(err error) {
+	c.book.Verify(func(err error) {
 		if term != c.term {
 			return
 		}
@@ -94,14 +94,14 @@
 
 // Tick takes the next step; once a second.
 func (c *Coordinator) Tick() {
-	if c.token == 0 || !c.loaded || c.flying || !c.lease.Valid() || !c.cluster.Known() {
+	if c.token == 0 || !c.loaded || c.flying || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
 		return
 	}
 	c.keep()
-	if c.book.Quiet() {
+	if c.book.IsQuiet() {
 		return
 	}
-	if c.state.Scarce() {
+	if c.state.WritesThrottled() {
 		return // decisions of the daemon come first
 	}
 	c.refill()
@@ -136,12 +136,12 @@
 			continue
 		}
 		d.Each(func(_, _ int, m *Machine) {
-			if m.Replacement != "" && m.State != Released {
+			if m.Replacement != "" && m.State != MachineReleased {
 				kept[m.Replacement] = true
 			}
 		})
 	}
-	c.cluster.Keep(kept)
+	c.cluster.KeepIdle(kept)
 }
 
 // logWaits says what the drains wait for, when that changes.
@@ -160,21 +160,21 @@
 // commit carries changes out under the lead, and calls done when the book shows what
 // came of them; ok is false if a guard failed. A commit without an answer is repeated:
 // carried out twice, it fails the second time.
-func (c *Coordinator) commit(guards []statestore.Guard, apply []statestore.Change, done func(ok bool)) {
+func (c *Coordinator) commit(guards []statestore.Condition, apply []statestore.Operation, done func(ok bool)) {
 	c.flying = true
-	guards = append([]statestore.Guard{{Key: statestore.LeadKey, Stamp: c.token}}, guards...)
+	guards = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: c.token}}, guards...)
 	c.try(c.term, 0, guards, apply, done)
 }
 
-func (c *Coordinator) try(term, try int, guards []statestore.Guard, apply []statestore.Change, done func(bool)) {
+func (c *Coordinator) try(term, try int, guards []statestore.Condition, apply []statestore.Operation, done func(bool)) {
 	if term != c.term {
 		return
 	}
-	c.state.Commit(guards, apply, func(r statestore.Result) {
+	c.state.Commit(guards, apply, func(r statestore.CommitResult) {
 		switch {
 		case term != c.term:
-		case r.Outcome == statestore.OK || r.Outcome == statestore.Conflict:
-			c.learn(term, 0, func() { done(r.Outcome == statestore.OK) })
+		case r.Outcome == statestore.OutcomeOK || r.Outcome == statestore.OutcomeConflict:
+			c.learn(term, 0, func() { done(r.Outcome == statestore.OutcomeOK) })
 		default:
 			c.rt.After(c.state.Backoff(try), func() { c.try(term, try+1, guards, apply, done) })
 		}
@@ -183,7 +183,7 @@
 
 // learn waits until the book is proven to hold what was committed.
 func (c *Coordinator) learn(term, try int, done func()) {
-	c.book.Check(func(err error) {
+	c.book.Verify(func(err error) {
 		switch {
 		case term != c.term:
 		case err != nil:
@@ -204,8 +204,8 @@
 	c      *Coordinator
 	use    *usage
 	blind  int // a block of which too little is known to grant anything, -1 for none
-	guards []statestore.Guard
-	apply  []statestore.Change
+	guards []statestore.Condition
+	apply  []statestore.Operation
 	most   int                  // changes that the commit may still take
 	pages  map[string]*pageEdit // by key
 	asked  map[TaskRef]bool     // granted in this round
@@ -228,9 +228,9 @@
 }
 
 func (c *Coordinator) newRound() *round {
-	r := &round{c: c, use: c.usage(), blind: c.unheard(), most: min(c.state.Ops(), int(c.spare)), pages: map[string]*pageEdit{},
+	r := &round{c: c, use: c.usage(), blind: c.unheard(), most: min(c.state.MaxOperations(), int(c.spare)), pages: map[string]*pageEdit{},
 		asked: map[TaskRef]bool{}, roomless: map[string]bool{}, waits: map[string][]string{}}
-	if c.book.Broken() {
+	if c.book.HasUnreadable() {
 		r.blind = len(c.reports)
 	}
 	return r
@@ -239,7 +239,7 @@
 // wait notes what a drain waits for.
 func (r *round) wait(d *Drain, format string, args ...any) {
 	why := fmt.Sprintf(format, args...)
-	if list := r.waits[d.ID]; !slices.Contains(list, why) && len(list) < tuning.DrainWaitsMost {
+	if list := r.waits[d.ID]; !slices.Contains(list, why) && len(list) < tuning.MaxDrainWaitReasons {
 		r.waits[d.ID] = append(list, why)
 	}
 }
@@ -251,8 +251,8 @@
 		return false
 	}
 	r.most--
-	r.guards = append(r.guards, statestore.Guard{Key: key, Stamp: stamp})
-	r.apply = append(r.apply, statestore.Change{Set: key, Value: raw})
+	r.guards = append(r.guards, statestore.Condition{Key: key, Revision: stamp})
+	r.apply = append(r.apply, statestore.Operation{PutKey: key, Value: raw})
 	return true
 }
 
@@ -261,8 +261,8 @@
 		return false
 	}
 	r.most--
-	r.guards = append(r.guards, statestore.Guard{Key: key, Stamp: stamp})
-	r.apply = append(r.apply, statestore.Change{Remove: key})
+	r.guards = append(r.guards, statestore.Condition{Key: key, Revision: stamp})
+	r.apply = append(r.apply, statestore.Operation{DeleteKey: key})
 	return true
 }
 
@@ -273,7 +273,7 @@
 	if e == nil {
 		stored := d.Pages[page]
 		e = &pageEdit{page: Page{slices.Clone(stored.Machines)}, change: len(r.apply)}
-		if !r.set(key, stored.Stamp, e.page) {
+		if !r.set(key, stored.Revision, e.page) {
 			return false
 		}
 		r.pages[key] = e
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -54,7 +54,7 @@
 			}
 			if short == nil {
 				use.Chosen = use.Chosen.Plus(more)
-			} else if !strings.Contains(short.String(), "budget of team t: "+short.What) {
+			} else if !strings.Contains(short.String(), "budget of team t: "+short.Limit) {
 				t.Fatal(short.String())
 			}
 		}
@@ -130,14 +130,14 @@
 // the same; what does not parse is noted until it is replaced.
 func TestBookFollowsTheRecords(t *testing.T) {
 	changes := []stampedChange{
-		{PageKey("d", 0), Page{[]Machine{{ID: "vm-1", State: Closed}, {ID: "vm-2"}}}, 3},
-		{HeadKey("d"), Head{Phase: Running, Machines: 2, Pages: 1}, 4},
+		{PageKey("d", 0), Page{[]Machine{{ID: "vm-1", State: MachineClosed}, {ID: "vm-2"}}}, 3},
+		{HeadKey("d"), Head{Phase: PhaseRunning, Machines: 2, Pages: 1}, 4},
 		{GrantKey("d", 1), Grant{"vm-1", []TaskRef{{Job: "wk-1", Index: 2, Attempt: 5}}}, 5},
 		{GrantKey("d", 2), Grant{"vm-1", []TaskRef{{Job: "wk-2", Attempt: 1, Gang: 3}}}, 6},
-		{PageKey("e", 0), Page{[]Machine{{ID: "vm-9", State: Closed}}}, 7}, // no head: not accepted
+		{PageKey("e", 0), Page{[]Machine{{ID: "vm-9", State: MachineClosed}}}, 7}, // no head: not accepted
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b := &Book{Changed: func() {}, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+		b := &Records{OnChange: func() {}, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 		b.clear()
 		for _, c := range rapid.Permutation(changes).Draw(t, "order") {
 			raw, err := json.Marshal(c.value)
@@ -146,21 +146,21 @@
 			}
 			b.apply(c.key, raw, c.stamp)
 		}
-		if !b.Closed("vm-1") || b.Closed("vm-2") || b.Closed("vm-9") || b.Idle() || len(b.Drains()) != 1 || b.Get("e") != nil {
+		if !b.IsClosed("vm-1") || b.IsClosed("vm-2") || b.IsClosed("vm-9") || b.IsIdle() || len(b.Drains()) != 1 || b.Get("e") != nil {
 			t.Fatal("the machines' states are not those of the records")
 		}
-		if !b.Granted("wk-1", 2, false) || b.Granted("wk-1", 1, false) || !b.Granted("wk-2", 1, true) {
+		if !b.IsGranted("wk-1", 2, false) || b.IsGranted("wk-1", 1, false) || !b.IsGranted("wk-2", 1, true) {
 			t.Fatal("the grants are not those of the records")
 		}
 		b.apply(GrantKey("d", 1), json.RawMessage(`{"t":7}`), 8)
-		if !b.Broken() {
+		if !b.HasUnreadable() {
 			t.Fatal("a grant that does not parse is taken for none")
 		}
 		b.apply(GrantKey("d", 1), nil, 9)
 		b.apply(GrantKey("d", 2), nil, 9)
-		cancelled, _ := encode(Head{Phase: Cancelled, Machines: 2, Pages: 1})
+		cancelled, _ := encode(Head{Phase: PhaseCancelled, Machines: 2, Pages: 1})
 		b.apply(HeadKey("d"), cancelled, 10)
-		if b.Broken() || b.Closed("vm-1") || !b.Idle() {
+		if b.HasUnreadable() || b.IsClosed("vm-1") || !b.IsIdle() {
 			t.Fatal("what is over is not told as over")
 		}
 	})
@@ -193,7 +193,7 @@
 
 // TestRecordsFitTheirBounds: pages and grants stay below what is reckoned for them.
 func TestRecordsFitTheirBounds(t *testing.T) {
-	machine, err := encode(Machine{ID: strings.Repeat("m", 40), State: Replacing, Tries: 3, Replacement: strings.Repeat("r", 40), Since: math.MaxInt64 / 1000})
+	machine, err := encode(Machine{ID: strings.Repeat("m", 40), State: MachineReplacing, Tries: 3, Replacement: strings.Repeat("r", 40), Since: math.MaxInt64 / 1000})
 	if err != nil || len(machine) > machineBytes {
 		t.Errorf("%d bytes: %s", len(machine), machine)
 	}
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -13,20 +13,20 @@
 
 // Workers is what the Executor asks of the worker registry.
 type Workers interface {
-	All() []*agents.Worker
-	Get(id string) *agents.Worker
+	Workers() []*agents.Worker
+	Worker(id string) *agents.Worker
 	// Reports tells whether a machine is heard under the present token.
-	Reports(h *agents.Worker) bool
+	IsCurrent(h *agents.Worker) bool
 	// Stop has a task halted, with the time that it needs to save.
-	Stop(k *work.Task)
+	HaltTask(k *work.Task)
 	// StopGang has all tasks of a gang halted, at the same time.
-	StopGang(j *work.Job)
+	HaltGang(j *work.Job)
 }
 
 // Tasks is what the Executor asks of the block's task store.
 type Tasks interface {
 	Job(id string) *work.Job
-	Jobs(fn func(*work.Job))
+	EachJob(fn func(*work.Job))
 }
 
 // Executor carries out, for the owner of a block, what the records of the drains
@@ -34,7 +34,7 @@
 // current: a grant that is withdrawn is never acted upon later.
 type Executor struct {
 	rt      engine.Runtime
-	book    *Book
+	book    *Records
 	workers Workers
 	tasks   Tasks
 	holds   func() bool         // the block's lease, surely
@@ -44,12 +44,12 @@
 }
 
 // NewExecutor returns an executor for one block.
-func NewExecutor(rt engine.Runtime, book *Book, workers Workers, tasks Tasks, holds func() bool) *Executor {
+func NewExecutor(rt engine.Runtime, book *Records, workers Workers, tasks Tasks, holds func() bool) *Executor {
 	return &Executor{rt: rt, book: book, workers: workers, tasks: tasks, holds: holds, ran: map[TaskName]uint64{}}
 }
 
 // Begin starts a term.
-func (e *Executor) Begin() {
+func (e *Executor) BeginTerm() {
 	e.begun = e.rt.Now()
 	clear(e.ran)
 }
@@ -58,8 +58,8 @@
 // proof is asked for, and what is granted is acted upon when it is there.
 func (e *Executor) fresh() bool {
 	now := e.rt.Now()
-	proven, known := e.book.Proven()
-	if known && proven >= e.begun && now-proven <= tuning.LaunchFresh {
+	proven, known := e.book.VerifiedAt()
+	if known && proven >= e.begun && now-proven <= tuning.MaxLaunchKnowledgeAge {
 		return true
 	}
 	if e.asking {
@@ -67,17 +67,17 @@
 	}
 	e.asking = true
 	begun := e.begun
-	e.book.Check(func(err error) {
+	e.book.Verify(func(err error) {
 		e.asking = false
 		if err == nil && e.begun == begun && e.holds() {
-			e.Act()
+			e.HaltGranted()
 		}
 	})
 	return false
 }
 
 // Act stops what is granted and still runs, while the block is held.
-func (e *Executor) Act() {
+func (e *Executor) HaltGranted() {
 	if !e.holds() {
 		return
 	}
@@ -103,44 +103,44 @@
 	}
 	if ref.Gang > 0 {
 		g := j.Gang
-		if g == nil || g.Attempt != ref.Attempt || g.Over || g.Done {
+		if g == nil || g.Attempt != ref.Attempt || g.AttemptOver || g.Done {
 			return true
 		}
 		if !e.fresh() {
 			return false
 		}
-		e.workers.StopGang(j)
+		e.workers.HaltGang(j)
 		return true
 	}
 	k := j.Tasks[ref.Index]
-	if k == nil || j.Gang != nil || k.State != work.Placed || k.Attempt != ref.Attempt || !k.Sent || k.Stopping {
+	if k == nil || j.Gang != nil || k.State != work.StatePlaced || k.Attempt != ref.Attempt || !k.LaunchSent || k.HaltDecided {
 		return true
 	}
 	if !e.fresh() {
 		return false
 	}
-	e.workers.Stop(k)
+	e.workers.HaltTask(k)
 	return true
 }
 
 // up tells whether a task surely runs.
 func (e *Executor) up(k *work.Task) bool {
-	if k.State != work.Placed || !k.Running {
+	if k.State != work.StatePlaced || !k.Running {
 		return false
 	}
-	h := e.workers.Get(k.Host)
-	return h != nil && e.workers.Reports(h)
+	h := e.workers.Worker(k.WorkerID)
+	return h != nil && e.workers.IsCurrent(h)
 }
 
 // Report tells the leader how the block stands; nil if there are no drains.
-func (e *Executor) Report() *BlockReport {
-	if e.book.Idle() {
+func (e *Executor) Report() *ShardReport {
+	if e.book.IsIdle() {
 		return nil
 	}
-	r := &BlockReport{Teams: map[string]TeamWork{}, Down: map[string]int{}}
+	r := &ShardReport{Teams: map[string]TeamWork{}, Down: map[string]int{}}
 	e.reportGranted(r)
 	e.reportMachines(r)
-	e.tasks.Jobs(func(j *work.Job) {
+	e.tasks.EachJob(func(j *work.Job) {
 		if !j.Cancelled && (j.Gang == nil || !j.Gang.Done) {
 			e.reportJob(r, j)
 		}
@@ -148,12 +148,12 @@
 	return r
 }
 
-func (e *Executor) reportGranted(r *BlockReport) {
+func (e *Executor) reportGranted(r *ShardReport) {
 	for _, d := range e.book.Drains() {
 		for _, number := range d.grantNumbers() {
 			for _, ref := range d.Grants[number].Tasks {
 				if j := e.tasks.Job(ref.Job); j != nil {
-					e.reportRef(r, j, ref, d.Head.Phase == Cancelled)
+					e.reportRef(r, j, ref, d.Head.Phase == PhaseCancelled)
 				}
 			}
 		}
@@ -161,11 +161,11 @@
 }
 
 // reportRef reports a granted task that runs.
-func (e *Executor) reportRef(r *BlockReport, j *work.Job, ref TaskRef, cancelled bool) {
+func (e *Executor) reportRef(r *ShardReport, j *work.Job, ref TaskRef, cancelled bool) {
 	state := GrantedTask{TaskRef: ref}
 	untouched := false
 	if ref.Gang > 0 {
-		if j.Gang == nil || !j.Gang.Started || j.Gang.Over {
+		if j.Gang == nil || !j.Gang.Started || j.Gang.AttemptOver {
 			return
 		}
 		untouched = len(j.Tasks) == ref.Gang
@@ -173,7 +173,7 @@
 			if !e.up(k) {
 				return
 			}
-			untouched = untouched && !k.Stopping
+			untouched = untouched && !k.HaltDecided
 		}
 		state.Attempt = j.Gang.Attempt
 	} else {
@@ -181,7 +181,7 @@
 		if k == nil || !e.up(k) {
 			return
 		}
-		state.Attempt, untouched = k.Attempt, !k.Stopping
+		state.Attempt, untouched = k.Attempt, !k.HaltDecided
 	}
 	state.Runs = state.Attempt > ref.Attempt
 	state.Void = cancelled && state.Attempt == ref.Attempt && untouched
@@ -193,23 +193,23 @@
 	}
 }
 
-func (e *Executor) reportMachines(r *BlockReport) {
+func (e *Executor) reportMachines(r *ShardReport) {
 	now := e.rt.Now()
-	for _, h := range e.workers.All() {
-		if !h.Up || !e.book.Closed(h.ID) {
+	for _, h := range e.workers.Workers() {
+		if !h.HasReported || !e.book.IsClosed(h.ID) {
 			continue
 		}
 		m := ClosedMachine{ID: h.ID}
 		for k := range h.Tasks {
-			if !k.Sent || k.Job.Cancelled {
+			if !k.LaunchSent || k.Job.Cancelled {
 				continue
 			}
-			placed := PlacedTask{Job: k.Job.Desc.ID, Index: k.Index, Attempt: k.Attempt}
+			placed := PlacedTask{Job: k.Job.Spec.ID, Index: k.Index, Attempt: k.Attempt}
 			if k.Job.Gang != nil {
-				placed.Attempt = k.Try()
+				placed.Attempt = k.WireAttempt()
 			}
 			if k.Running {
-				placed.RunsMS = max(1, (now - k.Since).Milliseconds())
+				placed.RunsMS = max(1, (now - k.RunningSince).Milliseconds())
 			}
 			m.Tasks = append(m.Tasks, placed)
 		}
@@ -224,26 +224,26 @@
 }
 
 // reportJob adds a job's tasks to what runs and to what nobody chose to disturb.
-func (e *Executor) reportJob(r *BlockReport, j *work.Job) {
-	team := r.Teams[j.Desc.Team]
-	one := Amount{1, j.Desc.CPUs}
+func (e *Executor) reportJob(r *ShardReport, j *work.Job) {
+	team := r.Teams[j.Spec.Team]
+	one := Amount{1, j.Spec.CPUs}
 	for _, k := range j.Tasks {
 		switch {
-		case k.State != work.Placed && k.State != work.Waiting, e.disturbedByGrant(j, k):
+		case k.State != work.StatePlaced && k.State != work.StateWaiting, e.disturbedByGrant(j, k):
 		case e.up(k):
 			team.Running = team.Running.Plus(one)
 		case e.interrupted(k):
 			team.Disturbed = team.Disturbed.Plus(one)
-			if j.Desc.Service() && k.State == work.Placed {
-				e.reportDown(r, j.Desc.ID)
+			if j.Spec.IsService() && k.State == work.StatePlaced {
+				e.reportDown(r, j.Spec.ID)
 			}
 		}
 	}
-	r.Teams[j.Desc.Team] = team
+	r.Teams[j.Spec.Team] = team
 }
 
-func (e *Executor) reportDown(r *BlockReport, job string) {
-	if _, there := r.Down[job]; !there && len(r.Down) >= tuning.DrainDownMost {
+func (e *Executor) reportDown(r *ShardReport, job string) {
+	if _, there := r.Down[job]; !there && len(r.Down) >= tuning.MaxReportedDownServices {
 		r.Partial = true
 		return
 	}
@@ -252,7 +252,7 @@
 
 // disturbedByGrant tells whether a task is counted by the leader, as granted.
 func (e *Executor) disturbedByGrant(j *work.Job, k *work.Task) bool {
-	name := TaskName{j.Desc.ID, k.Index}
+	name := TaskName{j.Spec.ID, k.Index}
 	if j.Gang != nil {
 		name.Index = wholeGang
 	}
@@ -267,9 +267,9 @@
 // interrupted tells whether a task that does not run, as far as one can tell, has run
 // before. What cannot be proven counts as disturbed.
 func (e *Executor) interrupted(k *work.Task) bool {
-	if k.State == work.Waiting {
+	if k.State == work.StateWaiting {
 		return k.Attempt > 0
 	}
-	h := e.workers.Get(k.Host)
-	return k.Try() > 1 || h == nil || !e.workers.Reports(h)
+	h := e.workers.Worker(k.WorkerID)
+	return k.WireAttempt() > 1 || h == nil || !e.workers.IsCurrent(h)
 }
--- a/internal/drain/grant.go
+++ b/internal/drain/grant.go
@@ -13,7 +13,7 @@
 
 // move is a task, or a gang as a whole, that stands on a closed machine.
 type move struct {
-	desc  *jobs.Description
+	desc  *jobs.Spec
 	ref   TaskRef
 	runs  time.Duration
 	zone  string // where it has to go
@@ -24,8 +24,8 @@
 // lost is how much work is lost when it is stopped, in seconds of a processor.
 func (m *move) lost() float64 {
 	runs := m.runs.Seconds()
-	if m.desc.SaveEvery > 0 {
-		runs = m.desc.SaveS
+	if m.desc.CheckpointIntervalSeconds > 0 {
+		runs = m.desc.CheckpointSeconds
 	}
 	return runs * amount(m.desc, m.ref).CPUs
 }
@@ -33,11 +33,11 @@
 // grant lets tasks of the closed machines be stopped, as far as budgets and room go.
 func (r *round) grant(d *Drain) {
 	d.Each(func(page, position int, m *Machine) {
-		if m.State != Closed {
+		if m.State != MachineClosed {
 			return
 		}
 		r.grantMachine(d, m)
-		if r.roomless[m.ID] && m.Tries < tuning.DrainTriesMost && r.stuckFor(m.ID) > tuning.DrainRoomWait {
+		if r.roomless[m.ID] && m.Tries < tuning.MaxDrainRentalAttempts && r.stuckFor(m.ID) > tuning.DrainNoRoomAfter {
 			r.edit(d, page, position, "reopened until a machine is rented for its work", reopen)
 		}
 	})
@@ -46,14 +46,14 @@
 // reopen is the change that has a machine take tasks until there is one more in its
 // place. The room of an earlier one has been taken by other work.
 func reopen(m *Machine) {
-	m.State = Replacing
+	m.State = MachineReplacing
 	if m.Replacement != "" {
 		m.Replacement, m.Tries = "", m.Tries+1
 	}
 }
 
 func (r *round) grantMachine(d *Drain, m *Machine) {
-	if r.c.cluster.Gone(m.ID) {
+	if r.c.cluster.IsGone(m.ID) {
 		return
 	}
 	info, known := r.c.cluster.Machine(m.ID)
@@ -77,7 +77,7 @@
 			r.wait(d, "%s", why)
 			continue
 		}
-		if (len(g.Tasks)+1)*taskBytes > r.c.state.ValueBytes()-machineBytes || r.most <= 0 {
+		if (len(g.Tasks)+1)*taskBytes > r.c.state.MaxValueBytes()-machineBytes || r.most <= 0 {
 			break // the rest with the next round
 		}
 		r.take(&moves[i])
@@ -111,7 +111,7 @@
 
 // closedMachine is what its owner reports of a closed machine; nil if it does not.
 func (r *round) closedMachine(info MachineInfo) *ClosedMachine {
-	report := r.c.reports[info.Block].report
+	report := r.c.reports[info.Shard].report
 	i := slices.IndexFunc(report.Machines, func(m ClosedMachine) bool { return m.ID == info.ID })
 	if i < 0 {
 		return nil
@@ -126,7 +126,7 @@
 	if taken := d.grantNumbers(); len(taken) > 0 {
 		number = taken[len(taken)-1] + 1
 	}
-	for slices.ContainsFunc(r.apply, func(c statestore.Change) bool { return c.Set == GrantKey(d.ID, number) }) {
+	for slices.ContainsFunc(r.apply, func(c statestore.Operation) bool { return c.PutKey == GrantKey(d.ID, number) }) {
 		number++
 	}
 	return number
@@ -134,7 +134,7 @@
 
 // moves lists what has to leave a machine, the cheapest first.
 func (r *round) moves(m *Machine, info MachineInfo, closed *ClosedMachine) []move {
-	since := time.Duration(max(0, r.c.rt.Wall().UnixMilli()-m.Since)) * time.Millisecond
+	since := time.Duration(max(0, r.c.rt.WallClock().UnixMilli()-m.Since)) * time.Millisecond
 	gangs := map[string]bool{}
 	var list []move
 	for _, t := range closed.Tasks {
@@ -144,10 +144,10 @@
 		}
 		next := move{desc: desc, ref: TaskRef{Job: t.Job, Index: t.Index, Attempt: t.Attempt},
 			runs: time.Duration(t.RunsMS) * time.Millisecond, zone: desc.Zone, here: 1, since: since}
-		if desc.OneZone || desc.Spread {
+		if desc.SameZone || desc.Spread {
 			next.zone = info.Zone
 		}
-		if desc.Gang() {
+		if desc.IsGang() {
 			gangs[t.Job] = true
 			next.ref.Index, next.ref.Gang = 0, desc.Tasks
 			next.here = r.closedTasks(t.Job)
@@ -197,15 +197,15 @@
 
 // refusal is why a move has to wait, "" if it need not.
 func (r *round) refusal(machine *Machine, m *move) string {
-	left := m.desc.EstimateS - m.runs.Seconds()
-	if wait := r.c.conf.Wait() - m.since; wait > 0 && m.runs > 0 && !m.desc.Service() && left > 0 && left <= wait.Seconds() {
+	left := m.desc.EstimateSeconds - m.runs.Seconds()
+	if wait := r.c.conf.WaitOrDefault() - m.since; wait > 0 && m.runs > 0 && !m.desc.IsService() && left > 0 && left <= wait.Seconds() {
 		return fmt.Sprintf("tasks of %s are about to end", m.desc.ID)
 	}
 	budget := r.c.budgets.Of(m.desc.Team)
 	if short := budget.Allows(m.desc.Team, r.use.team(m.desc.Team), amount(m.desc, m.ref)); short != nil {
 		return short.String()
 	}
-	if m.desc.Service() {
+	if m.desc.IsService() {
 		if short := r.replicas(m, budget); short != nil {
 			return short.String()
 		}
@@ -215,14 +215,14 @@
 
 // replicas tells whether enough replicas of a service would stay up; nil if so.
 func (r *round) replicas(m *move, budget Budget) *Shortage {
-	up := r.c.cluster.Replicas(m.ref.Job) - r.use.down[m.ref.Job] - 1
+	up := r.c.cluster.PlacedReplicas(m.ref.Job) - r.use.down[m.ref.Job] - 1
 	if r.use.partial {
 		up = 0
 	}
 	if up >= budget.ReplicasUp {
 		return nil
 	}
-	return &Shortage{Team: m.desc.Team, What: limitReplicas, Service: m.desc.ID, Want: float64(up), Most: float64(budget.ReplicasUp)}
+	return &Shortage{Team: m.desc.Team, Limit: limitReplicas, Service: m.desc.ID, Requested: float64(up), Max: float64(budget.ReplicasUp)}
 }
 
 // noRoom is why there is no place for what is moved, "" if there is. That a machine
@@ -230,10 +230,10 @@
 // Work of a higher priority goes first, but for the room of the machine's own
 // replacement: if it takes that, there is none.
 func (r *round) noRoom(machine *Machine, m *move) string {
-	if machine.Replacement == "" && r.c.cluster.Waits(m.desc.Priority()) {
+	if machine.Replacement == "" && r.c.cluster.HasUrgentWaiting(m.desc.Priority()) {
 		return fmt.Sprintf("work of a higher priority than %s waits for room", m.desc.ID)
 	}
-	room := float64(r.c.cluster.Room(m.desc, m.zone)) * m.desc.CPUs
+	room := float64(r.c.cluster.CapacityFor(m.desc, m.zone)) * m.desc.CPUs
 	if room-r.use.moving+slack >= float64(m.here)*m.desc.CPUs {
 		return ""
 	}
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -15,7 +15,7 @@
 )
 
 // Prefix of all keys of the drains.
-const Prefix = "drain/"
+const KeyPrefix = "drain/"
 
 // Parts of a drain's keys: drain/ID/head, drain/ID/page/N, drain/ID/grant/N.
 const (
@@ -25,16 +25,16 @@
 )
 
 // HeadKey is the key of a drain's head. A drain exists when its head does.
-func HeadKey(id string) string { return Prefix + id + "/" + headPart }
+func HeadKey(id string) string { return KeyPrefix + id + "/" + headPart }
 
 // PageKey is the key of a page of a drain's machines.
 func PageKey(id string, number int) string {
-	return Prefix + id + "/" + pagePart + "/" + strconv.Itoa(number)
+	return KeyPrefix + id + "/" + pagePart + "/" + strconv.Itoa(number)
 }
 
 // GrantKey is the key of a grant. Numbers of a drain are never reused.
 func GrantKey(id string, number uint64) string {
-	return Prefix + id + "/" + grantPart + "/" + strconv.FormatUint(number, 10)
+	return KeyPrefix + id + "/" + grantPart + "/" + strconv.FormatUint(number, 10)
 }
 
 var idForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
@@ -50,7 +50,7 @@
 }
 
 func parseKey(raw string) (key, error) {
-	parts := strings.Split(strings.TrimPrefix(raw, Prefix), "/")
+	parts := strings.Split(strings.TrimPrefix(raw, KeyPrefix), "/")
 	if len(parts) == 2 && parts[1] == headPart && ValidID(parts[0]) {
 		return key{id: parts[0], part: headPart}, nil
 	}
@@ -67,14 +67,14 @@
 
 // The phases. Done and Cancelled are final.
 const (
-	Running   Phase = "running"
-	Paused    Phase = "paused"
-	Cancelled Phase = "cancelled"
-	Done      Phase = "done"
+	PhaseRunning   Phase = "running"
+	PhasePaused    Phase = "paused"
+	PhaseCancelled Phase = "cancelled"
+	PhaseDone      Phase = "done"
 )
 
 // Active tells whether machines are kept closed and grants are carried out.
-func (p Phase) Active() bool { return p == Running || p == Paused }
+func (p Phase) Active() bool { return p == PhaseRunning || p == PhasePaused }
 
 // Head is a drain as a whole.
 type Head struct {
@@ -99,10 +99,10 @@
 
 // The states, in their order.
 const (
-	Waiting   MachineState = ""
-	Replacing MachineState = "replacing" // a replacement was asked for, or is booting
-	Closed    MachineState = "closed"    // takes no new tasks
-	Released  MachineState = "released"  // given back, or gone by itself
+	MachineWaiting   MachineState = ""
+	MachineReplacing MachineState = "replacing" // a replacement was asked for, or is booting
+	MachineClosed    MachineState = "closed"    // takes no new tasks
+	MachineReleased  MachineState = "released"  // given back, or gone by itself
 )
 
 // Machine is an entry of a page.
--- a/internal/drain/report.go
+++ b/internal/drain/report.go
@@ -2,7 +2,7 @@
 
 // BlockReport is what a block's owner adds to its status message while there are
 // drains.
-type BlockReport struct {
+type ShardReport struct {
 	// Machines are the closed ones that are up, with the tasks on them.
 	Machines []ClosedMachine `json:"machines,omitempty"`
 	// Granted is how the granted tasks are that the owner holds.
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -91,30 +91,30 @@
 func (e *RequestError) Error() string { return e.Field + ": " + e.Reason }
 
 // Status is how a request ended.
-type Status string
+type ResponseStatus string
 
 // The ways in which a request ends.
 const (
-	StatusOK          Status = "ok"
-	StatusRefused     Status = "refused"     // for good
-	StatusUnavailable Status = "unavailable" // may be sent again
+	StatusOK          ResponseStatus = "ok"
+	StatusRefused     ResponseStatus = "refused"     // for good
+	StatusUnavailable ResponseStatus = "unavailable" // may be sent again
 )
 
 // Response answers a request.
 type Response struct {
-	Status Status `json:"status"`
-	Node   string `json:"node"` // which answers
-	Field  string `json:"field,omitempty"`
-	Reason string `json:"reason,omitempty"`
+	Status ResponseStatus `json:"status"`
+	Node   string         `json:"node"` // which answers
+	Field  string         `json:"field,omitempty"`
+	Reason string         `json:"reason,omitempty"`
 	// RetryMS is when to ask again, with StatusUnavailable.
 	RetryMS int64                `json:"retryMs,omitempty"`
-	Drains  []View               `json:"drains,omitempty"`
+	Drains  []DrainView          `json:"drains,omitempty"`
 	Teams   map[string]TeamState `json:"teams,omitempty"`
 	Plan    *Plan                `json:"plan,omitempty"`
 }
 
 // View is a drain as operators see it.
-type View struct {
+type DrainView struct {
 	ID       string         `json:"id"`
 	Phase    Phase          `json:"phase"`
 	Replace  bool           `json:"replace"`
--- a/internal/drain/requests.go
+++ b/internal/drain/requests.go
@@ -13,11 +13,11 @@
 // Handle answers an operator's request; answer is called once. Changes are confirmed
 // when they are durable.
 func (c *Coordinator) Handle(req *Request, answer func(Response)) {
-	if refusal := req.Check(); refusal != nil {
+	if refusal := req.Validate(); refusal != nil {
 		answer(c.refused(refusal))
 		return
 	}
-	if c.token == 0 || !c.loaded || !c.lease.Valid() || !c.cluster.Known() {
+	if c.token == 0 || !c.loaded || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
 		answer(c.unavailable("this node does not lead, or does not know all machines and work yet"))
 		return
 	}
@@ -34,7 +34,7 @@
 }
 
 // Check finds what is wrong with a request by itself; nil if nothing is.
-func (r *Request) Check() *RequestError {
+func (r *Request) Validate() *RequestError {
 	if r.Verb == VerbPlan || r.Verb == VerbStart {
 		if _, refusal := newMatcher(r.Selection); refusal != nil {
 			return refusal
@@ -62,7 +62,7 @@
 }
 
 func (c *Coordinator) unavailable(why string) Response {
-	return Response{Status: StatusUnavailable, Node: c.node, Reason: why, RetryMS: tuning.OperatorRetry.Milliseconds()}
+	return Response{Status: StatusUnavailable, Node: c.node, Reason: why, RetryMS: tuning.OperatorRetryDelay.Milliseconds()}
 }
 
 // reply answers the request that is being committed.
@@ -77,23 +77,23 @@
 func (c *Coordinator) ok(id string) Response {
 	r := Response{Status: StatusOK, Node: c.node}
 	if d := c.book.Get(id); d != nil {
-		r.Drains = []View{c.view(d)}
+		r.Drains = []DrainView{c.view(d)}
 	}
 	return r
 }
 
-func (c *Coordinator) view(d *Drain) View {
-	v := View{ID: d.ID, Phase: d.Head.Phase, Replace: d.Head.Replace, Machines: d.Head.Machines,
+func (c *Coordinator) view(d *Drain) DrainView {
+	v := DrainView{ID: d.ID, Phase: d.Head.Phase, Replace: d.Head.Replace, Machines: d.Head.Machines,
 		States: map[string]int{}, Waits: c.waits[d.ID]}
 	for state, n := range d.Count() {
 		name := string(state)
-		if state == Waiting {
+		if state == MachineWaiting {
 			name = "waiting"
 		}
 		v.States[name] = n
 	}
 	if len(d.Pages) == 0 {
-		v.States[string(Released)] = d.Head.Released
+		v.States[string(MachineReleased)] = d.Head.Released
 	}
 	for _, g := range d.Grants {
 		for _, ref := range g.Tasks {
@@ -129,7 +129,7 @@
 		return nil, refusal
 	}
 	var list []MachineInfo
-	c.cluster.Machines(func(info *MachineInfo) {
+	c.cluster.EachMachine(func(info *MachineInfo) {
 		if m.match(info) {
 			list = append(list, *info)
 		}
@@ -144,18 +144,18 @@
 }
 
 // disturbed calls fn for the tasks on machines, once for each gang.
-func (c *Coordinator) disturbed(machines []MachineInfo, fn func(d *jobs.Description, more Amount)) {
+func (c *Coordinator) disturbed(machines []MachineInfo, fn func(d *jobs.Spec, more Amount)) {
 	on := map[string]bool{}
 	for _, m := range machines {
 		on[m.ID] = true
 	}
 	gangs := map[string]bool{}
-	c.cluster.Placements(func(d *jobs.Description, mark work.Mark) {
-		if !on[mark.Host] || gangs[d.ID] {
+	c.cluster.EachPlacement(func(d *jobs.Spec, mark work.TaskStatus) {
+		if !on[mark.WorkerID] || gangs[d.ID] {
 			return
 		}
 		ref := TaskRef{Job: d.ID}
-		if d.Gang() {
+		if d.IsGang() {
 			gangs[d.ID], ref.Gang = true, d.Tasks
 		}
 		fn(d, amount(d, ref))
@@ -171,7 +171,7 @@
 	}
 	p := &Plan{Machines: len(machines), Teams: map[string]TeamPlan{}}
 	seen := map[string]bool{}
-	c.disturbed(machines, func(d *jobs.Description, more Amount) {
+	c.disturbed(machines, func(d *jobs.Spec, more Amount) {
 		team := p.Teams[d.Team]
 		team.Amount = team.Plus(more)
 		p.Teams[d.Team] = team
@@ -190,7 +190,7 @@
 // never finds work that no budget would ever let go.
 func (c *Coordinator) never(machines []MachineInfo) *RequestError {
 	var refusal *RequestError
-	c.disturbed(machines, func(d *jobs.Description, more Amount) {
+	c.disturbed(machines, func(d *jobs.Spec, more Amount) {
 		if short := c.budgets.Of(d.Team).Never(d.Team, more); short != nil && refusal == nil {
 			refusal = &RequestError{"budget", "nothing of job " + d.ID + " could ever move: " + short.String()}
 		}
@@ -227,7 +227,7 @@
 		return
 	}
 	pages := c.paginate(machines)
-	head := Head{Phase: Running, Created: c.rt.Wall().UnixMilli(), Digest: req.Digest(), Replace: req.Replace,
+	head := Head{Phase: PhaseRunning, Created: c.rt.WallClock().UnixMilli(), Digest: req.Digest(), Replace: req.Replace,
 		Machines: len(machines), Pages: len(pages)}
 	c.writePages(req, pages, 0, head)
 }
@@ -246,7 +246,7 @@
 }
 
 func (c *Coordinator) paginate(machines []MachineInfo) []Page {
-	each := max(1, c.state.ValueBytes()/machineBytes)
+	each := max(1, c.state.MaxValueBytes()/machineBytes)
 	var pages []Page
 	for i, m := range machines {
 		if i%each == 0 {
@@ -266,21 +266,21 @@
 		return
 	}
 	old := c.book.drains[req.ID]
-	guards := []statestore.Guard{{Key: HeadKey(req.ID)}}
-	var apply []statestore.Change
+	guards := []statestore.Condition{{Key: HeadKey(req.ID)}}
+	var apply []statestore.Operation
 	bytes, next := 0, from
-	for ; next < len(pages) && len(apply) < c.state.Ops(); next++ {
+	for ; next < len(pages) && len(apply) < c.state.MaxOperations(); next++ {
 		raw, err := encode(pages[next])
-		if err != nil || (len(apply) > 0 && bytes+len(raw) > tuning.CommitBytes) {
+		if err != nil || (len(apply) > 0 && bytes+len(raw) > tuning.MaxCommitBytes) {
 			break
 		}
-		guard := statestore.Guard{Key: PageKey(req.ID, next)}
+		guard := statestore.Condition{Key: PageKey(req.ID, next)}
 		if old != nil && old.Pages[next] != nil { // of a request that came to nothing
-			guard.Stamp = old.Pages[next].Stamp
+			guard.Revision = old.Pages[next].Revision
 		}
 		bytes += len(raw)
 		guards = append(guards, guard)
-		apply = append(apply, statestore.Change{Set: guard.Key, Value: raw})
+		apply = append(apply, statestore.Operation{PutKey: guard.Key, Value: raw})
 	}
 	c.commit(guards, apply, func(ok bool) {
 		if !ok {
@@ -297,7 +297,7 @@
 		c.reply(c.unavailable(err.Error()))
 		return
 	}
-	c.commit([]statestore.Guard{{Key: HeadKey(req.ID)}}, []statestore.Change{{Set: HeadKey(req.ID), Value: raw}}, func(bool) {
+	c.commit([]statestore.Condition{{Key: HeadKey(req.ID)}}, []statestore.Operation{{PutKey: HeadKey(req.ID), Value: raw}}, func(bool) {
 		// A first answer may have been lost: the book tells what came of it.
 		if known := c.known(req); known != nil {
 			c.log.Info("drain accepted", "drain", req.ID, "machines", head.Machines, "replace", head.Replace)
@@ -313,9 +313,9 @@
 	to   Phase
 	from []Phase
 }{
-	VerbPause:  {Paused, []Phase{Running}},
-	VerbResume: {Running, []Phase{Paused}},
-	VerbCancel: {Cancelled, []Phase{Running, Paused}},
+	VerbPause:  {PhasePaused, []Phase{PhaseRunning}},
+	VerbResume: {PhaseRunning, []Phase{PhasePaused}},
+	VerbCancel: {PhaseCancelled, []Phase{PhaseRunning, PhasePaused}},
 }
 
 // change pauses, resumes or cancels a drain.
@@ -343,15 +343,15 @@
 	}
 	head := d.Head
 	head.Phase = target.to
-	if head.Phase == Cancelled {
-		head.Ended, head.Released = c.rt.Wall().UnixMilli(), d.Count()[Released]
+	if head.Phase == PhaseCancelled {
+		head.Ended, head.Released = c.rt.WallClock().UnixMilli(), d.Count()[MachineReleased]
 	}
 	raw, err := encode(head)
 	if err != nil {
 		c.reply(c.unavailable(err.Error()))
 		return
 	}
-	c.commit([]statestore.Guard{{Key: HeadKey(req.ID), Stamp: d.Stamp}}, []statestore.Change{{Set: HeadKey(req.ID), Value: raw}}, func(bool) {
+	c.commit([]statestore.Condition{{Key: HeadKey(req.ID), Revision: d.Revision}}, []statestore.Operation{{PutKey: HeadKey(req.ID), Value: raw}}, func(bool) {
 		if now := c.book.Get(req.ID); now != nil && now.Head.Phase == target.to {
 			c.log.Info("drain changed", "drain", req.ID, "phase", target.to)
 			c.reply(c.ok(req.ID))
--- a/internal/drain/scale_test.go
+++ b/internal/drain/scale_test.go
@@ -22,7 +22,7 @@
 	asked    int
 }
 
-func (c *largeCluster) Machines(fn func(*MachineInfo)) {
+func (c *largeCluster) EachMachine(fn func(*MachineInfo)) {
 	for i := range c.machines {
 		info, _ := c.Machine(fmt.Sprintf("vm-%06d", i))
 		fn(&info)
@@ -31,10 +31,10 @@
 
 func (c *largeCluster) Machine(id string) (MachineInfo, bool) {
 	c.asked++
-	return MachineInfo{ID: id, Zone: "a", Type: "small", Up: true, Open: true}, true
+	return MachineInfo{ID: id, Zone: "a", Type: "small", HasReported: true, AcceptsTasks: true}, true
 }
 
-func (c *largeCluster) Gone(string) bool {
+func (c *largeCluster) IsGone(string) bool {
 	c.asked++
 	return false
 }
@@ -46,15 +46,15 @@
 	rt := &fakeRuntime{}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	state := statestore.New(rt, "state", log)
-	state.SetLimits(statestore.Limits{Ops: ops, Value: valueBytes, Fall: 1})
-	book := NewBook(rt, state, log)
+	state.SetLimits(statestore.Limits{MaxOperations: ops, MaxValueBytes: valueBytes, FutureWriteShare: 1})
+	book := NewRecords(rt, state, log)
 	book.Start()
 	set := &settings.Settings{}
 	set.Deployment.State.WriteRPS = 15
 	set.Operator.Drains = &settings.Drains{}
 	cluster := &largeCluster{machines: machines}
 	c := NewCoordinator(rt, state, cluster, book, cluster, set, nil, log)
-	c.Begin(7)
+	c.BeginTerm(7)
 	rt.fire()
 	var answer *Response
 	c.Handle(&Request{Verb: VerbStart, ID: "all", Selection: Selection{Types: []string{"small"}}}, func(r Response) { answer = &r })
@@ -65,11 +65,11 @@
 			continue
 		}
 		changes += carryOut(t, book, rt.commits[done].body, stamp, ops, valueBytes)
-		rt.commits[done].answer(httpwire.Answer{Status: 200, Body: []byte(fmt.Sprintf(`{"epoch":%d}`, stamp))}, nil)
+		rt.commits[done].answer(httpwire.Response{Status: 200, Body: []byte(fmt.Sprintf(`{"epoch":%d}`, stamp))}, nil)
 		stamp++
 		rt.fire()
 	}
-	if answer == nil || answer.Status != StatusOK || book.Get("all").Count()[Waiting] != machines {
+	if answer == nil || answer.Status != StatusOK || book.Get("all").Count()[MachineWaiting] != machines {
 		t.Fatalf("%+v", answer)
 	}
 	if most := machines/(valueBytes/machineBytes) + 2; changes > most {
@@ -84,22 +84,22 @@
 }
 
 // carryOut does what the state service does with a commit, and checks its limits.
-func carryOut(t *testing.T, book *Book, body string, stamp uint64, ops, valueBytes int) int {
+func carryOut(t *testing.T, book *Records, body string, stamp uint64, ops, valueBytes int) int {
 	t.Helper()
 	var commit struct {
-		Apply []statestore.Change `json:"apply"`
+		Apply []statestore.Operation `json:"apply"`
 	}
 	if err := json.Unmarshal([]byte(body), &commit); err != nil {
 		t.Fatal(err)
 	}
-	if len(commit.Apply) > ops || len(body) > tuning.CommitBytes+8<<10 {
+	if len(commit.Apply) > ops || len(body) > tuning.MaxCommitBytes+8<<10 {
 		t.Errorf("a commit of %d changes and %d bytes", len(commit.Apply), len(body))
 	}
 	for _, a := range commit.Apply {
-		if len(a.Value) > valueBytes || !strings.HasPrefix(a.Set, Prefix) {
-			t.Errorf("%s has %d bytes", a.Set, len(a.Value))
+		if len(a.Value) > valueBytes || !strings.HasPrefix(a.PutKey, KeyPrefix) {
+			t.Errorf("%s has %d bytes", a.PutKey, len(a.Value))
 		}
-		book.apply(a.Set, a.Value, stamp)
+		book.apply(a.PutKey, a.Value, stamp)
 	}
 	return len(commit.Apply)
 }
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -12,12 +12,12 @@
 type blockHeard struct {
 	token, seq uint64
 	heard      time.Duration
-	report     *BlockReport
+	report     *ShardReport
 }
 
 // TakeReport takes what an owner reports; nil from one that knows no drains, or as
 // long as it knows of none.
-func (c *Coordinator) TakeReport(block int, token, seq uint64, r *BlockReport) {
+func (c *Coordinator) HandleReport(block int, token, seq uint64, r *ShardReport) {
 	if c.token == 0 || block < 0 || block >= len(c.reports) {
 		return
 	}
@@ -45,7 +45,7 @@
 func (c *Coordinator) unheard() int {
 	for block := range c.reports {
 		h := &c.reports[block]
-		if h.report == nil || c.rt.Now()-h.heard > tuning.StatusStale {
+		if h.report == nil || c.rt.Now()-h.heard > tuning.StatusStaleAfter {
 			return block
 		}
 	}
@@ -64,8 +64,8 @@
 	if ref.Gang > 0 {
 		return false
 	}
-	mark, known := c.cluster.Mark(ref.Job, ref.Index)
-	return known && mark.State == work.Done
+	mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
+	return known && mark.State == work.StateDone
 }
 
 // voidIn finds the block whose owner reports that a task was never stopped and will
@@ -86,7 +86,7 @@
 }
 
 // amount is what the disturbance of a granted task takes of its team's budget.
-func amount(d *jobs.Description, ref TaskRef) Amount {
+func amount(d *jobs.Spec, ref TaskRef) Amount {
 	tasks := max(1, ref.Gang)
 	return Amount{tasks, float64(tasks) * d.CPUs}
 }
@@ -111,7 +111,7 @@
 }
 
 // add counts a grant.
-func (u *usage) add(d *jobs.Description, ref TaskRef) {
+func (u *usage) add(d *jobs.Spec, ref TaskRef) {
 	more := amount(d, ref)
 	team := u.team(d.Team)
 	team.Chosen = team.Chosen.Plus(more)
@@ -135,14 +135,14 @@
 			u.down[job] += down
 		}
 	}
-	c.cluster.Interrupted(func(d *jobs.Description, tasks int) {
+	c.cluster.EachInterrupted(func(d *jobs.Spec, tasks int) {
 		team := u.team(d.Team)
 		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * d.CPUs})
 	})
-	c.eachUnsettled(func(d *jobs.Description, ref TaskRef) {
+	c.eachUnsettled(func(d *jobs.Spec, ref TaskRef) {
 		u.add(d, ref)
-		mark, known := c.cluster.Mark(ref.Job, ref.Index)
-		placed := known && mark.State == work.Placed
+		mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
+		placed := known && mark.State == work.StatePlaced
 		if ref.Gang == 0 && placed {
 			u.down[ref.Job]++
 		}
@@ -154,7 +154,7 @@
 }
 
 // eachUnsettled calls fn for each task that is granted and disturbed.
-func (c *Coordinator) eachUnsettled(fn func(d *jobs.Description, ref TaskRef)) {
+func (c *Coordinator) eachUnsettled(fn func(d *jobs.Spec, ref TaskRef)) {
 	counted := map[TaskRef]bool{} // two drains may name the same machine
 	for _, d := range c.book.Drains() {
 		for _, g := range d.Grants {
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -9,7 +9,7 @@
 // TestWireKeys: the keys under which drains are stored.
 func TestWireKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		Prefix:              "drain/",
+		KeyPrefix:           "drain/",
 		HeadKey("d-1"):      "drain/d-1/head",
 		PageKey("d-1", 12):  "drain/d-1/page/12",
 		GrantKey("d-1", 34): "drain/d-1/grant/34",
@@ -39,20 +39,20 @@
 
 // TestWireWords: the words for phases, states, verbs, kinds and statuses.
 func TestWireWords(t *testing.T) {
-	wiretest.Written(t, []Phase{Running, Paused, Cancelled, Done}, `["running","paused","cancelled","done"]`)
-	wiretest.Written(t, []MachineState{Waiting, Replacing, Closed, Released}, `["","replacing","closed","released"]`)
+	wiretest.Written(t, []Phase{PhaseRunning, PhasePaused, PhaseCancelled, PhaseDone}, `["running","paused","cancelled","done"]`)
+	wiretest.Written(t, []MachineState{MachineWaiting, MachineReplacing, MachineClosed, MachineReleased}, `["","replacing","closed","released"]`)
 	wiretest.Written(t, []Verb{VerbPlan, VerbStart, VerbStatus, VerbPause, VerbResume, VerbCancel},
 		`["plan","start","status","pause","resume","cancel"]`)
 	wiretest.Written(t, []MachineKind{AnyKind, SpotKind, OrdinaryKind}, `["","spot","ordinary"]`)
-	wiretest.Written(t, []Status{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
+	wiretest.Written(t, []ResponseStatus{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
 }
 
 // TestWireBlockReport: what a block's owner tells the leader of its drains.
 func TestWireBlockReport(t *testing.T) {
 	wiretest.Same(t, `{"machines":[{"id":"vm-1","tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],`+
 		`"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
-		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}`, &BlockReport{})
-	wiretest.Written(t, BlockReport{}, `{}`)
+		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}`, &ShardReport{})
+	wiretest.Written(t, ShardReport{}, `{}`)
 	wiretest.Written(t, ClosedMachine{}, `{"id":""}`)
 	wiretest.Written(t, PlacedTask{}, `{"job":"","attempt":0}`)
 	wiretest.Written(t, GrantedTask{}, `{"j":"","a":0}`)
@@ -72,7 +72,7 @@
 		`"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}},`+
 		`"plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`, &Response{})
 	wiretest.Written(t, Response{}, `{"status":"","node":""}`)
-	wiretest.Written(t, View{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
+	wiretest.Written(t, DrainView{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
 }
 
 // TestWireDigest: the digest of a request is stored in a drain's head and compared with
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,9 +19,9 @@
 
 // The lanes in their order of service.
 const (
-	Reports Lane = iota
-	Decisions
-	Users
+	HeartbeatLane Lane = iota
+	DecisionLane
+	UserLane
 	lanes
 )
 
@@ -37,14 +37,14 @@
 	// Now reads the steady clock.
 	Now() time.Duration
 	// Wall reads the time of day.
-	Wall() time.Time
+	WallClock() time.Time
 	// After runs fn on the loop once d has passed.
 	After(d time.Duration, fn func())
 	// Call sends a request and hands the answer, ErrNotSent or ErrNoAnswer
 	// to fn.
-	Call(addr string, req httpwire.Call, timeout time.Duration, fn func(httpwire.Answer, error))
+	CallHTTP(addr string, req httpwire.ClientRequest, timeout time.Duration, fn func(httpwire.Response, error))
 	// Peer sends a message to another controller; err is as with Call.
-	Peer(endpoint, path string, body []byte, timeout time.Duration, fn func(body []byte, err error))
+	CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func(body []byte, err error))
 	// Rand returns a random number in [0,1).
 	Rand() float64
 }
@@ -71,7 +71,7 @@
 }
 
 // Waiting is the number of commands queued in a lane.
-func (l *Loop) Waiting(lane Lane) int {
+func (l *Loop) QueueLength(lane Lane) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue[lane])
@@ -107,9 +107,9 @@
 		if len(q) == 0 {
 			continue
 		}
-		if Lane(lane) == Users && len(q) > tuning.UserBatch {
-			batch := q[:tuning.UserBatch:tuning.UserBatch]
-			l.queue[lane] = q[tuning.UserBatch:]
+		if Lane(lane) == UserLane && len(q) > tuning.UserCommandBatch {
+			batch := q[:tuning.UserCommandBatch:tuning.UserCommandBatch]
+			l.queue[lane] = q[tuning.UserCommandBatch:]
 			return batch
 		}
 		l.queue[lane] = nil
--- a/internal/engine/real.go
+++ b/internal/engine/real.go
@@ -9,7 +9,7 @@
 )
 
 // Real is the Runtime of a running process.
-type Real struct {
+type SystemRuntime struct {
 	loop   *Loop
 	client *httpwire.Client
 	peers  PeerSender
@@ -22,43 +22,43 @@
 }
 
 // NewReal returns a runtime that posts to loop and calls through client.
-func NewReal(loop *Loop, client *httpwire.Client, peers PeerSender) *Real {
-	r := &Real{loop: loop, client: client, peers: peers, start: time.Now()}
+func NewSystemRuntime(loop *Loop, client *httpwire.Client, peers PeerSender) *SystemRuntime {
+	r := &SystemRuntime{loop: loop, client: client, peers: peers, start: time.Now()}
 	r.sweep()
 	return r
 }
 
-func (r *Real) sweep() {
-	time.AfterFunc(tuning.SocketsTick, func() {
-		r.client.Sweep()
+func (r *SystemRuntime) sweep() {
+	time.AfterFunc(tuning.SocketSweepInterval, func() {
+		r.client.CloseIdle()
 		r.sweep()
 	})
 }
 
 // Now reads the steady clock, from the start of the process.
-func (r *Real) Now() time.Duration { return time.Since(r.start) }
+func (r *SystemRuntime) Now() time.Duration { return time.Since(r.start) }
 
 // Wall reads the time of day.
-func (r *Real) Wall() time.Time { return time.Now() }
+func (r *SystemRuntime) WallClock() time.Time { return time.Now() }
 
 // Rand returns a random number in [0,1).
-func (r *Real) Rand() float64 { return rand.Float64() }
+func (r *SystemRuntime) Rand() float64 { return rand.Float64() }
 
 // After runs fn on the loop once d has passed.
-func (r *Real) After(d time.Duration, fn func()) {
+func (r *SystemRuntime) After(d time.Duration, fn func()) {
 	if d <= 0 {
-		r.loop.Post(Decisions, fn)
+		r.loop.Post(DecisionLane, fn)
 		return
 	}
-	time.AfterFunc(d, func() { r.loop.Post(Decisions, fn) })
+	time.AfterFunc(d, func() { r.loop.Post(DecisionLane, fn) })
 }
 
 // Call sends a request from a goroutine of its own; the answer comes back
 // through the loop.
-func (r *Real) Call(addr string, req httpwire.Call, timeout time.Duration, fn func(httpwire.Answer, error)) {
+func (r *SystemRuntime) CallHTTP(addr string, req httpwire.ClientRequest, timeout time.Duration, fn func(httpwire.Response, error)) {
 	go func() {
-		ans, sent, err := r.client.Do(addr, req, timeout)
-		var a httpwire.Answer
+		ans, sent, err := r.client.Send(addr, req, timeout)
+		var a httpwire.Response
 		switch {
 		case err == nil:
 			a = *ans
@@ -67,14 +67,14 @@
 		default:
 			err = ErrNotSent
 		}
-		r.loop.Post(Reports, func() { fn(a, err) })
+		r.loop.Post(HeartbeatLane, func() { fn(a, err) })
 	}()
 }
 
 // Peer sends a message to another controller from a goroutine of its own.
-func (r *Real) Peer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
+func (r *SystemRuntime) CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
 	go func() {
 		answer, err := r.peers.Send(endpoint, path, body, timeout)
-		r.loop.Post(Reports, func() { fn(answer, err) })
+		r.loop.Post(HeartbeatLane, func() { fn(answer, err) })
 	}()
 }
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -9,13 +9,13 @@
 
 // bootTime is how long a machine of a type should take to boot.
 func bootTime(t *jobs.MachineType) time.Duration {
-	return time.Duration(t.BootS * float64(time.Second))
+	return time.Duration(t.BootSeconds * float64(time.Second))
 }
 
 // capacity is the machines of a kind, up or booting.
 type capacity struct {
-	cpus    float64 // of all of them
-	used    Load    // what their tasks take
+	cpus    float64     // of all of them
+	used    MachineLoad // what their tasks take
 	booting []bootingCPUs
 }
 
@@ -26,25 +26,25 @@
 // of a processor. What runs there of its priority and above takes half of a task on the
 // average until it ends; machines that boot fetch its image, and have their first tasks
 // already.
-func (c *capacity) work(n *Need, fetch, within float64) float64 {
+func (c *capacity) work(n *Demand, fetch, within float64) float64 {
 	up := c.cpus
 	sum := 0.0
 	for _, b := range c.booting {
 		up -= b.cpus
-		sum += b.cpus * max(0, within-b.ready-fetch-n.Desc.EstimateS)
+		sum += b.cpus * max(0, within-b.ready-fetch-n.Spec.EstimateSeconds)
 	}
-	below := c.used.Below(n.Desc.Priority())
+	below := c.used.Below(n.Spec.Priority())
 	busy := c.used.CPUs - below
-	return sum + max(0, up-below)*within - busy*min(within, n.Desc.EstimateS/2)
+	return sum + max(0, up-below)*within - busy*min(within, n.Spec.EstimateSeconds/2)
 }
 
 // servable is the work that can be done of a need's priority until it has waited for so
 // many seconds, on the machines that could run it, up or booting.
-func (f *Fleet) servable(n *Need, have capacities, within float64) float64 {
+func (f *Fleet) servable(n *Demand, have capacities, within float64) float64 {
 	sum := 0.0
 	for kind, c := range have {
-		if room := f.empty(kind); room.Type != nil && room.Could(n.Desc, n.Zone) {
-			sum += max(0, c.work(n, f.ready(n, room.Type)-room.Type.BootS, within))
+		if room := f.empty(kind); room.MachineType != nil && room.CouldRun(n.Spec, n.Zone) {
+			sum += max(0, c.work(n, f.ready(n, room.MachineType)-room.MachineType.BootSeconds, within))
 		}
 	}
 	return sum
@@ -59,10 +59,10 @@
 }
 
 // capacities is the machines by kind.
-type capacities map[Kind]*capacity
+type capacities map[MachineKind]*capacity
 
 // at is the entry of a kind, made when it is first asked for.
-func (c capacities) at(kind Kind) *capacity {
+func (c capacities) at(kind MachineKind) *capacity {
 	if c[kind] == nil {
 		c[kind] = &capacity{}
 	}
@@ -72,10 +72,10 @@
 // capacities sums up the machines by kind.
 func (f *Fleet) capacities() capacities {
 	sums := capacities{}
-	f.Rooms(func(r *Room) {
-		c := sums.at(r.Kind)
-		c.add(r.Type.CPUs, r.Booting, r.Ready)
-		load := f.LoadOf(r.Host)
+	f.EachAvailable(func(r *AvailableMachine) {
+		c := sums.at(r.MachineKind)
+		c.add(r.MachineType.CPUs, r.Booting, r.ReadyIn)
+		load := f.LoadOf(r.ID)
 		c.used.CPUs += load.CPUs
 		c.used.Services += load.Services
 		for priority, cpus := range load.ByPriority {
@@ -90,11 +90,11 @@
 // does not count: taken off all the same, it left less than nothing for services that
 // may use ordinary machines only, and a hundred of these were rented for a single
 // replica.
-func (f *Fleet) available(n *Need, have capacities) float64 {
+func (f *Fleet) available(n *Demand, have capacities) float64 {
 	sum := 0.0
 	for kind, c := range have {
-		if room := f.empty(kind); room.Type != nil && room.Could(n.Desc, n.Zone) {
-			sum += max(0, c.cpus-c.occupied(n, room.Type))
+		if room := f.empty(kind); room.MachineType != nil && room.CouldRun(n.Spec, n.Zone) {
+			sum += max(0, c.cpus-c.occupied(n, room.MachineType))
 		}
 	}
 	return sum
@@ -105,12 +105,12 @@
 // as free, the latter kept any machine from being rented for a replica that found all
 // of them full of others. Lower tasks do make room for a replica, one by one; only when
 // it has waited for half a boot that is not counted on any more.
-func (c *capacity) occupied(n *Need, t *jobs.MachineType) float64 {
-	if !n.Desc.Service() {
-		return c.used.Below(n.Desc.Priority())
+func (c *capacity) occupied(n *Demand, t *jobs.MachineType) float64 {
+	if !n.Spec.IsService() {
+		return c.used.Below(n.Spec.Priority())
 	}
-	if n.Waited < tuning.RentBacklog*t.BootS {
+	if n.WaitedSeconds < tuning.RentBacklogShare*t.BootSeconds {
 		return c.used.Services
 	}
-	return c.used.Services + c.used.Below(n.Desc.Priority())
+	return c.used.Services + c.used.Below(n.Spec.Priority())
 }
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -27,14 +27,14 @@
 	v := f.surveyMovable(d, cost)
 	base := f.steadyWork(v.work)
 	each := 0.0
-	if t := f.Type(best.Build); t != nil {
+	if t := f.MachineType(best.MachineType); t != nil {
 		each = float64(tasksOn(t, d)) * d.CPUs
 	}
-	if each == 0 || base < max(tuning.ExchangeSteady*f.peak, tuning.ExchangeLeast*each) {
+	if each == 0 || base < max(tuning.MinSteadyWorkShare*f.peak, tuning.MinExchangeSpotMachines*each) {
 		f.wanting = 0 // it comes and goes: machines booted for it would come too late
 		return
 	}
-	if v.waits || f.stalled > 0 && now-f.stalled < tuning.StallKeep || now-f.begun < tuning.ExchangeAfter {
+	if v.waits || f.stalled > 0 && now-f.stalled < tuning.StalledDispatchGrace || now-f.begun < tuning.ExchangeDelay {
 		f.wanting = 0 // every machine is needed as it is
 		return
 	}
@@ -47,24 +47,24 @@
 	if f.wanting == 0 {
 		f.wanting = now
 	}
-	if now-f.wanting < tuning.ExchangeAfter || !f.afford() {
+	if now-f.wanting < tuning.ExchangeDelay || !f.afford() {
 		return
 	}
 	f.counter++
-	number := min(tuning.HireMax, int(wanted/each))
-	f.hire(term, hire{fmt.Sprintf("r-%d-%d", f.lease.Lead(), f.counter), best.Build, best.Zone, true, number}, 0)
+	number := min(tuning.MaxRentalMachines, int(wanted/each))
+	f.hire(term, hire{fmt.Sprintf("r-%d-%d", f.lease.LeaderToken(), f.counter), best.MachineType, best.Zone, true, number}, 0)
 }
 
 // cheapestSpot is the kind of the cheapest spot machines that can be had, by what a task
 // costs there.
-func (f *Fleet) cheapestSpot(d *jobs.Description) (best Kind, cost float64) {
+func (f *Fleet) cheapestSpot(d *jobs.Spec) (best MachineKind, cost float64) {
 	cost = math.Inf(1)
 	for i := range f.types {
 		t := &f.types[i]
 		each := tasksOn(t, d)
 		for _, zone := range t.Zones {
-			k := Kind{t.Label, zone, true}
-			if each == 0 || f.rt.Now() < f.pauses[k] || f.cutOff(zone) || !f.empty(k).Could(d, "") {
+			k := MachineKind{t.Name, zone, true}
+			if each == 0 || f.rt.Now() < f.pauses[k] || f.cutOff(zone) || !f.empty(k).CouldRun(d, "") {
 				continue
 			}
 			if c := t.SpotPrice / float64(each); c < cost {
@@ -92,10 +92,10 @@
 
 // surveyMovable looks at all machines; cost is that of a task on the cheapest spot
 // machines.
-func (f *Fleet) surveyMovable(d *jobs.Description, cost float64) *movableSurvey {
+func (f *Fleet) surveyMovable(d *jobs.Spec, cost float64) *movableSurvey {
 	v := &movableSurvey{}
-	f.Rooms(func(r *Room) {
-		each := tasksOn(r.Type, d)
+	f.EachAvailable(func(r *AvailableMachine) {
+		each := tasksOn(r.MachineType, d)
 		use := float64(each) * d.CPUs
 		if r.Booting {
 			if r.Spot {
@@ -103,25 +103,25 @@
 			}
 			return
 		}
-		load := f.LoadOf(r.Host)
+		load := f.LoadOf(r.ID)
 		bound := load.CPUs - load.Movable
 		v.work += load.Movable
 		if r.Spot {
 			v.spot += use
 			return
 		}
-		v.ordinary += r.Type.CPUs
+		v.ordinary += r.MachineType.CPUs
 		v.others += bound
-		price := r.Type.Price / float64(max(each, 1))
-		if each > 0 && bound < slack && price > tuning.ExchangeGain*cost {
-			v.dear = append(v.dear, dearMachine{f.machines[r.Host], price})
+		price := r.MachineType.Price / float64(max(each, 1))
+		if each > 0 && bound < slack && price > tuning.MinExchangePriceRatio*cost {
+			v.dear = append(v.dear, dearMachine{f.machines[r.ID], price})
 		}
 	})
 	for i := range f.needs {
-		if n := &f.needs[i]; n.Number > 0 {
+		if n := &f.needs[i]; n.Tasks > 0 {
 			v.waits = true
-			if n.Desc.Spot {
-				v.work += float64(n.Number) * n.Desc.CPUs
+			if n.Spec.Spot {
+				v.work += float64(n.Tasks) * n.Spec.CPUs
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 // all the time.
 func (f *Fleet) steadyWork(work float64) float64 {
 	now := f.rt.Now()
-	f.peak = max(work, f.peak*math.Exp2(-float64(now-f.peaked)/float64(tuning.ExchangeMemory)))
+	f.peak = max(work, f.peak*math.Exp2(-float64(now-f.peaked)/float64(tuning.ExchangePeakHalfLife)))
 	f.peaked = now
 	if now-f.turned >= tuning.ExchangeWindow {
 		f.turned, f.least[1], f.least[0] = now, f.least[0], work
@@ -149,10 +149,10 @@
 // of those in whose place spot machines would have to be rented.
 func (f *Fleet) drainDear(v *movableSurvey) (wanted float64) {
 	for _, x := range v.dear {
-		t := f.Type(x.m.kind.Build)
+		t := f.MachineType(x.m.kind.MachineType)
 		switch {
-		case x.m.release || x.m.drain != "" || f.kept[x.m.id] || v.ordinary-t.CPUs < v.others*(1+tuning.ExchangeSpare):
-		case v.spot+v.ordinary-t.CPUs >= f.peak+v.others*(1+tuning.ExchangeSpare):
+		case x.m.release || x.m.drain != "" || f.kept[x.m.id] || v.ordinary-t.CPUs < v.others*(1+tuning.ExchangeReserveShare):
+		case v.spot+v.ordinary-t.CPUs >= f.peak+v.others*(1+tuning.ExchangeReserveShare):
 			v.ordinary -= t.CPUs
 			x.m.drain = "dear"
 		default:
--- a/internal/fleet/exchange_test.go
+++ b/internal/fleet/exchange_test.go
@@ -19,10 +19,10 @@
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
 	f = New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootS: 30, Zones: []string{"a"}}}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	f.since, f.listed = rt.now, true
 	start := rt.now
-	f.LoadOf = func(host string) Load {
+	f.LoadOf = func(host string) MachineLoad {
 		m, taking := f.machines[host], 0.0
 		for _, o := range f.machines {
 			if o.drain == "" {
@@ -33,24 +33,24 @@
 		use := 0.7 * 32 * float64(number) / taking * load(rt.now-start)
 		switch {
 		case m.kind.Spot:
-			return Load{CPUs: use, Movable: use}
+			return MachineLoad{CPUs: use, Movable: use}
 		case m.addr == "bound":
-			return Load{CPUs: use, Movable: use / 2}
+			return MachineLoad{CPUs: use, Movable: use / 2}
 		}
-		return Load{CPUs: use, Movable: use}
+		return MachineLoad{CPUs: use, Movable: use}
 	}
 	add := func(spot bool, addr string) {
 		id := fmt.Sprintf("vm-%06d", len(f.machines))
-		f.machines[id] = &machine{id: id, addr: addr, kind: Kind{"g8", "a", spot}, rented: rt.now, listed: true, known: true, state: MachineStatus{ID: id, Up: true, Open: true, Busy: true}}
+		f.machines[id] = &machine{id: id, addr: addr, kind: MachineKind{"g8", "a", spot}, rented: rt.now, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
 	for i := range number {
 		add(false, map[bool]string{true: "bound", false: "free"}[i < bound])
 	}
-	job := &jobs.Description{CPUs: 4, MemoryGB: 8, Spot: true, EstimateS: 20}
+	job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 20}
 	return rt, f, func() {
 		rt.now += time.Second
 		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, since: start, any: true}
-		f.Want(nil, job)
+		f.SetDemand(nil, job)
 		f.exchange(f.term)
 		for i, c := range rt.calls { // what is rented is up at once
 			var h hire
@@ -60,7 +60,7 @@
 			for range h.Number {
 				add(h.Spot, "")
 			}
-			rt.answers[i](httpwire.Answer{Status: 200, Body: []byte(`{"hosts":[]}`)}, nil)
+			rt.answers[i](httpwire.Response{Status: 200, Body: []byte(`{"hosts":[]}`)}, nil)
 			delete(f.pauses, h.kind())
 		}
 		rt.calls, rt.answers = nil, nil
@@ -125,16 +125,16 @@
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootS: 30, Zones: []string{"a"}}}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 	for i := range 10 {
 		id := fmt.Sprintf("vm-%06d", i)
-		f.machines[id] = &machine{id: id, kind: Kind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, Up: true, Open: true, Busy: true}}
+		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
-	f.pauses[Kind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
-	large := &jobs.Description{CPUs: 4, MemoryGB: 8, Spot: true, EstimateS: 100, Urgency: "standard"}
-	small := &jobs.Description{CPUs: 4, MemoryGB: 8, Spot: true, EstimateS: 5, Urgency: "standard"}
-	f.Want([]Need{{Desc: large, Number: 75, Rank: 1, Aims: []float64{300}}, {Desc: small, Number: 2, Rank: 0, Aims: []float64{60}}}, nil)
+	f.pauses[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
+	large := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 100, Urgency: "standard"}
+	small := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 5, Urgency: "standard"}
+	f.SetDemand([]Demand{{Spec: large, Tasks: 75, Rank: 1, ObjectiveSlackSeconds: []float64{300}}, {Spec: small, Tasks: 2, Rank: 0, ObjectiveSlackSeconds: []float64{60}}}, nil)
 	f.rent(f.term)
 	if len(rt.calls) != 0 {
 		t.Errorf("rented: %s", rt.calls[0].Body)
@@ -148,10 +148,10 @@
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootS: 30, Zones: []string{"a"}}}
-	low := &jobs.Description{CPUs: 4, MemoryGB: 8, Spot: true, EstimateS: 60, Urgency: "standard"}
-	high := &jobs.Description{CPUs: 1, MemoryGB: 2, EstimateS: 0, Shape: "daemon", Urgency: "urgent"}
-	f.Want([]Need{{Desc: low, Number: 100, Rank: 1, Aims: []float64{60}}, {Desc: high, Number: 4, Aims: []float64{4}}}, nil)
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+	low := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 60, Urgency: "standard"}
+	high := &jobs.Spec{CPUs: 1, MemoryGB: 2, EstimateSeconds: 0, Shape: "daemon", Urgency: "urgent"}
+	f.SetDemand([]Demand{{Spec: low, Tasks: 100, Rank: 1, ObjectiveSlackSeconds: []float64{60}}, {Spec: high, Tasks: 4, ObjectiveSlackSeconds: []float64{4}}}, nil)
 	f.rent(f.term)
 	ordinary := 0
 	for _, c := range rt.calls {
@@ -177,20 +177,20 @@
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootS: 30, Zones: []string{"a"}}}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 	for i := range 200 {
 		id := fmt.Sprintf("vm-%06d", i)
-		f.machines[id] = &machine{id: id, kind: Kind{"g8", "a", i >= 20}, listed: true, known: true, state: MachineStatus{ID: id, Up: true, Open: true, Busy: true}}
+		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", i >= 20}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
-	standard := &jobs.Description{Urgency: "standard"}
-	f.LoadOf = func(string) Load {
-		l := Load{CPUs: 30, Movable: 30}
+	standard := &jobs.Spec{Urgency: "standard"}
+	f.LoadOf = func(string) MachineLoad {
+		l := MachineLoad{CPUs: 30, Movable: 30}
 		l.ByPriority[standard.Priority()] = 30
 		return l
 	}
-	replica := &jobs.Description{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
-	f.Want([]Need{{Desc: replica, Number: 1, Aims: []float64{4}}}, nil)
+	replica := &jobs.Spec{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
+	f.SetDemand([]Demand{{Spec: replica, Tasks: 1, ObjectiveSlackSeconds: []float64{4}}}, nil)
 	f.rent(f.term)
 	rented := 0
 	for _, c := range rt.calls {
@@ -217,18 +217,18 @@
 		set := &settings.Settings{}
 		set.Deployment.Cloud.RPS = 4
 		f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-		f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootS: 30, Zones: []string{"a"}}}
-		f.pauses[Kind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
+		f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+		f.pauses[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
 		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 		for i := range 20 { // half of them boot, for 10 s more
 			id := fmt.Sprintf("vm-%06d", i)
-			f.machines[id] = &machine{id: id, kind: Kind{"g8", "a", true}, rented: rt.now - 20*time.Second, listed: true,
-				known: i < 10, state: MachineStatus{ID: id, Up: i < 10, Open: true, Busy: true}}
+			f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", true}, rented: rt.now - 20*time.Second, listed: true,
+				known: i < 10, state: MachineStatus{ID: id, HasReported: i < 10, AcceptsTasks: true, Busy: true}}
 		}
 		// Of the 112,000, the machines do 49,600 in 100 s and 113,600 in 200 s; a third
 		// of the queue may be late.
-		job := &jobs.Description{CPUs: 4, MemoryGB: 8, Spot: true, EstimateS: 35, Urgency: "standard"}
-		f.Want([]Need{{Desc: job, Number: 800, Aims: []float64{c.deadline}}}, nil)
+		job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 35, Urgency: "standard"}
+		f.SetDemand([]Demand{{Spec: job, Tasks: 800, ObjectiveSlackSeconds: []float64{c.deadline}}}, nil)
 		f.rent(f.term)
 		if rents := len(rt.calls) > 0; rents != c.rents {
 			t.Errorf("%s: rents %v", name, rents)
@@ -240,7 +240,7 @@
 // a machine of its own at once; one that lower tasks keep out, when they have done so
 // for half a boot. It got none for ever: its queue was a second of one processor.
 func TestFullOfServices(t *testing.T) {
-	standard := &jobs.Description{Urgency: "standard"}
+	standard := &jobs.Spec{Urgency: "standard"}
 	for name, c := range map[string]struct {
 		services, lower, waited float64
 		rented                  int
@@ -252,20 +252,20 @@
 		set := &settings.Settings{}
 		set.Deployment.Cloud.RPS = 4
 		f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-		f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootS: 30, Zones: []string{"a"}}}
+		f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 		for i := range 10 {
 			id := fmt.Sprintf("vm-%06d", i)
-			f.machines[id] = &machine{id: id, kind: Kind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, Up: true, Open: true, Busy: true}}
+			f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 		}
-		f.LoadOf = func(string) Load {
-			l := Load{CPUs: c.services + c.lower, Movable: c.lower, Services: c.services}
+		f.LoadOf = func(string) MachineLoad {
+			l := MachineLoad{CPUs: c.services + c.lower, Movable: c.lower, Services: c.services}
 			l.ByPriority[standard.Priority()] = c.lower
-			l.ByPriority[jobs.High] = c.services
+			l.ByPriority[jobs.PriorityUrgent] = c.services
 			return l
 		}
-		replica := &jobs.Description{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
-		f.Want([]Need{{Desc: replica, Number: 1, Waited: c.waited}}, nil)
+		replica := &jobs.Spec{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
+		f.SetDemand([]Demand{{Spec: replica, Tasks: 1, WaitedSeconds: c.waited}}, nil)
 		f.rent(f.term)
 		rented := 0
 		for _, call := range rt.calls {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,21 +16,21 @@
 
 // Lease is what the fleet asks of the lease.
 type Lease interface {
-	Lead() uint64
-	Valid() bool
-	Owner(block int) string
+	LeaderToken() uint64
+	LeaseValid() bool
+	ShardOwner(block int) string
 }
 
 // Kind is a kind of machine that can be rented.
-type Kind struct {
-	Build, Zone string
-	Spot        bool
+type MachineKind struct {
+	MachineType, Zone string
+	Spot              bool
 }
 
 // Before orders kinds.
-func (k Kind) Before(o Kind) bool {
-	if k.Build != o.Build {
-		return k.Build < o.Build
+func (k MachineKind) Before(o MachineKind) bool {
+	if k.MachineType != o.MachineType {
+		return k.MachineType < o.MachineType
 	}
 	if k.Zone != o.Zone {
 		return k.Zone < o.Zone
@@ -43,7 +43,7 @@
 	id      string
 	block   int
 	addr    string
-	kind    Kind
+	kind    MachineKind
 	rented  time.Duration
 	listed  bool
 	booting bool          // by the newest list
@@ -64,7 +64,7 @@
 // Fleet is the leader's view of the cloud.
 type Fleet struct {
 	// LoadOf tells what the tasks placed on a machine take.
-	LoadOf func(host string) Load
+	LoadOf func(host string) MachineLoad
 
 	rt    engine.Runtime
 	addr  string
@@ -75,9 +75,9 @@
 	types      []jobs.MachineType
 	machines   map[string]*machine
 	returned   map[string]time.Duration // when
-	pauses     map[Kind]time.Duration
-	needs      []Need
-	movable    *jobs.Description        // see Want
+	pauses     map[MachineKind]time.Duration
+	needs      []Demand
+	movable    *jobs.Spec               // see Want
 	peak       float64                  // processors of such work, the most of late
 	least      [2]float64               // and the least, in this window and the one before
 	turned     time.Duration            // when this window began
@@ -104,14 +104,14 @@
 // New returns a fleet that speaks to the cloud at addr.
 func New(rt engine.Runtime, addr string, lease Lease, set *settings.Settings, log *slog.Logger) *Fleet {
 	return &Fleet{rt: rt, addr: addr, lease: lease, set: set, log: log,
-		machines: map[string]*machine{}, returned: map[string]time.Duration{}, pauses: map[Kind]time.Duration{},
-		LoadOf:   func(string) Load { return Load{} },
-		inFlight: map[string]hire{}, named: map[string][]string{}, statuses: make([]statusHeard, set.Blocks()), unreported: make([][]string, set.Blocks()),
+		machines: map[string]*machine{}, returned: map[string]time.Duration{}, pauses: map[MachineKind]time.Duration{},
+		LoadOf:   func(string) MachineLoad { return MachineLoad{} },
+		inFlight: map[string]hire{}, named: map[string][]string{}, statuses: make([]statusHeard, set.ShardCount()), unreported: make([][]string, set.ShardCount()),
 		reachable: map[string]time.Duration{}, running: map[string]int{}, cutOffAt: map[string]time.Duration{}}
 }
 
 // Begin starts a term.
-func (f *Fleet) Begin() {
+func (f *Fleet) BeginTerm() {
 	f.term++
 	f.begun = f.rt.Now()
 	f.since = f.begun
@@ -132,13 +132,13 @@
 }
 
 // End ends a term.
-func (f *Fleet) End() { f.term++ }
+func (f *Fleet) EndTerm() { f.term++ }
 
 // afford takes one call off the cloud's budget, if there is one.
 func (f *Fleet) afford() bool {
-	rate := f.set.Deployment.Cloud.RPS * tuning.CloudShare
+	rate := f.set.Deployment.Cloud.RPS * tuning.CloudRequestShare
 	now := f.rt.Now()
-	f.tokens = min(max(1, rate*tuning.CloudBurst.Seconds()), f.tokens+rate*(now-f.filled).Seconds())
+	f.tokens = min(max(1, rate*tuning.CloudRequestBurst.Seconds()), f.tokens+rate*(now-f.filled).Seconds())
 	f.filled = now
 	if f.tokens < 1 {
 		return false
@@ -148,28 +148,28 @@
 }
 
 // Rooms calls fn for the machines that take tasks or are about to.
-func (f *Fleet) Rooms(fn func(*Room)) {
-	var r Room
+func (f *Fleet) EachAvailable(fn func(*AvailableMachine)) {
+	var r AvailableMachine
 	for _, m := range f.machines {
-		t := f.Type(m.kind.Build)
+		t := f.MachineType(m.kind.MachineType)
 		if t == nil || m.release || m.failed || m.drain != "" {
 			continue
 		}
-		if m.known && (!f.fresh(m) || !m.state.Open) || f.unheard(m) || f.cutOff(m.kind.Zone) {
+		if m.known && (!f.fresh(m) || !m.state.AcceptsTasks) || f.unheard(m) || f.cutOff(m.kind.Zone) {
 			continue
 		}
-		r = Room{Kind: m.kind, Host: m.id, Block: m.block, Type: t, Booting: !m.known}
+		r = AvailableMachine{MachineKind: m.kind, ID: m.id, Shard: m.block, MachineType: t, Booting: !m.known}
 		if r.Booting {
-			r.Ready = max(0, m.rented+bootTime(t)-f.rt.Now())
+			r.ReadyIn = max(0, m.rented+bootTime(t)-f.rt.Now())
 		}
 		fn(&r)
 	}
 	// Machines whose rental is under way: their names, and so their blocks,
 	// will be spread evenly.
 	for _, h := range f.inFlight {
-		t := f.Type(h.Build)
+		t := f.MachineType(h.Build)
 		for i := 0; t != nil && i < h.Number; i++ {
-			r = Room{Kind: h.kind(), Block: i % len(f.statuses), Type: t, Booting: true, Ready: bootTime(t)}
+			r = AvailableMachine{MachineKind: h.kind(), Shard: i % len(f.statuses), MachineType: t, Booting: true, ReadyIn: bootTime(t)}
 			fn(&r)
 		}
 	}
@@ -177,16 +177,16 @@
 
 // Stalled tells that there is room for work which the state service's limits keep from
 // being handed out: idle machines are about to be used.
-func (f *Fleet) Stalled() { f.stalled = f.rt.Now() }
+func (f *Fleet) NoteStalledDispatch() { f.stalled = f.rt.Now() }
 
 // Want tells for which tasks there is no room, and of which job most runs that could
 // as well run on spot machines, nil if there is none.
-func (f *Fleet) Want(needs []Need, movable *jobs.Description) {
+func (f *Fleet) SetDemand(needs []Demand, movable *jobs.Spec) {
 	// A need waits behind the work that goes before it, and that only. Tasks that are
 	// queued already come first in the list, whatever their rank: services, which may
 	// use no spot machines, were taken to wait behind all of the arrays, and small jobs
 	// behind the largest, and hundreds of ordinary machines were rented for them.
-	slices.SortStableFunc(needs, func(a, b Need) int { return cmp.Compare(a.Rank, b.Rank) })
+	slices.SortStableFunc(needs, func(a, b Demand) int { return cmp.Compare(a.Rank, b.Rank) })
 	f.needs, f.movable = needs, movable
 }
 
@@ -195,8 +195,8 @@
 	if term != f.term {
 		return
 	}
-	f.rt.After(tuning.FleetRound, func() { f.round(term) })
-	if !f.lease.Valid() {
+	f.rt.After(tuning.FleetRoundInterval, func() { f.round(term) })
+	if !f.lease.LeaseValid() {
 		f.since = f.rt.Now()
 		return
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,28 +18,28 @@
 // still is a runtime on which nothing happens by itself.
 type still struct {
 	now     time.Duration
-	calls   []httpwire.Call
-	answers []func(httpwire.Answer, error)
+	calls   []httpwire.ClientRequest
+	answers []func(httpwire.Response, error)
 }
 
 func (s *still) Now() time.Duration          { return s.now }
-func (s *still) Wall() time.Time             { return time.UnixMilli(0) }
+func (s *still) WallClock() time.Time        { return time.UnixMilli(0) }
 func (s *still) Rand() float64               { return 0.5 }
 func (s *still) After(time.Duration, func()) {}
-func (s *still) Call(_ string, c httpwire.Call, _ time.Duration, fn func(httpwire.Answer, error)) {
+func (s *still) CallHTTP(_ string, c httpwire.ClientRequest, _ time.Duration, fn func(httpwire.Response, error)) {
 	s.calls = append(s.calls, c)
 	s.answers = append(s.answers, fn)
 }
-func (s *still) Peer(string, string, []byte, time.Duration, func([]byte, error)) {}
+func (s *still) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
 var _ engine.Runtime = (*still)(nil)
 
 // leading is the leader's lease; out: its lease has run out.
 type leading struct{ out bool }
 
-func (leading) Lead() uint64     { return 7 }
-func (l leading) Valid() bool    { return !l.out }
-func (leading) Owner(int) string { return "node-0" }
+func (leading) LeaderToken() uint64   { return 7 }
+func (l leading) LeaseValid() bool    { return !l.out }
+func (leading) ShardOwner(int) string { return "node-0" }
 
 // TestNewOwnerLosesNoMachine guards against a fault seen on a rough day: a new
 // owner, which knew the machines from its records only, made the leader return
@@ -47,12 +47,12 @@
 func TestNewOwnerLosesNoMachine(t *testing.T) {
 	rt := &still{now: time.Hour}
 	f := New(rt, "", leading{}, &settings.Settings{}, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, BootS: 20}}
-	f.machines["vm-1"] = &machine{id: "vm-1", kind: Kind{Build: "g8"}, rented: 0, listed: true}
-	f.machines["vm-2"] = &machine{id: "vm-2", kind: Kind{Build: "g8"}, rented: 0, listed: true, booting: true}
-	f.TakeStatus(&BlockStatus{Full: true, Hosts: []MachineStatus{{ID: "vm-1", Build: "g8", Up: true, Open: true, Busy: true}}})
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rented: 0, listed: true}
+	f.machines["vm-2"] = &machine{id: "vm-2", kind: MachineKind{MachineType: "g8"}, rented: 0, listed: true, booting: true}
+	f.HandleStatus(&ShardStatus{Full: true, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true, Busy: true}}})
 	rt.now += time.Second
-	f.TakeStatus(&BlockStatus{Full: true, Token: 9, Hosts: []MachineStatus{{ID: "vm-1", Busy: true}}})
+	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Hosts: []MachineStatus{{ID: "vm-1", Busy: true}}})
 	f.judge()
 	if m := f.machines["vm-1"]; m.release {
 		t.Errorf("a machine with tasks is returned: %s", m.why)
@@ -70,16 +70,16 @@
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS = 10
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, BootS: 20}}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	for _, id := range []string{"vm-1", "vm-2"} {
-		f.machines[id] = &machine{id: id, kind: Kind{Build: "g8"}, rented: rt.now, listed: true, running: rt.now}
+		f.machines[id] = &machine{id: id, kind: MachineKind{MachineType: "g8"}, rented: rt.now, listed: true, running: rt.now}
 	}
 	rooms := func() (n int) {
-		f.Rooms(func(*Room) { n++ })
+		f.EachAvailable(func(*AvailableMachine) { n++ })
 		return n
 	}
 	for s := range 25 {
-		f.TakeStatus(&BlockStatus{Full: s == 0, Seq: uint64(s), Hosts: []MachineStatus{{ID: "vm-1", Build: "g8", Up: true, Open: true}}})
+		f.HandleStatus(&ShardStatus{Full: s == 0, Seq: uint64(s), Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
 		if s == 3 && rooms() != 2 {
 			t.Error("a machine that may report any moment is no room")
 		}
@@ -101,16 +101,16 @@
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootS: 50, Zones: []string{"a", "b"}}}
-	job := &jobs.Description{CPUs: 16, MemoryGB: 35, Spot: true, EstimateS: 40, Tasks: 400}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootSeconds: 50, Zones: []string{"a", "b"}}}
+	job := &jobs.Spec{CPUs: 16, MemoryGB: 35, Spot: true, EstimateSeconds: 40, Tasks: 400}
 	asked := map[string]int{}
 	total := 0
 	for second := range 40 {
 		rt.now += time.Second
 		have := 0.0
-		f.Rooms(func(r *Room) { have += r.Type.CPUs })
+		f.EachAvailable(func(r *AvailableMachine) { have += r.MachineType.CPUs })
 		waiting := max(0, 800-int(have/16))
-		f.Want([]Need{{Desc: job, Number: waiting / 2, Aims: []float64{100}}, {Desc: job, Number: waiting - waiting/2, Aims: []float64{100}}}, nil)
+		f.SetDemand([]Demand{{Spec: job, Tasks: waiting / 2, ObjectiveSlackSeconds: []float64{100}}, {Spec: job, Tasks: waiting - waiting/2, ObjectiveSlackSeconds: []float64{100}}}, nil)
 		first := len(rt.calls)
 		f.rent(0)
 		// The cloud allows four a second and bursts of two seconds' worth.
@@ -146,25 +146,25 @@
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS, set.Deployment.Cloud.RPS = 10, 100
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootS: 20, Zones: []string{"a", "b"}}}
-	d := &BlockStatus{Full: true, ReachableZones: []string{"a", "b"}}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
+	d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 	for i := range 90 {
 		zone := "a"
 		if i%3 > 0 {
 			zone = "b"
 		}
-		d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), Build: "g8", Zone: zone, Up: true, Open: true, Busy: true})
+		d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", Zone: zone, HasReported: true, AcceptsTasks: true, Busy: true})
 	}
 	f.listed = true
 	second := func(lit ...string) {
 		rt.now += time.Second
 		d.Seq++
 		d.ReachableZones = lit
-		f.TakeStatus(d)
+		f.HandleStatus(d)
 		f.judge()
 	}
 	count := func() (rooms, returned int) {
-		f.Rooms(func(*Room) { rooms++ })
+		f.EachAvailable(func(*AvailableMachine) { rooms++ })
 		for _, m := range f.machines {
 			if m.release {
 				returned++
@@ -178,9 +178,9 @@
 	for s := range 60 { // zone b: most of the machines
 		for i := range d.Hosts {
 			if h := &d.Hosts[i]; h.Zone == "b" && s > 7+i%12 {
-				h.Open, h.Back = false, agents.Silent
+				h.AcceptsTasks, h.ReleaseReason = false, agents.ReleaseSilent
 				if i%2 == 0 {
-					h.Back = agents.SilentUrgent
+					h.ReleaseReason = agents.ReleaseSilentUrgent
 				}
 			}
 		}
@@ -189,7 +189,7 @@
 	if rooms, returned := count(); rooms != 30 || returned != 0 {
 		t.Errorf("%d rooms, %d machines returned", rooms, returned)
 	}
-	f.Want([]Need{{Desc: &jobs.Description{CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 40}, Number: 500, Aims: []float64{60}}}, nil)
+	f.SetDemand([]Demand{{Spec: &jobs.Spec{CPUs: 4, MemoryGB: 4, Spot: true, EstimateSeconds: 40}, Tasks: 500, ObjectiveSlackSeconds: []float64{60}}}, nil)
 	first := len(rt.calls)
 	f.rent(0)
 	for _, c := range rt.calls[first:] {
@@ -204,7 +204,7 @@
 	for s := range 12 { // back, and they report one after the other
 		for i := range d.Hosts {
 			if i%12 == s {
-				d.Hosts[i].Open, d.Hosts[i].Back = true, ""
+				d.Hosts[i].AcceptsTasks, d.Hosts[i].ReleaseReason = true, ""
 			}
 		}
 		second("a", "b")
@@ -214,12 +214,12 @@
 	}
 	// A small zone's machines with urgent tasks go back at once, the others
 	// when the zone has been cut off for very long.
-	for s := range int(tuning.CutOffKeep/time.Second) + 20 {
+	for s := range int(tuning.ZonePartitionRetention/time.Second) + 20 {
 		for i := range d.Hosts {
 			if h := &d.Hosts[i]; h.Zone == "a" && s > 7+i%12 {
-				h.Open, h.Back = false, agents.Silent
+				h.AcceptsTasks, h.ReleaseReason = false, agents.ReleaseSilent
 				if i%2 == 0 {
-					h.Back = agents.SilentUrgent
+					h.ReleaseReason = agents.ReleaseSilentUrgent
 				}
 			}
 		}
@@ -242,12 +242,12 @@
 	set.Deployment.Workers.ReportS = 10
 	lease := &leading{}
 	f := New(rt, "", lease, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, BootS: 20}}
-	f.Begin()
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.BeginTerm()
 	rt.now += time.Hour
-	d := &BlockStatus{Full: true}
+	d := &ShardStatus{Full: true}
 	for i := range 40 {
-		d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), Build: "g8", Up: true, Open: true})
+		d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", HasReported: true, AcceptsTasks: true})
 	}
 	second := func() {
 		rt.now += time.Second
@@ -255,7 +255,7 @@
 			d.Hosts[i].IdleMS += 1000
 		}
 		d.Seq++
-		f.TakeStatus(d)
+		f.HandleStatus(d)
 		f.round(f.term)
 	}
 	drained := func() (n int) {
@@ -278,7 +278,7 @@
 	if n := drained(); n > 0 {
 		t.Errorf("%d machines go back right after the outage", n)
 	}
-	for range int(tuning.IdleKeep / time.Second) {
+	for range int(tuning.MachineIdleTimeout / time.Second) {
 		second()
 	}
 	if drained() == 0 {
@@ -294,15 +294,15 @@
 		set := &settings.Settings{}
 		set.Deployment.Workers.ReportS = 10
 		f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-		f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, BootS: 20}}
-		d := &BlockStatus{Full: true, ReachableZones: []string{"a", "b"}}
+		f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+		d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 		for i := range n {
-			d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprintf("vm-%06d", i), Build: "g8", Zone: "ab"[i%2 : i%2+1], Up: true, Open: true, Busy: true})
+			d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprintf("vm-%06d", i), MachineType: "g8", Zone: "ab"[i%2 : i%2+1], HasReported: true, AcceptsTasks: true, Busy: true})
 		}
-		f.TakeStatus(d)
+		f.HandleStatus(d)
 		b.Run(fmt.Sprint("rooms of ", n), func(b *testing.B) {
 			for b.Loop() {
-				f.Rooms(func(*Room) {})
+				f.EachAvailable(func(*AvailableMachine) {})
 			}
 		})
 		b.Run(fmt.Sprint("judge ", n), func(b *testing.B) {
@@ -314,7 +314,7 @@
 		b.Run(fmt.Sprint("word of a twentieth of ", n), func(b *testing.B) {
 			for b.Loop() {
 				d.Seq++
-				f.TakeStatus(d)
+				f.HandleStatus(d)
 			}
 		})
 	}
@@ -327,14 +327,14 @@
 func TestLateStatusTellsNothing(t *testing.T) {
 	rt := &still{now: time.Hour}
 	f := New(rt, "", leading{}, &settings.Settings{}, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, BootS: 20}}
-	ghost := []MachineStatus{{ID: "vm-1", Build: "g8", Up: true, Open: true}}
-	f.TakeStatus(&BlockStatus{Full: true, Token: 9, Seq: 40})
-	for _, d := range []*BlockStatus{{Token: 9, Seq: 12, Hosts: ghost}, {Full: true, Token: 9, Seq: 13, Hosts: ghost}, {Full: true, Token: 8, Seq: 90, Hosts: ghost}} {
-		f.TakeStatus(d)
-	}
-	f.Rooms(func(r *Room) { t.Errorf("%s is room", r.Host) })
-	if r := f.TakeStatus(&BlockStatus{Token: 9, Seq: 41}); r.Full {
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	ghost := []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}
+	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Seq: 40})
+	for _, d := range []*ShardStatus{{Token: 9, Seq: 12, Hosts: ghost}, {Full: true, Token: 9, Seq: 13, Hosts: ghost}, {Full: true, Token: 8, Seq: 90, Hosts: ghost}} {
+		f.HandleStatus(d)
+	}
+	f.EachAvailable(func(r *AvailableMachine) { t.Errorf("%s is room", r.ID) })
+	if r := f.HandleStatus(&ShardStatus{Token: 9, Seq: 41}); r.Full {
 		t.Error("the owner is asked to tell all anew")
 	}
 }
@@ -347,9 +347,9 @@
 	set := &settings.Settings{}
 	set.Deployment.Cloud.ListLagS = 10
 	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
-	f.types = []jobs.MachineType{{Label: "g8", CPUs: 8, BootS: 20}}
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.listed = true
-	f.machines["vm-1"] = &machine{id: "vm-1", kind: Kind{Build: "g8"}, rented: rt.now}
+	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rented: rt.now}
 	for _, c := range []struct {
 		after time.Duration
 		back  bool
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -54,14 +54,14 @@
 		return
 	}
 	if !f.afford() {
-		f.rt.After(tuning.ListWait, func() { f.listPage(l, since) })
+		f.rt.After(tuning.MachineListRetryDelay, func() { f.listPage(l, since) })
 		return
 	}
 	target := "/rentals?limit=500"
 	if since != "" {
 		target += "&since=" + url.QueryEscape(since)
 	}
-	f.rt.Call(f.addr, httpwire.Call{Method: "GET", Target: target}, tuning.CloudTimeout, func(ans httpwire.Answer, err error) {
+	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "GET", Target: target}, tuning.CloudRequestTimeout, func(ans httpwire.Response, err error) {
 		if l.term != f.term {
 			return
 		}
@@ -71,7 +71,7 @@
 		}
 		if err != nil || ans.Status != 200 {
 			f.log.Debug("machine list not read", "status", ans.Status, "err", err)
-			f.listAgain(l.term, tuning.ListEvery/2)
+			f.listAgain(l.term, tuning.MachineListInterval/2)
 			return
 		}
 		for i := range reply.Hosts {
@@ -84,7 +84,7 @@
 		}
 		f.vanished(l.seen)
 		f.listed = true
-		f.listAgain(l.term, tuning.ListEvery)
+		f.listAgain(l.term, tuning.MachineListInterval)
 	})
 }
 
@@ -95,7 +95,7 @@
 	}
 	m := f.machines[l.ID]
 	if m == nil {
-		m = &machine{id: l.ID, kind: Kind{l.Build, l.Zone, l.Spot}, block: work.BlockOf(l.ID, len(f.statuses)),
+		m = &machine{id: l.ID, kind: MachineKind{l.Build, l.Zone, l.Spot}, block: work.ShardOf(l.ID, len(f.statuses)),
 			rented: asked - time.Duration(l.AgeS*float64(time.Second))}
 		f.machines[l.ID] = m
 	}
@@ -122,7 +122,7 @@
 		if m.missed++; m.missed < 3 {
 			continue // a list can be older than the one before
 		}
-		if !f.fresh(m) || !m.state.Open {
+		if !f.fresh(m) || !m.state.AcceptsTasks {
 			f.giveBack(m, "no longer listed")
 		}
 	}
--- a/internal/fleet/need.go
+++ b/internal/fleet/need.go
@@ -7,44 +7,44 @@
 )
 
 // Room is a machine that takes tasks or is about to.
-type Room struct {
-	Kind
-	Host    string
-	Block   int
-	Type    *jobs.MachineType
-	Booting bool
+type AvailableMachine struct {
+	MachineKind
+	ID          string
+	Shard       int
+	MachineType *jobs.MachineType
+	Booting     bool
 	// Ready is how long it should still boot.
-	Ready time.Duration
+	ReadyIn time.Duration
 }
 
 // Could tells whether the machine may run a task of the job at all.
-func (r *Room) Could(d *jobs.Description, zone string) bool {
-	return r.Type.Runs(d) && (d.Zone == "" || d.Zone == r.Zone) && (zone == "" || zone == r.Zone) && (d.Spot || !r.Spot)
+func (r *AvailableMachine) CouldRun(d *jobs.Spec, zone string) bool {
+	return r.MachineType.CanRun(d) && (d.Zone == "" || d.Zone == r.Zone) && (zone == "" || zone == r.Zone) && (d.Spot || !r.Spot)
 }
 
 // Need is tasks of a job for which there is no room.
-type Need struct {
-	Desc   *jobs.Description
-	Zone   string // fixed at hand-out, "" for any
-	Number int
+type Demand struct {
+	Spec  *jobs.Spec
+	Zone  string // fixed at hand-out, "" for any
+	Tasks int
 	// Rank is the job's place in the order in which work is handed out.
 	Rank int
 	// Behind is tasks of the job that the team's limit holds back: they cannot
 	// use more machines now, but are part of the queue.
-	Behind int
+	HeldByQuota int
 	// Waited is for how many seconds the job has been there.
-	Waited float64
+	WaitedSeconds float64
 	// Aims is how many seconds they can still wait for each of the users' aims
 	// that is not missed yet, without the one for work within a guarantee.
-	Aims []float64
+	ObjectiveSlackSeconds []float64
 }
 
 // patience is how long the tasks can wait for the next aim that a machine which is
 // there after so many seconds can still meet; most if there is none. An aim that
 // will be missed or met before a machine could be up is no reason to rent one:
 // counted as one, jobs of five seconds had hundreds rented for the first minute.
-func (n *Need) patience(ready, most float64) float64 {
-	for _, left := range n.Aims {
+func (n *Demand) patience(ready, most float64) float64 {
+	for _, left := range n.ObjectiveSlackSeconds {
 		if left > ready {
 			most = min(most, left)
 		}
@@ -54,23 +54,23 @@
 
 // cpus is what a task takes of a machine type, its memory counted as the
 // processors that go with it.
-func (n *Need) cpus(t *jobs.MachineType) float64 {
-	return max(n.Desc.CPUs, n.Desc.MemoryGB/t.MemoryGB*t.CPUs)
+func (n *Demand) cpus(t *jobs.MachineType) float64 {
+	return max(n.Spec.CPUs, n.Spec.MemoryGB/t.MemoryGB*t.CPUs)
 }
 
 // Load is what the tasks placed on a machine take.
-type Load struct {
+type MachineLoad struct {
 	CPUs float64
 	// Movable is the processors of tasks that could run on any spot machine.
 	Movable float64
 	// Services is the processors of replicas of services, which do not come free.
 	Services float64
 	// ByPriority divides CPUs among the priorities of the tasks.
-	ByPriority [jobs.Production + 1]float64
+	ByPriority [jobs.PriorityCritical + 1]float64
 }
 
 // Below is the processors taken by tasks of a lower priority.
-func (l *Load) Below(p jobs.Priority) float64 {
+func (l *MachineLoad) Below(p jobs.Priority) float64 {
 	sum := 0.0
 	for _, cpus := range l.ByPriority[:p] {
 		sum += cpus
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -10,19 +10,19 @@
 )
 
 // Info is a machine as operators' tools see it.
-type Info struct {
-	Kind
-	ID, Addr string
-	Block    int
-	Up       bool // its worker reports to its owner
-	Open     bool // it takes tasks
+type MachineInfo struct {
+	MachineKind
+	ID, Addr     string
+	Shard        int
+	HasReported  bool // its worker reports to its owner
+	AcceptsTasks bool // it takes tasks
 }
 
 // Listed tells whether the machine list has been read in this term.
-func (f *Fleet) Listed() bool { return f.listed }
+func (f *Fleet) IsListed() bool { return f.listed }
 
 // Machines calls fn for all machines, in the order of their names.
-func (f *Fleet) Machines(fn func(Info)) {
+func (f *Fleet) EachMachine(fn func(MachineInfo)) {
 	list := make([]*machine, 0, len(f.machines))
 	for _, m := range f.machines {
 		list = append(list, m)
@@ -34,48 +34,48 @@
 }
 
 // Machine finds a machine.
-func (f *Fleet) Machine(id string) (Info, bool) {
+func (f *Fleet) Machine(id string) (MachineInfo, bool) {
 	m := f.machines[id]
 	if m == nil {
-		return Info{}, false
+		return MachineInfo{}, false
 	}
 	return f.info(m), true
 }
 
-func (f *Fleet) info(m *machine) Info {
-	up := m.known && f.fresh(m) && m.state.Up
-	return Info{Kind: m.kind, ID: m.id, Addr: m.addr, Block: m.block, Up: up, Open: up && m.state.Open && !m.release && m.drain == ""}
+func (f *Fleet) info(m *machine) MachineInfo {
+	up := m.known && f.fresh(m) && m.state.HasReported
+	return MachineInfo{MachineKind: m.kind, ID: m.id, Addr: m.addr, Shard: m.block, HasReported: up, AcceptsTasks: up && m.state.AcceptsTasks && !m.release && m.drain == ""}
 }
 
 // Gone tells whether a machine does not exist any more: it was returned, or is in no
 // list and no owner's message although both had time to show it.
-func (f *Fleet) Gone(id string) bool {
+func (f *Fleet) IsGone(id string) bool {
 	if _, returned := f.returned[id]; returned {
 		return true
 	}
-	return f.machines[id] == nil && f.listed && f.rt.Now()-f.begun > tuning.BootSlack+2*f.set.ListLag()
+	return f.machines[id] == nil && f.listed && f.rt.Now()-f.begun > tuning.BootTimeoutSlack+2*f.set.ListLag()
 }
 
 // Keep has machines kept although they are idle; the ones named before are not any more.
-func (f *Fleet) Keep(machines map[string]bool) { f.kept = machines }
+func (f *Fleet) KeepIdle(machines map[string]bool) { f.kept = machines }
 
 // RentNamed rents one machine under a name that the caller has made durable, so that a
 // later leader that asks again gets the same one. Until its answer is known, known is
 // false; it is asked again then.
-func (f *Fleet) RentNamed(name string, kind Kind) (host string, known bool) {
+func (f *Fleet) RentNamed(name string, kind MachineKind) (host string, known bool) {
 	if hosts, answered := f.named[name]; answered && len(hosts) > 0 {
 		return hosts[0], true
 	}
 	if _, flying := f.inFlight[name]; flying || f.rt.Now() < f.pauses[kind] || f.cutOff(kind.Zone) || !f.afford() {
 		return "", false
 	}
-	f.hire(f.term, hire{name, kind.Build, kind.Zone, kind.Spot, 1}, 0)
+	f.hire(f.term, hire{name, kind.MachineType, kind.Zone, kind.Spot, 1}, 0)
 	return "", false
 }
 
 // Waits tells whether tasks of a higher priority wait for room.
-func (f *Fleet) Waits(p jobs.Priority) bool {
-	return slices.ContainsFunc(f.needs, func(n Need) bool { return n.Number > 0 && n.Desc.Priority() > p })
+func (f *Fleet) HasWaitingWork(p jobs.Priority) bool {
+	return slices.ContainsFunc(f.needs, func(n Demand) bool { return n.Tasks > 0 && n.Spec.Priority() > p })
 }
 
 // idleAge is how long a machine counts as idle.
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -23,42 +23,42 @@
 	Number int    `json:"number"`
 }
 
-func (h hire) kind() Kind { return Kind{h.Build, h.Zone, h.Spot} }
+func (h hire) kind() MachineKind { return MachineKind{h.Build, h.Zone, h.Spot} }
 
 // rent asks for machines for the tasks that have no room. Each need waits
 // behind those before it; machines are rented while that wait, at the pace of
 // the machines that could do the work, is longer than the users' aims leave.
 func (f *Fleet) rent(term int) {
-	if f.types == nil || f.rt.Now()-f.begun < tuning.StatusEvery*2 {
+	if f.types == nil || f.rt.Now()-f.begun < tuning.StatusInterval*2 {
 		return
 	}
 	have := f.capacities()
 	behind := map[string]float64{} // by team, as queued
 	for i := range f.needs {
 		n := &f.needs[i]
-		behind[n.Desc.Team] += float64(n.Behind) * n.Desc.CPUs * max(n.Desc.EstimateS, 1)
+		behind[n.Spec.Team] += float64(n.HeldByQuota) * n.Spec.CPUs * max(n.Spec.EstimateSeconds, 1)
 	}
 	// First all that is wanted, then the calls: a call for each need was small,
 	// and calls are few.
-	var order []Kind
-	wanted := map[Kind]int{}
-	var before float64 // seconds of one processor, of the needs so far
-	var coming []Room  // machines wanted for gangs in this look, with what is left of them
+	var order []MachineKind
+	wanted := map[MachineKind]int{}
+	var before float64            // seconds of one processor, of the needs so far
+	var coming []AvailableMachine // machines wanted for gangs in this look, with what is left of them
 	for i := range f.needs {
 		n := &f.needs[i]
-		if n.Desc.Gang() && n.Number > 0 {
+		if n.Spec.IsGang() && n.Tasks > 0 {
 			if k, number := f.forGang(n, wanted, &coming); number > 0 {
 				if wanted[k] == 0 {
 					order = append(order, k)
 				}
-				have.at(k).add(float64(number)*f.Type(k.Build).CPUs, true, bootTime(f.Type(k.Build)))
+				have.at(k).add(float64(number)*f.MachineType(k.MachineType).CPUs, true, bootTime(f.MachineType(k.MachineType)))
 				wanted[k] += number
 			}
 			continue
 		}
-		before += float64(n.Number) * n.Desc.CPUs * max(n.Desc.EstimateS, 1)
-		queued := before + behind[n.Desc.Team]
-		for n.Number > 0 {
+		before += float64(n.Tasks) * n.Spec.CPUs * max(n.Spec.EstimateSeconds, 1)
+		queued := before + behind[n.Spec.Team]
+		for n.Tasks > 0 {
 			k, number := f.choose(n, queued, have, f.needs[i:], wanted)
 			if number == 0 {
 				break
@@ -66,17 +66,17 @@
 			if wanted[k] == 0 {
 				order = append(order, k)
 			}
-			have.at(k).add(float64(number)*f.Type(k.Build).CPUs, true, bootTime(f.Type(k.Build)))
+			have.at(k).add(float64(number)*f.MachineType(k.MachineType).CPUs, true, bootTime(f.MachineType(k.MachineType)))
 			wanted[k] += number
 		}
 	}
 	for _, k := range order {
-		for left := wanted[k]; left > 0; left -= tuning.HireMax {
+		for left := wanted[k]; left > 0; left -= tuning.MaxRentalMachines {
 			if !f.afford() {
 				return
 			}
 			f.counter++
-			f.hire(term, hire{fmt.Sprintf("r-%d-%d", f.lease.Lead(), f.counter), k.Build, k.Zone, k.Spot, min(left, tuning.HireMax)}, 0)
+			f.hire(term, hire{fmt.Sprintf("r-%d-%d", f.lease.LeaderToken(), f.counter), k.MachineType, k.Zone, k.Spot, min(left, tuning.MaxRentalMachines)}, 0)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 // choose finds the kind of machine that does the waiting work at the least
 // price, and how many of it are wanted; none if the work can wait. queued is
 // the work up to this need, have the machines that there are or will be.
-func (f *Fleet) choose(n *Need, queued float64, have capacities, needs []Need, wanted map[Kind]int) (best Kind, number int) {
+func (f *Fleet) choose(n *Demand, queued float64, have capacities, needs []Demand, wanted map[MachineKind]int) (best MachineKind, number int) {
 	now := f.rt.Now()
 	cpus := f.available(n, have)
 	bestCost, bestWait := math.Inf(1), 0.0
@@ -92,20 +92,20 @@
 		t := &f.types[i]
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				k := Kind{t.Label, zone, spot}
-				if now < f.pauses[k] || f.cutOff(zone) || wanted[k] >= tuning.HireAhead || !f.empty(k).Could(n.Desc, n.Zone) {
+				k := MachineKind{t.Name, zone, spot}
+				if now < f.pauses[k] || f.cutOff(zone) || wanted[k] >= tuning.MaxPlannedRentals || !f.empty(k).CouldRun(n.Spec, n.Zone) {
 					continue
 				}
-				price, wait := t.Price, f.wait(n, t, tuning.MissedPatience)
+				price, wait := t.Price, f.wait(n, t, tuning.MissedObjectiveQueueTime)
 				if spot {
-					price, wait = t.SpotPrice, f.wait(n, t, tuning.PatienceMost)
+					price, wait = t.SpotPrice, f.wait(n, t, tuning.MaxQueueTime)
 				}
 				if cpus > slack && (queued/cpus <= wait || !spot && f.inTime(n, t, queued, have)) {
 					continue
 				}
 				// Large machines are all that large tasks have; at about the
 				// same price small tasks go to small ones.
-				cost := price / max(n.Desc.CPUs*math.Floor(t.CPUs/n.cpus(t)+slack), 1e-3) * (1 + tuning.LargeDear*math.Log2(max(1, t.CPUs)))
+				cost := price / max(n.Spec.CPUs*math.Floor(t.CPUs/n.cpus(t)+slack), 1e-3) * (1 + tuning.LargeMachinePenalty*math.Log2(max(1, t.CPUs)))
 				if cost < bestCost {
 					best, bestCost, bestWait = k, cost, wait
 				}
@@ -115,44 +115,44 @@
 	if math.IsInf(bestCost, 1) {
 		return best, 0
 	}
-	t := f.Type(best.Build)
+	t := f.MachineType(best.MachineType)
 	number = int(math.Ceil((queued/bestWait - cpus) / t.CPUs))
 	// No more than the tasks from here on fill.
 	fill := 0.0
 	for i := range needs {
-		if m := &needs[i]; f.empty(best).Could(m.Desc, m.Zone) {
-			fill += float64(m.Number) * m.cpus(t)
+		if m := &needs[i]; f.empty(best).CouldRun(m.Spec, m.Zone) {
+			fill += float64(m.Tasks) * m.cpus(t)
 		}
 	}
-	return best, max(1, min(number, int(math.Ceil(fill/t.CPUs)), tuning.HireAhead-wanted[best]))
+	return best, max(1, min(number, int(math.Ceil(fill/t.CPUs)), tuning.MaxPlannedRentals-wanted[best]))
 }
 
 // inTime tells whether the machines that there are, up or booting, do the work up to a
 // need before the next of its aims that a new machine of a type could still meet. Dear
 // machines are rented only if they do not.
-func (f *Fleet) inTime(n *Need, t *jobs.MachineType, queued float64, have capacities) bool {
-	patience := n.patience(f.ready(n, t), tuning.MissedPatience.Seconds())
-	return queued <= tuning.DearQueue*f.servable(n, have, patience)
+func (f *Fleet) inTime(n *Demand, t *jobs.MachineType, queued float64, have capacities) bool {
+	patience := n.patience(f.ready(n, t), tuning.MissedObjectiveQueueTime.Seconds())
+	return queued <= tuning.ExpensiveQueueFactor*f.servable(n, have, patience)
 }
 
 // forGang finds the kind of machine, and how many, that hold all tasks of a gang
 // at the least price; none if machines that are wanted already have the room. It
 // cannot wait for room to come free bit by bit.
-func (f *Fleet) forGang(n *Need, wanted map[Kind]int, coming *[]Room) (best Kind, number int) {
-	left := n.Number
+func (f *Fleet) forGang(n *Demand, wanted map[MachineKind]int, coming *[]AvailableMachine) (best MachineKind, number int) {
+	left := n.Tasks
 	var filled []int // tasks on each of those that are coming
 	for i := range *coming {
 		k := 0
-		if r := &(*coming)[i]; left > 0 && f.empty(r.Kind).Could(n.Desc, n.Zone) {
-			k = min(left, tasksOn(r.Type, n.Desc))
+		if r := &(*coming)[i]; left > 0 && f.empty(r.MachineKind).CouldRun(n.Spec, n.Zone) {
+			k = min(left, tasksOn(r.MachineType, n.Spec))
 		}
 		filled = append(filled, k)
 		left -= k
 	}
-	take := func(r *Room, k int) {
-		r.Type.CPUs -= float64(k) * n.Desc.CPUs
-		r.Type.Cards -= float64(k) * n.Desc.Cards
-		r.Type.MemoryGB -= float64(k) * n.Desc.MemoryGB
+	take := func(r *AvailableMachine, k int) {
+		r.MachineType.CPUs -= float64(k) * n.Spec.CPUs
+		r.MachineType.GPUs -= float64(k) * n.Spec.GPUs
+		r.MachineType.MemoryGB -= float64(k) * n.Spec.MemoryGB
 	}
 	if left <= 0 {
 		for i, k := range filled {
@@ -165,13 +165,13 @@
 		t := &f.types[i]
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				k, each := Kind{t.Label, zone, spot}, tasksOn(t, n.Desc)
-				if now < f.pauses[k] || f.cutOff(zone) || each == 0 || !f.empty(k).Could(n.Desc, n.Zone) {
+				k, each := MachineKind{t.Name, zone, spot}, tasksOn(t, n.Spec)
+				if now < f.pauses[k] || f.cutOff(zone) || each == 0 || !f.empty(k).CouldRun(n.Spec, n.Zone) {
 					continue
 				}
 				// Machines belong to blocks by their names, in turn, and a gang
 				// stays in one block if it can.
-				want := (n.Number + each - 1) / each
+				want := (n.Tasks + each - 1) / each
 				if want > 1 {
 					want *= len(f.statuses)
 				}
@@ -179,17 +179,17 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				if cost := price * float64(want) * (1 + tuning.GangFew*float64(want-1)); cost < bestCost && wanted[k]+want <= tuning.HireAhead {
+				if cost := price * float64(want) * (1 + tuning.GangExtraMachinePenalty*float64(want-1)); cost < bestCost && wanted[k]+want <= tuning.MaxPlannedRentals {
 					best, number, bestCost = k, want, cost
 				}
 			}
 		}
 	}
-	left = n.Number
+	left = n.Tasks
 	for range number {
-		t := *f.Type(best.Build)
-		r := Room{Kind: best, Type: &t}
-		k := min(left, tasksOn(&t, n.Desc))
+		t := *f.MachineType(best.MachineType)
+		r := AvailableMachine{MachineKind: best, MachineType: &t}
+		k := min(left, tasksOn(&t, n.Spec))
 		take(&r, k)
 		left -= k
 		*coming = append(*coming, r)
@@ -198,9 +198,9 @@
 }
 
 // tasksOn tells how many tasks of a job fit on a machine.
-func tasksOn(t *jobs.MachineType, d *jobs.Description) int {
+func tasksOn(t *jobs.MachineType, d *jobs.Spec) int {
 	n := math.MaxInt32
-	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, t.CPUs}, {d.Cards, t.Cards}, {d.MemoryGB, t.MemoryGB}} {
+	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, t.CPUs}, {d.GPUs, t.GPUs}, {d.MemoryGB, t.MemoryGB}} {
 		if x.need > 0 {
 			n = min(n, int(math.Floor((x.left+slack)/x.need)))
 		}
@@ -210,12 +210,12 @@
 
 // Rentable tells whether machines for a job can be had in a zone now, as far as
 // is known.
-func (f *Fleet) Rentable(d *jobs.Description, zone string) bool {
+func (f *Fleet) IsRentable(d *jobs.Spec, zone string) bool {
 	for i := range f.types {
 		t := &f.types[i]
 		for _, spot := range []bool{true, false} {
-			k := Kind{t.Label, zone, spot}
-			if slices.Contains(t.Zones, zone) && f.rt.Now() >= f.pauses[k] && !f.cutOff(zone) && f.empty(k).Could(d, zone) {
+			k := MachineKind{t.Name, zone, spot}
+			if slices.Contains(t.Zones, zone) && f.rt.Now() >= f.pauses[k] && !f.cutOff(zone) && f.empty(k).CouldRun(d, zone) {
 				return true
 			}
 		}
@@ -225,22 +225,24 @@
 
 // ready is how many seconds it takes until a new machine of a type can run a need: its
 // boot and the fetch of the image.
-func (f *Fleet) ready(n *Need, t *jobs.MachineType) float64 {
-	if t.PullRate > 0 {
-		return t.BootS + n.Desc.ImageGB/t.PullRate
+func (f *Fleet) ready(n *Demand, t *jobs.MachineType) float64 {
+	if t.ImageGBPerSecond > 0 {
+		return t.BootSeconds + n.Spec.ImageGB/t.ImageGBPerSecond
 	}
-	return t.BootS
+	return t.BootSeconds
 }
 
 // wait is how many seconds a queue may take before a machine of a type is worth its
 // boot for a need; most bounds the patience of one that has no aim left.
-func (f *Fleet) wait(n *Need, t *jobs.MachineType, most time.Duration) float64 {
+func (f *Fleet) wait(n *Demand, t *jobs.MachineType, most time.Duration) float64 {
 	ready := f.ready(n, t)
-	return max(tuning.RentBacklog*t.BootS, tuning.PatienceShare*(n.patience(ready, most.Seconds())-ready))
+	return max(tuning.RentBacklogShare*t.BootSeconds, tuning.QueueTimeShare*(n.patience(ready, most.Seconds())-ready))
 }
 
 // empty is a machine of a kind with nothing on it.
-func (f *Fleet) empty(k Kind) *Room { return &Room{Kind: k, Type: f.Type(k.Build)} }
+func (f *Fleet) empty(k MachineKind) *AvailableMachine {
+	return &AvailableMachine{MachineKind: k, MachineType: f.MachineType(k.MachineType)}
+}
 
 // hire sends a rental request until its answer is known; repeated, it rents
 // nothing more.
@@ -250,8 +252,8 @@
 		return
 	}
 	f.inFlight[h.Name] = h
-	f.rt.Call(f.addr, httpwire.Call{Method: "POST", Target: "/rentals", Body: body}, tuning.CloudTimeout,
-		func(ans httpwire.Answer, err error) {
+	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "POST", Target: "/rentals", Body: body}, tuning.CloudRequestTimeout,
+		func(ans httpwire.Response, err error) {
 			if term != f.term {
 				return // machines it brings turn up in reports and in the list
 			}
@@ -269,18 +271,18 @@
 				f.named[h.Name] = reply.Hosts
 				for _, id := range reply.Hosts {
 					if f.machines[id] == nil {
-						f.machines[id] = &machine{id: id, kind: k, rented: f.rt.Now(), block: work.BlockOf(id, len(f.statuses))}
+						f.machines[id] = &machine{id: id, kind: k, rented: f.rt.Now(), block: work.ShardOf(id, len(f.statuses))}
 					}
 				}
 				if len(reply.Hosts) < h.Number {
-					f.pauses[k] = f.rt.Now() + tuning.CapacityPause
+					f.pauses[k] = f.rt.Now() + tuning.NoCapacityPause
 				}
 				f.log.Info("rented", "build", h.Build, "zone", h.Zone, "spot", h.Spot, "wanted", strconv.Itoa(h.Number), "got", len(reply.Hosts))
 			case err == nil && ans.Status == 503 && reply.Error == "no capacity":
-				f.pauses[k] = f.rt.Now() + tuning.CapacityPause
+				f.pauses[k] = f.rt.Now() + tuning.NoCapacityPause
 				f.log.Debug("no capacity", "build", h.Build, "zone", h.Zone, "spot", h.Spot)
 			case err == nil && ans.Status == 400:
-				f.pauses[k] = f.rt.Now() + 5*tuning.CapacityPause
+				f.pauses[k] = f.rt.Now() + 5*tuning.NoCapacityPause
 				f.log.Warn("rental refused as malformed", "body", string(ans.Body))
 			default:
 				f.inFlight[h.Name] = h
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -16,13 +16,13 @@
 // and nothing was rented in its place.
 func (f *Fleet) unheard(m *machine) bool {
 	w, now := &f.statuses[m.block], f.rt.Now()
-	return !m.known && m.running > 0 && w.any && now-w.heard < tuning.StatusStale &&
-		now-max(w.since, m.running, f.since) > f.set.DeadAfter()
+	return !m.known && m.running > 0 && w.any && now-w.heard < tuning.StatusStaleAfter &&
+		now-max(w.since, m.running, f.since) > f.set.WorkerDeadAfter()
 }
 
 // silent tells whether a machine's owner wants it back because it is silent.
 func (m *machine) silent() bool {
-	return m.state.Back == agents.Silent || m.state.Back == agents.SilentUrgent
+	return m.state.ReleaseReason == agents.ReleaseSilent || m.state.ReleaseReason == agents.ReleaseSilentUrgent
 }
 
 func (f *Fleet) giveBack(m *machine, why string) {
@@ -39,7 +39,7 @@
 	now := f.rt.Now()
 	machines, idle := f.countMachines()
 	f.noteCutOffs()
-	spare := max(tuning.SpareLeast, int(tuning.Spare*float64(machines)))
+	spare := max(tuning.MinIdleMachines, int(tuning.IdleMachineShare*float64(machines)))
 	for _, m := range f.machines {
 		switch {
 		case m.release:
@@ -47,19 +47,19 @@
 			f.judgeUnknown(m)
 		default:
 			if m.silent() && !f.spared(m) {
-				f.giveBack(m, m.state.Back)
+				f.giveBack(m, m.state.ReleaseReason)
 			}
 			// Idle in an outage, when nothing could be handed out, says nothing of
 			// what is needed: most machines went back just when it was over.
 			if m.idles(f) && f.idleAge(m) > f.idleKeep(m, idle > spare) && !f.kept[m.id] &&
-				!(f.stalled > 0 && now-f.stalled < tuning.StallKeep) && !(f.awaited(m) && now-m.idle < tuning.GangKeep) {
+				!(f.stalled > 0 && now-f.stalled < tuning.StalledDispatchGrace) && !(f.awaited(m) && now-m.idle < tuning.GangIdleRetention) {
 				m.drain = "idle" // its owner agrees, then gives it back
 				idle--
 			}
 		}
 	}
 	for id, at := range f.returned {
-		if now-at > tuning.ForgetReturned {
+		if now-at > tuning.ReleasedMachineMemory {
 			delete(f.returned, id)
 		}
 	}
@@ -90,7 +90,7 @@
 		if !f.cutOff(zone) {
 			continue
 		}
-		if _, was := f.cutOffAt[zone]; !was || now-f.cutOffAt[zone] > f.set.DeadAfter() {
+		if _, was := f.cutOffAt[zone]; !was || now-f.cutOffAt[zone] > f.set.WorkerDeadAfter() {
 			f.log.Info("zone is cut off", "zone", zone, "machines", f.running[zone])
 		}
 		f.cutOffAt[zone] = now
@@ -101,16 +101,16 @@
 func (f *Fleet) judgeUnknown(m *machine) {
 	now := f.rt.Now()
 	boot := 60.0
-	if t := f.Type(m.kind.Build); t != nil {
-		boot = t.BootS
+	if t := f.MachineType(m.kind.MachineType); t != nil {
+		boot = t.BootSeconds
 	}
-	limit := time.Duration(boot*tuning.BootFactor*float64(time.Second)) + tuning.BootSlack
+	limit := time.Duration(boot*tuning.BootTimeoutFactor*float64(time.Second)) + tuning.BootTimeoutSlack
 	switch {
 	case f.unheard(m) && !f.spared(m):
 		f.giveBack(m, "does not report")
-	case m.booting && now-m.rented > limit && now-f.begun > tuning.BootSlack:
+	case m.booting && now-m.rented > limit && now-f.begun > tuning.BootTimeoutSlack:
 		f.giveBack(m, "never booted")
-	case !m.listed && f.listed && now-max(m.rented, f.begun) > limit+2*f.set.ListLag()+tuning.BootSlack:
+	case !m.listed && f.listed && now-max(m.rented, f.begun) > limit+2*f.set.ListLag()+tuning.BootTimeoutSlack:
 		// Taken by the cloud before any list had it: it counted as booting,
 		// and so as room, for ever.
 		f.giveBack(m, "never listed")
@@ -120,13 +120,13 @@
 // idleKeep is how long a machine is kept that is idle; many: most are, as after a burst,
 // and so many are not soon needed.
 func (f *Fleet) idleKeep(m *machine, many bool) time.Duration {
-	keep := f.set.IdleKeep()
-	if t := f.Type(m.kind.Build); t != nil && !m.kind.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
+	keep := f.set.MachineIdleTimeout()
+	if t := f.MachineType(m.kind.MachineType); t != nil && !m.kind.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
 		// Kept ready as long as a spot machine would be for the money.
-		keep = time.Duration(float64(keep) * max(t.SpotPrice/t.Price, tuning.IdleLeast))
+		keep = time.Duration(float64(keep) * max(t.SpotPrice/t.Price, tuning.MinIdleTimeoutShare))
 	}
 	if many {
-		keep = min(keep, time.Duration(float64(f.set.IdleKeep())*tuning.IdleLeast))
+		keep = min(keep, time.Duration(float64(f.set.MachineIdleTimeout())*tuning.MinIdleTimeoutShare))
 	}
 	return keep
 }
@@ -136,7 +136,7 @@
 func (f *Fleet) awaited(m *machine) bool {
 	for i := range f.needs {
 		n := &f.needs[i]
-		if r := f.empty(m.kind); n.Desc.Gang() && n.Number > 0 && r.Type != nil && r.Could(n.Desc, n.Zone) {
+		if r := f.empty(m.kind); n.Spec.IsGang() && n.Tasks > 0 && r.MachineType != nil && r.CouldRun(n.Spec, n.Zone) {
 			return true
 		}
 	}
@@ -145,7 +145,7 @@
 
 // idles tells whether a machine takes tasks and has none.
 func (m *machine) idles(f *Fleet) bool {
-	return m.drain == "" && f.fresh(m) && m.state.Open && !m.state.Busy
+	return m.drain == "" && f.fresh(m) && m.state.AcceptsTasks && !m.state.Busy
 }
 
 // release returns machines to the cloud.
@@ -170,14 +170,14 @@
 	if err != nil {
 		return
 	}
-	f.rt.Call(f.addr, httpwire.Call{Method: "POST", Target: "/rentals/release", Body: body}, tuning.CloudTimeout,
-		func(ans httpwire.Answer, err error) {
+	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "POST", Target: "/rentals/release", Body: body}, tuning.CloudRequestTimeout,
+		func(ans httpwire.Response, err error) {
 			ok := err == nil && ans.Status == 200
 			if ok {
 				// Whoever leads now: the machines are gone.
 				for _, id := range names {
 					f.returned[id] = f.rt.Now()
-					b := work.BlockOf(id, len(f.statuses))
+					b := work.ShardOf(id, len(f.statuses))
 					f.unreported[b] = append(f.unreported[b], id)
 				}
 			}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -16,23 +16,23 @@
 
 // MachineStatus is what a block's owner tells of a machine.
 type MachineStatus struct {
-	ID     string `json:"id"`
-	Addr   string `json:"addr"`
-	Build  string `json:"build"`
-	Zone   string `json:"zone"`
-	Spot   bool   `json:"spot"`
-	Up     bool   `json:"up"`   // its worker has reported
-	Open   bool   `json:"open"` // takes tasks
-	IdleMS int64  `json:"idleMs,omitempty"`
-	Busy   bool   `json:"busy,omitempty"` // has, or may have, tasks
-	Back   string `json:"back,omitempty"` // why it should be returned now
+	ID            string `json:"id"`
+	Addr          string `json:"addr"`
+	MachineType   string `json:"build"`
+	Zone          string `json:"zone"`
+	Spot          bool   `json:"spot"`
+	HasReported   bool   `json:"up"`   // its worker has reported
+	AcceptsTasks  bool   `json:"open"` // takes tasks
+	IdleMS        int64  `json:"idleMs,omitempty"`
+	Busy          bool   `json:"busy,omitempty"` // has, or may have, tasks
+	ReleaseReason string `json:"back,omitempty"` // why it should be returned now
 }
 
 // BlockStatus is an owner's status message on its block: all machines, or those of which
 // something has changed since the message before.
-type BlockStatus struct {
+type ShardStatus struct {
 	Node           string          `json:"node"`
-	Block          int             `json:"block"`
+	Shard          int             `json:"block"`
 	Token          uint64          `json:"token"`
 	Seq            uint64          `json:"seq"`
 	Full           bool            `json:"full,omitempty"`
@@ -42,39 +42,39 @@
 
 // Recall asks an owner to give waiting tasks of a job back.
 type Recall struct {
-	Job    string `json:"job"`
-	Number int    `json:"number"`
+	Job   string `json:"job"`
+	Tasks int    `json:"number"`
 }
 
 // Address is where a machine's worker takes orders.
-type Address struct {
+type MachineAddress struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 }
 
 // Reply is the leader's answer to a status message.
-type Reply struct {
+type StatusReply struct {
 	Full  bool     `json:"full,omitempty"` // a message is missing: send all
 	Drain []string `json:"drain,omitempty"`
 	// Machines are those that the owner has not heard of, to a full status message.
-	Machines []Address `json:"machines,omitempty"`
-	Returned []string  `json:"returned,omitempty"` // gone, with all on them
-	Recall   []Recall  `json:"recall,omitempty"`
+	Machines []MachineAddress `json:"machines,omitempty"`
+	Released []string         `json:"returned,omitempty"` // gone, with all on them
+	Recall   []Recall         `json:"recall,omitempty"`
 }
 
 // fresh tells whether the owner's status of a machine is new enough. Messages come
 // every second, whatever the workers' pace.
 func (f *Fleet) fresh(m *machine) bool {
 	w := &f.statuses[m.block]
-	return m.known && w.any && f.rt.Now()-w.heard < tuning.StatusStale
+	return m.known && w.any && f.rt.Now()-w.heard < tuning.StatusStaleAfter
 }
 
 // TakeStatus takes an owner's status message. Machines in it that were not rented in this
 // term are adopted.
-func (f *Fleet) TakeStatus(d *BlockStatus) Reply {
-	var r Reply
+func (f *Fleet) HandleStatus(d *ShardStatus) StatusReply {
+	var r StatusReply
 	now := f.rt.Now()
-	w := &f.statuses[d.Block]
+	w := &f.statuses[d.Shard]
 	if w.any && (d.Token < w.token || (d.Token == w.token && d.Seq <= w.seq)) {
 		// Held back on its way. A machine in it, returned long ago, counted as
 		// room for ever: nothing was rented for tasks that waited for it.
@@ -84,7 +84,7 @@
 		r.Full = true // what it tells is true, but something is missing
 	} else {
 		since := w.since
-		if !w.any || w.token != d.Token || now-w.heard > tuning.StatusStale {
+		if !w.any || w.token != d.Token || now-w.heard > tuning.StatusStaleAfter {
 			since = now
 		}
 		*w = statusHeard{d.Token, d.Seq, now, since, true}
@@ -94,25 +94,25 @@
 	}
 	// A message whose answer is lost is followed by a full one, which asks for
 	// these anew.
-	r.Returned, f.unreported[d.Block] = f.unreported[d.Block], nil
+	r.Released, f.unreported[d.Shard] = f.unreported[d.Shard], nil
 	var there map[string]bool
 	if d.Full {
 		there = make(map[string]bool, len(d.Hosts))
 	}
 	for _, s := range d.Hosts {
 		if there != nil {
-			there[s.ID] = s.Up
+			there[s.ID] = s.HasReported
 		}
 		if _, gone := f.returned[s.ID]; gone {
-			r.Returned = append(r.Returned, s.ID)
+			r.Released = append(r.Released, s.ID)
 			continue
 		}
-		f.takeMachine(s, d.Block)
+		f.takeMachine(s, d.Shard)
 	}
 	if d.Full && !f.listed {
 		r.Full = true // tell all once more, when the machines are known
 	}
-	f.instruct(&r, d.Block, there)
+	f.instruct(&r, d.Shard, there)
 	return r
 }
 
@@ -121,36 +121,36 @@
 	now := f.rt.Now()
 	m := f.machines[s.ID]
 	if m == nil {
-		if !s.Up {
+		if !s.HasReported {
 			return // known from a record only
 		}
 		m = &machine{id: s.ID, rented: now, block: block}
 		f.machines[s.ID] = m
 	}
-	if s.Up {
-		m.addr, m.kind = s.Addr, Kind{s.Build, s.Zone, s.Spot}
+	if s.HasReported {
+		m.addr, m.kind = s.Addr, MachineKind{s.MachineType, s.Zone, s.Spot}
 	}
 	// A new owner knows some machines from their records only, until
 	// they report to it: that makes none of them one that never booted.
-	m.state, m.known = s, m.known || s.Up
+	m.state, m.known = s, m.known || s.HasReported
 	m.idle = now - time.Duration(s.IdleMS)*time.Millisecond
-	if s.Back != "" && !m.silent() { // judge sees to those
-		f.giveBack(m, s.Back)
+	if s.ReleaseReason != "" && !m.silent() { // judge sees to those
+		f.giveBack(m, s.ReleaseReason)
 	}
 }
 
 // instruct tells a block's owner of machines that it has not heard of, there being those
 // in a full message and nil otherwise, and which to keep tasks off.
-func (f *Fleet) instruct(r *Reply, block int, there map[string]bool) {
+func (f *Fleet) instruct(r *StatusReply, block int, there map[string]bool) {
 	for id, m := range f.machines {
 		switch {
 		case m.block != block:
 		case there != nil && !there[id]:
-			m.state.Open = false // it has not reported to this owner yet
+			m.state.AcceptsTasks = false // it has not reported to this owner yet
 			if m.addr != "" && !m.release && !m.booting {
-				r.Machines = append(r.Machines, Address{id, m.addr})
+				r.Machines = append(r.Machines, MachineAddress{id, m.addr})
 			}
-		case m.drain != "" && m.known && m.state.Open:
+		case m.drain != "" && m.known && m.state.AcceptsTasks:
 			r.Drain = append(r.Drain, id)
 		}
 	}
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -14,12 +14,12 @@
 func (f *Fleet) Start() { f.readTypes(0) }
 
 // Types are the machine types, nil while unknown.
-func (f *Fleet) Types() []jobs.MachineType { return f.types }
+func (f *Fleet) MachineTypes() []jobs.MachineType { return f.types }
 
 // Type finds a machine type.
-func (f *Fleet) Type(label string) *jobs.MachineType {
+func (f *Fleet) MachineType(label string) *jobs.MachineType {
 	for i := range f.types {
-		if f.types[i].Label == label {
+		if f.types[i].Name == label {
 			return &f.types[i]
 		}
 	}
@@ -27,8 +27,8 @@
 }
 
 func (f *Fleet) readTypes(try int) {
-	f.rt.Call(f.addr, httpwire.Call{Method: "GET", Target: "/machine_types"}, tuning.CloudTimeout,
-		func(ans httpwire.Answer, err error) {
+	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "GET", Target: "/machine_types"}, tuning.CloudRequestTimeout,
+		func(ans httpwire.Response, err error) {
 			var reply struct {
 				Builds []jobs.MachineType `json:"builds"`
 			}
@@ -44,20 +44,20 @@
 			// Prices move; the machines' properties stay, and other slices
 			// hold on to them.
 			for _, n := range reply.Builds {
-				if old := f.Type(n.Label); old != nil {
+				if old := f.MachineType(n.Name); old != nil {
 					*old = n
 				} else {
 					f.types = append(slices.Clip(f.types), n)
 				}
 			}
-			f.rt.After(tuning.TypesEvery, func() { f.readTypes(0) })
+			f.rt.After(tuning.MachineTypesInterval, func() { f.readTypes(0) })
 		})
 }
 
 // Zones fixes zones for a job whose tasks must or must not share one.
-func (f *Fleet) Zones(d *jobs.Description) []string {
-	zones := f.AllZones(d)
-	if d.OneZone {
+func (f *Fleet) ChooseZones(d *jobs.Spec) []string {
+	zones := f.CandidateZones(d)
+	if d.SameZone {
 		return zones[:min(1, len(zones))]
 	}
 	return zones[:min(2, len(zones))]
@@ -65,11 +65,11 @@
 
 // AllZones lists the zones where a job may run, those with the most machines
 // first.
-func (f *Fleet) AllZones(d *jobs.Description) []string {
+func (f *Fleet) CandidateZones(d *jobs.Spec) []string {
 	room := map[string]float64{}
 	for i := range f.types {
 		t := &f.types[i]
-		if !t.Runs(d) {
+		if !t.CanRun(d) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -78,9 +78,9 @@
 			}
 		}
 	}
-	f.Rooms(func(r *Room) {
-		if r.Could(d, "") {
-			room[r.Zone] += r.Type.CPUs
+	f.EachAvailable(func(r *AvailableMachine) {
+		if r.CouldRun(d, "") {
+			room[r.Zone] += r.MachineType.CPUs
 		}
 	})
 	zones := make([]string, 0, len(room))
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -13,12 +13,12 @@
 // TestWireStatus: what a block's owner tells the leader, and the answer.
 func TestWireStatus(t *testing.T) {
 	wiretest.Same(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
-		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}]}`, &BlockStatus{})
-	wiretest.Written(t, BlockStatus{}, `{"node":"","block":0,"token":0,"seq":0,"hosts":null}`)
+		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}]}`, &ShardStatus{})
+	wiretest.Written(t, ShardStatus{}, `{"node":"","block":0,"token":0,"seq":0,"hosts":null}`)
 	wiretest.Written(t, MachineStatus{}, `{"id":"","addr":"","build":"","zone":"","spot":false,"up":false,"open":false}`)
 	wiretest.Same(t, `{"full":true,"drain":["vm-1"],"machines":[{"id":"vm-2","addr":"10.0.0.2:7"}],"returned":["vm-3"],`+
-		`"recall":[{"job":"wk-1","number":4}]}`, &Reply{})
-	wiretest.Written(t, Reply{}, `{}`)
+		`"recall":[{"job":"wk-1","number":4}]}`, &StatusReply{})
+	wiretest.Written(t, StatusReply{}, `{}`)
 }
 
 // cloudFleet is a fleet whose calls to the cloud wait for the test's answers.
@@ -42,7 +42,7 @@
 
 // tell answers the last call to the cloud.
 func (s *still) tell(status int, body string) {
-	s.answers[len(s.answers)-1](httpwire.Answer{Status: status, Body: []byte(body)}, nil)
+	s.answers[len(s.answers)-1](httpwire.Response{Status: status, Body: []byte(body)}, nil)
 }
 
 // TestWireMachineTypes: how the cloud is asked for the machine types, and its answer.
@@ -53,7 +53,7 @@
 	const one = `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,` +
 		`"startupS":45,"yards":["yard-a"]}`
 	rt.tell(200, `{"builds":[`+one+`]}`)
-	wiretest.Written(t, f.Types(), "["+one+"]")
+	wiretest.Written(t, f.MachineTypes(), "["+one+"]")
 }
 
 // TestWireMachineList: how the cloud is asked for the machines, page by page, and what is
@@ -73,7 +73,7 @@
 	}
 	one, _ := f.Machine("vm-1")
 	two, _ := f.Machine("vm-2")
-	if one.Addr != "10.0.0.1:7" || one.Build != "g8" || one.Zone != "yard-a" || !one.Spot || two.Spot || two.Build != "g16" {
+	if one.Addr != "10.0.0.1:7" || one.MachineType != "g8" || one.Zone != "yard-a" || !one.Spot || two.Spot || two.MachineType != "g16" {
 		t.Errorf("%+v, %+v", one, two)
 	}
 	if !f.machines["vm-1"].booting || f.machines["vm-2"].booting || !f.machines["vm-3"].failed || f.machines["vm-1"].rented != rt.now-2500*time.Millisecond {
@@ -84,7 +84,7 @@
 // TestWireRental: how machines are rented and given back, and the cloud's answers.
 func TestWireRental(t *testing.T) {
 	rt, f := cloudFleet()
-	kind := Kind{Build: "g8", Zone: "yard-a", Spot: true}
+	kind := MachineKind{MachineType: "g8", Zone: "yard-a", Spot: true}
 	f.RentNamed("r-7-1", kind)
 	rt.asked(t, "POST", "/rentals", `{"hire":"r-7-1","build":"g8","yard":"yard-a","loaners":true,"number":1}`)
 	rt.tell(503, `{"error":"no capacity"}`)
@@ -101,7 +101,7 @@
 	f.release(f.term)
 	rt.asked(t, "POST", "/rentals/release", `{"hosts":["vm-8"]}`)
 	rt.tell(200, `{}`)
-	if !f.Gone("vm-8") {
+	if !f.IsGone("vm-8") {
 		t.Error("a machine given back is not gone")
 	}
 }
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -16,14 +16,14 @@
 // Its machines are no room and none are rented there; see tuning.DarkKeep.
 func (f *Fleet) cutOff(zone string) bool {
 	at, was := f.cutOffAt[zone] // stays so while any machine there is left
-	if was = was && f.rt.Now()-at < tuning.CutOffAfter; !was && !f.set.CutOff(f.running[zone], f.silence(zone)) {
+	if was = was && f.rt.Now()-at < tuning.ZonePartitionAfter; !was && !f.set.IsZonePartitioned(f.running[zone], f.silence(zone)) {
 		return false
 	}
-	if f.silence(zone) <= tuning.CutOffAfter {
+	if f.silence(zone) <= tuning.ZonePartitionAfter {
 		return false
 	}
 	for other := range f.reachable {
-		if f.silence(other) <= tuning.CutOffAfter {
+		if f.silence(other) <= tuning.ZonePartitionAfter {
 			return true
 		}
 	}
@@ -39,14 +39,14 @@
 		// Back again, its machines have time to report: judged at the first
 		// sign of life, most were returned just then.
 		at, was := f.cutOffAt[zone]
-		return was && f.rt.Now()-at < f.set.DeadAfter()
+		return was && f.rt.Now()-at < f.set.WorkerDeadAfter()
 	}
-	if f.silence(zone) > tuning.CutOffKeep {
+	if f.silence(zone) > tuning.ZonePartitionRetention {
 		return false
 	}
 	all := 0
 	for _, n := range f.running {
 		all += n
 	}
-	return m.state.Back != agents.SilentUrgent || float64(f.running[zone]) > tuning.CutOffSmallShare*float64(all)
+	return m.state.ReleaseReason != agents.ReleaseSilentUrgent || float64(f.running[zone]) > tuning.SmallZoneShare*float64(all)
 }
--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -23,7 +23,7 @@
 
 // Client keeps connections to the services that the program calls.
 type Client struct {
-	sockets *Sockets
+	sockets *SocketBudget
 	vital   []string // addresses that are called however few sockets are left
 	mu      sync.Mutex
 	idle    map[string][]idleConn
@@ -39,17 +39,17 @@
 
 // NewClient returns a client without connections. Calls to the vital addresses
 // are made however few sockets are left.
-func NewClient(sockets *Sockets, vital ...string) *Client {
+func NewClient(sockets *SocketBudget, vital ...string) *Client {
 	return &Client{sockets: sockets, vital: vital, idle: map[string][]idleConn{}}
 }
 
 // Do sends one request and waits for its answer. sent tells whether any of it
 // may have reached the other side.
-func (c *Client) Do(addr string, call Call, timeout time.Duration) (ans *Answer, sent bool, err error) {
+func (c *Client) Send(addr string, call ClientRequest, timeout time.Duration) (ans *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
 	conn := c.take(addr)
 	if conn == nil {
-		if c.sockets.Scarce() && !slices.Contains(c.vital, addr) {
+		if c.sockets.IsScarce() && !slices.Contains(c.vital, addr) {
 			return nil, false, errNoSocket
 		}
 		c.sockets.opened()
@@ -87,7 +87,7 @@
 }
 
 // read waits for one whole answer.
-func read(conn net.Conn) (*Answer, error) {
+func read(conn net.Conn) (*Response, error) {
 	buf := make([]byte, 0, 2048)
 	for {
 		if len(buf) == cap(buf) {
@@ -95,7 +95,7 @@
 		}
 		n, err := conn.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		ans, _, perr := ParseAnswer(buf, err != nil)
+		ans, _, perr := ParseResponse(buf, err != nil)
 		if perr != nil {
 			return nil, perr
 		}
@@ -116,7 +116,7 @@
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
 		c.idle[addr] = list
-		if time.Since(last.at) < tuning.KeepIdle {
+		if time.Since(last.at) < tuning.IdleClientConnectionTimeout {
 			return last.conn
 		}
 		c.drop(last.conn)
@@ -128,7 +128,7 @@
 func (c *Client) put(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= tuning.KeepPerAddress || (c.sockets.Tight() && !slices.Contains(c.vital, addr)) {
+	if len(c.idle[addr]) >= tuning.MaxIdleConnectionsPerAddress || (c.sockets.IsTight() && !slices.Contains(c.vital, addr)) {
 		c.drop(conn)
 		return
 	}
@@ -137,15 +137,15 @@
 
 // Sweep closes connections that nobody has used for a while, and all to others
 // than the vital addresses when sockets are tight.
-func (c *Client) Sweep() {
+func (c *Client) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	tight := c.sockets.Tight()
+	tight := c.sockets.IsTight()
 	for addr, list := range c.idle {
 		spare := tight && !slices.Contains(c.vital, addr)
 		kept := list[:0]
 		for _, i := range list {
-			if !spare && time.Since(i.at) < tuning.KeepIdle {
+			if !spare && time.Since(i.at) < tuning.IdleClientConnectionTimeout {
 				kept = append(kept, i)
 			} else {
 				c.drop(i.conn)
--- a/internal/httpwire/parse.go
+++ b/internal/httpwire/parse.go
@@ -22,19 +22,19 @@
 }
 
 // Answer is one parsed answer.
-type Answer struct {
+type Response struct {
 	Status int
 	Body   []byte
 	Close  bool
 }
 
 // Fault is a request that gets an error status and a closed connection.
-type Fault struct {
+type ProtocolError struct {
 	Status int
 	Reason string
 }
 
-func (f *Fault) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
+func (f *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
 
 // errMore says that the message is not complete yet.
 var errMore = errors.New("incomplete")
@@ -56,13 +56,13 @@
 	h := head{length: -1}
 	end := bytes.Index(buf, headEnd)
 	if end < 0 {
-		if len(buf) > tuning.HeadLimit {
-			return h, &Fault{431, "head too large"}
+		if len(buf) > tuning.MaxHeaderBytes {
+			return h, &ProtocolError{431, "head too large"}
 		}
 		return h, errMore
 	}
-	if end > tuning.HeadLimit {
-		return h, &Fault{431, "head too large"}
+	if end > tuning.MaxHeaderBytes {
+		return h, &ProtocolError{431, "head too large"}
 	}
 	h.size = end + len(headEnd)
 	text := string(buf[:end])
@@ -73,19 +73,19 @@
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return h, &Fault{400, "malformed header field"}
+			return h, &ProtocolError{400, "malformed header field"}
 		}
 		value = strings.TrimSpace(value)
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
 			if err != nil || value[0] == '+' || (h.length >= 0 && h.length != int(n)) {
-				return h, &Fault{400, "malformed Content-Length"}
+				return h, &ProtocolError{400, "malformed Content-Length"}
 			}
 			h.length = int(n)
 		case strings.EqualFold(name, "Transfer-Encoding"):
 			if !strings.EqualFold(value, "chunked") {
-				return h, &Fault{501, "transfer encoding not supported"}
+				return h, &ProtocolError{501, "transfer encoding not supported"}
 			}
 			h.chunked = true
 		case strings.EqualFold(name, "Connection"):
@@ -94,7 +94,7 @@
 		}
 	}
 	if h.chunked && h.length >= 0 {
-		return h, &Fault{400, "both Content-Length and Transfer-Encoding"}
+		return h, &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
 	}
 	return h, nil
 }
@@ -106,7 +106,7 @@
 	}
 	n := max(h.length, 0)
 	if limit > 0 && n > limit {
-		return nil, 0, &Fault{413, "body too large"}
+		return nil, 0, &ProtocolError{413, "body too large"}
 	}
 	if len(buf) < n {
 		return nil, 0, errMore
@@ -120,17 +120,17 @@
 		end := bytes.Index(buf[used:], headEnd[:2])
 		if end < 0 {
 			if len(buf)-used > 64 {
-				return nil, 0, &Fault{400, "malformed chunk"}
+				return nil, 0, &ProtocolError{400, "malformed chunk"}
 			}
 			return nil, 0, errMore
 		}
 		size, _, _ := strings.Cut(string(buf[used:used+end]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
-			return nil, 0, &Fault{400, "malformed chunk"}
+			return nil, 0, &ProtocolError{400, "malformed chunk"}
 		}
 		if limit > 0 && len(body)+int(n) > limit {
-			return nil, 0, &Fault{413, "body too large"}
+			return nil, 0, &ProtocolError{413, "body too large"}
 		}
 		used += end + 2
 		if len(buf)-used < int(n)+2 {
@@ -139,7 +139,7 @@
 		body = append(body, buf[used:used+int(n)]...)
 		used += int(n)
 		if buf[used] != '\r' || buf[used+1] != '\n' {
-			return nil, 0, &Fault{400, "malformed chunk"}
+			return nil, 0, &ProtocolError{400, "malformed chunk"}
 		}
 		used += 2
 		if n == 0 {
@@ -165,17 +165,17 @@
 	}
 	parts := strings.Split(h.first, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
-		return nil, 0, &Fault{400, "malformed request line"}
+		return nil, 0, &ProtocolError{400, "malformed request line"}
 	}
 	for _, c := range []byte(parts[0]) {
 		if c < 'A' || c > 'Z' {
-			return nil, 0, &Fault{400, "malformed method"}
+			return nil, 0, &ProtocolError{400, "malformed method"}
 		}
 	}
 	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
-		return nil, 0, &Fault{505, "HTTP version not supported"}
+		return nil, 0, &ProtocolError{505, "HTTP version not supported"}
 	}
-	body, n, err := h.body(buf[skip+h.size:], tuning.BodyLimit)
+	body, n, err := h.body(buf[skip+h.size:], tuning.MaxBodyBytes)
 	if err == errMore {
 		return nil, 0, nil
 	}
@@ -192,7 +192,7 @@
 
 // ParseAnswer reads one answer off the front of buf; eof says that no more
 // bytes will come. It takes no bytes while the answer is not complete.
-func ParseAnswer(buf []byte, eof bool) (*Answer, int, error) {
+func ParseResponse(buf []byte, eof bool) (*Response, int, error) {
 	h, err := parseHead(buf)
 	if err == errMore {
 		return nil, 0, nil
@@ -204,13 +204,13 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(version, "HTTP/1.") || status < 100 || status > 599 {
-		return nil, 0, &Fault{400, "malformed status line"}
+		return nil, 0, &ProtocolError{400, "malformed status line"}
 	}
 	if h.length < 0 && !h.chunked && status != 204 && status != 304 {
 		if !eof {
 			return nil, 0, nil // the body ends with the connection
 		}
-		return &Answer{Status: status, Body: bytes.Clone(buf[h.size:]), Close: true}, len(buf), nil
+		return &Response{Status: status, Body: bytes.Clone(buf[h.size:]), Close: true}, len(buf), nil
 	}
 	body, n, err := h.body(buf[h.size:], 0)
 	if err == errMore {
@@ -219,7 +219,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	return &Answer{Status: status, Body: bytes.Clone(body), Close: h.close}, h.size + n, nil
+	return &Response{Status: status, Body: bytes.Clone(body), Close: h.close}, h.size + n, nil
 }
 
 // reasons are the status texts that lemonmoor sends.
@@ -232,7 +232,7 @@
 }
 
 // AppendAnswer writes an answer. A retryAfter of 0 is left out.
-func AppendAnswer(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
+func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
 	reason := reasons[status]
 	if reason == "" {
 		reason = "Status"
@@ -255,14 +255,14 @@
 }
 
 // Call is a request to be sent.
-type Call struct {
+type ClientRequest struct {
 	Method string
 	Target string
 	Body   []byte
 }
 
 // appendCall writes a request.
-func appendCall(dst []byte, host string, c Call) []byte {
+func appendCall(dst []byte, host string, c ClientRequest) []byte {
 	dst = append(dst, c.Method...)
 	dst = append(dst, ' ')
 	dst = append(dst, c.Target...)
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -58,7 +58,7 @@
 		if _, n, _ := ParseRequest(buf); n > len(buf) {
 			t.Fatalf("took %d of %d", n, len(buf))
 		}
-		if _, n, _ := ParseAnswer(buf, rapid.Bool().Draw(t, "eof")); n > len(buf) {
+		if _, n, _ := ParseResponse(buf, rapid.Bool().Draw(t, "eof")); n > len(buf) {
 			t.Fatalf("took %d of %d", n, len(buf))
 		}
 	})
@@ -66,21 +66,21 @@
 
 func TestBadRequests(t *testing.T) {
 	for raw, status := range map[string]int{
-		"GET /\r\n\r\n":                                                                  400,
-		"get / HTTP/1.1\r\n\r\n":                                                         400,
-		"GET x HTTP/1.1\r\n\r\n":                                                         400,
-		"GET / HTTP/2.0\r\n\r\n":                                                         505,
-		"GET / HTTP/1.1\r\nno\r\n\r\n":                                                   400,
-		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n":                                  400,
-		"POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\n":                                  400,
-		"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n":              400,
-		"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":     400,
-		"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n":                             501,
-		fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n", tuning.BodyLimit+1): 413,
-		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", tuning.HeadLimit):                  431,
+		"GET /\r\n\r\n":                                                                     400,
+		"get / HTTP/1.1\r\n\r\n":                                                            400,
+		"GET x HTTP/1.1\r\n\r\n":                                                            400,
+		"GET / HTTP/2.0\r\n\r\n":                                                            505,
+		"GET / HTTP/1.1\r\nno\r\n\r\n":                                                      400,
+		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n":                                     400,
+		"POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\n":                                     400,
+		"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n":                 400,
+		"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":        400,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n":                                501,
+		fmt.Sprintf("POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n", tuning.MaxBodyBytes+1): 413,
+		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", tuning.MaxHeaderBytes):                431,
 	} {
 		_, _, err := ParseRequest([]byte(raw))
-		var f *Fault
+		var f *ProtocolError
 		if !errors.As(err, &f) || f.Status != status {
 			t.Errorf("%.60q: %v, want %d", raw, err, status)
 		}
@@ -93,8 +93,8 @@
 		status := rapid.SampledFrom([]int{200, 201, 404, 409, 421, 503}).Draw(t, "status")
 		body := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body")
 		closing := rapid.Bool().Draw(t, "close")
-		raw := AppendAnswer(nil, status, body, rapid.IntRange(0, 30).Draw(t, "retry"), closing)
-		a, n, err := ParseAnswer(raw, false)
+		raw := AppendResponse(nil, status, body, rapid.IntRange(0, 30).Draw(t, "retry"), closing)
+		a, n, err := ParseResponse(raw, false)
 		if err != nil || n != len(raw) || a.Status != status || !bytes.Equal(a.Body, body) || a.Close != closing {
 			t.Fatalf("%+v, %d of %d, %v", a, n, len(raw), err)
 		}
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -12,10 +12,10 @@
 )
 
 // Reply answers a request once; it may be called from any goroutine.
-type Reply func(status int, body []byte, retryAfter int)
+type ResponseWriter func(status int, body []byte, retryAfter int)
 
 // Handler takes requests off the network. It must not block.
-type Handler func(req *Request, reply Reply)
+type Handler func(req *Request, reply ResponseWriter)
 
 // Server serves HTTP/1.1 on gnet's event loop.
 type Server struct {
@@ -24,10 +24,10 @@
 	IsUser func(*Request) bool
 	// IdleOthers is when a connection that is no user's counts as forsaken: a
 	// machine that died or was cut off does not close its own.
-	IdleOthers time.Duration
+	WorkerIdleTimeout time.Duration
 
 	handle  Handler
-	sockets *Sockets
+	sockets *SocketBudget
 	log     *slog.Logger
 	started time.Time
 
@@ -44,9 +44,9 @@
 }
 
 // NewServer returns a server that hands requests to handle.
-func NewServer(handle Handler, sockets *Sockets, log *slog.Logger) *Server {
+func NewServer(handle Handler, sockets *SocketBudget, log *slog.Logger) *Server {
 	return &Server{handle: handle, sockets: sockets, log: log, started: time.Now(), conns: map[gnet.Conn]*session{},
-		IsUser: func(*Request) bool { return false }, IdleOthers: tuning.IdleConnection}
+		IsUser: func(*Request) bool { return false }, WorkerIdleTimeout: tuning.IdleConnectionTimeout}
 }
 
 // Serve listens on addr until the process ends or listening fails.
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	s.conns[c] = ses
 	s.mu.Unlock()
-	if s.sockets.Spent() {
+	if s.sockets.IsExhausted() {
 		return nil, gnet.Close
 	}
 	return nil, gnet.None
@@ -94,7 +94,7 @@
 		return gnet.Close
 	}
 	if ses.busy.Load() {
-		if c.InboundBuffered() > 2*tuning.BodyLimit {
+		if c.InboundBuffered() > 2*tuning.MaxBodyBytes {
 			return gnet.Close
 		}
 		return gnet.None
@@ -107,10 +107,10 @@
 	req, n, err := ParseRequest(buf)
 	if err != nil {
 		status := 400
-		if f, ok := err.(*Fault); ok {
+		if f, ok := err.(*ProtocolError); ok {
 			status = f.Status
 		}
-		_, _ = c.Write(AppendAnswer(nil, status, ErrorBody(err.Error()), 0, true))
+		_, _ = c.Write(AppendResponse(nil, status, ErrorBody(err.Error()), 0, true))
 		return gnet.Close
 	}
 	if req == nil {
@@ -121,8 +121,8 @@
 	_, _ = c.Discard(n)
 	user := s.IsUser(req)
 	ses.user.Store(user)
-	if user && s.sockets.Scarce() {
-		_, _ = c.Write(AppendAnswer(nil, 503, ErrorBody("no sockets left"), tuning.RetryAfter, true))
+	if user && s.sockets.IsScarce() {
+		_, _ = c.Write(AppendResponse(nil, 503, ErrorBody("no sockets left"), tuning.RetryAfterSeconds, true))
 		return gnet.Close
 	}
 	ses.busy.Store(true)
@@ -131,14 +131,14 @@
 }
 
 // replyTo answers the request that a connection is busy with, once.
-func (s *Server) replyTo(c gnet.Conn, ses *session, last, user bool) Reply {
+func (s *Server) replyTo(c gnet.Conn, ses *session, last, user bool) ResponseWriter {
 	var once atomic.Bool
 	return func(status int, body []byte, retryAfter int) {
 		if !once.CompareAndSwap(false, true) {
 			return
 		}
-		closing := last || (user && s.sockets.Tight())
-		out := AppendAnswer(nil, status, body, retryAfter, closing)
+		closing := last || (user && s.sockets.IsTight())
+		out := AppendResponse(nil, status, body, retryAfter, closing)
 		_ = c.AsyncWrite(out, func(c gnet.Conn, err error) error {
 			if err != nil || c == nil {
 				return nil
@@ -160,9 +160,9 @@
 // tight.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	now := s.ms()
-	users := tuning.IdleConnection
-	if s.sockets.Tight() {
-		users = tuning.SocketsTick
+	users := tuning.IdleConnectionTimeout
+	if s.sockets.IsTight() {
+		users = tuning.SocketSweepInterval
 	}
 	var old []gnet.Conn
 	s.mu.Lock()
@@ -171,11 +171,11 @@
 		if ses.busy.Load() {
 			continue
 		}
-		limit := s.IdleOthers
+		limit := s.WorkerIdleTimeout
 		if ses.user.Load() {
 			limit = users
 		}
-		if age > limit || (ses.partial.Load() && age > tuning.SlowRequest) {
+		if age > limit || (ses.partial.Load() && age > tuning.SlowRequestTimeout) {
 			old = append(old, c)
 		}
 	}
@@ -183,7 +183,7 @@
 	for _, c := range old {
 		_ = c.Close()
 	}
-	return tuning.SocketsTick, gnet.None
+	return tuning.SocketSweepInterval, gnet.None
 }
 
 // quiet carries gnet's own messages to the log at debug level.
--- a/internal/httpwire/sockets_test.go
+++ b/internal/httpwire/sockets_test.go
@@ -31,7 +31,7 @@
 					if _, err := conn.Read(buf); err != nil {
 						return
 					}
-					if _, err := conn.Write(AppendAnswer(nil, 200, []byte("{}"), 0, false)); err != nil {
+					if _, err := conn.Write(AppendResponse(nil, 200, []byte("{}"), 0, false)); err != nil {
 						return
 					}
 				}
@@ -40,36 +40,36 @@
 	}()
 	addr := listener.Addr().String()
 	const limit = 1000
-	sockets := NewSockets(limit)
+	sockets := NewSocketBudget(limit)
 	worker, state := NewClient(sockets), NewClient(sockets, addr)
 	ask := func(c *Client) error {
-		_, _, err := c.Do(addr, Call{Method: "GET", Target: "/"}, 5*time.Second)
+		_, _, err := c.Send(addr, ClientRequest{Method: "GET", Target: "/"}, 5*time.Second)
 		return err
 	}
 	fill := func(left float64) { sockets.open.Store(limit - int64(left*limit)) }
 	if err := ask(worker); err != nil || sockets.open.Load() != 1 {
 		t.Fatalf("%d open, %v", sockets.open.Load(), err)
 	}
-	fill(tuning.SocketsTight - 0.01)
+	fill(tuning.TightSocketShare - 0.01)
 	before := sockets.open.Load()
-	worker.Sweep()
+	worker.CloseIdle()
 	if n := sockets.open.Load(); n != before-1 {
 		t.Errorf("%d of %d open after the idle one was to go", n, before)
 	}
 	if err := ask(worker); err != nil || sockets.open.Load() != before-1 {
 		t.Errorf("%d open after a call, %v", sockets.open.Load(), err)
 	}
-	fill(tuning.SocketsScarce - 0.01)
+	fill(tuning.ScarceSocketShare - 0.01)
 	if err := ask(worker); !errors.Is(err, errNoSocket) {
 		t.Errorf("a direct order takes one of the last sockets: %v", err)
 	}
 	if err := ask(state); err != nil {
 		t.Errorf("the state service is not called: %v", err)
 	}
-	if sockets.Spent() {
+	if sockets.IsExhausted() {
 		t.Error("workers are refused while sockets are left for them")
 	}
-	if fill(0.001); !sockets.Spent() {
+	if fill(0.001); !sockets.IsExhausted() {
 		t.Error("the last sockets are given away")
 	}
 }
@@ -84,15 +84,15 @@
 	addr := probe.Addr().String()
 	probe.Close()
 	const limit = 1000
-	sockets := NewSockets(limit)
-	server := NewServer(func(_ *Request, reply Reply) { reply(200, []byte("{}"), 0) }, sockets, slog.New(slog.DiscardHandler))
+	sockets := NewSocketBudget(limit)
+	server := NewServer(func(_ *Request, reply ResponseWriter) { reply(200, []byte("{}"), 0) }, sockets, slog.New(slog.DiscardHandler))
 	server.IsUser = func(r *Request) bool { return r.Path == "/work" }
 	go func() { _ = server.Serve(addr) }()
-	client := NewClient(NewSockets(0))
+	client := NewClient(NewSocketBudget(0))
 	ask := func(path string) (int, bool) {
-		var ans *Answer
+		var ans *Response
 		for range 200 { // until it listens
-			if ans, _, err = client.Do(addr, Call{Method: "GET", Target: path}, 5*time.Second); err == nil {
+			if ans, _, err = client.Send(addr, ClientRequest{Method: "GET", Target: path}, 5*time.Second); err == nil {
 				return ans.Status, ans.Close
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -107,8 +107,8 @@
 		close  bool
 	}{
 		{0.5, "/work", 200, false}, {0.5, "/beat", 200, false},
-		{tuning.SocketsTight - 0.03, "/work", 200, true}, {tuning.SocketsTight - 0.03, "/beat", 200, false},
-		{tuning.SocketsScarce - 0.02, "/work", 503, true}, {tuning.SocketsScarce - 0.02, "/beat", 200, false},
+		{tuning.TightSocketShare - 0.03, "/work", 200, true}, {tuning.TightSocketShare - 0.03, "/beat", 200, false},
+		{tuning.ScarceSocketShare - 0.02, "/work", 503, true}, {tuning.ScarceSocketShare - 0.02, "/beat", 200, false},
 	} {
 		sockets.open.Store(limit - int64(c.left*limit))
 		if status, closed := ask(c.path); status != c.status || closed != c.close {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -19,67 +19,67 @@
 
 // The priorities, lowest first.
 const (
-	Low Priority = iota
-	Normal
-	High
-	Production
+	PriorityLow Priority = iota
+	PriorityStandard
+	PriorityUrgent
+	PriorityCritical
 )
 
-var priorities = map[string]Priority{"low": Low, "standard": Normal, "urgent": High, "critical": Production}
+var priorities = map[string]Priority{"low": PriorityLow, "standard": PriorityStandard, "urgent": PriorityUrgent, "critical": PriorityCritical}
 
 // Description is a job as its user submitted it. It is stored in this form.
-type Description struct {
-	ID        string   `json:"id"`
-	Class     string   `json:"lane"`
-	Team      string   `json:"crew"`
-	Shape     string   `json:"shape"`
-	Urgency   string   `json:"urgency"`
-	Tasks     int      `json:"pieces"`
-	CPUs      float64  `json:"cpus"`
-	Cards     float64  `json:"cards"`
-	MemoryGB  float64  `json:"memoryGb"`
-	Image     string   `json:"kit"`
-	ImageGB   float64  `json:"pullGb"`
-	Builds    []string `json:"builds,omitempty"`
-	Zone      string   `json:"yard,omitempty"`
-	OneZone   bool     `json:"samePlace,omitempty"`
-	Spread    bool     `json:"spread,omitempty"`
-	Spot      bool     `json:"loaners,omitempty"`
-	EstimateS float64  `json:"expectS"`
-	SaveEvery float64  `json:"snapshotS,omitempty"`
-	SaveS     float64  `json:"flushS,omitempty"`
-	DeadlineS *float64 `json:"dueS,omitempty"`
+type Spec struct {
+	ID                        string   `json:"id"`
+	Class                     string   `json:"lane"`
+	Team                      string   `json:"crew"`
+	Shape                     string   `json:"shape"`
+	Urgency                   string   `json:"urgency"`
+	Tasks                     int      `json:"pieces"`
+	CPUs                      float64  `json:"cpus"`
+	GPUs                      float64  `json:"cards"`
+	MemoryGB                  float64  `json:"memoryGb"`
+	Image                     string   `json:"kit"`
+	ImageGB                   float64  `json:"pullGb"`
+	MachineTypes              []string `json:"builds,omitempty"`
+	Zone                      string   `json:"yard,omitempty"`
+	SameZone                  bool     `json:"samePlace,omitempty"`
+	Spread                    bool     `json:"spread,omitempty"`
+	Spot                      bool     `json:"loaners,omitempty"`
+	EstimateSeconds           float64  `json:"expectS"`
+	CheckpointIntervalSeconds float64  `json:"snapshotS,omitempty"`
+	CheckpointSeconds         float64  `json:"flushS,omitempty"`
+	DeadlineSeconds           *float64 `json:"dueS,omitempty"`
 }
 
 // Priority of the job.
-func (d *Description) Priority() Priority { return priorities[d.Urgency] }
+func (d *Spec) Priority() Priority { return priorities[d.Urgency] }
 
 // Size is the work of so many of the job's tasks, by powers of two.
-func (d *Description) Size(tasks int) int {
-	return bits.Len64(uint64(float64(tasks) * d.CPUs * max(d.EstimateS, 1)))
+func (d *Spec) WorkSize(tasks int) int {
+	return bits.Len64(uint64(float64(tasks) * d.CPUs * max(d.EstimateSeconds, 1)))
 }
 
 // Service tells whether the tasks run until the job is cancelled.
-func (d *Description) Service() bool { return d.Shape == "daemon" }
+func (d *Spec) IsService() bool { return d.Shape == "daemon" }
 
 // Gang tells whether all tasks run at the same time or none does.
-func (d *Description) Gang() bool { return d.Shape == "gang" }
+func (d *Spec) IsGang() bool { return d.Shape == "gang" }
 
 // Known leaves those of the allowed machine types that there are.
-func (d *Description) Known(types []MachineType) {
-	if d.Builds != nil {
-		d.Builds = slices.DeleteFunc(slices.Clone(d.Builds), func(label string) bool {
-			return !slices.ContainsFunc(types, func(t MachineType) bool { return t.Label == label })
+func (d *Spec) KeepKnownMachineTypes(types []MachineType) {
+	if d.MachineTypes != nil {
+		d.MachineTypes = slices.DeleteFunc(slices.Clone(d.MachineTypes), func(label string) bool {
+			return !slices.ContainsFunc(types, func(t MachineType) bool { return t.Name == label })
 		})
-		slices.Sort(d.Builds)
-		d.Builds = slices.Compact(d.Builds)
+		slices.Sort(d.MachineTypes)
+		d.MachineTypes = slices.Compact(d.MachineTypes)
 	}
 }
 
 // Bare is the job without what only matters for a start.
-func (d *Description) Bare() *Description {
+func (d *Spec) WithoutStartFields() *Spec {
 	b := *d
-	b.Class, b.Image, b.Builds = "", "", nil
+	b.Class, b.Image, b.MachineTypes = "", "", nil
 	return &b
 }
 
@@ -116,7 +116,7 @@
 }
 
 // Parse reads a submission. Fields that may be null may also be missing.
-func Parse(body []byte) (*Description, error) {
+func Parse(body []byte) (*Spec, error) {
 	var w wire
 	if err := json.Unmarshal(body, &w); err != nil {
 		var te *json.UnmarshalTypeError
@@ -128,15 +128,15 @@
 	if name := w.missing(); name != "" {
 		return nil, fmt.Errorf("field %q: missing", name)
 	}
-	d := &Description{ID: *w.ID, Class: *w.Class, Team: *w.Team, Shape: *w.Shape, Urgency: *w.Urgency,
-		Tasks: *w.Tasks, CPUs: *w.CPUs, Cards: *w.Cards, MemoryGB: *w.MemoryGB, Image: *w.Image,
-		ImageGB: *w.ImageGB, OneZone: *w.OneZone, Spread: *w.Spread, Spot: *w.Spot,
-		EstimateS: *w.EstimateS, SaveEvery: *w.SaveEvery, SaveS: *w.SaveS, DeadlineS: w.DeadlineS}
+	d := &Spec{ID: *w.ID, Class: *w.Class, Team: *w.Team, Shape: *w.Shape, Urgency: *w.Urgency,
+		Tasks: *w.Tasks, CPUs: *w.CPUs, GPUs: *w.Cards, MemoryGB: *w.MemoryGB, Image: *w.Image,
+		ImageGB: *w.ImageGB, SameZone: *w.OneZone, Spread: *w.Spread, Spot: *w.Spot,
+		EstimateSeconds: *w.EstimateS, CheckpointIntervalSeconds: *w.SaveEvery, CheckpointSeconds: *w.SaveS, DeadlineSeconds: w.DeadlineS}
 	if w.Builds != nil {
 		if len(*w.Builds) == 0 {
 			return nil, errors.New(`field "builds": empty`)
 		}
-		d.Builds = *w.Builds
+		d.MachineTypes = *w.Builds
 	}
 	if w.Zone != nil {
 		if *w.Zone == "" {
@@ -174,7 +174,7 @@
 }
 
 // checkWords looks at the fields that hold words.
-func (d *Description) checkWords() error {
+func (d *Spec) checkWords() error {
 	if !ValidID(d.ID) {
 		return errors.New(`field "id": not of the form wk-000412`)
 	}
@@ -193,20 +193,20 @@
 }
 
 // checkAmounts looks at the fields that hold amounts.
-func (d *Description) checkAmounts() error {
+func (d *Spec) checkAmounts() error {
 	if d.Tasks < 1 || d.Tasks > MaxTasks {
 		return fmt.Errorf("field %q: outside 1 to %d", "pieces", MaxTasks)
 	}
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"cpus", d.CPUs}, {"cards", d.Cards}, {"memoryGb", d.MemoryGB}, {"pullGb", d.ImageGB},
-		{"expectS", d.EstimateS}, {"snapshotS", d.SaveEvery}, {"flushS", d.SaveS}} {
+	}{{"cpus", d.CPUs}, {"cards", d.GPUs}, {"memoryGb", d.MemoryGB}, {"pullGb", d.ImageGB},
+		{"expectS", d.EstimateSeconds}, {"snapshotS", d.CheckpointIntervalSeconds}, {"flushS", d.CheckpointSeconds}} {
 		if f.value < 0 || math.IsNaN(f.value) || f.value > 1e12 {
 			return fmt.Errorf("field %q: negative or too large", f.name)
 		}
 	}
-	if d.DeadlineS != nil && *d.DeadlineS < 0 {
+	if d.DeadlineSeconds != nil && *d.DeadlineSeconds < 0 {
 		return errors.New(`field "dueS": negative`)
 	}
 	return nil
@@ -214,32 +214,32 @@
 
 // MachineType is what the cloud tells of a kind of machine.
 type MachineType struct {
-	Label     string   `json:"label"`
-	CPUs      float64  `json:"cpus"`
-	Cards     float64  `json:"cards"`
-	MemoryGB  float64  `json:"memoryGb"`
-	CacheGB   float64  `json:"cacheGb"`
-	PullRate  float64  `json:"pullGbPerS"`
-	Price     float64  `json:"price"`
-	SpotPrice float64  `json:"spotPrice"`
-	BootS     float64  `json:"startupS"`
-	Zones     []string `json:"yards"`
+	Name             string   `json:"label"`
+	CPUs             float64  `json:"cpus"`
+	GPUs             float64  `json:"cards"`
+	MemoryGB         float64  `json:"memoryGb"`
+	CacheGB          float64  `json:"cacheGb"`
+	ImageGBPerSecond float64  `json:"pullGbPerS"`
+	Price            float64  `json:"price"`
+	SpotPrice        float64  `json:"spotPrice"`
+	BootSeconds      float64  `json:"startupS"`
+	Zones            []string `json:"yards"`
 }
 
 // Runs tells whether one task of the job fits an empty machine of the type.
-func (t *MachineType) Runs(d *Description) bool {
-	return (d.Builds == nil || slices.Contains(d.Builds, t.Label)) &&
+func (t *MachineType) CanRun(d *Spec) bool {
+	return (d.MachineTypes == nil || slices.Contains(d.MachineTypes, t.Name)) &&
 		(d.Zone == "" || slices.Contains(t.Zones, d.Zone)) &&
-		d.CPUs <= t.CPUs && d.Cards <= t.Cards && d.MemoryGB <= t.MemoryGB
+		d.CPUs <= t.CPUs && d.GPUs <= t.GPUs && d.MemoryGB <= t.MemoryGB
 }
 
 // Missed counts the users' aims for the job that its tasks cannot meet any more
 // if they start now, at so many seconds of age. Of jobs that are alike otherwise,
 // those with the least go first: under overload a queue in order of age alone
 // makes every job late.
-func (d *Description) Missed(set *settings.Settings, age float64) int {
+func (d *Spec) MissedObjectives(set *settings.Settings, age float64) int {
 	n := 0
-	set.Aims(d.Class, d.EstimateS, d.DeadlineS, func(latest float64) {
+	set.EachObjectiveDeadline(d.Class, d.EstimateSeconds, d.DeadlineSeconds, func(latest float64) {
 		if age > latest {
 			n++
 		}
@@ -248,20 +248,20 @@
 }
 
 // Feasible says why a job can never run, or nil.
-func Feasible(d *Description, types []MachineType, teams []settings.Team) error {
+func Feasible(d *Spec, types []MachineType, teams []settings.Team) error {
 	i := slices.IndexFunc(teams, func(t settings.Team) bool { return t.Name == d.Team })
 	if i < 0 {
 		return fmt.Errorf("unknown team %q", d.Team)
 	}
-	if !slices.ContainsFunc(types, func(t MachineType) bool { return t.Runs(d) }) {
+	if !slices.ContainsFunc(types, func(t MachineType) bool { return t.CanRun(d) }) {
 		return errors.New("a task fits no allowed machine type")
 	}
 	n := 1.0
-	if d.Service() || d.Gang() {
+	if d.IsService() || d.IsGang() {
 		n = float64(d.Tasks)
 	}
 	// A limit of 0 means none may be used: "The value 0 means none".
-	if d.CPUs*n > teams[i].CPUsMax+1e-9 || d.Cards*n > teams[i].GPUsMax+1e-9 {
+	if d.CPUs*n > teams[i].CPUsMax+1e-9 || d.GPUs*n > teams[i].GPUsMax+1e-9 {
 		return errors.New("needs more than the team's limit")
 	}
 	return nil
--- a/internal/jobs/rank.go
+++ b/internal/jobs/rank.go
@@ -12,27 +12,27 @@
 	Priority Priority
 	// Missed counts the users' aims that the job cannot meet any more. Under overload
 	// a queue in order of age alone makes every job late.
-	Missed int
-	Within bool // it fits its team's guarantee
+	MissedObjectives int
+	WithinQuota      bool // it fits its team's guarantee
 	// Size is the work that is left of the job, by powers of two. A job of which one
 	// task is left, lost with its machine, goes before jobs that have just begun:
 	// ranked by all of its work, it waited behind them for a minute after its deadline.
-	Size      int
-	Submitted int64 // ms since the epoch, by the accepting node's clock
-	ID        string
+	RemainingWork int
+	SubmittedMS   int64 // ms since the epoch, by the accepting node's clock
+	ID            string
 }
 
 // NewRank is the rank of a job that came at a time.
-func NewRank(d *Description, submitted int64, within bool) Rank {
-	return Rank{Priority: d.Priority(), Within: within, Size: d.Size(d.Tasks), Submitted: submitted, ID: d.ID}
+func NewRank(d *Spec, submitted int64, within bool) Rank {
+	return Rank{Priority: d.Priority(), WithinQuota: within, RemainingWork: d.WorkSize(d.Tasks), SubmittedMS: submitted, ID: d.ID}
 }
 
 // Update brings the rank to a time of day in milliseconds, with so many tasks left,
 // and tells whether it has changed.
-func (r *Rank) Update(d *Description, set *settings.Settings, wallMS int64, tasks int) bool {
-	missed, size := d.Missed(set, float64(wallMS-r.Submitted)/1000), d.Size(tasks)
-	changed := missed != r.Missed || size != r.Size
-	r.Missed, r.Size = missed, size
+func (r *Rank) Update(d *Spec, set *settings.Settings, wallMS int64, tasks int) bool {
+	missed, size := d.MissedObjectives(set, float64(wallMS-r.SubmittedMS)/1000), d.WorkSize(tasks)
+	changed := missed != r.MissedObjectives || size != r.RemainingWork
+	r.MissedObjectives, r.RemainingWork = missed, size
 	return changed
 }
 
@@ -41,16 +41,16 @@
 	if r.Priority != o.Priority {
 		return r.Priority > o.Priority
 	}
-	if r.Missed != o.Missed {
-		return r.Missed < o.Missed
+	if r.MissedObjectives != o.MissedObjectives {
+		return r.MissedObjectives < o.MissedObjectives
 	}
-	if r.Within != o.Within {
-		return r.Within
+	if r.WithinQuota != o.WithinQuota {
+		return r.WithinQuota
 	}
-	if c := cmp.Compare(r.Size, o.Size); c != 0 {
+	if c := cmp.Compare(r.RemainingWork, o.RemainingWork); c != 0 {
 		return c < 0
 	}
-	if c := cmp.Compare(r.Submitted, o.Submitted); c != 0 {
+	if c := cmp.Compare(r.SubmittedMS, o.SubmittedMS); c != 0 {
 		return c < 0
 	}
 	return r.ID < o.ID
--- a/internal/jobs/rank_test.go
+++ b/internal/jobs/rank_test.go
@@ -13,8 +13,8 @@
 	set := &settings.Settings{}
 	set.Deployment.Objectives = []settings.Objective{{Kind: "deadline", Class: "batch", Share: 0.9, Times: 1}}
 	due := 60.0
-	job := func(id string, tasks int) *Description {
-		return &Description{ID: id, Class: "batch", Urgency: "standard", Tasks: tasks, CPUs: 4, EstimateS: 20, DeadlineS: &due}
+	job := func(id string, tasks int) *Spec {
+		return &Spec{ID: id, Class: "batch", Urgency: "standard", Tasks: tasks, CPUs: 4, EstimateSeconds: 20, DeadlineSeconds: &due}
 	}
 	large, small := job("wk-1", 100), job("wk-2", 20)
 	a, b := NewRank(large, 0, true), NewRank(small, 1000, true)
--- a/internal/jobs/wire_test.go
+++ b/internal/jobs/wire_test.go
@@ -14,7 +14,7 @@
 
 // TestWireSubmission: every field of a submission is read, and stored under the same name.
 func TestWireSubmission(t *testing.T) {
-	wiretest.Same(t, submission, &Description{})
+	wiretest.Same(t, submission, &Spec{})
 	parsed, err := Parse([]byte(submission))
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 		if (err == nil) != (shape != "flock") {
 			t.Errorf("shape %s: %v", shape, err)
 		}
-		if err == nil && (d.Service() != (shape == "daemon") || d.Gang() != (shape == "gang")) {
+		if err == nil && (d.IsService() != (shape == "daemon") || d.IsGang() != (shape == "gang")) {
 			t.Errorf("shape %s is taken for another", shape)
 		}
 	}
--- a/internal/lead/batch.go
+++ b/internal/lead/batch.go
@@ -32,19 +32,19 @@
 		p.next++
 	}
 	u.cpus += p.desc.CPUs // until the batch is counted
-	u.cards += p.desc.Cards
+	u.cards += p.desc.GPUs
 	cost := func(b *batch) int {
 		switch {
 		case retried > 0:
-			return tuning.RetriedBytes
+			return tuning.RetriedTaskBytes
 		case b != nil && b.tasks[len(b.tasks)-1]+1 == i:
 			return 0
 		}
-		return tuning.FreshBytes
+		return tuning.NewTaskBytes
 	}
 	for k := len(batches) - 1; k >= 0 && batches[k].plan == p; k-- {
-		if b := batches[k]; b.block == block && len(b.tasks) < tuning.ChunkTasks && b.retried+retried <= tuning.RetriedTasks &&
-			b.bytes+cost(b) <= l.state.ValueBytes()-tuning.RecordBytes {
+		if b := batches[k]; b.block == block && len(b.tasks) < tuning.MaxRecordTasks && b.retried+retried <= tuning.MaxRetriedRecordTasks &&
+			b.bytes+cost(b) <= l.state.MaxValueBytes()-tuning.RecordOverheadBytes {
 			b.bytes += cost(b)
 			b.tasks = append(b.tasks, i)
 			b.retried += retried
@@ -65,26 +65,26 @@
 	for _, b := range batches {
 		u := l.usage[b.plan.desc.Team]
 		u.cpus -= float64(len(b.tasks)) * b.plan.desc.CPUs
-		u.cards -= float64(len(b.tasks)) * b.plan.desc.Cards
+		u.cards -= float64(len(b.tasks)) * b.plan.desc.GPUs
 	}
-	most := min(l.state.Ops(), max(1, int(l.set.Deployment.State.WriteRPS*tuning.WriteShare*l.state.Rate())))
+	most := min(l.state.MaxOperations(), max(1, int(l.set.Deployment.State.WriteRPS*tuning.ShardWriteShare*l.state.WriteShare())))
 	if len(batches) > most {
-		l.fleet.Stalled()
+		l.fleet.NoteStalledDispatch()
 		for _, b := range batches[most:] {
 			l.takeBack(b)
 		}
 		batches = batches[:most]
 	}
-	var guards []statestore.Guard
-	var apply []statestore.Change
+	var guards []statestore.Condition
+	var apply []statestore.Operation
 	var records []*work.Record
 	var made []*batch // those of the records
 	for _, b := range batches {
 		sort.Ints(b.tasks)
 		r := work.NewRecord(b.block, b.plan.e.ID, b.plan.number, b.tasks, b.plan.zones, b.plan.attempts)
-		r.Try, r.Part = b.try, b.part
+		r.GangAttempt, r.PartSize = b.try, b.part
 		if b.done {
-			r.AllDone()
+			r.MarkAllDone()
 		}
 		b.plan.number++
 		value, err := r.Encode()
@@ -93,8 +93,8 @@
 			l.takeBack(b)
 			continue
 		}
-		guards = append(guards, statestore.Guard{Key: r.Key})
-		apply = append(apply, statestore.Change{Set: r.Key, Value: value})
+		guards = append(guards, statestore.Condition{Key: r.Key})
+		apply = append(apply, statestore.Operation{PutKey: r.Key, Value: value})
 		records, made = append(records, r), append(made, b)
 		l.pending[r.Key] = r
 		l.count(b.plan, r, 1)
@@ -111,13 +111,13 @@
 
 // post sends a hand-out until it is known what came of it. Sent again after
 // no answer (doubt), it fails on its own records if the first was carried out.
-func (l *Leader) post(guards []statestore.Guard, apply []statestore.Change, batches []*batch, records []*work.Record, try int, doubt bool) {
-	l.commit(guards, apply, func(r statestore.Result) {
+func (l *Leader) post(guards []statestore.Condition, apply []statestore.Operation, batches []*batch, records []*work.Record, try int, doubt bool) {
+	l.commit(guards, apply, func(r statestore.CommitResult) {
 		switch r.Outcome {
-		case statestore.OK:
+		case statestore.OutcomeOK:
 			// The watch brings the records in.
-		case statestore.Refused:
-			l.fleet.Stalled()
+		case statestore.OutcomeRefused:
+			l.fleet.NoteStalledDispatch()
 			// Where changes are scarce, a large commit finds none left again
 			// and again while small ones of others pass: half of it next. Not
 			// so if an earlier try may yet be carried out, whole.
@@ -128,14 +128,14 @@
 				guards, apply, batches, records = guards[:n], apply[:n], batches[:n], records[:n]
 			}
 			l.later(try, func() { l.post(guards, apply, batches, records, try+1, doubt) })
-		case statestore.Unknown:
+		case statestore.OutcomeUnknown:
 			l.later(try, func() { l.post(guards, apply, batches, records, try+1, true) })
 		default:
 			// Some of the keys exist: an earlier try was carried out. If the
 			// records are there, the watch has counted them.
 			term := l.term
 			l.flying = true
-			l.store.Check(func(err error) {
+			l.store.Verify(func(err error) {
 				if term != l.term {
 					return
 				}
--- a/internal/lead/board.go
+++ b/internal/lead/board.go
@@ -20,7 +20,7 @@
 // machineGroup is the machines of one kind in one block, up or booting: whether a job
 // may use them is asked once for all of them.
 type machineGroup struct {
-	kind    *fleet.Room
+	kind    *fleet.AvailableMachine
 	block   int
 	booting bool
 	rooms   []room
@@ -36,31 +36,31 @@
 }
 
 func (l *Leader) viewRooms() *roomView {
-	blocks := l.set.Blocks()
+	blocks := l.set.ShardCount()
 	b := &roomView{cpus: make([]float64, blocks), queued: make([]float64, blocks)}
 	type which struct {
-		kind    fleet.Kind
+		kind    fleet.MachineKind
 		block   int
 		booting bool
 	}
 	index := map[which]*machineGroup{}
 	now := l.rt.Now()
-	l.fleet.Rooms(func(r *fleet.Room) {
+	l.fleet.EachAvailable(func(r *fleet.AvailableMachine) {
 		b.number++
-		b.cpus[r.Block] += r.Type.CPUs
-		w := which{r.Kind, r.Block, r.Booting}
+		b.cpus[r.Shard] += r.MachineType.CPUs
+		w := which{r.MachineKind, r.Shard, r.Booting}
 		s := index[w]
 		if s == nil {
 			kind := *r
-			s = &machineGroup{kind: &kind, block: r.Block, booting: r.Booting}
+			s = &machineGroup{kind: &kind, block: r.Shard, booting: r.Booting}
 			index[w] = s
 			b.racks = append(b.racks, s)
 		}
-		left := room{cpus: r.Type.CPUs, cards: r.Type.Cards, memory: r.Type.MemoryGB, cache: l.caches[r.Host]}
+		left := room{cpus: r.MachineType.CPUs, cards: r.MachineType.GPUs, memory: r.MachineType.MemoryGB, cache: l.caches[r.ID]}
 		if left.cache != nil {
-			left.cache.kind, left.cache.seen = r.Type, now
+			left.cache.kind, left.cache.seen = r.MachineType, now
 		}
-		if h := l.loads[r.Host]; h != nil {
+		if h := l.loads[r.ID]; h != nil {
 			left.cpus -= h.cpus
 			left.cards -= h.cards
 			left.memory -= h.memory
@@ -72,11 +72,11 @@
 	// Small machines first: large ones are all that large tasks have.
 	sort.Slice(b.racks, func(i, k int) bool {
 		a, c := b.racks[i], b.racks[k]
-		if x, y := a.kind.Type.CPUs, c.kind.Type.CPUs; x != y {
+		if x, y := a.kind.MachineType.CPUs, c.kind.MachineType.CPUs; x != y {
 			return x < y
 		}
-		if a.kind.Kind != c.kind.Kind {
-			return a.kind.Kind.Before(c.kind.Kind)
+		if a.kind.MachineKind != c.kind.MachineKind {
+			return a.kind.MachineKind.Before(c.kind.MachineKind)
 		}
 		return a.block < c.block
 	})
@@ -86,21 +86,21 @@
 const slack = 1e-9 // sums of decimal amounts are not exact
 
 // fit tells how many tasks of a job a machine has room for.
-func (r *room) fit(d *jobs.Description) int {
-	if d.Gang() {
+func (r *room) fit(d *jobs.Spec) int {
+	if d.IsGang() {
 		return fit(d, r.cpus, r.cards, r.memory)
 	}
 	return r.unkept(d)
 }
 
 // unkept is the same for what is not kept.
-func (r *room) unkept(d *jobs.Description) int {
+func (r *room) unkept(d *jobs.Spec) int {
 	return fit(d, r.cpus-r.keptCPUs, r.cards-r.keptCards, r.memory-r.keptMemory)
 }
 
-func fit(d *jobs.Description, cpus, cards, memory float64) int {
+func fit(d *jobs.Spec, cpus, cards, memory float64) int {
 	n := math.MaxInt32
-	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.Cards, cards}, {d.MemoryGB, memory}} {
+	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.GPUs, cards}, {d.MemoryGB, memory}} {
 		if x.need > 0 {
 			n = min(n, int(math.Floor((x.left+slack)/x.need)))
 		}
@@ -116,7 +116,7 @@
 		if taken == n {
 			break
 		}
-		if s.booting != booting || (block >= 0 && s.block != block) || len(s.rooms) == 0 || !s.kind.Could(p.desc, zone) {
+		if s.booting != booting || (block >= 0 && s.block != block) || len(s.rooms) == 0 || !s.kind.CouldRun(p.desc, zone) {
 			continue
 		}
 		if !s.sorted {
@@ -139,7 +139,7 @@
 				continue
 			}
 			s.rooms[i].cpus -= float64(k) * p.desc.CPUs
-			s.rooms[i].cards -= float64(k) * p.desc.Cards
+			s.rooms[i].cards -= float64(k) * p.desc.GPUs
 			s.rooms[i].memory -= float64(k) * p.desc.MemoryGB
 			taken, here = taken+k, here+k
 		}
@@ -184,7 +184,7 @@
 func (b *roomView) serves(p *jobState, zone string) []bool {
 	list := make([]bool, len(b.cpus))
 	for _, s := range b.racks {
-		if !list[s.block] && s.kind.Could(p.desc, zone) {
+		if !list[s.block] && s.kind.CouldRun(p.desc, zone) {
 			list[s.block] = true
 		}
 	}
@@ -196,7 +196,7 @@
 func (b *roomView) shortest(p *jobState, zone string, home int) int {
 	best, least := -1, 0.0
 	for block, ok := range b.serves(p, zone) {
-		if !ok || (b.queued[block] > 0 && b.queued[block]+p.desc.CPUs > tuning.Ahead*b.cpus[block]) {
+		if !ok || (b.queued[block] > 0 && b.queued[block]+p.desc.CPUs > tuning.MaxQueuedShare*b.cpus[block]) {
 			continue
 		}
 		if block == home {
