--- a/internal/agents/report.go
+++ b/internal/workers/report.go
@@ -1,16 +1,16 @@
-package agents
+package workers
 
 import (
 	"encoding/json"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // Unreachable answers for a node that may not act for the controllers.
-var NotOwnerBody = httpwire.ErrorBody("not the owner of this machine")
+var NotOwnerBody = http1.ErrorBody("not the owner of this machine")
 
 // Report takes a worker's report and gives its answer.
 func (t *Registry) HandleHeartbeat(r *Heartbeat) (status int, body []byte) {
@@ -108,7 +108,7 @@
 		}
 	}
 	acked := r.Token >= t.lease.Token()
-	listed := make(map[*work.Task]bool, len(r.Tasks))
+	listed := make(map[*taskstate.Task]bool, len(r.Tasks))
 	var orders []Command
 	h.UnknownTasks = 0
 	for i := range r.Tasks {
@@ -149,7 +149,7 @@
 
 // unlisted looks at the tasks that a report of the worker's own does not list: whether
 // that proves them gone.
-func (t *Registry) unlisted(h *Worker, r *Heartbeat, listed map[*work.Task]bool, later, acked bool) {
+func (t *Registry) unlisted(h *Worker, r *Heartbeat, listed map[*taskstate.Task]bool, later, acked bool) {
 	lost := false
 	for k := range h.Tasks {
 		if listed[k] || !k.LaunchSent || k.LaunchInFlight {
@@ -158,10 +158,10 @@
 		switch {
 		case k.GoneSession > 0 && r.Session > k.GoneSession, later && k.Reported:
 			// A later session: the worker killed all of the earlier one.
-			t.proveGone(h, k, work.LossVanished)
+			t.proveGone(h, k, taskstate.LossVanished)
 		case r.Token >= k.GoneMinToken && acked && !k.LaunchInDoubt && (k.GoneSession == 0 || (r.Session == k.GoneSession && r.Sequence > k.GoneAfterSequence)):
 			lost = lost || (k.GoneSession > 0 && !k.Reported)
-			t.proveGone(h, k, work.LossVanished)
+			t.proveGone(h, k, taskstate.LossVanished)
 		case k.LaunchInDoubt:
 			// The order may still be under way; a new token settles it.
 			t.log.Info("order in doubt, renewing the token", "host", h.ID, "task", k.Name())
@@ -178,14 +178,14 @@
 }
 
 // reported takes one task of a report.
-func (t *Registry) reported(h *Worker, l *ReportedTask, seen map[*work.Task]bool, acked bool, orders []Command) []Command {
-	var k *work.Task
+func (t *Registry) reported(h *Worker, l *ReportedTask, seen map[*taskstate.Task]bool, acked bool, orders []Command) []Command {
+	var k *taskstate.Task
 	if id, index, ok := splitRef(l.Name); ok {
 		if j := t.tasks.Job(id); j != nil {
 			k = j.Tasks[index]
 		}
 	}
-	if k == nil || k.State != work.StatePlaced || k.WorkerID != h.ID || k.WireAttempt() != l.Attempt {
+	if k == nil || k.State != taskstate.StatePlaced || k.WorkerID != h.ID || k.WireAttempt() != l.Attempt {
 		return t.unrecorded(h, k, l, acked, orders)
 	}
 	seen[k] = true
@@ -219,7 +219,7 @@
 
 // unrecorded takes a reported task that the records do not have there: an attempt that is
 // over, or never was.
-func (t *Registry) unrecorded(h *Worker, k *work.Task, l *ReportedTask, acked bool, orders []Command) []Command {
+func (t *Registry) unrecorded(h *Worker, k *taskstate.Task, l *ReportedTask, acked bool, orders []Command) []Command {
 	if l.Phase != "ended" {
 		h.UnknownTasks++
 		return append(orders, halt(l.Name, l.Attempt, 0))
@@ -227,7 +227,7 @@
 	if k != nil && l.Cause == "done" && k.Job.Gang != nil {
 		t.GangDone(k.Job) // late, or of an earlier attempt: it is done all the same
 	}
-	if k != nil && k.State == work.StateDone && !k.DoneDurable {
+	if k != nil && k.State == taskstate.StateDone && !k.DoneDurable {
 		return orders // done goes into the record before the worker forgets
 	}
 	if !acked {
@@ -241,25 +241,25 @@
 }
 
 // ended takes a task that has exited.
-func (t *Registry) ended(h *Worker, k *work.Task, l *ReportedTask, acked bool, orders []Command) []Command {
-	how := work.LossExited
+func (t *Registry) ended(h *Worker, k *taskstate.Task, l *ReportedTask, acked bool, orders []Command) []Command {
+	how := taskstate.LossExited
 	switch l.Cause {
 	case "done":
 		return t.completed(h, k, l, orders)
 	case "error":
 		// Whether the others had started shows in their reports.
-		how = work.LossVanished
+		how = taskstate.LossVanished
 		t.failed(h, k)
 	case "full":
-		how = work.LossBeforeWaiting
+		how = taskstate.LossBeforeWaiting
 		h.RefusesUntil = t.rt.Now() + tuning.RefusedTaskPause
 		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause/4
 	case "busy", "unknown":
-		how = work.LossBeforeWaiting
+		how = taskstate.LossBeforeWaiting
 		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause
 	case "halted":
 		if g := k.Job.Gang; g != nil && !g.AttemptOver && k.HaltDecided {
-			how = work.LossVanished // one that waited was told to leave its machine
+			how = taskstate.LossVanished // one that waited was told to leave its machine
 		}
 	case "alone", "mates_gone":
 		// Nothing against the machine or the job.
@@ -282,7 +282,7 @@
 }
 
 // completed takes a task that is done.
-func (t *Registry) completed(h *Worker, k *work.Task, l *ReportedTask, orders []Command) []Command {
+func (t *Registry) completed(h *Worker, k *taskstate.Task, l *ReportedTask, orders []Command) []Command {
 	h.ConsecutiveFailures = 0
 	clear(h.FailedJobs)
 	k.Job.ConsecutiveFailures = 0
@@ -293,12 +293,12 @@
 		return orders
 	}
 	if k.Job.Spec.IsService() {
-		t.proveGone(h, k, work.LossExited)
+		t.proveGone(h, k, taskstate.LossExited)
 		return append(orders, forget(l))
 	}
 	t.vacate(h, k)
 	if k.Job.Cancelled {
-		k.State, k.WorkerID = work.StateWaiting, ""
+		k.State, k.WorkerID = taskstate.StateWaiting, ""
 		t.tasks.DropTask(k)
 		return append(orders, forget(l))
 	}
@@ -308,7 +308,7 @@
 
 // failed takes note of a failure: machines that fail whatever they start get
 // no more tasks, and jobs that fail everywhere are slowed down.
-func (t *Registry) failed(h *Worker, k *work.Task) {
+func (t *Registry) failed(h *Worker, k *taskstate.Task) {
 	h.ConsecutiveFailures++
 	h.FailedJobs[k.Job.Spec.ID] = true
 	k.AvoidWorker = h.ID
--- a/internal/agents/wire.go
+++ b/internal/workers/wire.go
@@ -1,6 +1,6 @@
 // Package agents speaks with the workers: it takes their reports, knows what
 // is or may be on each machine, and gives orders under the block lease's token.
-package agents
+package workers
 
 import (
 	"encoding/json"
--- a/internal/agents/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -1,10 +1,10 @@
-package agents
+package workers
 
 import (
 	"testing"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/wiretest"
 )
 
@@ -14,7 +14,7 @@
 	sent []string
 }
 
-func (a *addressed) CallHTTP(addr string, c httpwire.ClientRequest, timeout time.Duration, fn func(httpwire.Response, error)) {
+func (a *addressed) CallHTTP(addr string, c http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
 	a.sent = append(a.sent, addr+" "+c.Method+" "+c.Target+" "+string(c.Body))
 	a.bench.CallHTTP(addr, c, timeout, fn)
 }
--- a/internal/agents/worker.go
+++ b/internal/workers/worker.go
@@ -1,10 +1,10 @@
-package agents
+package workers
 
 import (
 	"time"
 
 	"lemonmoor/internal/jobs"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
 )
 
 // Worker is one machine.
@@ -30,7 +30,7 @@
 	LeaseExpired bool          // its lease has run out unheard
 	IdleSince    time.Duration // since when it has had no tasks
 
-	Tasks map[*work.Task]bool // placed here
+	Tasks map[*taskstate.Task]bool // placed here
 	// Fetching counts those of them that do not run yet: they wait for their
 	// image, as far as one can tell.
 	FetchingTasks int
@@ -74,7 +74,7 @@
 }
 
 // Add notes that a task takes room on the machine.
-func (h *Worker) AddTask(k *work.Task) {
+func (h *Worker) AddTask(k *taskstate.Task) {
 	d := k.Job.Spec
 	h.Tasks[k] = true
 	h.CPUs += d.CPUs
@@ -87,7 +87,7 @@
 }
 
 // Remove notes that a task has left its room on the machine.
-func (h *Worker) RemoveTask(k *work.Task) {
+func (h *Worker) RemoveTask(k *taskstate.Task) {
 	d := k.Job.Spec
 	delete(h.Tasks, k)
 	h.CPUs -= d.CPUs
