--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -48,7 +48,7 @@
 	return &Client{Sender: sender, Nodes: nodes, Timeout: timeout, Sleep: time.Sleep, Now: time.Now}
 }
 
-// NoAnswer says that no controller could carry a request out in time. Whether an
+// NoAnswerError says that no controller could carry a request out in time. Whether an
 // earlier try was carried out is not known; the request may be sent again.
 type NoAnswerError struct {
 	Asked []Failure
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -332,7 +332,7 @@
 	return r
 }
 
-// Peer serves a message of another controller, on the loop.
+// HandlePeer serves a message of another controller, on the loop.
 func (n *Node) HandlePeer(path string, body []byte, answer func([]byte, bool)) {
 	switch path {
 	case statusPath:
@@ -409,7 +409,7 @@
 	}
 }
 
-// Settle takes the decisions that a batch of commands has made necessary.
+// AfterBatch takes the decisions that a batch of commands has made necessary.
 func (n *Node) AfterBatch() {
 	n.leader.AfterBatch()
 	for _, o := range n.owners {
@@ -539,7 +539,7 @@
 	}
 }
 
-// LaneOf ranks a request: reports of workers and health checks first, users
+// RequestLane ranks a request: reports of workers and health checks first, users
 // last.
 func RequestLane(req *http1.Request) eventloop.Lane {
 	if strings.HasPrefix(req.Path, "/work") {
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -34,22 +34,22 @@
 // Token, Valid, Answering and Renew are the block's lease, as the table sees it.
 func (o *owner) Token() uint64 { return o.token }
 
-// Valid tells whether the lease surely holds now.
+// LeaseValid tells whether the lease surely holds now.
 func (o *owner) LeaseValid() bool { return o.token != 0 && o.node.leases.LeaseValid() }
 
-// Answering tells whether reports are taken in.
+// MayAnswer tells whether reports are taken in.
 func (o *owner) MayAnswer() bool { return o.node.answering(o) }
 
-// Fresh tells whether a job not known to be cancelled is proven not to have been at
+// CancellationsVerifiedSince tells whether a job not known to be cancelled is proven not to have been at
 // or after a moment, and lately; if not, a proof is asked for.
 func (o *owner) CancellationsVerifiedSince(since time.Duration) bool { return o.node.fresh(since) }
 
-// AnsweredBefore is when the last earlier owner stops answering, at the latest.
+// PreviousOwnerAnswersUntil is when the last earlier owner stops answering, at the latest.
 func (o *owner) PreviousOwnerAnswersUntil() time.Duration {
 	return o.node.leases.PreviousOwnerAnswersUntil(o.block)
 }
 
-// Renew asks for a new token.
+// RenewToken asks for a new token.
 func (o *owner) RenewToken() { o.node.leases.RenewToken(o.block) }
 
 func newOwner(n *Node, number int) *owner {
--- a/internal/drain/book.go
+++ b/internal/drain/book.go
@@ -58,9 +58,9 @@
 	return counts
 }
 
-// Book is a node's copy of all drains, fed by a watch.
+// Records is a node's copy of all drains, fed by a watch.
 type Records struct {
-	// Changed is called after the records have changed.
+	// OnChange is called after the records have changed.
 	OnChange func()
 
 	mirror *statestore.Mirror
@@ -78,7 +78,7 @@
 	ref   TaskRef
 }
 
-// NewBook returns an empty book.
+// NewRecords returns an empty book.
 func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Records {
 	b := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
 	b.clear()
@@ -99,13 +99,13 @@
 // Ready tells whether the records have been read.
 func (b *Records) Ready() bool { return b.mirror.IsReady() }
 
-// Check calls fn when the book is proven to hold all that was committed before.
+// Verify calls fn when the book is proven to hold all that was committed before.
 func (b *Records) Verify(fn func(error)) { b.mirror.Verify(fn) }
 
-// Proven is the moment up to which the book is proven to be complete.
+// VerifiedAt is the moment up to which the book is proven to be complete.
 func (b *Records) VerifiedAt() (time.Duration, bool) { return b.mirror.VerifiedAt() }
 
-// Prove has the book shown to be current if that was longer ago than age.
+// VerifyIfOlder has the book shown to be current if that was longer ago than age.
 func (b *Records) VerifyIfOlder(age time.Duration) { b.mirror.VerifyIfOlder(age) }
 
 // Get finds a drain.
@@ -130,7 +130,7 @@
 	return list
 }
 
-// Idle tells whether nothing is to be done for any drain.
+// IsIdle tells whether nothing is to be done for any drain.
 func (b *Records) IsIdle() bool {
 	for _, d := range b.drains {
 		if d.Head.Phase.Active() || len(d.Grants) > 0 {
@@ -140,7 +140,7 @@
 	return true
 }
 
-// Quiet tells whether there is nothing to do at all: no drain is active, and nothing is
+// IsQuiet tells whether there is nothing to do at all: no drain is active, and nothing is
 // left of those that are over.
 func (b *Records) IsQuiet() bool {
 	for _, d := range b.drains {
@@ -151,7 +151,7 @@
 	return len(b.drains) <= tuning.MaxFinishedDrains
 }
 
-// Closed tells whether a machine takes no new tasks.
+// IsClosed tells whether a machine takes no new tasks.
 func (b *Records) IsClosed(machine string) bool {
 	b.index()
 	return b.closed[machine] > 0
@@ -163,7 +163,7 @@
 	return b.byTask[name]
 }
 
-// Granted tells whether a task, of a gang or not, is granted.
+// IsGranted tells whether a task, of a gang or not, is granted.
 func (b *Records) IsGranted(job string, index int, gang bool) bool {
 	if gang {
 		index = wholeGang
@@ -171,7 +171,7 @@
 	return len(b.grantsOf(TaskName{job, index})) > 0
 }
 
-// Broken tells whether a record does not parse: what it grants is not known.
+// HasUnreadable tells whether a record does not parse: what it grants is not known.
 func (b *Records) HasUnreadable() bool { return len(b.broken) > 0 }
 
 // index makes the look-up tables anew if the records have changed.
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -13,7 +13,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Lead is what the Coordinator asks of the leader's lease.
+// LeaderLease is what the Coordinator asks of the leader's lease.
 type LeaderLease interface {
 	LeaseValid() bool
 }
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Begin starts a term: earlier leaders' commits fail from now on, so the records
+// BeginTerm starts a term: earlier leaders' commits fail from now on, so the records
 // proven to be current hold all that was ever granted.
 func (c *Coordinator) BeginTerm(token uint64) {
 	c.EndTerm()
@@ -65,7 +65,7 @@
 	c.read(c.term, 0)
 }
 
-// End forgets everything: the lead is lost.
+// EndTerm forgets everything: the lead is lost.
 func (c *Coordinator) EndTerm() {
 	c.term++
 	c.token, c.loaded, c.flying = 0, false, false
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -15,11 +15,11 @@
 type Workers interface {
 	Workers() []*workers.Worker
 	Worker(id string) *workers.Worker
-	// Reports tells whether a machine is heard under the present token.
+	// IsCurrent tells whether a machine is heard under the present token.
 	IsCurrent(h *workers.Worker) bool
-	// Stop has a task halted, with the time that it needs to save.
+	// HaltTask has a task halted, with the time that it needs to save.
 	HaltTask(k *taskstate.Task)
-	// StopGang has all tasks of a gang halted, at the same time.
+	// HaltGang has all tasks of a gang halted, at the same time.
 	HaltGang(j *taskstate.Job)
 }
 
@@ -48,7 +48,7 @@
 	return &Executor{rt: rt, book: book, workers: workers, tasks: tasks, holds: holds, ran: map[TaskName]uint64{}}
 }
 
-// Begin starts a term.
+// BeginTerm starts a term.
 func (e *Executor) BeginTerm() {
 	e.begun = e.rt.Now()
 	clear(e.ran)
@@ -76,7 +76,7 @@
 	return false
 }
 
-// Act stops what is granted and still runs, while the block is held.
+// HaltGranted stops what is granted and still runs, while the block is held.
 func (e *Executor) HaltGranted() {
 	if !e.holds() {
 		return
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Prefix of all keys of the drains.
+// KeyPrefix of all keys of the drains.
 const KeyPrefix = "drain/"
 
 // Parts of a drain's keys: drain/ID/head, drain/ID/page/N, drain/ID/grant/N.
--- a/internal/drain/report.go
+++ b/internal/drain/report.go
@@ -1,6 +1,6 @@
 package drain
 
-// BlockReport is what a block's owner adds to its status message while there are
+// ShardReport is what a block's owner adds to its status message while there are
 // drains.
 type ShardReport struct {
 	// Machines are the closed ones that are up, with the tasks on them.
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -90,7 +90,7 @@
 // Error names the field and the reason in one line.
 func (e *RequestError) Error() string { return e.Field + ": " + e.Reason }
 
-// Status is how a request ended.
+// ResponseStatus is how a request ended.
 type ResponseStatus string
 
 // The ways in which a request ends.
@@ -113,7 +113,7 @@
 	Plan    *Plan                `json:"plan,omitempty"`
 }
 
-// View is a drain as operators see it.
+// DrainView is a drain as operators see it.
 type DrainView struct {
 	ID       string         `json:"id"`
 	Phase    Phase          `json:"phase"`
--- a/internal/drain/requests.go
+++ b/internal/drain/requests.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Check finds what is wrong with a request by itself; nil if nothing is.
+// Validate finds what is wrong with a request by itself; nil if nothing is.
 func (r *Request) Validate() *RequestError {
 	if r.Verb == VerbPlan || r.Verb == VerbStart {
 		if _, refusal := newMatcher(r.Selection); refusal != nil {
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -15,7 +15,7 @@
 	report     *ShardReport
 }
 
-// TakeReport takes what an owner reports; nil from one that knows no drains, or as
+// HandleReport takes what an owner reports; nil from one that knows no drains, or as
 // long as it knows of none.
 func (c *Coordinator) HandleReport(block int, token, seq uint64, r *ShardReport) {
 	if c.token == 0 || block < 0 || block >= len(c.reports) {
--- a/internal/eventloop/engine.go
+++ b/internal/eventloop/engine.go
@@ -36,14 +36,14 @@
 type Runtime interface {
 	// Now reads the steady clock.
 	Now() time.Duration
-	// Wall reads the time of day.
+	// WallClock reads the time of day.
 	WallClock() time.Time
 	// After runs fn on the loop once d has passed.
 	After(d time.Duration, fn func())
-	// Call sends a request and hands the answer, ErrNotSent or ErrNoAnswer
+	// CallHTTP sends a request and hands the answer, ErrNotSent or ErrNoAnswer
 	// to fn.
 	CallHTTP(addr string, req http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error))
-	// Peer sends a message to another controller; err is as with Call.
+	// CallPeer sends a message to another controller; err is as with Call.
 	CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func(body []byte, err error))
 	// Rand returns a random number in [0,1).
 	Rand() float64
@@ -70,7 +70,7 @@
 	}
 }
 
-// Waiting is the number of commands queued in a lane.
+// QueueLength is the number of commands queued in a lane.
 func (l *Loop) QueueLength(lane Lane) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/eventloop/real.go
+++ b/internal/eventloop/real.go
@@ -8,7 +8,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Real is the Runtime of a running process.
+// SystemRuntime is the Runtime of a running process.
 type SystemRuntime struct {
 	loop   *Loop
 	client *http1.Client
@@ -21,7 +21,7 @@
 	Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// NewReal returns a runtime that posts to loop and calls through client.
+// NewSystemRuntime returns a runtime that posts to loop and calls through client.
 func NewSystemRuntime(loop *Loop, client *http1.Client, peers PeerSender) *SystemRuntime {
 	r := &SystemRuntime{loop: loop, client: client, peers: peers, start: time.Now()}
 	r.sweep()
@@ -38,7 +38,7 @@
 // Now reads the steady clock, from the start of the process.
 func (r *SystemRuntime) Now() time.Duration { return time.Since(r.start) }
 
-// Wall reads the time of day.
+// WallClock reads the time of day.
 func (r *SystemRuntime) WallClock() time.Time { return time.Now() }
 
 // Rand returns a random number in [0,1).
@@ -53,7 +53,7 @@
 	time.AfterFunc(d, func() { r.loop.Post(DecisionLane, fn) })
 }
 
-// Call sends a request from a goroutine of its own; the answer comes back
+// CallHTTP sends a request from a goroutine of its own; the answer comes back
 // through the loop.
 func (r *SystemRuntime) CallHTTP(addr string, req http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
 	go func() {
@@ -71,7 +71,7 @@
 	}()
 }
 
-// Peer sends a message to another controller from a goroutine of its own.
+// CallPeer sends a message to another controller from a goroutine of its own.
 func (r *SystemRuntime) CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
 	go func() {
 		answer, err := r.peers.Send(endpoint, path, body, timeout)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,7 +21,7 @@
 	ShardOwner(block int) string
 }
 
-// Kind is a kind of machine that can be rented.
+// MachineKind is a kind of machine that can be rented.
 type MachineKind struct {
 	MachineType, Zone string
 	Spot              bool
@@ -110,7 +110,7 @@
 		reachable: map[string]time.Duration{}, running: map[string]int{}, cutOffAt: map[string]time.Duration{}}
 }
 
-// Begin starts a term.
+// BeginTerm starts a term.
 func (f *Fleet) BeginTerm() {
 	f.term++
 	f.begun = f.rt.Now()
@@ -131,7 +131,7 @@
 	f.round(term)
 }
 
-// End ends a term.
+// EndTerm ends a term.
 func (f *Fleet) EndTerm() { f.term++ }
 
 // afford takes one call off the cloud's budget, if there is one.
@@ -147,7 +147,7 @@
 	return true
 }
 
-// Rooms calls fn for the machines that take tasks or are about to.
+// EachAvailable calls fn for the machines that take tasks or are about to.
 func (f *Fleet) EachAvailable(fn func(*AvailableMachine)) {
 	var r AvailableMachine
 	for _, m := range f.machines {
@@ -175,11 +175,11 @@
 	}
 }
 
-// Stalled tells that there is room for work which the state service's limits keep from
+// NoteStalledDispatch tells that there is room for work which the state service's limits keep from
 // being handed out: idle machines are about to be used.
 func (f *Fleet) NoteStalledDispatch() { f.stalled = f.rt.Now() }
 
-// Want tells for which tasks there is no room, and of which job most runs that could
+// SetDemand tells for which tasks there is no room, and of which job most runs that could
 // as well run on spot machines, nil if there is none.
 func (f *Fleet) SetDemand(needs []Demand, movable *jobs.Spec) {
 	// A need waits behind the work that goes before it, and that only. Tasks that are
--- a/internal/fleet/need.go
+++ b/internal/fleet/need.go
@@ -6,35 +6,35 @@
 	"lemonmoor/internal/jobs"
 )
 
-// Room is a machine that takes tasks or is about to.
+// AvailableMachine is a machine that takes tasks or is about to.
 type AvailableMachine struct {
 	MachineKind
 	ID          string
 	Shard       int
 	MachineType *jobs.MachineType
 	Booting     bool
-	// Ready is how long it should still boot.
+	// ReadyIn is how long it should still boot.
 	ReadyIn time.Duration
 }
 
-// Could tells whether the machine may run a task of the job at all.
+// CouldRun tells whether the machine may run a task of the job at all.
 func (r *AvailableMachine) CouldRun(d *jobs.Spec, zone string) bool {
 	return r.MachineType.CanRun(d) && (d.Zone == "" || d.Zone == r.Zone) && (zone == "" || zone == r.Zone) && (d.Spot || !r.Spot)
 }
 
-// Need is tasks of a job for which there is no room.
+// Demand is tasks of a job for which there is no room.
 type Demand struct {
 	Spec  *jobs.Spec
 	Zone  string // fixed at hand-out, "" for any
 	Tasks int
 	// Rank is the job's place in the order in which work is handed out.
 	Rank int
-	// Behind is tasks of the job that the team's limit holds back: they cannot
+	// HeldByQuota is tasks of the job that the team's limit holds back: they cannot
 	// use more machines now, but are part of the queue.
 	HeldByQuota int
-	// Waited is for how many seconds the job has been there.
+	// WaitedSeconds is for how many seconds the job has been there.
 	WaitedSeconds float64
-	// Aims is how many seconds they can still wait for each of the users' aims
+	// ObjectiveSlackSeconds is how many seconds they can still wait for each of the users' aims
 	// that is not missed yet, without the one for work within a guarantee.
 	ObjectiveSlackSeconds []float64
 }
@@ -58,7 +58,7 @@
 	return max(n.Spec.CPUs, n.Spec.MemoryGB/t.MemoryGB*t.CPUs)
 }
 
-// Load is what the tasks placed on a machine take.
+// MachineLoad is what the tasks placed on a machine take.
 type MachineLoad struct {
 	CPUs float64
 	// Movable is the processors of tasks that could run on any spot machine.
--- a/internal/fleet/operators.go
+++ b/internal/fleet/operators.go
@@ -9,7 +9,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Info is a machine as operators' tools see it.
+// MachineInfo is a machine as operators' tools see it.
 type MachineInfo struct {
 	MachineKind
 	ID, Addr     string
@@ -18,10 +18,10 @@
 	AcceptsTasks bool // it takes tasks
 }
 
-// Listed tells whether the machine list has been read in this term.
+// IsListed tells whether the machine list has been read in this term.
 func (f *Fleet) IsListed() bool { return f.listed }
 
-// Machines calls fn for all machines, in the order of their names.
+// EachMachine calls fn for all machines, in the order of their names.
 func (f *Fleet) EachMachine(fn func(MachineInfo)) {
 	list := make([]*machine, 0, len(f.machines))
 	for _, m := range f.machines {
@@ -47,7 +47,7 @@
 	return MachineInfo{MachineKind: m.kind, ID: m.id, Addr: m.addr, Shard: m.block, HasReported: up, AcceptsTasks: up && m.state.AcceptsTasks && !m.release && m.drain == ""}
 }
 
-// Gone tells whether a machine does not exist any more: it was returned, or is in no
+// IsGone tells whether a machine does not exist any more: it was returned, or is in no
 // list and no owner's message although both had time to show it.
 func (f *Fleet) IsGone(id string) bool {
 	if _, returned := f.returned[id]; returned {
@@ -56,7 +56,7 @@
 	return f.machines[id] == nil && f.listed && f.rt.Now()-f.begun > tuning.BootTimeoutSlack+2*f.set.ListLag()
 }
 
-// Keep has machines kept although they are idle; the ones named before are not any more.
+// KeepIdle has machines kept although they are idle; the ones named before are not any more.
 func (f *Fleet) KeepIdle(machines map[string]bool) { f.kept = machines }
 
 // RentNamed rents one machine under a name that the caller has made durable, so that a
@@ -73,7 +73,7 @@
 	return "", false
 }
 
-// Waits tells whether tasks of a higher priority wait for room.
+// HasWaitingWork tells whether tasks of a higher priority wait for room.
 func (f *Fleet) HasWaitingWork(p jobs.Priority) bool {
 	return slices.ContainsFunc(f.needs, func(n Demand) bool { return n.Tasks > 0 && n.Spec.Priority() > p })
 }
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -208,7 +208,7 @@
 	return max(n, 0)
 }
 
-// Rentable tells whether machines for a job can be had in a zone now, as far as
+// IsRentable tells whether machines for a job can be had in a zone now, as far as
 // is known.
 func (f *Fleet) IsRentable(d *jobs.Spec, zone string) bool {
 	for i := range f.types {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -28,7 +28,7 @@
 	ReleaseReason string `json:"back,omitempty"` // why it should be returned now
 }
 
-// BlockStatus is an owner's status message on its block: all machines, or those of which
+// ShardStatus is an owner's status message on its block: all machines, or those of which
 // something has changed since the message before.
 type ShardStatus struct {
 	Node           string          `json:"node"`
@@ -46,13 +46,13 @@
 	Tasks int    `json:"number"`
 }
 
-// Address is where a machine's worker takes orders.
+// MachineAddress is where a machine's worker takes orders.
 type MachineAddress struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
 }
 
-// Reply is the leader's answer to a status message.
+// StatusReply is the leader's answer to a status message.
 type StatusReply struct {
 	Full  bool     `json:"full,omitempty"` // a message is missing: send all
 	Drain []string `json:"drain,omitempty"`
@@ -69,7 +69,7 @@
 	return m.known && w.any && f.rt.Now()-w.heard < tuning.StatusStaleAfter
 }
 
-// TakeStatus takes an owner's status message. Machines in it that were not rented in this
+// HandleStatus takes an owner's status message. Machines in it that were not rented in this
 // term are adopted.
 func (f *Fleet) HandleStatus(d *ShardStatus) StatusReply {
 	var r StatusReply
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -13,10 +13,10 @@
 // Start reads the machine types and keeps their prices current.
 func (f *Fleet) Start() { f.readTypes(0) }
 
-// Types are the machine types, nil while unknown.
+// MachineTypes are the machine types, nil while unknown.
 func (f *Fleet) MachineTypes() []jobs.MachineType { return f.types }
 
-// Type finds a machine type.
+// MachineType finds a machine type.
 func (f *Fleet) MachineType(label string) *jobs.MachineType {
 	for i := range f.types {
 		if f.types[i].Name == label {
@@ -54,7 +54,7 @@
 		})
 }
 
-// Zones fixes zones for a job whose tasks must or must not share one.
+// ChooseZones fixes zones for a job whose tasks must or must not share one.
 func (f *Fleet) ChooseZones(d *jobs.Spec) []string {
 	zones := f.CandidateZones(d)
 	if d.SameZone {
@@ -63,7 +63,7 @@
 	return zones[:min(2, len(zones))]
 }
 
-// AllZones lists the zones where a job may run, those with the most machines
+// CandidateZones lists the zones where a job may run, those with the most machines
 // first.
 func (f *Fleet) CandidateZones(d *jobs.Spec) []string {
 	room := map[string]float64{}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -43,7 +43,7 @@
 	return &Client{sockets: sockets, vital: vital, idle: map[string][]idleConn{}}
 }
 
-// Do sends one request and waits for its answer. sent tells whether any of it
+// Send sends one request and waits for its answer. sent tells whether any of it
 // may have reached the other side.
 func (c *Client) Send(addr string, call ClientRequest, timeout time.Duration) (ans *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
@@ -135,7 +135,7 @@
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 }
 
-// Sweep closes connections that nobody has used for a while, and all to others
+// CloseIdle closes connections that nobody has used for a while, and all to others
 // than the vital addresses when sockets are tight.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -21,14 +21,14 @@
 	Close  bool // the sender closes the connection after the answer
 }
 
-// Answer is one parsed answer.
+// Response is one parsed answer.
 type Response struct {
 	Status int
 	Body   []byte
 	Close  bool
 }
 
-// Fault is a request that gets an error status and a closed connection.
+// ProtocolError is a request that gets an error status and a closed connection.
 type ProtocolError struct {
 	Status int
 	Reason string
@@ -190,7 +190,7 @@
 	}, skip + h.size + n, nil
 }
 
-// ParseAnswer reads one answer off the front of buf; eof says that no more
+// ParseResponse reads one answer off the front of buf; eof says that no more
 // bytes will come. It takes no bytes while the answer is not complete.
 func ParseResponse(buf []byte, eof bool) (*Response, int, error) {
 	h, err := parseHead(buf)
@@ -231,7 +231,7 @@
 	501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }
 
-// AppendAnswer writes an answer. A retryAfter of 0 is left out.
+// AppendResponse writes an answer. A retryAfter of 0 is left out.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
 	reason := reasons[status]
 	if reason == "" {
@@ -254,7 +254,7 @@
 	return append(dst, body...)
 }
 
-// Call is a request to be sent.
+// ClientRequest is a request to be sent.
 type ClientRequest struct {
 	Method string
 	Target string
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -11,7 +11,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Reply answers a request once; it may be called from any goroutine.
+// ResponseWriter answers a request once; it may be called from any goroutine.
 type ResponseWriter func(status int, body []byte, retryAfter int)
 
 // Handler takes requests off the network. It must not block.
@@ -22,7 +22,7 @@
 	gnet.BuiltinEventEngine
 	// IsUser tells users' requests from the others'.
 	IsUser func(*Request) bool
-	// IdleOthers is when a connection that is no user's counts as forsaken: a
+	// WorkerIdleTimeout is when a connection that is no user's counts as forsaken: a
 	// machine that died or was cut off does not close its own.
 	WorkerIdleTimeout time.Duration
 
--- a/internal/http1/sockets.go
+++ b/internal/http1/sockets.go
@@ -6,7 +6,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Sockets counts the connections of the process against the platform's limit.
+// SocketBudget counts the connections of the process against the platform's limit.
 // Past the limit nothing connects any more, not even to the state service, so
 // what can best be had again goes first as it comes near: idle connections to
 // workers, then users' idle ones, then direct orders and new users.
@@ -15,7 +15,7 @@
 	open  atomic.Int64
 }
 
-// NewSockets returns a count for a limit; 0 means no limit.
+// NewSocketBudget returns a count for a limit; 0 means no limit.
 func NewSocketBudget(limit int) *SocketBudget { return &SocketBudget{limit: int64(limit)} }
 
 func (s *SocketBudget) opened() { s.open.Add(1) }
@@ -25,15 +25,15 @@
 	return s.limit > 0 && float64(s.limit-s.open.Load()) < share*float64(s.limit)
 }
 
-// Tight tells that no connection should be kept that is not in use: those to
+// IsTight tells that no connection should be kept that is not in use: those to
 // workers are closed after their answer, and so are users'.
 func (s *SocketBudget) IsTight() bool { return s.below(tuning.TightSocketShare) }
 
-// Scarce tells that the rest is for the workers' reports and for vital calls:
+// IsScarce tells that the rest is for the workers' reports and for vital calls:
 // direct orders wait for the machine's report, users are refused.
 func (s *SocketBudget) IsScarce() bool { return s.below(tuning.ScarceSocketShare) }
 
-// Spent tells that the rest is for vital calls alone.
+// IsExhausted tells that the rest is for vital calls alone.
 func (s *SocketBudget) IsExhausted() bool {
 	return s.limit > 0 && s.limit-s.open.Load() < tuning.ReservedSockets
 }
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -27,7 +27,7 @@
 
 var priorities = map[string]Priority{"low": PriorityLow, "standard": PriorityStandard, "urgent": PriorityUrgent, "critical": PriorityCritical}
 
-// Description is a job as its user submitted it. It is stored in this form.
+// Spec is a job as its user submitted it. It is stored in this form.
 type Spec struct {
 	ID                        string   `json:"id"`
 	Class                     string   `json:"lane"`
@@ -54,18 +54,18 @@
 // Priority of the job.
 func (d *Spec) Priority() Priority { return priorities[d.Urgency] }
 
-// Size is the work of so many of the job's tasks, by powers of two.
+// WorkSize is the work of so many of the job's tasks, by powers of two.
 func (d *Spec) WorkSize(tasks int) int {
 	return bits.Len64(uint64(float64(tasks) * d.CPUs * max(d.EstimateSeconds, 1)))
 }
 
-// Service tells whether the tasks run until the job is cancelled.
+// IsService tells whether the tasks run until the job is cancelled.
 func (d *Spec) IsService() bool { return d.Shape == "daemon" }
 
-// Gang tells whether all tasks run at the same time or none does.
+// IsGang tells whether all tasks run at the same time or none does.
 func (d *Spec) IsGang() bool { return d.Shape == "gang" }
 
-// Known leaves those of the allowed machine types that there are.
+// KeepKnownMachineTypes leaves those of the allowed machine types that there are.
 func (d *Spec) KeepKnownMachineTypes(types []MachineType) {
 	if d.MachineTypes != nil {
 		d.MachineTypes = slices.DeleteFunc(slices.Clone(d.MachineTypes), func(label string) bool {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Bare is the job without what only matters for a start.
+// WithoutStartFields is the job without what only matters for a start.
 func (d *Spec) WithoutStartFields() *Spec {
 	b := *d
 	b.Class, b.Image, b.MachineTypes = "", "", nil
@@ -226,14 +226,14 @@
 	Zones            []string `json:"yards"`
 }
 
-// Runs tells whether one task of the job fits an empty machine of the type.
+// CanRun tells whether one task of the job fits an empty machine of the type.
 func (t *MachineType) CanRun(d *Spec) bool {
 	return (d.MachineTypes == nil || slices.Contains(d.MachineTypes, t.Name)) &&
 		(d.Zone == "" || slices.Contains(t.Zones, d.Zone)) &&
 		d.CPUs <= t.CPUs && d.GPUs <= t.GPUs && d.MemoryGB <= t.MemoryGB
 }
 
-// Missed counts the users' aims for the job that its tasks cannot meet any more
+// MissedObjectives counts the users' aims for the job that its tasks cannot meet any more
 // if they start now, at so many seconds of age. Of jobs that are alike otherwise,
 // those with the least go first: under overload a queue in order of age alone
 // makes every job late.
--- a/internal/jobs/rank.go
+++ b/internal/jobs/rank.go
@@ -10,11 +10,11 @@
 // blocks order jobs by it.
 type Rank struct {
 	Priority Priority
-	// Missed counts the users' aims that the job cannot meet any more. Under overload
+	// MissedObjectives counts the users' aims that the job cannot meet any more. Under overload
 	// a queue in order of age alone makes every job late.
 	MissedObjectives int
 	WithinQuota      bool // it fits its team's guarantee
-	// Size is the work that is left of the job, by powers of two. A job of which one
+	// RemainingWork is the work that is left of the job, by powers of two. A job of which one
 	// task is left, lost with its machine, goes before jobs that have just begun:
 	// ranked by all of its work, it waited behind them for a minute after its deadline.
 	RemainingWork int
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -70,7 +70,7 @@
 	return l
 }
 
-// End forgets everything: the lead is lost.
+// EndTerm forgets everything: the lead is lost.
 func (l *Leader) EndTerm() {
 	l.term++
 	l.token, l.loaded, l.flying, l.timed = 0, false, false, false
@@ -86,7 +86,7 @@
 // IsLoaded tells whether the leader knows all work.
 func (l *Leader) IsLoaded() bool { return l.loaded }
 
-// Begin starts a term: earlier leaders' commits fail from now on, so the
+// BeginTerm starts a term: earlier leaders' commits fail from now on, so the
 // records proven to be current are all that has been handed out.
 func (l *Leader) BeginTerm(token uint64) {
 	l.EndTerm()
@@ -251,7 +251,7 @@
 	}
 }
 
-// TaskMoved takes note of what a block's owner has logged.
+// TaskStatusChanged takes note of what a block's owner has logged.
 func (l *Leader) TaskStatusChanged(r *taskstate.Record, k int, was taskstate.TaskStatus) {
 	if !l.loaded {
 		return
@@ -275,10 +275,10 @@
 	}
 }
 
-// Wake makes the next Settle look at everything again.
+// RequestRound makes the next Settle look at everything again.
 func (l *Leader) RequestRound() { l.wanted = true }
 
-// Settle hands out and commits what is due.
+// AfterBatch hands out and commits what is due.
 func (l *Leader) AfterBatch() {
 	if !l.loaded || !l.leases.LeaseValid() || l.flying || (!l.wanted && len(l.ends) == 0 && len(l.stale) == 0) {
 		return
@@ -346,7 +346,7 @@
 	})
 }
 
-// Recalls takes what a block is asked to give back.
+// TakeRecalls takes what a block is asked to give back.
 func (l *Leader) TakeRecalls(block int) []fleet.Recall {
 	var list []fleet.Recall
 	for job, n := range l.recalls[block] {
--- a/internal/leader/operators.go
+++ b/internal/leader/operators.go
@@ -8,7 +8,7 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// LoadOn is the processors of the tasks placed on a machine.
+// CPUsPlacedOn is the processors of the tasks placed on a machine.
 func (l *Leader) CPUsPlacedOn(host string) float64 {
 	if h := l.loads[host]; h != nil {
 		return h.cpus
@@ -16,7 +16,7 @@
 	return 0
 }
 
-// Room is how many tasks of a job the open machines have room for, in a zone or, if
+// CapacityFor is how many tasks of a job the open machines have room for, in a zone or, if
 // that is empty, anywhere.
 func (l *Leader) CapacityFor(d *jobs.Spec, zone string) int {
 	tasks := 0
@@ -33,7 +33,7 @@
 	return tasks
 }
 
-// Mark is what the records say of a task; false if none names it.
+// TaskStatus is what the records say of a task; false if none names it.
 func (l *Leader) TaskStatus(job string, index int) (taskstate.TaskStatus, bool) {
 	var newest taskstate.TaskStatus
 	number := -1
@@ -46,7 +46,7 @@
 	return newest, number >= 0
 }
 
-// Placements calls fn for all tasks that are placed.
+// EachPlacement calls fn for all tasks that are placed.
 func (l *Leader) EachPlacement(fn func(d *jobs.Spec, mark taskstate.TaskStatus)) {
 	l.store.EachRecord(func(r *taskstate.Record) {
 		p := l.plans[r.Job]
@@ -61,7 +61,7 @@
 	})
 }
 
-// Returned calls fn for each task that has had an attempt and that no block holds now.
+// EachReturnedTask calls fn for each task that has had an attempt and that no block holds now.
 func (l *Leader) EachReturnedTask(fn func(d *jobs.Spec, index int)) {
 	for _, p := range l.order {
 		if p.cancelled {
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -15,10 +15,10 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Links sends messages to the other controllers.
+// Client sends messages to the other controllers.
 type Client struct{ client *http.Client }
 
-// New returns links without connections.
+// NewClient returns links without connections.
 func NewClient() *Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -17,15 +17,15 @@
 
 // Planner holds the queues.
 type Planner struct {
-	// Open tells whether a machine may be given tasks.
+	// AcceptsTasks tells whether a machine may be given tasks.
 	AcceptsTasks func(*workers.Worker) bool
-	// Find finds a machine by its name.
+	// FindWorker finds a machine by its name.
 	FindWorker func(id string) *workers.Worker
-	// Place gives a task to a machine.
+	// PlaceTask gives a task to a machine.
 	PlaceTask func(*taskstate.Task, *workers.Worker)
-	// Rerank brings a job's rank up to a time of day and tells whether it changed.
+	// UpdateRank brings a job's rank up to a time of day and tells whether it changed.
 	UpdateRank func(j *taskstate.Job, wallMS int64) bool
-	// Prompt tells whether gangs of a class should find room at once.
+	// StartsPromptly tells whether gangs of a class should find room at once.
 	StartsPromptly func(class string) bool
 	// WaitBound is the wait in the extra queue after which a task goes first.
 	WaitBound time.Duration
@@ -48,7 +48,7 @@
 	clear(p.queues)
 }
 
-// Arrive takes a task that waits for a machine.
+// AddTask takes a task that waits for a machine.
 func (p *Planner) AddTask(t *taskstate.Task, now time.Duration) {
 	t.Queued = false
 	t.EnqueuedAt = now
@@ -139,7 +139,7 @@
 	gangs   []gang                            // that want machines now, in the jobs' order
 }
 
-// Round places what can be placed on the machines given.
+// RunRound places what can be placed on the machines given.
 func (p *Planner) RunRound(hosts []*workers.Worker, now time.Duration, wall time.Time) {
 	r := &round{now: now, wall: wall.UnixMilli()}
 	for _, h := range hosts {
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -43,7 +43,7 @@
 	ReplicasUp *int `hcl:"replicas_up,optional"`
 }
 
-// AtOnce is how many machines of a drain are emptied at a time.
+// MachinesAtOnceOrDefault is how many machines of a drain are emptied at a time.
 func (d *Drains) MachinesAtOnceOrDefault() int {
 	if d.MachinesAtOnce != nil {
 		return *d.MachinesAtOnce
@@ -51,7 +51,7 @@
 	return tuning.DefaultDrainMachinesAtOnce
 }
 
-// Wait is how long tasks that are about to end are waited for.
+// WaitOrDefault is how long tasks that are about to end are waited for.
 func (d *Drains) WaitOrDefault() time.Duration {
 	if d.WaitS != nil {
 		return seconds(*d.WaitS)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,7 +98,7 @@
 	// Operator holds what the operators set themselves.
 	Operator Operator `json:"-"`
 
-	blocks int // see FixBlocks
+	blocks int // see SetShardCount
 }
 
 // Operator is the operators' own settings. Every one has a default.
@@ -339,15 +339,15 @@
 // seconds turns a decimal number of seconds into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Report is the time between two reports of a worker.
+// HeartbeatInterval is the time between two reports of a worker.
 func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Deployment.Workers.ReportS) }
 
-// DeadAfter is how long a machine is silent before it counts as dead.
+// WorkerDeadAfter is how long a machine is silent before it counts as dead.
 func (s *Settings) WorkerDeadAfter() time.Duration {
 	return time.Duration(tuning.DeadWorkerIntervals*float64(s.HeartbeatInterval())) + tuning.DeadWorkerSlack
 }
 
-// DeafAfter is how long an owner of so many machines hears none of them before
+// OwnerSilenceLimit is how long an owner of so many machines hears none of them before
 // it is the owner that is cut off.
 func (s *Settings) OwnerSilenceLimit(hosts int) time.Duration {
 	intervals := tuning.OwnerSilenceIntervals
@@ -357,7 +357,7 @@
 	return time.Duration(intervals*float64(s.HeartbeatInterval())) + tuning.OwnerSilenceSlack
 }
 
-// CutOff tells whether the silence of a whole zone with so many machines means
+// IsZonePartitioned tells whether the silence of a whole zone with so many machines means
 // that it is cut off: many reports would have come in that time.
 func (s *Settings) IsZonePartitioned(machines int, silence time.Duration) bool {
 	return silence > tuning.ZonePartitionAfter &&
@@ -370,12 +370,12 @@
 // ListLag is how far the cloud's machine list is behind, as a rule.
 func (s *Settings) ListLag() time.Duration { return seconds(s.Deployment.Cloud.ListLagS) }
 
-// GangWait is how long a task of a gang waits for the others before it gives up.
+// GangWaitTimeout is how long a task of a gang waits for the others before it gives up.
 func (s *Settings) GangWaitTimeout() time.Duration {
 	return seconds(orElse(s.Deployment.Workers.GangWaitS, tuning.DefaultGangWaitTimeout.Seconds()))
 }
 
-// GangPeer is how soon the tasks of a gang notice that one of them is gone, and
+// GangPeerTimeout is how soon the tasks of a gang notice that one of them is gone, and
 // within which all must be told to save.
 func (s *Settings) GangPeerTimeout() time.Duration {
 	return seconds(orElse(s.Deployment.Workers.GangPeerS, tuning.DefaultGangPeerTimeout.Seconds()))
@@ -388,7 +388,7 @@
 	return other
 }
 
-// ValueBytes is the most that a value in the state service may hold, now and
+// MaxValueBytes is the most that a value in the state service may hold, now and
 // after its limits have changed.
 func (s *Settings) MaxValueBytes() int {
 	kb := s.Deployment.State.ValueKB
@@ -398,7 +398,7 @@
 	return int(kb * 1024 * tuning.ValueLimitShare)
 }
 
-// TxnOps is the most changes in a commit, now and after the limits have changed.
+// MaxOperations is the most changes in a commit, now and after the limits have changed.
 func (s *Settings) MaxOperations() int {
 	ops := s.Deployment.State.TxnOps
 	if n := s.Deployment.State.Next; n != nil && n.TxnOps != nil {
@@ -407,7 +407,7 @@
 	return ops
 }
 
-// WriteFall is the part of the changes a second that may be left after the
+// FutureWriteShare is the part of the changes a second that may be left after the
 // limits have changed, 1 if they will not.
 func (s *Settings) FutureWriteShare() float64 {
 	if n := s.Deployment.State.Next; n != nil && n.WriteRPS != nil {
@@ -416,14 +416,14 @@
 	return 1
 }
 
-// Hold is how long an owner past its lease may answer reports: lease, hold
+// AnswerGracePeriod is how long an owner past its lease may answer reports: lease, hold
 // and the workers' lease together stay below the cancellation limit.
 func (s *Settings) AnswerGracePeriod() time.Duration {
 	room := seconds(s.Deployment.Workers.CancelS) - tuning.LeaseTTL - s.WorkerLease() - tuning.CancellationReserve
 	return max(0, min(room, tuning.MaxAnswerGracePeriod))
 }
 
-// AnswerWithin is how long after a cancellation a machine that may have a task of
+// MaxKnowledgeAge is how long after a cancellation a machine that may have a task of
 // the job can still be answered, and so the greatest age of an owner's knowledge of
 // cancellations: the answer renews the worker's lease, and the task must be gone in
 // time even if nothing reaches the worker after it.
@@ -438,15 +438,15 @@
 	return min(tuning.KnowledgeReserve, time.Duration(float64(room)*tuning.KnowledgeReserveShare))
 }
 
-// Skew bounds the difference of two nodes' times of day.
+// ClockSkew bounds the difference of two nodes' times of day.
 func (s *Settings) ClockSkew() time.Duration {
 	return 2 * time.Duration(s.Deployment.SkewMS*float64(time.Millisecond))
 }
 
-// FixBlocks sets the number of blocks to the one that was found stored.
+// SetShardCount sets the number of blocks to the one that was found stored.
 func (s *Settings) SetShardCount(blocks int) { s.blocks = blocks }
 
-// Blocks is the number of blocks that the machines are divided into: one for
+// ShardCount is the number of blocks that the machines are divided into: one for
 // so many guaranteed processors, at most one for each controller. It follows
 // from what all controllers are given alike, unless another one is stored.
 func (s *Settings) ShardCount() int {
@@ -460,7 +460,7 @@
 	return max(1, min(int(cpus/tuning.CPUsPerShard), len(s.Seeds)+1))
 }
 
-// CheckEvery is the least time between two freshness checks of one node: all
+// FreshnessCheckInterval is the least time between two freshness checks of one node: all
 // nodes' together take a part of the state service's requests.
 func (s *Settings) FreshnessCheckInterval() time.Duration {
 	return max(tuning.FreshnessCheckInterval, seconds(float64(len(s.Seeds)+1)/(tuning.FreshnessCheckShare*s.Deployment.State.RPS)))
@@ -474,7 +474,7 @@
 	return seconds(float64(active) / (tuning.WatchRequestShare * s.Deployment.State.RPS))
 }
 
-// Aims calls fn for each aim of a class of jobs with the latest age, in seconds,
+// EachObjectiveDeadline calls fn for each aim of a class of jobs with the latest age, in seconds,
 // at which a task may start that takes so long, for the aim to be met.
 func (s *Settings) EachObjectiveDeadline(class string, estimateS float64, deadlineS *float64, fn func(latest float64)) {
 	for _, o := range s.Deployment.Objectives {
@@ -490,7 +490,7 @@
 	}
 }
 
-// Prompt tells whether the users expect the tasks of a class to start so soon that
+// StartsPromptly tells whether the users expect the tasks of a class to start so soon that
 // a machine that is rented when they come is too late.
 func (s *Settings) StartsPromptly(class string) bool {
 	for _, o := range s.Deployment.Objectives {
@@ -509,7 +509,7 @@
 	return tuning.WaitBound
 }
 
-// IdleKeep is how long a machine without tasks is kept.
+// MachineIdleTimeout is how long a machine without tasks is kept.
 func (s *Settings) MachineIdleTimeout() time.Duration {
 	if v := s.Operator.IdleKeepS; v != nil {
 		return seconds(*v)
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -16,17 +16,17 @@
 
 // TaskStore holds the tasks of one block while this process owns it.
 type TaskStore struct {
-	// Waiting is called for a task that may be given to a machine.
+	// TaskWaiting is called for a task that may be given to a machine.
 	TaskWaiting func(*taskstate.Task)
-	// Launchable is called when a placement is durable.
+	// PlacementDurable is called when a placement is durable.
 	PlacementDurable func(*taskstate.Task)
-	// Loaded is called when the records of a new token have been read.
+	// RecordsLoaded is called when the records of a new token have been read.
 	RecordsLoaded func()
-	// Done is told that a gang is done, as another block has proven.
+	// GangDone is told that a gang is done, as another block has proven.
 	GangDone func(*taskstate.Job)
-	// Discard takes a task that was never launched off its machine.
+	// DiscardTask takes a task that was never launched off its machine.
 	DiscardTask func(*taskstate.Task)
-	// Cancel is told that a job is cancelled that may have tasks on machines.
+	// CancelJob is told that a job is cancelled that may have tasks on machines.
 	CancelJob func(*taskstate.Job)
 
 	rt     eventloop.Runtime
@@ -65,7 +65,7 @@
 	return s
 }
 
-// End forgets everything: the block is lost.
+// EndTerm forgets everything: the block is lost.
 func (s *TaskStore) EndTerm() {
 	s.term++
 	s.token, s.loaded, s.flights, s.resting, s.planned = 0, false, 0, false, false
@@ -76,7 +76,7 @@
 // IsLoaded tells whether the records have been read under the present token.
 func (s *TaskStore) IsLoaded() bool { return s.loaded }
 
-// Begin reads the records for a new token. Earlier owners' commits are guarded
+// BeginTerm reads the records for a new token. Earlier owners' commits are guarded
 // by the old stamp of the lease, so that only this process changes them now.
 func (s *TaskStore) BeginTerm(token uint64) {
 	s.EndTerm()
@@ -234,13 +234,13 @@
 	s.CancelJob(j)
 }
 
-// CancelledFor is how long ago a job's user can have been told that it is
+// CancellationAge is how long ago a job's user can have been told that it is
 // cancelled, at most, if it is.
 func (s *TaskStore) CancellationAge(id string) (time.Duration, bool) {
 	return s.cat.CancellationAge(id, s.set.ClockSkew())
 }
 
-// TaskMoved takes note of a task of another block: one of a divided gang that is
+// TaskStatusChanged takes note of a task of another block: one of a divided gang that is
 // done means that all are.
 func (s *TaskStore) TaskStatusChanged(r *taskstate.Record, k int) {
 	if !s.loaded || r.Shard == s.block || r.Statuses[k].State != taskstate.StateDone {
@@ -252,7 +252,7 @@
 	}
 }
 
-// Drop ends a task of a cancelled job that is on no machine. The leader removes
+// DropTask ends a task of a cancelled job that is on no machine. The leader removes
 // a record only when its owner has written all of it off: removed on the
 // leader's own judgement, a placement committed meanwhile would be lost.
 func (s *TaskStore) DropTask(t *taskstate.Task) {
@@ -261,7 +261,7 @@
 	s.TaskChanged(t, t.Group.OpenTasks == 0)
 }
 
-// Recall gives up to n waiting tasks of a job back to the leader.
+// RecallTasks gives up to n waiting tasks of a job back to the leader.
 func (s *TaskStore) RecallTasks(job string, n int) {
 	j := s.jobs[job]
 	if !s.loaded || j == nil || j.Cancelled {
@@ -289,14 +289,14 @@
 // Job finds a job with tasks in the block.
 func (s *TaskStore) Job(id string) *taskstate.Job { return s.jobs[id] }
 
-// Jobs calls fn for every job with tasks in the block.
+// EachJob calls fn for every job with tasks in the block.
 func (s *TaskStore) EachJob(fn func(*taskstate.Job)) {
 	for _, j := range s.jobs {
 		fn(j)
 	}
 }
 
-// Changed marks a task for a commit; urgent if something waits for it.
+// TaskChanged marks a task for a commit; urgent if something waits for it.
 func (s *TaskStore) TaskChanged(t *taskstate.Task, urgent bool) {
 	if s.chunks[t.Group.Key] != t.Group {
 		return
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -23,35 +23,35 @@
 type Outcome int
 
 const (
-	// OK: carried out.
+	// OutcomeOK: carried out.
 	OutcomeOK Outcome = iota
-	// Conflict: a guard failed, nothing was changed.
+	// OutcomeConflict: a guard failed, nothing was changed.
 	OutcomeConflict
-	// Refused: surely not carried out, may be sent again.
+	// OutcomeRefused: surely not carried out, may be sent again.
 	OutcomeRefused
-	// Unknown: no answer; it may have been carried out or may yet be.
+	// OutcomeUnknown: no answer; it may have been carried out or may yet be.
 	OutcomeUnknown
-	// Gone: the lease or the watched history no longer exists.
+	// OutcomeGone: the lease or the watched history no longer exists.
 	OutcomeGone
-	// Invalid: the service calls the request malformed, too large or without a
+	// OutcomeInvalid: the service calls the request malformed, too large or without a
 	// lease. It was surely not carried out.
 	OutcomeInvalid
 )
 
-// Row is one key with its value.
+// KeyValue is one key with its value.
 type KeyValue struct {
 	Key      string          `json:"key"`
 	Value    json.RawMessage `json:"v"`
 	Revision uint64          `json:"stamp"`
 }
 
-// Guard demands that a key has a version; 0: that it does not exist.
+// Condition demands that a key has a version; 0: that it does not exist.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Change is one change of a commit: a set or a removal.
+// Operation is one change of a commit: a set or a removal.
 type Operation struct {
 	PutKey    string          `json:"set,omitempty"`
 	Value     json.RawMessage `json:"v,omitempty"`
@@ -59,7 +59,7 @@
 	DeleteKey string          `json:"remove,omitempty"`
 }
 
-// Result of a commit.
+// CommitResult of a commit.
 type CommitResult struct {
 	Outcome    Outcome
 	Revision   uint64
@@ -71,11 +71,11 @@
 	rt   eventloop.Runtime
 	addr string
 	log  *slog.Logger
-	// LastAnswer is when the service last answered anything but a refusal.
+	// LastResponseAt is when the service last answered anything but a refusal.
 	LastResponseAt time.Duration
 	HasResponded   bool
 	pace           time.Duration // what an answer takes lately
-	// CheckEvery is the least time between two freshness checks of a copy.
+	// FreshnessCheckInterval is the least time between two freshness checks of a copy.
 	FreshnessCheckInterval time.Duration
 	limits                 Limits
 	rate                   float64       // part of the changes a second that is used
@@ -95,13 +95,13 @@
 // SetLimits tells what the service allows, now and later.
 func (c *Client) SetLimits(l Limits) { c.limits = l }
 
-// Ops is the most changes in a commit.
+// MaxOperations is the most changes in a commit.
 func (c *Client) MaxOperations() int { return max(1, c.limits.MaxOperations) }
 
-// ValueBytes is the most that a value may hold.
+// MaxValueBytes is the most that a value may hold.
 func (c *Client) MaxValueBytes() int { return max(tuning.MinValueBytes, c.limits.MaxValueBytes) }
 
-// Rate is the part of the changes a second that this node may use: it gives way
+// WriteShare is the part of the changes a second that this node may use: it gives way
 // while the service refuses some, where its limits are to fall.
 func (c *Client) WriteShare() float64 {
 	now := c.rt.Now()
@@ -110,7 +110,7 @@
 	return c.rate
 }
 
-// Scarce tells whether changes have been refused lately because there were too many
+// WritesThrottled tells whether changes have been refused lately because there were too many
 // in a second.
 func (c *Client) WritesThrottled() bool {
 	return c.lacked && c.rt.Now()-c.scarce < tuning.WritesThrottledPeriod
@@ -198,7 +198,7 @@
 		})
 }
 
-// Patience is how long a commit is waited for whose outcome must be known. A
+// CommitTimeout is how long a commit is waited for whose outcome must be known. A
 // service that answers slowly is not one that has failed: given up on at the
 // usual time, commits were in doubt one after the other, and each doubt cost a
 // new token and a reading of all records.
@@ -211,7 +211,7 @@
 	c.CommitWithTimeout(guards, apply, tuning.StateRequestTimeout, fn)
 }
 
-// CommitWithin is Commit with a time after which the outcome counts as unknown.
+// CommitWithTimeout is Commit with a time after which the outcome counts as unknown.
 func (c *Client) CommitWithTimeout(guards []Condition, apply []Operation, timeout time.Duration, fn func(CommitResult)) {
 	if guards == nil {
 		guards = []Condition{}
@@ -276,7 +276,7 @@
 	page("")
 }
 
-// Event is one change seen by a watch.
+// WatchEvent is one change seen by a watch.
 type WatchEvent struct {
 	PutKey     string          `json:"set"`
 	Value      json.RawMessage `json:"v"`
@@ -305,7 +305,7 @@
 	})
 }
 
-// Grant asks for a new lease.
+// GrantLease asks for a new lease.
 func (c *Client) GrantLease(ttl time.Duration, fn func(permit uint64, out Outcome)) {
 	body := map[string]int64{"ttlMs": ttl.Milliseconds()}
 	c.call("POST", "/grants", body, tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
@@ -321,13 +321,13 @@
 	})
 }
 
-// Touch renews a lease.
+// RenewLease renews a lease.
 func (c *Client) RenewLease(permit uint64, fn func(Outcome)) {
 	c.call("POST", fmt.Sprintf("/grants/%d/touch", permit), nil, tuning.StateRequestTimeout,
 		func(out Outcome, _ []byte) { fn(out) })
 }
 
-// Drop ends a lease at once.
+// RevokeLease ends a lease at once.
 func (c *Client) RevokeLease(permit uint64, fn func(Outcome)) {
 	c.call("DELETE", fmt.Sprintf("/grants/%d", permit), nil, tuning.StateRequestTimeout,
 		func(out Outcome, _ []byte) { fn(out) })
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -17,11 +17,11 @@
 	leasePrefix = "lease/"
 	nodePrefix  = leasePrefix + "node/"
 	blockPrefix = leasePrefix + "block/"
-	// LeadKey is the lease of the leader.
+	// LeaderKey is the lease of the leader.
 	LeaderKey = leasePrefix + "lead"
 )
 
-// BlockKey is the lease of a block of machines.
+// ShardKey is the lease of a block of machines.
 func ShardKey(block int) string { return blockPrefix + strconv.Itoa(block) }
 
 // holder is the value of a lease key. A restarted node is another holder: its
@@ -42,15 +42,15 @@
 // token; renewal touches the node's one grant. What this process holds it
 // learns from the watch alone, so that it sees all changes in their order.
 type LeaseManager struct {
-	// LeadWon and LeadLost tell of the lead.
+	// LeadershipAcquired and LeadershipLost tell of the lead.
 	LeadershipAcquired func(token uint64)
 	LeadershipLost     func()
-	// BlockWon and BlockLost tell of blocks; BlockWon also tells of a new
+	// ShardAcquired and ShardLost tell of blocks; ShardAcquired also tells of a new
 	// token of a block already held.
 	ShardAcquired func(block int, token uint64)
 	ShardLost     func(block int)
 
-	// Hold is how long past its lease an owner goes on answering workers.
+	// AnswerGracePeriod is how long past its lease an owner goes on answering workers.
 	AnswerGracePeriod time.Duration
 
 	rt     eventloop.Runtime
@@ -72,8 +72,8 @@
 	held    map[int]uint64 // tokens of the blocks held
 	busy    map[string]bool
 	unfit   time.Duration         // no blocks before
-	waived  map[int]uint64        // tokens under which nothing is answered any more, see GiveUp
-	before  map[int]time.Duration // see AnsweredBefore
+	waived  map[int]uint64        // tokens under which nothing is answered any more, see RelinquishShards
+	before  map[int]time.Duration // see PreviousOwnerAnswersUntil
 	settled time.Duration         // last change of the blocks' owners
 }
 
@@ -113,19 +113,19 @@
 	o.rt.After(time.Second, o.tick)
 }
 
-// Lead is the token of the lead, 0 when it is not held.
+// LeaderToken is the token of the lead, 0 when it is not held.
 func (o *LeaseManager) LeaderToken() uint64 { return o.lead }
 
-// Block is the token of a block, 0 when it is not held.
+// ShardToken is the token of a block, 0 when it is not held.
 func (o *LeaseManager) ShardToken(block int) uint64 { return o.held[block] }
 
-// Leader names the node that was last seen to hold the lead.
+// LeaderNode names the node that was last seen to hold the lead.
 func (o *LeaseManager) LeaderNode() string { return o.holders[LeaderKey].Node }
 
-// Owner names the node that was last seen to hold a block.
+// ShardOwner names the node that was last seen to hold a block.
 func (o *LeaseManager) ShardOwner(block int) string { return o.holders[ShardKey(block)].Node }
 
-// Valid tells whether what is held is surely held now.
+// LeaseValid tells whether what is held is surely held now.
 func (o *LeaseManager) LeaseValid() bool { return o.permit != 0 && o.rt.Now() < o.valid }
 
 // answered notes that a block's holder has changed by now. The one before goes on
@@ -139,7 +139,7 @@
 	o.before[block] = max(o.before[block], until)
 }
 
-// AnsweredBefore is the moment after which no earlier owner of a block answers a
+// PreviousOwnerAnswersUntil is the moment after which no earlier owner of a block answers a
 // worker any more. The holder's own renewals do not move it.
 func (o *LeaseManager) PreviousOwnerAnswersUntil(block int) time.Duration { return o.before[block] }
 
@@ -155,7 +155,7 @@
 	return min(o.valid, proven+tuning.LeaseTTL) + o.AnswerGracePeriod
 }
 
-// Prove has the copy of the leases shown to be current if that was long ago.
+// VerifyIfStale has the copy of the leases shown to be current if that was long ago.
 func (o *LeaseManager) VerifyIfStale() { o.row.VerifyIfOlder(tuning.KnowledgeVerifyInterval) }
 
 func (o *LeaseManager) apply(key string, value json.RawMessage, stamp uint64) {
@@ -393,7 +393,7 @@
 	return load, nodes
 }
 
-// Renew asks for a new token of a block held: what was ordered under the old
+// RenewToken asks for a new token of a block held: what was ordered under the old
 // one is void wherever the new one has been seen, and late commits fail.
 func (o *LeaseManager) RenewToken(block int) {
 	purpose := "renew" + strconv.Itoa(block)
@@ -406,18 +406,18 @@
 		[]Operation{{PutKey: key, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), LeaseID: o.permit}})
 }
 
-// Verify looks at the leases at once: a guard on one of them has failed.
+// Refresh looks at the leases at once: a guard on one of them has failed.
 func (o *LeaseManager) Refresh(fn func()) {
 	o.row.Verify(func(error) { fn() })
 }
 
-// Waived tells whether nothing may be answered any more under a block's token: it
+// Relinquished tells whether nothing may be answered any more under a block's token: it
 // is being given up, and the next owner may begin before this process hears of it.
 func (o *LeaseManager) Relinquished(block int) bool {
 	return o.held[block] != 0 && o.waived[block] == o.held[block]
 }
 
-// GiveUp returns all blocks and takes none for a while: no worker reaches this
+// RelinquishShards returns all blocks and takes none for a while: no worker reaches this
 // node.
 func (o *LeaseManager) RelinquishShards() {
 	if len(o.held) == 0 || o.busy["give up"] {
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -11,7 +11,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// ErrNotProven says that the mirror could not be shown to be current.
+// ErrNotVerified says that the mirror could not be shown to be current.
 var ErrNotVerified = errors.New("state not proven current")
 
 // Mirror keeps a copy of all rows under a prefix, fed by a watch. Apply gets
@@ -20,9 +20,9 @@
 type Mirror struct {
 	Apply func(key string, value json.RawMessage, stamp uint64)
 	Reset func(rows []KeyValue)
-	// Taken is called after every full reading and every change.
+	// Updated is called after every full reading and every change.
 	Updated func()
-	// Pause is how long to rest after changes before the watch is opened
+	// WatchPause is how long to rest after changes before the watch is opened
 	// again; a copy that nothing is decided from can wait.
 	WatchPause func() time.Duration
 
@@ -56,7 +56,7 @@
 // IsReady tells whether all rows have been read once.
 func (m *Mirror) IsReady() bool { return m.ready }
 
-// Proven is the newest moment of which it is proven that the mirror holds all
+// VerifiedAt is the newest moment of which it is proven that the mirror holds all
 // that was committed before it: when a request was sent whose answer has been
 // taken in. A watch proves nothing of the time for which it was open. Answers come
 // late and watches fail unseen, so what rests on the copy asks for this, not for
@@ -172,8 +172,8 @@
 	}
 }
 
-// Check calls fn once the mirror is proven to hold everything that was
-// committed before the call, or with ErrNotProven. Calls share requests.
+// Verify calls fn once the mirror is proven to hold everything that was
+// committed before the call, or with ErrNotVerified. Calls share requests.
 func (m *Mirror) Verify(fn func(error)) {
 	if !m.ready || m.reading {
 		fn(ErrNotVerified)
@@ -183,7 +183,7 @@
 	m.plan()
 }
 
-// Prove sees to it that the mirror is proven current, by a request sent from now on,
+// VerifyIfOlder sees to it that the mirror is proven current, by a request sent from now on,
 // if it was not within age. Asked again before that has left, it asks no more.
 func (m *Mirror) VerifyIfOlder(age time.Duration) {
 	if !m.ready || m.reading || (m.known && m.rt.Now()-m.proven < age) || len(m.waiting) > 0 {
--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -14,27 +14,27 @@
 	Attempt uint64
 	// Started: all its tasks have run, as a report has shown.
 	Started bool
-	// Over: the attempt comes to nothing; nothing of it is launched any more, and
+	// AttemptOver: the attempt comes to nothing; nothing of it is launched any more, and
 	// the next one waits until each of its tasks is proven gone. Since: from then.
 	AttemptOver bool
 	OverSince   time.Duration
-	// Saving: it is over because it was told to save.
+	// Checkpointing: it is over because it was told to save.
 	Checkpointing bool
-	// Doubt is since when a task is gone without it being known whether the gang
+	// StartInDoubtSince is since when a task is gone without it being known whether the gang
 	// had started by then, 0 if there is none. Only a later report of one that
 	// waits proves that it had not.
 	StartInDoubtSince time.Duration
 	// Done: one task is proven done, so all are.
 	Done bool
-	// Short counts the attempts in a row that were never complete.
+	// IncompleteAttempts counts the attempts in a row that were never complete.
 	IncompleteAttempts int
-	// Cold counts the placements on machines without the image.
+	// UncachedPlacements counts the placements on machines without the image.
 	UncachedPlacements int
-	// Enqueued is since when it has waited for machines.
+	// EnqueuedAt is since when it has waited for machines.
 	EnqueuedAt time.Duration
 }
 
-// Try is the task's attempt as its worker knows it. For a gang it is the
+// WireAttempt is the task's attempt as its worker knows it. For a gang it is the
 // gang's; the stored number also counts the replacements within it, so that it
 // grows with each placement. Numbers below the step are of a version that took
 // gangs for arrays.
@@ -87,7 +87,7 @@
 	return t.Attempt < first || (!t.TriedWorkersIncomplete && t.Attempt+1 < first+tuning.GangAttemptStride)
 }
 
-// Here tells whether the block has all of the gang's tasks, or of the part of
+// IsComplete tells whether the block has all of the gang's tasks, or of the part of
 // a divided gang that the leader has given to it.
 func (j *Job) IsComplete() bool {
 	if len(j.Tasks) == j.Spec.Tasks {
@@ -105,7 +105,7 @@
 	return n > 0 && len(j.Tasks) == n
 }
 
-// Spent tells whether the attempt that the leader has chosen for a part of a
+// ChosenAttemptOver tells whether the attempt that the leader has chosen for a part of a
 // divided gang is over: the part goes back to the leader.
 func (j *Job) ChosenAttemptOver() bool {
 	g := j.Gang
@@ -123,7 +123,7 @@
 	return spent
 }
 
-// Missing lists the tasks that want machines, all of them at once; none if the
+// TasksToPlace lists the tasks that want machines, all of them at once; none if the
 // gang must not be given any now.
 func (j *Job) TasksToPlace() []*Task {
 	g := j.Gang
@@ -167,7 +167,7 @@
 	return true
 }
 
-// Placing gives a waiting task to a machine; nothing is launched yet.
+// PlaceOn gives a waiting task to a machine; nothing is launched yet.
 func (t *Task) PlaceOn(host string) {
 	t.State, t.WorkerID = StatePlaced, host
 	t.Job.HasPlacedTask = true
@@ -178,7 +178,7 @@
 	t.PlacementDurable, t.LaunchSent, t.LaunchInFlight, t.LaunchInDoubt, t.Reported, t.Running, t.HasImage, t.HasRun, t.HaltDecided, t.HaltSent = false, false, false, false, false, false, false, false, false, false
 }
 
-// Take works out what an earlier owner, or an earlier token, has left of the
+// RecoverGang works out what an earlier owner, or an earlier token, has left of the
 // gang. now is the time from which reports count.
 func (j *Job) RecoverGang(now time.Duration) {
 	g := j.Gang
@@ -222,15 +222,15 @@
 type Loss int
 
 const (
-	// Unready: it has never waited for the others, so they cannot have started.
+	// LossBeforeWaiting: it has never waited for the others, so they cannot have started.
 	LossBeforeWaiting Loss = iota
-	// Vanished: it is gone, whatever it did before.
+	// LossVanished: it is gone, whatever it did before.
 	LossVanished
-	// Ended: it has exited, and so will the others.
+	// LossExited: it has exited, and so will the others.
 	LossExited
 )
 
-// Lost takes note that a task is surely off its machine.
+// TaskGone takes note that a task is surely off its machine.
 func (j *Job) TaskGone(t *Task, how Loss, now time.Duration) {
 	g := j.Gang
 	placed := false
@@ -257,7 +257,7 @@
 	}
 }
 
-// SeenRunning takes note that a task runs: all have been there.
+// ReportedRunning takes note that a task runs: all have been there.
 func (j *Job) ReportedRunning(now time.Duration) {
 	g := j.Gang
 	g.Started = true
@@ -266,7 +266,7 @@
 	}
 }
 
-// SeenWaiting takes note that a task waits, as a report says that was received
+// ReportedWaiting takes note that a task waits, as a report says that was received
 // after the loss in doubt: what is lost was lost before the start.
 func (j *Job) ReportedWaiting(now time.Duration) {
 	g := j.Gang
@@ -281,7 +281,7 @@
 	}
 }
 
-// WindUp tells whether a task of an attempt that is over has to be halted now:
+// MustHaltAttempt tells whether a task of an attempt that is over has to be halted now:
 // at once if the gang has not started, else when it has not noticed by itself,
 // or not saved, in the time for that.
 func (j *Job) MustHaltAttempt(now, peer time.Duration) bool {
@@ -298,5 +298,5 @@
 	return now-g.OverSince >= wait
 }
 
-// End winds the present attempt up.
+// EndAttempt winds the present attempt up.
 func (j *Job) EndAttempt(now time.Duration) { j.Gang.end(now) }
--- a/internal/taskstate/page.go
+++ b/internal/taskstate/page.go
@@ -38,7 +38,7 @@
 	runBytes = 24
 )
 
-// Pack writes tasks on pages of at most limit bytes, at most most of them. It
+// PackPages writes tasks on pages of at most limit bytes, at most most of them. It
 // orders the list; tasks past the last full page are left over.
 func PackPages(tasks []*Task, limit, most int) (pages []json.RawMessage, on [][]*Task, rest []*Task, err error) {
 	slices.SortFunc(tasks, func(a, b *Task) int {
--- a/internal/taskstate/record.go
+++ b/internal/taskstate/record.go
@@ -15,13 +15,13 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Prefix of all records and pages: work/BLOCK/JOB/NUMBER, work/BLOCK/log/NUMBER.
+// KeyPrefix of all records and pages: work/BLOCK/JOB/NUMBER, work/BLOCK/log/NUMBER.
 const KeyPrefix = "work/"
 
 // logName stands where a record's key has its job.
 const logName = "log"
 
-// Key of a record.
+// RecordKey of a record.
 func RecordKey(block int, job string, number int) string {
 	return KeyPrefix + strconv.Itoa(block) + "/" + job + "/" + strconv.Itoa(number)
 }
@@ -43,7 +43,7 @@
 	return block, parts[1], number, nil
 }
 
-// KeyBlock is the block that a record or page belongs to, -1 if the key is
+// ShardOfKey is the block that a record or page belongs to, -1 if the key is
 // neither's.
 func ShardOfKey(key string) int {
 	block, _, _, err := parseKey(key)
@@ -53,7 +53,7 @@
 	return block
 }
 
-// BlockOf is the one of so many blocks that a machine belongs to, by its name
+// ShardOf is the one of so many blocks that a machine belongs to, by its name
 // alone.
 func ShardOf(host string, blocks int) int {
 	// Names are counted up, so their numbers spread neighbours evenly; a hash
@@ -68,7 +68,7 @@
 	return int(h.Sum32() % uint32(blocks))
 }
 
-// Mark is what the records say of one task.
+// TaskStatus is what the records say of one task.
 type TaskStatus struct {
 	State    State
 	Attempt  uint64 // the last one used
@@ -127,7 +127,7 @@
 	return r
 }
 
-// AllDone makes it a record of tasks that are proven done already: those of a
+// MarkAllDone makes it a record of tasks that are proven done already: those of a
 // gang, one of whose tasks is.
 func (r *Record) MarkAllDone() {
 	for i := range r.Statuses {
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -12,7 +12,7 @@
 // Store is every node's copy of all records and of what the pages say of their
 // tasks, fed by a watch.
 type Store struct {
-	// Added and Removed tell of records, Moved of a task of one that was
+	// RecordAdded and Removed tell of records, Moved of a task of one that was
 	// marked otherwise before.
 	RecordAdded       func(*Record)
 	RecordRemoved     func(*Record)
@@ -52,13 +52,13 @@
 	return s
 }
 
-// Pace sets how long to rest between changes.
+// SetWatchPause sets how long to rest between changes.
 func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.WatchPause = pause }
 
 // Start begins to read the records.
 func (s *Store) Start() { s.mirror.Start() }
 
-// Check calls fn when the store is proven to be current.
+// Verify calls fn when the store is proven to be current.
 func (s *Store) Verify(fn func(error)) { s.mirror.Verify(fn) }
 
 func (s *Store) apply(key string, value json.RawMessage, stamp uint64) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// Running tells how many tasks of a gang run: placed ones may still wait for
+// RunningTasks tells how many tasks of a gang run: placed ones may still wait for
 // each other.
 func (s *Store) RunningTasks(job string) int {
 	if n := s.sums[job]; n != nil {
@@ -174,18 +174,18 @@
 	return 0, 0
 }
 
-// PageStamp is the stamp of a page, 0 if it was never written.
+// PageRevision is the stamp of a page, 0 if it was never written.
 func (s *Store) PageRevision(block, page int) uint64 { return s.pages[PageKey(block, page)] }
 
 // Get finds a record.
 func (s *Store) Get(key string) *Record { return s.records[key] }
 
-// All calls fn for every record.
+// EachRecord calls fn for every record.
 func (s *Store) EachRecord(fn func(*Record)) {
 	for _, r := range s.records {
 		fn(r)
 	}
 }
 
-// OfJob returns the records of a job.
+// JobRecords returns the records of a job.
 func (s *Store) JobRecords(job string) map[string]*Record { return s.byJob[job] }
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -11,15 +11,15 @@
 type State uint8
 
 const (
-	// Waiting: on no machine.
+	// StateWaiting: on no machine.
 	StateWaiting State = iota
-	// Placed: given to a machine, or may still be on one.
+	// StatePlaced: given to a machine, or may still be on one.
 	StatePlaced
-	// Done: completed.
+	// StateDone: completed.
 	StateDone
-	// Dropped: will not run here, and is on no machine.
+	// StateDropped: will not run here, and is on no machine.
 	StateDropped
-	// Returned to the leader, and on no machine.
+	// StateReturned to the leader, and on no machine.
 	StateReturned
 )
 
@@ -29,35 +29,35 @@
 	Group *TaskGroup
 	Index int
 	State State
-	// Page of the log that tells of it, -1 for none; Dirty: it has changed since.
+	// LogPage of the log that tells of it, -1 for none; Dirty: it has changed since.
 	LogPage      int
 	Dirty        bool
 	LoggedCommit uint64 // the newest commit that has told of it
 	// Attempt is the last one used; attempts are never used twice. See Try.
 	Attempt uint64
-	// Host is the machine that has, or may have, the task while it is Placed.
+	// WorkerID is the machine that has, or may have, the task while it is Placed.
 	WorkerID string
 
-	// At is when the task was placed: its launch needs a later proof that its job
+	// PlacedAt is when the task was placed: its launch needs a later proof that its job
 	// is not cancelled. Halted is when it was last ordered to end because it is.
 	PlacedAt, CancelHaltSentAt time.Duration
 
-	// Durable: the placement is committed, so the launch may be sent.
+	// PlacementDurable: the placement is committed, so the launch may be sent.
 	PlacementDurable bool
 	// DoneDurable: the completion is committed, so the machine may forget it.
 	DoneDurable bool
-	// Sent: a launch has left, or may have left under an earlier token. Each
+	// LaunchSent: a launch has left, or may have left under an earlier token. Each
 	// launch leaves in exactly one message.
 	LaunchSent bool
-	// Flying: that message is a direct order not answered yet.
+	// LaunchInFlight: that message is a direct order not answered yet.
 	LaunchInFlight bool
-	// Doubt: it is a direct order that got no answer. It may be carried out
+	// LaunchInDoubt: it is a direct order that got no answer. It may be carried out
 	// any time until the worker has seen a higher token.
 	LaunchInDoubt bool
-	// A report that does not list the task proves it gone only at MinToken
+	// A report that does not list the task proves it gone only at GoneMinToken
 	// or higher and, within the session Session, after Sequence.
 	GoneMinToken, GoneSession, GoneAfterSequence uint64
-	// Seen: listed in a report.
+	// Reported: listed in a report.
 	Reported        bool
 	Running         bool
 	HasImage        bool          // it has its image: it runs, or waits for its gang
@@ -80,10 +80,10 @@
 	Zone        string // fixed at hand-out, "" for any
 }
 
-// Ref names a task on the wire.
+// Name names a task on the wire.
 func (t *Task) Name() string { return t.Job.Spec.ID + "/" + strconv.Itoa(t.Index) }
 
-// Stop decides that the task is to be halted, with so many seconds to save.
+// Halt decides that the task is to be halted, with so many seconds to save.
 func (t *Task) Halt(windDown float64) {
 	t.HaltDecided, t.WindDownSeconds, t.HaltSent = true, windDown, false
 }
@@ -109,7 +109,7 @@
 		Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 }
 
-// Open counts the block's tasks of the job that are neither done nor given back.
+// OpenTasks counts the block's tasks of the job that are neither done nor given back.
 func (j *Job) OpenTasks() int {
 	open := 0
 	for _, c := range j.Groups {
@@ -118,10 +118,10 @@
 	return open
 }
 
-// Before orders jobs by their ranks.
+// JobBefore orders jobs by their ranks.
 func JobBefore(a, b *Job) bool { return a.Rank.Before(&b.Rank) }
 
-// Chunk is the owner's working copy of a record.
+// TaskGroup is the owner's working copy of a record.
 type TaskGroup struct {
 	Job       *Job
 	Key       string
@@ -129,13 +129,13 @@
 	Tasks     []*Task
 	Zones     []string
 	OpenTasks int // tasks that are neither done nor given back
-	// Try is the attempt that the leader has chosen for a divided gang, Part how
+	// GangAttempt is the attempt that the leader has chosen for a divided gang, Part how
 	// many of its tasks it has given to the block; 0 if it is not divided.
 	GangAttempt uint64
 	PartSize    int
 }
 
-// Load makes an owner's working copy of a record. Every placement in it is one
+// LoadRecord makes an owner's working copy of a record. Every placement in it is one
 // that an earlier token's launch may have carried out.
 func LoadRecord(j *Job, r *Record) *TaskGroup {
 	c := &TaskGroup{Job: j, Key: r.Key, Number: r.Number, Zones: r.Zones, GangAttempt: r.GangAttempt, PartSize: r.PartSize, Tasks: make([]*Task, len(r.TaskIndexes))}
--- a/internal/userapi/api.go
+++ b/internal/userapi/api.go
@@ -20,9 +20,9 @@
 	// Progress tells how many tasks of a job are done and running, for
 	// display.
 	Progress func(id string) (done, running int)
-	// Running is the same for a gang, whose tasks may be on machines and wait.
+	// RunningGangTasks is the same for a gang, whose tasks may be on machines and wait.
 	RunningGangTasks func(id string) int
-	// Types are the machine types, nil while unknown.
+	// MachineTypes are the machine types, nil while unknown.
 	MachineTypes func() []jobs.MachineType
 
 	rt      eventloop.Runtime
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -16,7 +16,7 @@
 	"lemonmoor/internal/statestore"
 )
 
-// Prefix of all job records.
+// KeyPrefix of all job records.
 const KeyPrefix = "job/"
 
 // Final phases of a job; "" stands for any other.
@@ -31,7 +31,7 @@
 	SubmittedMS int64      `json:"at"` // ms since the epoch, of the accepting node
 	Spec        *jobs.Spec `json:"job,omitempty"`
 	TaskCount   int        `json:"n,omitempty"` // of a done job, whose description is dropped
-	// Off is when a cancelled job was called off, in ms since the epoch by the clock
+	// CancelledMS is when a cancelled job was called off, in ms since the epoch by the clock
 	// of the node that wrote it, from before the commit; 0 if a version did that
 	// which does not tell.
 	CancelledMS int64 `json:"off,omitempty"`
@@ -47,7 +47,7 @@
 
 // Catalog holds all jobs.
 type Catalog struct {
-	// Changed is called for every change of a job.
+	// JobChanged is called for every change of a job.
 	JobChanged func(*Entry)
 
 	entries map[string]*Entry
@@ -70,7 +70,7 @@
 	return c
 }
 
-// Pace sets how long to rest between changes.
+// SetWatchPause sets how long to rest between changes.
 func (c *Catalog) SetWatchPause(pause func() time.Duration) { c.mirror.WatchPause = pause }
 
 // Start begins to read the job records.
@@ -79,17 +79,17 @@
 // Ready tells whether all job records have been read.
 func (c *Catalog) Ready() bool { return c.mirror.IsReady() }
 
-// Check calls fn when the catalog is proven to be current.
+// Verify calls fn when the catalog is proven to be current.
 func (c *Catalog) Verify(fn func(error)) { c.mirror.Verify(fn) }
 
-// Proven is the newest moment of which it is proven that all cancellations before it
+// VerifiedAt is the newest moment of which it is proven that all cancellations before it
 // are known here, see statestore.Mirror.
 func (c *Catalog) VerifiedAt() (at time.Duration, known bool) { return c.mirror.VerifiedAt() }
 
-// Prove has the catalog shown to be current if that was longer ago than age.
+// VerifyIfOlder has the catalog shown to be current if that was longer ago than age.
 func (c *Catalog) VerifyIfOlder(age time.Duration) { c.mirror.VerifyIfOlder(age) }
 
-// CancelledFor is how long ago the user of a job can have been told that it is
+// CancellationAge is how long ago the user of a job can have been told that it is
 // cancelled, at most, if it is. skew bounds the difference of two nodes' clocks.
 func (c *Catalog) CancellationAge(id string, skew time.Duration) (age time.Duration, cancelled bool) {
 	e := c.entries[id]
@@ -105,14 +105,14 @@
 // Get finds a job.
 func (c *Catalog) Get(id string) *Entry { return c.entries[id] }
 
-// Open calls fn for every job without a final phase.
+// EachUnfinished calls fn for every job without a final phase.
 func (c *Catalog) EachUnfinished(fn func(*Entry)) {
 	for _, e := range c.open {
 		fn(e)
 	}
 }
 
-// Within tells whether a job fits into its team's guarantee together with the
+// WithinQuota tells whether a job fits into its team's guarantee together with the
 // team's earlier unfinished jobs. It is looked at once, when the job is new.
 func (c *Catalog) WithinQuota(e *Entry) bool {
 	if e.within == 0 && e.Spec != nil {
@@ -171,7 +171,7 @@
 	c.JobChanged(e)
 }
 
-// Learn applies what this process has committed itself, ahead of the watch.
+// Observe applies what this process has committed itself, ahead of the watch.
 func (c *Catalog) Observe(id string, value json.RawMessage, stamp uint64) {
 	c.apply(KeyPrefix+id, value, stamp)
 }
--- a/internal/workers/cache.go
+++ b/internal/workers/cache.go
@@ -6,7 +6,7 @@
 	"lemonmoor/internal/jobs"
 )
 
-// Cache is the images that a machine has, or is fetching, the least recently used
+// ImageCache is the images that a machine has, or is fetching, the least recently used
 // first. Reports do not list them; it follows from the tasks that were started
 // there, the least recently used image going first.
 type ImageCache []cached
@@ -16,7 +16,7 @@
 	gb   float64
 }
 
-// Has tells whether an image is there.
+// Contains tells whether an image is there.
 func (c ImageCache) Contains(image string) bool {
 	return slices.ContainsFunc(c, func(o cached) bool { return o.name == image })
 }
--- a/internal/workers/cancel.go
+++ b/internal/workers/cancel.go
@@ -19,7 +19,7 @@
 	return orders
 }
 
-// Cancel has the tasks of a cancelled job halted at once: with the next report the
+// CancelJob has the tasks of a cancelled job halted at once: with the next report the
 // order would leave seconds later, and a machine whose reports are lost can still
 // be reached.
 func (t *Registry) CancelJob(j *taskstate.Job) {
--- a/internal/workers/deaf.go
+++ b/internal/workers/deaf.go
@@ -49,7 +49,7 @@
 
 func (h *Worker) markHearing() { h.Deaf, h.UnacknowledgedHeartbeats, h.LostLaunches = false, 0, 0 }
 
-// Deaf tells how many of the machines that report do not hear, and how many
+// CountDeaf tells how many of the machines that report do not hear, and how many
 // report.
 func (t *Registry) CountDeaf() (deaf, up int) {
 	for _, h := range t.list {
--- a/internal/workers/drain.go
+++ b/internal/workers/drain.go
@@ -11,13 +11,13 @@
 // daemon's own and the operators'.
 func (t *Registry) accepts(h *Worker) bool { return h.DrainReason == "" && !t.ClosedByDrain(h.ID) }
 
-// Reports tells whether a machine is heard under the present token, so that what its
+// IsCurrent tells whether a machine is heard under the present token, so that what its
 // reports list is so.
 func (t *Registry) IsCurrent(h *Worker) bool {
 	return h.HasReported && !h.LeaseExpired && !h.Deaf && h.Token >= t.lease.Token() && !t.IsSuspect(h)
 }
 
-// Stop has a task halted that an operators' drain moves, with the time that it needs to
+// HaltTask has a task halted that an operators' drain moves, with the time that it needs to
 // save. The machine is told at once, and with each report until the task is gone.
 func (t *Registry) HaltTask(k *taskstate.Task) {
 	h := t.hosts[k.WorkerID]
@@ -29,7 +29,7 @@
 	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", OperatorDrain)
 }
 
-// StopGang has all tasks of a gang halted, at the same time. One that has not started
+// HaltGang has all tasks of a gang halted, at the same time. One that has not started
 // has nothing to save.
 func (t *Registry) HaltGang(j *taskstate.Job) {
 	now := t.rt.Now()
--- a/internal/workers/gang.go
+++ b/internal/workers/gang.go
@@ -59,7 +59,7 @@
 	t.windUp(j, now)
 }
 
-// Done takes note that a task of a gang is proven done, and with it all are.
+// GangDone takes note that a task of a gang is proven done, and with it all are.
 // Those on no machine are written off at once, the others when they are proven
 // gone: their places are not free before.
 func (t *Registry) GangDone(j *taskstate.Job) {
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -9,7 +9,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Settle sends direct orders for placements that have become durable.
+// AfterBatch sends direct orders for placements that have become durable.
 func (t *Registry) AfterBatch() {
 	if !t.tasks.IsLoaded() || !t.lease.LeaseValid() {
 		clear(t.ready)
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -17,14 +17,14 @@
 type Lease interface {
 	Token() uint64
 	LeaseValid() bool
-	// Answering tells whether reports are answered, and so taken in: only on
+	// MayAnswer tells whether reports are answered, and so taken in: only on
 	// knowledge of cancellations that is young enough.
 	MayAnswer() bool
 	RenewToken()
-	// Fresh tells whether the jobs not known to be cancelled are proven not to have
+	// CancellationsVerifiedSince tells whether the jobs not known to be cancelled are proven not to have
 	// been so at or after a moment, lately; if not, a proof is asked for.
 	CancellationsVerifiedSince(since time.Duration) bool
-	// AnsweredBefore is when the last earlier owner stops answering, at the latest.
+	// PreviousOwnerAnswersUntil is when the last earlier owner stops answering, at the latest.
 	PreviousOwnerAnswersUntil() time.Duration
 }
 
@@ -32,7 +32,7 @@
 type TaskStore interface {
 	IsLoaded() bool
 	Job(id string) *taskstate.Job
-	// CancelledFor is how long ago a job's user can have been told that it is
+	// CancellationAge is how long ago a job's user can have been told that it is
 	// cancelled, at most, if it is.
 	CancellationAge(id string) (time.Duration, bool)
 	EachJob(func(*taskstate.Job))
@@ -43,11 +43,11 @@
 
 // Registry holds all machines.
 type Registry struct {
-	// Waiting is called for a task that has become free for another machine.
+	// TaskWaiting is called for a task that has become free for another machine.
 	TaskWaiting func(*taskstate.Task)
-	// Type finds a machine type by its label.
+	// MachineType finds a machine type by its label.
 	MachineType func(label string) *jobs.MachineType
-	// Closed tells whether operators' drains keep new tasks off a machine.
+	// ClosedByDrain tells whether operators' drains keep new tasks off a machine.
 	ClosedByDrain func(host string) bool
 	rt            eventloop.Runtime
 	lease         Lease
@@ -117,7 +117,7 @@
 	return false
 }
 
-// Begin starts a term: whatever the records place may be on its machine under
+// BeginTerm starts a term: whatever the records place may be on its machine under
 // an earlier token, and any earlier owner may have answered reports until now
 // plus the hold.
 func (t *Registry) BeginTerm() {
@@ -159,7 +159,7 @@
 	})
 }
 
-// End forgets what only holds for a term.
+// EndTerm forgets what only holds for a term.
 func (t *Registry) EndTerm() {
 	for _, h := range t.hosts {
 		h.Tasks = map[*taskstate.Task]bool{}
@@ -183,14 +183,14 @@
 	return h
 }
 
-// Get finds a machine.
+// Worker finds a machine.
 func (t *Registry) Worker(id string) *Worker { return t.hosts[id] }
 
-// All returns the machines in the order of their names. The list is the table's
+// Workers returns the machines in the order of their names. The list is the table's
 // own.
 func (t *Registry) Workers() []*Worker { return t.list }
 
-// Open tells whether a machine may be given tasks now. One that has left an
+// AcceptsTasks tells whether a machine may be given tasks now. One that has left an
 // order unanswered gets none before its next report: what is placed on a machine
 // that is cut off or dead waits there until its lease has run out.
 func (t *Registry) AcceptsTasks(h *Worker) bool {
@@ -236,7 +236,7 @@
 	t.tasks.TaskChanged(k, true)
 }
 
-// Launchable notes that a placement is durable.
+// PlacementDurable notes that a placement is durable.
 func (t *Registry) PlacementDurable(k *taskstate.Task) {
 	if k.Job.Gang != nil {
 		if k.Launchable() { // with the last of a gang, all of it
@@ -350,7 +350,7 @@
 	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", h.DrainReason)
 }
 
-// Discard takes a task that was never launched off its machine; its record is
+// DiscardTask takes a task that was never launched off its machine; its record is
 // gone.
 func (t *Registry) DiscardTask(k *taskstate.Task) {
 	if h := t.hosts[k.WorkerID]; h != nil {
@@ -365,7 +365,7 @@
 	}
 }
 
-// Silent is why a machine is given back that no longer reports; SilentUrgent is
+// ReleaseSilent is why a machine is given back that no longer reports; ReleaseSilentUrgent is
 // why one that may have urgent tasks on it: returned, they are surely gone, and
 // can run elsewhere before its lease would have run out.
 const (
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -7,7 +7,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Returned notes that the cloud has taken a machine back at our request: it
+// MachineReleased notes that the cloud has taken a machine back at our request: it
 // and all that was on it are gone.
 func (t *Registry) MachineReleased(id string) {
 	t.gone[id] = true
@@ -22,7 +22,7 @@
 	delete(t.held, h)
 }
 
-// Drain stops new tasks on a machine.
+// StopPlacements stops new tasks on a machine.
 func (t *Registry) StopPlacements(id, why string) {
 	if h := t.hosts[id]; h != nil && h.DrainReason == "" {
 		h.DrainReason = why
@@ -30,7 +30,7 @@
 	}
 }
 
-// GiveBack tells whether, and why, the owner wants a machine returned now:
+// ReleaseReason tells whether, and why, the owner wants a machine returned now:
 // nothing on it is lost by that, or it is lost already.
 func (t *Registry) ReleaseReason(h *Worker, silent, up int) string {
 	now := t.rt.Now()
@@ -54,7 +54,7 @@
 	return ""
 }
 
-// Quiet tells whether a machine has not reported for suspiciously long.
+// IsSuspect tells whether a machine has not reported for suspiciously long.
 func (t *Registry) IsSuspect(h *Worker) bool {
 	return h.HasReported && t.rt.Now()-max(h.LastHeartbeatAt, t.since) > t.set.WorkerDeadAfter()
 }
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -9,10 +9,10 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Unreachable answers for a node that may not act for the controllers.
+// NotOwnerBody answers for a node that may not act for the controllers.
 var NotOwnerBody = http1.ErrorBody("not the owner of this machine")
 
-// Report takes a worker's report and gives its answer.
+// HandleHeartbeat takes a worker's report and gives its answer.
 func (t *Registry) HandleHeartbeat(r *Heartbeat) (status int, body []byte) {
 	token := t.lease.Token()
 	if token == 0 || r.Token > token || t.gone[r.WorkerID] {
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -12,7 +12,7 @@
 	"lemonmoor/internal/jobs"
 )
 
-// Report is what a worker says of its machine.
+// Heartbeat is what a worker says of its machine.
 type Heartbeat struct {
 	WorkerID          string         `json:"host"`
 	Addr              string         `json:"addr"`
@@ -35,7 +35,7 @@
 	CheckpointSaved bool   `json:"stored,omitempty"`
 }
 
-// Order is a command to a worker.
+// Command is a command to a worker.
 type Command struct {
 	Verb            string   `json:"verb"`
 	TaskName        string   `json:"piece"`
@@ -43,14 +43,14 @@
 	WindDownSeconds *float64 `json:"windDownS,omitempty"`
 }
 
-// Orders is the answer to a report, and, with a session, a direct message.
+// CommandMessage is the answer to a report, and, with a session, a direct message.
 type CommandMessage struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"shift,omitempty"`
 	Commands []Command `json:"orders"`
 }
 
-// ParseReport reads a report.
+// ParseHeartbeat reads a report.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var r Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil {
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -16,7 +16,7 @@
 	MachineTypeName string
 	MachineType     *jobs.MachineType
 
-	// Up: its worker has reported to this process.
+	// HasReported: its worker has reported to this process.
 	HasReported       bool
 	Session, Sequence uint64
 	Token             uint64        // highest the worker has shown
@@ -31,7 +31,7 @@
 	IdleSince    time.Duration // since when it has had no tasks
 
 	Tasks map[*taskstate.Task]bool // placed here
-	// Fetching counts those of them that do not run yet: they wait for their
+	// FetchingTasks counts those of them that do not run yet: they wait for their
 	// image, as far as one can tell.
 	FetchingTasks int
 	// UnknownTasks holds tasks that the worker lists and the records do not.
@@ -42,11 +42,11 @@
 	// ServiceCPUs is the part of CPUs that replicas of services take.
 	ServiceCPUs float64
 
-	// KeptCPUs, KeptCards and KeptMemory are kept for gangs to come.
+	// ReservedCPUs, ReservedGPUs and ReservedMemoryGB are kept for gangs to come.
 	ReservedCPUs, ReservedGPUs, ReservedMemoryGB float64
 
 	RefusesUntil time.Duration // no tasks before, after it said it is full
-	// Unheard counts reports in a row that were answered under a token which
+	// UnacknowledgedHeartbeats counts reports in a row that were answered under a token which
 	// the next did not show, Lost launches in a row that never showed: proof
 	// that it reports, but does not hear. Deaf: found so, and when.
 	UnacknowledgedHeartbeats int
@@ -73,7 +73,7 @@
 	return h.MachineType.CPUs - h.CPUs, h.MachineType.GPUs - h.GPUs, h.MachineType.MemoryGB - h.MemoryGB
 }
 
-// Add notes that a task takes room on the machine.
+// AddTask notes that a task takes room on the machine.
 func (h *Worker) AddTask(k *taskstate.Task) {
 	d := k.Job.Spec
 	h.Tasks[k] = true
@@ -86,7 +86,7 @@
 	h.UseImage(d.Image, d.ImageGB)
 }
 
-// Remove notes that a task has left its room on the machine.
+// RemoveTask notes that a task has left its room on the machine.
 func (h *Worker) RemoveTask(k *taskstate.Task) {
 	d := k.Job.Spec
 	delete(h.Tasks, k)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Caches tells whether the machine has, or is fetching, an image.
+// HasImage tells whether the machine has, or is fetching, an image.
 func (h *Worker) HasImage(image string) bool { return h.images.Contains(image) }
 
 // Images lists the images that the machine has.
@@ -113,5 +113,5 @@
 	return names
 }
 
-// Use notes that a task with an image starts on the machine.
+// UseImage notes that a task with an image starts on the machine.
 func (h *Worker) UseImage(image string, gb float64) { h.images.Use(image, gb, h.MachineType) }
