--- /dev/null
+++ b/internal/gangforecast/gangforecast_test.go
@@ -0,0 +1,42 @@
+package gangforecast
+
+import (
+	"testing"
+	"time"
+
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/tuning"
+)
+
+func TestRecentClassesInOrderOfTheirNames(t *testing.T) {
+	var forecast Forecast
+	if got := forecast.Recent(0); len(got) != 0 {
+		t.Fatalf("of nothing: %v", got)
+	}
+	newest := &jobs.Spec{ID: "wk-3", Class: "alpha"}
+	forecast.Observe(&jobs.Spec{ID: "wk-1", Class: "beta"}, 5, time.Second)
+	forecast.Observe(&jobs.Spec{ID: "wk-2", Class: "alpha"}, 9, 2*time.Second)
+	forecast.Observe(newest, 4, 3*time.Second)
+	got := forecast.Recent(4 * time.Second)
+	if len(got) != 2 || got[0].Spec != newest || got[1].Spec.Class != "beta" {
+		t.Fatalf("got %v", got)
+	}
+	if got[0].Tasks != 9 || got[0].SeenAt != 3*time.Second {
+		t.Errorf("the largest gang has %d tasks, the newest came at %v; want 9 and 3s", got[0].Tasks, got[0].SeenAt)
+	}
+}
+
+func TestOldClassesAreForgotten(t *testing.T) {
+	var forecast Forecast
+	forecast.Observe(&jobs.Spec{Class: "alpha"}, 9, 0)
+	if got := forecast.Recent(tuning.GangReservePeriod); len(got) != 1 {
+		t.Fatalf("at the end of the period: %v", got)
+	}
+	if got := forecast.Recent(tuning.GangReservePeriod + 1); len(got) != 0 {
+		t.Fatalf("after the period: %v", got)
+	}
+	forecast.Observe(&jobs.Spec{Class: "alpha"}, 2, tuning.GangReservePeriod+2)
+	if got := forecast.Recent(tuning.GangReservePeriod + 3); len(got) != 1 || got[0].Tasks != 2 {
+		t.Errorf("the size of a forgotten class is kept: %v", got)
+	}
+}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -11,6 +11,7 @@
 	"regexp"
 	"slices"
 
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/settings"
 )
 
@@ -54,6 +55,11 @@
 // Priority of the job.
 func (d *Spec) Priority() Priority { return priorities[d.Urgency] }
 
+// Resources is what each task of the job takes of its machine.
+func (d *Spec) Resources() resource.Vector {
+	return resource.Vector{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
+}
+
 // WorkSize is the work of so many of the job's tasks, by powers of two.
 func (d *Spec) WorkSize(tasks int) int {
 	return bits.Len64(uint64(float64(tasks) * d.CPUs * max(d.EstimateSeconds, 1)))
@@ -226,6 +232,11 @@
 	Zones            []string `json:"yards"`
 }
 
+// Resources is what an empty machine of the type offers.
+func (t *MachineType) Resources() resource.Vector {
+	return resource.Vector{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+}
+
 // CanRun tells whether one task of the job fits an empty machine of the type.
 func (t *MachineType) CanRun(d *Spec) bool {
 	return (d.MachineTypes == nil || slices.Contains(d.MachineTypes, t.Name)) &&
--- /dev/null
+++ b/internal/statestore/verify_test.go
@@ -0,0 +1,78 @@
+package statestore
+
+import (
+	"errors"
+	"log/slog"
+	"testing"
+
+	"lemonmoor/internal/term"
+)
+
+// scriptedCopy answers each verification with the next of its errors, and with nil
+// once there are none left.
+type scriptedCopy struct {
+	name   string
+	errs   []error
+	asked  *[]string
+	onHold []func(error) // with hold: who waits for an answer
+	hold   bool
+}
+
+func (c *scriptedCopy) Verify(fn func(error)) {
+	*c.asked = append(*c.asked, c.name)
+	if c.hold {
+		c.onHold = append(c.onHold, fn)
+		return
+	}
+	var err error
+	if len(c.errs) > 0 {
+		err, c.errs = c.errs[0], c.errs[1:]
+	}
+	fn(err)
+}
+
+func newVerifyClient() (*store, *Client) {
+	service := newStore()
+	return service, New(service, "state", slog.New(slog.DiscardHandler))
+}
+
+func TestVerifyUntilCurrentBeginsAnewAfterAFailure(t *testing.T) {
+	service, client := newVerifyClient()
+	var terms term.Counter
+	var asked []string
+	records := &scriptedCopy{name: "records", asked: &asked}
+	jobs := &scriptedCopy{name: "jobs", asked: &asked, errs: []error{errors.New("not reached")}}
+	done := 0
+	client.VerifyUntilCurrent(&terms, func() { done++ }, records, jobs)
+	if done != 0 || len(service.timers) != 1 {
+		t.Fatalf("after a failure: done %d times, %d timers", done, len(service.timers))
+	}
+	service.step(false)
+	if want := []string{"records", "jobs", "records", "jobs"}; done != 1 || len(asked) != len(want) {
+		t.Fatalf("done %d times, asked %q", done, asked)
+	}
+}
+
+func TestVerifyUntilCurrentEndsWithTheTerm(t *testing.T) {
+	t.Run("while a copy is being verified", func(t *testing.T) {
+		_, client := newVerifyClient()
+		var terms term.Counter
+		var asked []string
+		records := &scriptedCopy{name: "records", asked: &asked, hold: true}
+		client.VerifyUntilCurrent(&terms, func() { t.Error("done in a later term") }, records)
+		terms.Advance()
+		records.onHold[0](nil)
+	})
+	t.Run("during the pause after a failure", func(t *testing.T) {
+		service, client := newVerifyClient()
+		var terms term.Counter
+		var asked []string
+		records := &scriptedCopy{name: "records", asked: &asked, errs: []error{errors.New("not reached")}}
+		client.VerifyUntilCurrent(&terms, func() { t.Error("done in a later term") }, records)
+		terms.Advance()
+		service.step(false)
+		if len(asked) != 1 {
+			t.Errorf("asked %d times", len(asked))
+		}
+	})
+}
