--- a/internal/settings/surface_test.go
+++ b/internal/settings/surface_test.go
@@ -84,3 +84,12 @@
 		t.Errorf("%+v, %v", operator.Drains, err)
 	}
 }
+
+// TestSurfaceTeamLabel: how a team's budget without a name is refused.
+func TestSurfaceTeamLabel(t *testing.T) {
+	_, err := ParseOperator("operator.hcl", []byte("drains {\n  team {\n  }\n}\n"))
+	const want = "operator.hcl:2: Missing name for team: All team blocks must have 1 labels (name)."
+	if err == nil || err.Error() != want {
+		t.Errorf("%v", err)
+	}
+}
--- a/internal/statestore/wire_test.go
+++ b/internal/statestore/wire_test.go
@@ -144,3 +144,27 @@
 		t.Error(touched)
 	}
 }
+
+// TestWireRefusals: which refusals of commits tell of the changes a second, and which of
+// limits that are lower than the settings say.
+func TestWireRefusals(t *testing.T) {
+	for _, c := range []struct {
+		answer http1.Response
+		scarce bool
+		ops    int
+	}{
+		{reply(429, `{}`), true, 8},
+		{reply(503, `{}`), false, 8},
+		{reply(400, `{"error":"no such lease"}`), false, 8},
+		{reply(400, `{"error":"too many operations"}`), false, 1},
+	} {
+		s := newStore()
+		client := New(s, "state", slog.New(slog.DiscardHandler))
+		client.SetLimits(Limits{MaxOperations: 8, MaxValueBytes: 8000, FutureWriteShare: 1})
+		client.Commit(nil, []Operation{{DeleteKey: "job/wk-1"}}, func(CommitResult) {})
+		s.calls[0].fn(c.answer, nil)
+		if client.WritesThrottled() != c.scarce || client.MaxOperations() != c.ops {
+			t.Errorf("%d %s: scarce %v, %d changes", c.answer.Status, c.answer.Body, client.WritesThrottled(), client.MaxOperations())
+		}
+	}
+}
