--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -75,14 +75,16 @@
 		{drain.VerbResume, "Go on with a paused drain", false, true},
 		{drain.VerbCancel, "Give a drain up: its machines take tasks again", false, true},
 	} {
-		sub := &cobra.Command{Use: string(c.verb), Short: c.short, Args: cobra.NoArgs,
+		sub := &cobra.Command{
+			Use: string(c.verb), Short: c.short, Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				if c.needID && d.request.ID == "" {
 					return refuse("id: missing, name the drain with --id")
 				}
 				d.request.Verb = c.verb
 				return d.run(cmd.OutOrStdout())
-			}}
+			},
+		}
 		if c.verb != drain.VerbPlan {
 			sub.Flags().StringVar(&d.request.ID, "id", "", "the drain's `NAME`")
 		}
@@ -130,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // only read
 	var names []string
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
@@ -164,8 +166,10 @@
 		if err := json.Unmarshal(answer, &response); err != nil {
 			return adminclient.Verdict{}, err
 		}
-		return adminclient.Verdict{Final: response.Status == drain.StatusOK || response.Status == drain.StatusRefused,
-			Reason: response.Reason, Retry: time.Duration(response.RetryMS) * time.Millisecond}, nil
+		return adminclient.Verdict{
+			Final:  response.Status == drain.StatusOK || response.Status == drain.StatusRefused,
+			Reason: response.Reason, Retry: time.Duration(response.RetryMS) * time.Millisecond,
+		}, nil
 	})
 	var silent *adminclient.NoAnswerError
 	if errors.As(err, &silent) {
--- a/cmd/lemonmoor/surface_test.go
+++ b/cmd/lemonmoor/surface_test.go
@@ -226,19 +226,25 @@
 		status             int
 		stdout, stderr     string
 	}{
-		{"plan --machine vm-1,vm-2 --from " + names + " --zone yard-a --type g8 --prefix 10.0.0.0/8 --kind spot --replace",
+		{
+			"plan --machine vm-1,vm-2 --from " + names + " --zone yard-a --type g8 --prefix 10.0.0.0/8 --kind spot --replace",
 			`{"verb":"plan","selection":{"machines":["vm-1","vm-2","vm-3","vm-4"],"zones":["yard-a"],"types":["g8"],"kind":"spot",` +
-				`"prefixes":["10.0.0.0/8"]},"replace":true}`, plan, 0, planText, ""},
+				`"prefixes":["10.0.0.0/8"]},"replace":true}`, plan, 0, planText, "",
+		},
 		{"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`, drains, 0, drainsText, ""},
-		{"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`,
-			`{"status":"refused","node":"n0","field":"id","reason":"d-1 selects others"}`, 2, "", "lemonmoor: id: d-1 selects others\n"},
+		{
+			"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`,
+			`{"status":"refused","node":"n0","field":"id","reason":"d-1 selects others"}`, 2, "", "lemonmoor: id: d-1 selects others\n",
+		},
 		{"status", `{"verb":"status","selection":{}}`, drains, 0, drainsText, ""},
 		{"status --id d-1", `{"verb":"status","id":"d-1","selection":{}}`, `{"status":"ok","node":"n0"}`, 0, "no drains\n", ""},
 		{"pause --id d-1", `{"verb":"pause","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
 		{"resume --id d-1", `{"verb":"resume","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
 		{"cancel --id d-1", `{"verb":"cancel","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
-		{"status --timeout 1s", `{"verb":"status","selection":{}}`, `{"status":"unavailable","node":"n0","reason":"no leader is known to this node","retryMs":3000}`,
-			3, "", "lemonmoor: no leader reachable; asked n0 (" + address + "): no leader is known to this node\n"},
+		{
+			"status --timeout 1s", `{"verb":"status","selection":{}}`, `{"status":"unavailable","node":"n0","reason":"no leader is known to this node","retryMs":3000}`,
+			3, "", "lemonmoor: no leader reachable; asked n0 (" + address + "): no leader is known to this node\n",
+		},
 	} {
 		answers <- c.answer
 		r := run(t, append([]string{"drain", "--config", config}, strings.Fields(c.args)...)...)
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,4 +1,4 @@
-// Package operator lets operators' commands ask the controllers: over the same HTTP/2
+// Package adminclient lets operators' commands ask the controllers: over the same HTTP/2
 // streams by which these talk among themselves, any of them, again and again until one
 // answers or the time is up.
 package adminclient
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -362,7 +362,7 @@
 		o.wanted = true
 		answer(reply, status == 200)
 	case heardPath:
-		silent := int64(math.MaxInt64 / int64(time.Millisecond))
+		silent := math.MaxInt64 / int64(time.Millisecond)
 		if n.reported > 0 {
 			silent = (n.rt.Now() - n.reported).Milliseconds()
 		}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -103,8 +103,10 @@
 		w.fetch = rapid.SampledFrom([]time.Duration{0, 2 * second, 6 * second}).Draw(t, "fetch")
 		w.late = rapid.SampledFrom([]float64{0, 0.01}).Draw(t, "late")
 		w.fill(rapid.IntRange(6, 18).Draw(t, "jobs"), 100*second)
-		gang := &simJob{id: "wk-000100", team: "red", tasks: 2, cpus: 1, length: 200 * second, expect: 200, spot: true, gang: true,
-			saveEvery: rapid.SampledFrom([]float64{0, 2}).Draw(t, "save"), done: map[int]bool{}}
+		gang := &simJob{
+			id: "wk-000100", team: "red", tasks: 2, cpus: 1, length: 200 * second, expect: 200, spot: true, gang: true,
+			saveEvery: rapid.SampledFrom([]float64{0, 2}).Draw(t, "save"), done: map[int]bool{},
+		}
 		w.after(2*second, func() { w.user(gang, 0) })
 		replace := rapid.Bool().Draw(t, "replace")
 		picked := rapid.SliceOfN(rapid.IntRange(0, 20), 1, 12).Draw(t, "picked")
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -32,8 +32,10 @@
 
 // aGang is a gang of the simulated deployment.
 func aGang(i, tasks int, cpus float64) *simJob {
-	return &simJob{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: tasks, cpus: cpus,
-		length: 4 * time.Second, spot: true, gang: true, done: map[int]bool{}}
+	return &simJob{
+		id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: tasks, cpus: cpus,
+		length: 4 * time.Second, spot: true, gang: true, done: map[int]bool{},
+	}
 }
 
 // TestGangsUnderFaults plays gangs with little room and troubles around their
@@ -319,8 +321,10 @@
 				if !ok || json.Unmarshal(value, &r) != nil || r.Phase != "" {
 					continue
 				}
-				j := &simJob{id: id, team: r.Spec.Team, tasks: r.Spec.Tasks, cpus: r.Spec.CPUs, length: 100 * time.Millisecond, spot: r.Spec.Spot,
-					spread: r.Spec.Spread, oneZone: r.Spec.SameZone, builds: r.Spec.MachineTypes, done: map[int]bool{}}
+				j := &simJob{
+					id: id, team: r.Spec.Team, tasks: r.Spec.Tasks, cpus: r.Spec.CPUs, length: 100 * time.Millisecond, spot: r.Spec.Spot,
+					spread: r.Spec.Spread, oneZone: r.Spec.SameZone, builds: r.Spec.MachineTypes, done: map[int]bool{},
+				}
 				cancel := time.Duration(0)
 				if len(value) > w.value {
 					big++
--- a/internal/controller/live_drain_test.go
+++ b/internal/controller/live_drain_test.go
@@ -61,8 +61,10 @@
 	l := newLiveWorld(t, func(w *world) {
 		w.cloud.room = 2 * tasks
 		w.fetch = 2 * time.Second
-		w.drains = &drainWatch{w: w, limits: map[string]settings.DrainLimits{"red": limits(2, 5, 1), "blue": limits(1, 100, 0)},
-			named: map[string]bool{}, disturbed: map[string]disturbance{}, most: map[string]int{}}
+		w.drains = &drainWatch{
+			w: w, limits: map[string]settings.DrainLimits{"red": limits(2, 5, 1), "blue": limits(1, 100, 0)},
+			named: map[string]bool{}, disturbed: map[string]disturbance{}, most: map[string]int{},
+		}
 	})
 	program := buildProgram(t, l.dir)
 	trace := filepath.Join(l.dir, "trace.json")
@@ -106,8 +108,10 @@
 func (l *liveWorld) submit(tasks int) {
 	l.do(func() {
 		for i, team := range []string{"red", "blue"} {
-			j := &simJob{id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, length: time.Hour, expect: 3600,
-				spot: true, urgent: true, builds: []string{"small"}, done: map[int]bool{}}
+			j := &simJob{
+				id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, length: time.Hour, expect: 3600,
+				spot: true, urgent: true, builds: []string{"small"}, done: map[int]bool{},
+			}
 			l.user(j, 0)
 		}
 	})
--- a/internal/controller/live_test.go
+++ b/internal/controller/live_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	return listener.Addr().String()
 }
 
@@ -168,7 +168,7 @@
 	if err != nil {
 		return http1.Response{}, eventloop.ErrNoAnswer
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	return http1.Response{Status: resp.StatusCode, Body: raw}, err
 }
@@ -204,10 +204,14 @@
 		}
 	}
 	d := l.set.Deployment
-	raw, err := json.Marshal(map[string]any{"node": p.name, "area": "a", "serve_on": p.serveOn, "peer_bind": p.peerBind, "seeds": seeds,
+	raw, err := json.Marshal(map[string]any{
+		"node": p.name, "area": "a", "serve_on": p.serveOn, "peer_bind": p.peerBind, "seeds": seeds,
 		"external": map[string]string{"cloud": l.cloud, "state": l.state},
-		"deployment": map[string]any{"initial_size": 3, "zones": []string{"a", "b"}, "teams": d.Teams, "workers": d.Workers,
-			"state": d.State, "cloud": d.Cloud, "quota": map[string]any{"core_share": 0.5, "mem_mb": 200, "sockets": 2000}, "skew_ms": 50}})
+		"deployment": map[string]any{
+			"initial_size": 3, "zones": []string{"a", "b"}, "teams": d.Teams, "workers": d.Workers,
+			"state": d.State, "cloud": d.Cloud, "quota": map[string]any{"core_share": 0.5, "mem_mb": 200, "sockets": 2000}, "skew_ms": 50,
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	p.command = exec.Command(program, "--config", p.config, "--operator", operator)
 	p.command.Stderr = log
 	if err := p.command.Start(); err != nil {
--- a/internal/controller/measure_test.go
+++ b/internal/controller/measure_test.go
@@ -30,8 +30,10 @@
 	w.cloud.room = 2 * tasks
 	w.withDrains(map[string]settings.DrainLimits{"red": limits(budget, 1000, 0), "blue": limits(budget, 1000, 0)}, atOnce, 0)
 	for i, team := range []string{"red", "blue"} {
-		j := &simJob{id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, length: 10 * time.Hour, expect: 3600, spot: true, urgent: true,
-			builds: []string{"small"}, done: map[int]bool{}}
+		j := &simJob{
+			id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, length: 10 * time.Hour, expect: 3600, spot: true, urgent: true,
+			builds: []string{"small"}, done: map[int]bool{},
+		}
 		w.after(0, func() { w.user(j, 0) })
 	}
 	w.run(30 * second)
@@ -57,8 +59,10 @@
 	w.cloud.room = 2 * tasks
 	w.withDrains(nil, 1, 0)
 	for i, team := range []string{"red", "blue"} {
-		j := &simJob{id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, length: 10 * time.Hour, expect: 3600, spot: true, urgent: true,
-			builds: []string{"small"}, done: map[int]bool{}}
+		j := &simJob{
+			id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, length: 10 * time.Hour, expect: 3600, spot: true, urgent: true,
+			builds: []string{"small"}, done: map[int]bool{},
+		}
 		w.after(0, func() { w.user(j, 0) })
 	}
 	w.run(30 * second)
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -146,8 +146,10 @@
 		}
 	}
 	for _, h := range hosts {
-		s := fleet.MachineStatus{ID: h.ID, Addr: h.Addr, MachineType: h.MachineTypeName, Zone: h.Zone, Spot: h.Spot, HasReported: h.HasReported,
-			AcceptsTasks: o.workers.AcceptsTasks(h), Busy: len(h.Tasks)+h.UnknownTasks > 0, ReleaseReason: o.workers.ReleaseReason(h, quiet, up)}
+		s := fleet.MachineStatus{
+			ID: h.ID, Addr: h.Addr, MachineType: h.MachineTypeName, Zone: h.Zone, Spot: h.Spot, HasReported: h.HasReported,
+			AcceptsTasks: o.workers.AcceptsTasks(h), Busy: len(h.Tasks)+h.UnknownTasks > 0, ReleaseReason: o.workers.ReleaseReason(h, quiet, up),
+		}
 		if o.told[h.ID] == s {
 			continue
 		}
--- a/internal/controller/sim_cloud_test.go
+++ b/internal/controller/sim_cloud_test.go
@@ -72,8 +72,10 @@
 			if !k.up {
 				phase = "booting"
 			}
-			list = append(list, map[string]any{"id": k.host, "addr": k.addr, "build": k.build, "yard": k.zone,
-				"loaners": k.spot, "phase": phase, "ageS": (c.w.now - k.rented).Seconds()})
+			list = append(list, map[string]any{
+				"id": k.host, "addr": k.addr, "build": k.build, "yard": k.zone,
+				"loaners": k.spot, "phase": phase, "ageS": (c.w.now - k.rented).Seconds(),
+			})
 		}
 		return answer(200, map[string]any{"hosts": list, "hasNext": false})
 	}
--- a/internal/controller/sim_user_test.go
+++ b/internal/controller/sim_user_test.go
@@ -61,9 +61,11 @@
 	if j.service {
 		shape, estimate = "daemon", 0
 	}
-	raw, err := json.Marshal(map[string]any{"id": j.id, "lane": "x", "crew": j.team, "shape": shape, "urgency": urgency,
+	raw, err := json.Marshal(map[string]any{
+		"id": j.id, "lane": "x", "crew": j.team, "shape": shape, "urgency": urgency,
 		"pieces": j.tasks, "cpus": j.cpus, "cards": 0, "memoryGb": 1, "kit": "img-" + j.id[len(j.id)-1:], "pullGb": 2.5, "builds": j.builds,
-		"yard": zone, "samePlace": j.oneZone, "spread": j.spread, "loaners": j.spot, "expectS": estimate, "snapshotS": j.saveEvery, "flushS": 1, "dueS": nil})
+		"yard": zone, "samePlace": j.oneZone, "spread": j.spread, "loaners": j.spot, "expectS": estimate, "snapshotS": j.saveEvery, "flushS": 1, "dueS": nil,
+	})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/controller/sim_worker_test.go
+++ b/internal/controller/sim_worker_test.go
@@ -106,8 +106,10 @@
 		notice = (k.taken - k.w.now).Seconds()
 	}
 	k.tick++
-	raw, err := json.Marshal(map[string]any{"host": k.host, "addr": k.addr, "build": k.build, "yard": k.zone, "loaners": k.spot,
-		"shift": k.shift, "tick": k.tick, "baton": k.token, "warningS": notice, "pieces": list})
+	raw, err := json.Marshal(map[string]any{
+		"host": k.host, "addr": k.addr, "build": k.build, "yard": k.zone, "loaners": k.spot,
+		"shift": k.shift, "tick": k.tick, "baton": k.token, "warningS": notice, "pieces": list,
+	})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -211,8 +211,10 @@
 // services, some bound to a zone.
 func (w *world) fill(number int, length time.Duration) {
 	for i := range number {
-		j := &simJob{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 1 + w.rng.IntN(3), cpus: 1, length: length,
-			spot: w.rng.IntN(2) == 0, urgent: i%3 == 0, done: map[int]bool{}}
+		j := &simJob{
+			id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 1 + w.rng.IntN(3), cpus: 1, length: length,
+			spot: w.rng.IntN(2) == 0, urgent: i%3 == 0, done: map[int]bool{},
+		}
 		switch i % 6 {
 		case 1:
 			j.length = time.Duration(1+w.rng.IntN(20)) * second
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -138,8 +138,10 @@
 	w := newWorld(63)
 	w.withDrains(nil, 2, 1)
 	w.reboot()
-	prefixes := map[string]bool{"lease/lead": false, "lease/node/node-": false, "lease/block/": false, "job/wk-": false, "work/0/wk-": false,
-		"work/0/log/": false, "drain/all/head": false, "drain/all/page/0": false, "drain/all/grant/": false, "layout": false}
+	prefixes := map[string]bool{
+		"lease/lead": false, "lease/node/node-": false, "lease/block/": false, "job/wk-": false, "work/0/wk-": false,
+		"work/0/log/": false, "drain/all/head": false, "drain/all/page/0": false, "drain/all/grant/": false, "layout": false,
+	}
 	for i := range 3 {
 		j := aGang(i, 2, 1)
 		j.gang, j.length = i > 0, 100*time.Second
--- a/internal/drain/commit_test.go
+++ b/internal/drain/commit_test.go
@@ -29,9 +29,12 @@
 	answer func(http1.Response, error)
 }
 
-func (r *fakeRuntime) Now() time.Duration                                                  { return r.now }
-func (r *fakeRuntime) WallClock() time.Time                                                { return time.UnixMilli(1_790_000_000_000).Add(r.now) }
-func (r *fakeRuntime) Rand() float64                                                       { return 0.5 }
+func (r *fakeRuntime) Now() time.Duration { return r.now }
+
+func (r *fakeRuntime) WallClock() time.Time { return time.UnixMilli(1_790_000_000_000).Add(r.now) }
+
+func (r *fakeRuntime) Rand() float64 { return 0.5 }
+
 func (r *fakeRuntime) After(_ time.Duration, fn func())                                    { r.timers = append(r.timers, fn) }
 func (r *fakeRuntime) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -50,9 +50,12 @@
 // NewCoordinator returns a coordinator without the lead. set.Operator.Drains must not
 // be nil.
 func NewCoordinator(rt eventloop.Runtime, state *statestore.Client, lease LeaderLease, book *Records, cluster Cluster,
-	set *settings.Settings, trace *Tracer, log *slog.Logger) *Coordinator {
-	c := &Coordinator{rt: rt, state: state, lease: lease, book: book, cluster: cluster, set: set,
-		conf: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), trace: trace, log: log, node: set.Node}
+	set *settings.Settings, trace *Tracer, log *slog.Logger,
+) *Coordinator {
+	c := &Coordinator{
+		rt: rt, state: state, lease: lease, book: book, cluster: cluster, set: set,
+		conf: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), trace: trace, log: log, node: set.Node,
+	}
 	c.EndTerm()
 	return c
 }
@@ -228,8 +231,10 @@
 }
 
 func (c *Coordinator) newRound() *round {
-	r := &round{c: c, use: c.usage(), blind: c.unheard(), most: min(c.state.MaxOperations(), int(c.spare)), pages: map[string]*pageEdit{},
-		asked: map[TaskRef]bool{}, roomless: map[string]bool{}, waits: map[string][]string{}}
+	r := &round{
+		c: c, use: c.usage(), blind: c.unheard(), most: min(c.state.MaxOperations(), int(c.spare)), pages: map[string]*pageEdit{},
+		asked: map[TaskRef]bool{}, roomless: map[string]bool{}, waits: map[string][]string{},
+	}
 	if c.book.HasUnreadable() {
 		r.blind = len(c.reports)
 	}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -39,8 +39,10 @@
 // up to no more than the budget, and a budget that is not used up allows what fits.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{Tasks: rapid.IntRange(1, 9).Draw(t, "tasks"), CPUs: rapid.Float64Range(1, 20).Draw(t, "cpus"),
-			Share: rapid.SampledFrom([]float64{0.1, 0.5, 1, math.Inf(1)}).Draw(t, "share")}
+		b := Budget{
+			Tasks: rapid.IntRange(1, 9).Draw(t, "tasks"), CPUs: rapid.Float64Range(1, 20).Draw(t, "cpus"),
+			Share: rapid.SampledFrom([]float64{0.1, 0.5, 1, math.Inf(1)}).Draw(t, "share"),
+		}
 		use := &TeamUse{Running: Amount{100, 100}}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			more := Amount{rapid.IntRange(1, 4).Draw(t, "n"), rapid.Float64Range(0.1, 8).Draw(t, "c")}
--- a/internal/drain/grant.go
+++ b/internal/drain/grant.go
@@ -142,8 +142,10 @@
 		if !open || gangs[t.Job] {
 			continue
 		}
-		next := move{desc: desc, ref: TaskRef{Job: t.Job, Index: t.Index, Attempt: t.Attempt},
-			runs: time.Duration(t.RunsMS) * time.Millisecond, zone: desc.Zone, here: 1, since: since}
+		next := move{
+			desc: desc, ref: TaskRef{Job: t.Job, Index: t.Index, Attempt: t.Attempt},
+			runs: time.Duration(t.RunsMS) * time.Millisecond, zone: desc.Zone, here: 1, since: since,
+		}
 		if desc.SameZone || desc.Spread {
 			next.zone = info.Zone
 		}
--- a/internal/drain/requests.go
+++ b/internal/drain/requests.go
@@ -83,8 +83,10 @@
 }
 
 func (c *Coordinator) view(d *Drain) DrainView {
-	v := DrainView{ID: d.ID, Phase: d.Head.Phase, Replace: d.Head.Replace, Machines: d.Head.Machines,
-		States: map[string]int{}, Waits: c.waits[d.ID]}
+	v := DrainView{
+		ID: d.ID, Phase: d.Head.Phase, Replace: d.Head.Replace, Machines: d.Head.Machines,
+		States: map[string]int{}, Waits: c.waits[d.ID],
+	}
 	for state, n := range d.Count() {
 		name := string(state)
 		if state == MachineWaiting {
@@ -227,8 +229,10 @@
 		return
 	}
 	pages := c.paginate(machines)
-	head := Head{Phase: PhaseRunning, Created: c.rt.WallClock().UnixMilli(), Digest: req.Digest(), Replace: req.Replace,
-		Machines: len(machines), Pages: len(pages)}
+	head := Head{
+		Phase: PhaseRunning, Created: c.rt.WallClock().UnixMilli(), Digest: req.Digest(), Replace: req.Replace,
+		Machines: len(machines), Pages: len(pages),
+	}
 	c.writePages(req, pages, 0, head)
 }
 
--- a/internal/drain/surface_test.go
+++ b/internal/drain/surface_test.go
@@ -71,8 +71,10 @@
 
 // TestSurfaceIDs: the form of drains' names.
 func TestSurfaceIDs(t *testing.T) {
-	for id, valid := range map[string]bool{"d-1": true, "0": true, "": false, "-d": false, "D": false, "a/b": false,
-		"abcdefghijabcdefghijabcdefghijabcdefghij": true, "abcdefghijabcdefghijabcdefghijabcdefghijk": false} {
+	for id, valid := range map[string]bool{
+		"d-1": true, "0": true, "": false, "-d": false, "D": false, "a/b": false,
+		"abcdefghijabcdefghijabcdefghijabcdefghij": true, "abcdefghijabcdefghijabcdefghijabcdefghijk": false,
+	} {
 		if ValidID(id) != valid {
 			t.Errorf("%q: %v", id, !valid)
 		}
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -80,8 +80,10 @@
 // half of the SHA-256 of {"Selection":{"machines":["vm-1","vm-2"],"zones":["yard-a"],
 // "types":["g8"],"kind":"spot","prefixes":["10.0.0.0/8"]},"Replace":true}, without spaces.
 func TestWireDigest(t *testing.T) {
-	request := &Request{Verb: VerbStart, ID: "d-1", Replace: true, Selection: Selection{Machines: []string{"vm-2", "vm-1"},
-		Zones: []string{"yard-a"}, Types: []string{"g8"}, Kind: SpotKind, Prefixes: []string{"10.0.0.0/8"}}}
+	request := &Request{Verb: VerbStart, ID: "d-1", Replace: true, Selection: Selection{
+		Machines: []string{"vm-2", "vm-1"},
+		Zones:    []string{"yard-a"}, Types: []string{"g8"}, Kind: SpotKind, Prefixes: []string{"10.0.0.0/8"},
+	}}
 	if got := request.Digest(); got != "6d1777ec38c522073beebbd5d3f4298e" {
 		t.Errorf("digest %s", got)
 	}
--- a/internal/eventloop/engine.go
+++ b/internal/eventloop/engine.go
@@ -1,4 +1,4 @@
-// Package engine is the owner loop: one goroutine owns all state of the
+// Package eventloop is the owner loop: one goroutine owns all state of the
 // process and works through a queue of commands in batches. Everything else
 // (sockets, timers, calls to other services) only posts commands.
 package eventloop
--- a/internal/fleet/exchange_test.go
+++ b/internal/fleet/exchange_test.go
@@ -222,8 +222,10 @@
 		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 		for i := range 20 { // half of them boot, for 10 s more
 			id := fmt.Sprintf("vm-%06d", i)
-			f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", true}, rented: rt.now - 20*time.Second, listed: true,
-				known: i < 10, state: MachineStatus{ID: id, HasReported: i < 10, AcceptsTasks: true, Busy: true}}
+			f.machines[id] = &machine{
+				id: id, kind: MachineKind{"g8", "a", true}, rented: rt.now - 20*time.Second, listed: true,
+				known: i < 10, state: MachineStatus{ID: id, HasReported: i < 10, AcceptsTasks: true, Busy: true},
+			}
 		}
 		// Of the 112,000, the machines do 49,600 in 100 s and 113,600 in 200 s; a third
 		// of the queue may be late.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -103,11 +103,13 @@
 
 // New returns a fleet that speaks to the cloud at addr.
 func New(rt eventloop.Runtime, addr string, lease Lease, set *settings.Settings, log *slog.Logger) *Fleet {
-	return &Fleet{rt: rt, addr: addr, lease: lease, set: set, log: log,
+	return &Fleet{
+		rt: rt, addr: addr, lease: lease, set: set, log: log,
 		machines: map[string]*machine{}, returned: map[string]time.Duration{}, pauses: map[MachineKind]time.Duration{},
 		LoadOf:   func(string) MachineLoad { return MachineLoad{} },
 		inFlight: map[string]hire{}, named: map[string][]string{}, statuses: make([]statusHeard, set.ShardCount()), unreported: make([][]string, set.ShardCount()),
-		reachable: map[string]time.Duration{}, running: map[string]int{}, cutOffAt: map[string]time.Duration{}}
+		reachable: map[string]time.Duration{}, running: map[string]int{}, cutOffAt: map[string]time.Duration{},
+	}
 }
 
 // BeginTerm starts a term.
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -95,8 +95,10 @@
 	}
 	m := f.machines[l.ID]
 	if m == nil {
-		m = &machine{id: l.ID, kind: MachineKind{l.Build, l.Zone, l.Spot}, block: taskstate.ShardOf(l.ID, len(f.statuses)),
-			rented: asked - time.Duration(l.AgeS*float64(time.Second))}
+		m = &machine{
+			id: l.ID, kind: MachineKind{l.Build, l.Zone, l.Spot}, block: taskstate.ShardOf(l.ID, len(f.statuses)),
+			rented: asked - time.Duration(l.AgeS*float64(time.Second)),
+		}
 		f.machines[l.ID] = m
 	}
 	m.addr, m.listed, m.missed = l.Addr, true, 0
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -52,7 +52,7 @@
 			// Idle in an outage, when nothing could be handed out, says nothing of
 			// what is needed: most machines went back just when it was over.
 			if m.idles(f) && f.idleAge(m) > f.idleKeep(m, idle > spare) && !f.kept[m.id] &&
-				!(f.stalled > 0 && now-f.stalled < tuning.StalledDispatchGrace) && !(f.awaited(m) && now-m.idle < tuning.GangIdleRetention) {
+				(f.stalled <= 0 || now-f.stalled >= tuning.StalledDispatchGrace) && (!f.awaited(m) || now-m.idle >= tuning.GangIdleRetention) {
 				m.drain = "idle" // its owner agrees, then gives it back
 				idle--
 			}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -82,7 +82,7 @@
 
 // drop closes a connection.
 func (c *Client) drop(conn net.Conn) {
-	conn.Close()
+	_ = conn.Close() // the connection is given up either way
 	c.sockets.closed()
 }
 
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -1,4 +1,4 @@
-// Package httpwire is lemonmoor's own HTTP/1.1: a parser for requests and
+// Package http1 is lemonmoor's own HTTP/1.1: a parser for requests and
 // answers, a server on gnet and a small client.
 package http1
 
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -45,8 +45,10 @@
 
 // NewServer returns a server that hands requests to handle.
 func NewServer(handle Handler, sockets *SocketBudget, log *slog.Logger) *Server {
-	return &Server{handle: handle, sockets: sockets, log: log, started: time.Now(), conns: map[gnet.Conn]*session{},
-		IsUser: func(*Request) bool { return false }, WorkerIdleTimeout: tuning.IdleConnectionTimeout}
+	return &Server{
+		handle: handle, sockets: sockets, log: log, started: time.Now(), conns: map[gnet.Conn]*session{},
+		IsUser: func(*Request) bool { return false }, WorkerIdleTimeout: tuning.IdleConnectionTimeout,
+	}
 }
 
 // Serve listens on addr until the process ends or listening fails.
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Skip("no loopback here:", err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -82,7 +82,9 @@
 		t.Skip("no loopback here:", err)
 	}
 	addr := probe.Addr().String()
-	probe.Close()
+	if err := probe.Close(); err != nil {
+		t.Fatal(err)
+	}
 	const limit = 1000
 	sockets := NewSocketBudget(limit)
 	server := NewServer(func(_ *Request, reply ResponseWriter) { reply(200, []byte("{}"), 0) }, sockets, slog.New(slog.DiscardHandler))
@@ -106,9 +108,12 @@
 		status int
 		close  bool
 	}{
-		{0.5, "/work", 200, false}, {0.5, "/beat", 200, false},
-		{tuning.TightSocketShare - 0.03, "/work", 200, true}, {tuning.TightSocketShare - 0.03, "/beat", 200, false},
-		{tuning.ScarceSocketShare - 0.02, "/work", 503, true}, {tuning.ScarceSocketShare - 0.02, "/beat", 200, false},
+		{0.5, "/work", 200, false},
+		{0.5, "/beat", 200, false},
+		{tuning.TightSocketShare - 0.03, "/work", 200, true},
+		{tuning.TightSocketShare - 0.03, "/beat", 200, false},
+		{tuning.ScarceSocketShare - 0.02, "/work", 503, true},
+		{tuning.ScarceSocketShare - 0.02, "/beat", 200, false},
 	} {
 		sockets.open.Store(limit - int64(c.left*limit))
 		if status, closed := ask(c.path); status != c.status || closed != c.close {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -134,10 +134,12 @@
 	if name := w.missing(); name != "" {
 		return nil, fmt.Errorf("field %q: missing", name)
 	}
-	d := &Spec{ID: *w.ID, Class: *w.Class, Team: *w.Team, Shape: *w.Shape, Urgency: *w.Urgency,
+	d := &Spec{
+		ID: *w.ID, Class: *w.Class, Team: *w.Team, Shape: *w.Shape, Urgency: *w.Urgency,
 		Tasks: *w.Tasks, CPUs: *w.CPUs, GPUs: *w.Cards, MemoryGB: *w.MemoryGB, Image: *w.Image,
 		ImageGB: *w.ImageGB, SameZone: *w.OneZone, Spread: *w.Spread, Spot: *w.Spot,
-		EstimateSeconds: *w.EstimateS, CheckpointIntervalSeconds: *w.SaveEvery, CheckpointSeconds: *w.SaveS, DeadlineSeconds: w.DeadlineS}
+		EstimateSeconds: *w.EstimateS, CheckpointIntervalSeconds: *w.SaveEvery, CheckpointSeconds: *w.SaveS, DeadlineSeconds: w.DeadlineS,
+	}
 	if w.Builds != nil {
 		if len(*w.Builds) == 0 {
 			return nil, errors.New(`field "builds": empty`)
@@ -165,11 +167,22 @@
 		name    string
 		missing bool
 	}{
-		{"id", w.ID == nil}, {"lane", w.Class == nil}, {"crew", w.Team == nil}, {"shape", w.Shape == nil},
-		{"urgency", w.Urgency == nil}, {"pieces", w.Tasks == nil}, {"cpus", w.CPUs == nil},
-		{"cards", w.Cards == nil}, {"memoryGb", w.MemoryGB == nil}, {"kit", w.Image == nil},
-		{"pullGb", w.ImageGB == nil}, {"samePlace", w.OneZone == nil}, {"spread", w.Spread == nil},
-		{"loaners", w.Spot == nil}, {"expectS", w.EstimateS == nil}, {"snapshotS", w.SaveEvery == nil},
+		{"id", w.ID == nil},
+		{"lane", w.Class == nil},
+		{"crew", w.Team == nil},
+		{"shape", w.Shape == nil},
+		{"urgency", w.Urgency == nil},
+		{"pieces", w.Tasks == nil},
+		{"cpus", w.CPUs == nil},
+		{"cards", w.Cards == nil},
+		{"memoryGb", w.MemoryGB == nil},
+		{"kit", w.Image == nil},
+		{"pullGb", w.ImageGB == nil},
+		{"samePlace", w.OneZone == nil},
+		{"spread", w.Spread == nil},
+		{"loaners", w.Spot == nil},
+		{"expectS", w.EstimateS == nil},
+		{"snapshotS", w.SaveEvery == nil},
 		{"flushS", w.SaveS == nil},
 	} {
 		if f.missing {
@@ -206,8 +219,15 @@
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"cpus", d.CPUs}, {"cards", d.GPUs}, {"memoryGb", d.MemoryGB}, {"pullGb", d.ImageGB},
-		{"expectS", d.EstimateSeconds}, {"snapshotS", d.CheckpointIntervalSeconds}, {"flushS", d.CheckpointSeconds}} {
+	}{
+		{"cpus", d.CPUs},
+		{"cards", d.GPUs},
+		{"memoryGb", d.MemoryGB},
+		{"pullGb", d.ImageGB},
+		{"expectS", d.EstimateSeconds},
+		{"snapshotS", d.CheckpointIntervalSeconds},
+		{"flushS", d.CheckpointSeconds},
+	} {
 		if f.value < 0 || math.IsNaN(f.value) || f.value > 1e12 {
 			return fmt.Errorf("field %q: negative or too large", f.name)
 		}
--- a/internal/jobs/wire_test.go
+++ b/internal/jobs/wire_test.go
@@ -37,8 +37,10 @@
 // TestWireMissingFields: a submission without one of the fields that it must have is
 // refused by the field's name on the wire.
 func TestWireMissingFields(t *testing.T) {
-	for _, name := range []string{"id", "lane", "crew", "shape", "urgency", "pieces", "cpus", "cards", "memoryGb", "kit", "pullGb",
-		"samePlace", "spread", "loaners", "expectS", "snapshotS", "flushS"} {
+	for _, name := range []string{
+		"id", "lane", "crew", "shape", "urgency", "pieces", "cpus", "cards", "memoryGb", "kit", "pullGb",
+		"samePlace", "spread", "loaners", "expectS", "snapshotS", "flushS",
+	} {
 		without := strings.Replace(submission, `"`+name+`":`, `"novel":`, 1)
 		if _, err := Parse([]byte(without)); err == nil || err.Error() != `field "`+name+`": missing` {
 			t.Errorf("%s: %v", name, err)
--- a/internal/leader/board.go
+++ b/internal/leader/board.go
@@ -76,7 +76,7 @@
 			return x < y
 		}
 		if a.kind.MachineKind != c.kind.MachineKind {
-			return a.kind.MachineKind.Before(c.kind.MachineKind)
+			return a.kind.Before(c.kind.MachineKind)
 		}
 		return a.block < c.block
 	})
--- a/internal/leader/board_test.go
+++ b/internal/leader/board_test.go
@@ -19,8 +19,10 @@
 		before := map[*machineGroup]float64{}
 		for range rapid.IntRange(0, 8).Draw(t, "racks") {
 			typ := rapid.SampledFrom(types).Draw(t, "type")
-			r := &machineGroup{kind: &fleet.AvailableMachine{MachineKind: fleet.MachineKind{MachineType: typ.Name, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")}, MachineType: typ},
-				block: rapid.IntRange(0, 1).Draw(t, "block"), booting: rapid.Bool().Draw(t, "booting")}
+			r := &machineGroup{
+				kind:  &fleet.AvailableMachine{MachineKind: fleet.MachineKind{MachineType: typ.Name, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")}, MachineType: typ},
+				block: rapid.IntRange(0, 1).Draw(t, "block"), booting: rapid.Bool().Draw(t, "booting"),
+			}
 			for range rapid.IntRange(0, 5).Draw(t, "rooms") {
 				r.rooms = append(r.rooms, room{cpus: rapid.Float64Range(0.5, typ.CPUs).Draw(t, "cpus"), memory: rapid.Float64Range(0.5, typ.MemoryGB).Draw(t, "memory")})
 			}
@@ -29,8 +31,10 @@
 			}
 			b.racks = append(b.racks, r)
 		}
-		p := &jobState{desc: &jobs.Spec{CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 16}).Draw(t, "task"), MemoryGB: rapid.SampledFrom([]float64{0, 1, 40}).Draw(t, "gb"),
-			Spot: rapid.Bool().Draw(t, "spot allowed"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone")}}
+		p := &jobState{desc: &jobs.Spec{
+			CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 16}).Draw(t, "task"), MemoryGB: rapid.SampledFrom([]float64{0, 1, 40}).Draw(t, "gb"),
+			Spot: rapid.Bool().Draw(t, "spot allowed"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
+		}}
 		block, booting := rapid.IntRange(-1, 1).Draw(t, "which"), rapid.Bool().Draw(t, "which are booting")
 		want := rapid.IntRange(0, 60).Draw(t, "tasks")
 		usable := func(r *machineGroup) bool {
--- a/internal/leader/handout.go
+++ b/internal/leader/handout.go
@@ -55,8 +55,10 @@
 // need notes tasks that could run now if there were room.
 func (u *unmetNeeds) need(p *jobState, zone string, n int) {
 	if n > 0 {
-		u.list = append(u.list, fleet.Demand{Spec: p.desc, Zone: zone, Tasks: n, Rank: p.place,
-			WaitedSeconds: float64(u.now-p.e.SubmittedMS) / 1000, ObjectiveSlackSeconds: u.leader.openAims(p, u.now)})
+		u.list = append(u.list, fleet.Demand{
+			Spec: p.desc, Zone: zone, Tasks: n, Rank: p.place,
+			WaitedSeconds: float64(u.now-p.e.SubmittedMS) / 1000, ObjectiveSlackSeconds: u.leader.openAims(p, u.now),
+		})
 	}
 }
 
@@ -160,7 +162,7 @@
 
 // fixZones fixes the zones of a job that needs that; false if they are not known yet.
 func (l *Leader) fixZones(p *jobState) bool {
-	if p.zones != nil || !(p.desc.Spread || (p.desc.SameZone && !p.desc.IsGang())) {
+	if p.zones != nil || (!p.desc.Spread && (!p.desc.SameZone || p.desc.IsGang())) {
 		return true
 	}
 	// A leader that does not know the machine types yet must not fix
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,4 +1,4 @@
-// Package lead is the leader's duty: it hands tasks out to the blocks of
+// Package leader is the leader's duty: it hands tasks out to the blocks of
 // machines, by image and by room and within the teams' limits, calls waiting
 // ones back for blocks with idle machines, and writes the end of a job.
 package leader
@@ -58,7 +58,8 @@
 
 // New returns a leader without the lead.
 func New(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
-	fl *fleet.Fleet, set *settings.Settings, log *slog.Logger) *Leader {
+	fl *fleet.Fleet, set *settings.Settings, log *slog.Logger,
+) *Leader {
 	l := &Leader{rt: rt, state: state, leases: leases, cat: cat, store: store, fleet: fl, set: set, log: log}
 	l.EndTerm()
 	fl.LoadOf = func(host string) fleet.MachineLoad {
--- a/internal/peer/peers.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peers carries messages between the controllers. Each message and its
+// Package peer carries messages between the controllers. Each message and its
 // answer are one stream of an HTTP/2 connection that stays open.
 package peer
 
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("message to %s: %w", endpoint, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // the answer has been read, or its error is returned
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, tuning.MaxPeerMessageBytes))
 	if err != nil {
 		return nil, fmt.Errorf("answer of %s: %w", endpoint, err)
@@ -66,8 +66,10 @@
 	server := &http.Server{
 		Addr: addr, Protocols: &protocols, ReadHeaderTimeout: tuning.SlowRequestTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 64,
-			MaxReadFrameSize: 16 << 10, MaxReceiveBufferPerConnection: 256 << 10, MaxReceiveBufferPerStream: 128 << 10},
+		HTTP2: &http.HTTP2Config{
+			MaxConcurrentStreams: 64,
+			MaxReadFrameSize:     16 << 10, MaxReceiveBufferPerConnection: 256 << 10, MaxReceiveBufferPerStream: 128 << 10,
+		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, err := io.ReadAll(io.LimitReader(r.Body, tuning.MaxPeerMessageBytes))
 			if err != nil {
--- a/internal/peer/peers_test.go
+++ b/internal/peer/peer_test.go
@@ -16,7 +16,9 @@
 		t.Skip("no loopback here:", err)
 	}
 	addr := probe.Addr().String()
-	probe.Close()
+	if err := probe.Close(); err != nil {
+		t.Fatal(err)
+	}
 	go func() {
 		_ = Serve(addr, func(path string, body []byte, answer func([]byte, bool)) {
 			answer(append([]byte(path+" "), body...), path != "/refused")
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -16,8 +16,10 @@
 
 // gang makes a gang whose tasks arrive.
 func (y *yard) gang(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
-	j := taskstate.NewJob(&jobs.Spec{ID: fmt.Sprintf("wk-%d", id), Class: "g", Shape: "gang", Urgency: "standard", Image: image, ImageGB: 1, CPUs: cpus,
-		MemoryGB: cpus, Spot: true, Tasks: tasks}, y.now.Milliseconds()+int64(id), false)
+	j := taskstate.NewJob(&jobs.Spec{
+		ID: fmt.Sprintf("wk-%d", id), Class: "g", Shape: "gang", Urgency: "standard", Image: image, ImageGB: 1, CPUs: cpus,
+		MemoryGB: cpus, Spot: true, Tasks: tasks,
+	}, y.now.Milliseconds()+int64(id), false)
 	j.Gang = &taskstate.Gang{}
 	index := make([]int, tasks)
 	for i := range index {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,8 +20,10 @@
 	now   time.Duration
 }
 
-var small = &jobs.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 10, Zones: []string{"a"}}
-var large = &jobs.MachineType{Name: "large", CPUs: 32, MemoryGB: 128, CacheGB: 10, Zones: []string{"a"}}
+var (
+	small = &jobs.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 10, Zones: []string{"a"}}
+	large = &jobs.MachineType{Name: "large", CPUs: 32, MemoryGB: 128, CacheGB: 10, Zones: []string{"a"}}
+)
 
 func newYard(types ...*jobs.MachineType) *yard {
 	y := &yard{Planner: New(tuning.WaitBound), now: time.Hour}
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -14,7 +14,7 @@
 
 func TestFits(t *testing.T) {
 	need := Vector{CPUs: 2, GPUs: 1, MemoryGB: 4}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		capacity Vector
 		fits     bool
 	}{
@@ -28,15 +28,15 @@
 		"nothing of anything": {Vector{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := need.Fits(c.capacity); got != c.fits {
-				t.Errorf("fits: %v, want %v", got, c.fits)
+			if got := need.Fits(test.capacity); got != test.fits {
+				t.Errorf("fits: %v, want %v", got, test.fits)
 			}
 		})
 	}
 }
 
 func TestCountIn(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		need, capacity Vector
 		count          int
 	}{
@@ -48,8 +48,8 @@
 		"nothing needed":              {Vector{}, Vector{1, 1, 1}, math.MaxInt32},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := c.need.CountIn(c.capacity); got != c.count {
-				t.Errorf("count: %d, want %d", got, c.count)
+			if got := test.need.CountIn(test.capacity); got != test.count {
+				t.Errorf("count: %d, want %d", got, test.count)
 			}
 		})
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,10 +24,12 @@
 	if _, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range []string{"node", "serve_on", "peer_bind", "external.cloud", "external.state", "deployment.teams",
+	for _, path := range []string{
+		"node", "serve_on", "peer_bind", "external.cloud", "external.state", "deployment.teams",
 		"deployment.workers.report_s", "deployment.workers.lease_s", "deployment.workers.cancel_s", "deployment.state.rps",
 		"deployment.state.write_rps", "deployment.state.value_kb", "deployment.state.txn_ops", "deployment.cloud.rps",
-		"deployment.quota.core_share", "deployment.quota.mem_mb"} {
+		"deployment.quota.core_share", "deployment.quota.mem_mb",
+	} {
 		for _, spoilt := range []any{nil, []string{"x"}} {
 			var tree map[string]any
 			if err := json.Unmarshal([]byte(good), &tree); err != nil {
@@ -129,8 +131,10 @@
 			t.Errorf("%s: %d changes, %d bytes, %g", next, s.MaxOperations(), s.MaxValueBytes(), s.FutureWriteShare())
 		}
 	}
-	for next, name := range map[string]string{`{"txn_ops":0}`: "next.txn_ops", `{"value_kb":-1}`: "next.value_kb", `{"value_kb":0.1}`: "next.value_kb",
-		`{"write_rps":0}`: "next.write_rps", `{"rps":-4}`: "next.rps", `{"txn_ops":"x"}`: "next.txn_ops", `7`: "next"} {
+	for next, name := range map[string]string{
+		`{"txn_ops":0}`: "next.txn_ops", `{"value_kb":-1}`: "next.value_kb", `{"value_kb":0.1}`: "next.value_kb",
+		`{"write_rps":0}`: "next.write_rps", `{"rps":-4}`: "next.rps", `{"txn_ops":"x"}`: "next.txn_ops", `7`: "next",
+	} {
 		if _, err := parse(next); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", next, err)
 		}
--- a/internal/shard/state_test.go
+++ b/internal/shard/state_test.go
@@ -65,8 +65,8 @@
 		return
 	}
 	prefix := u.Query().Get("under")
-	switch {
-	case u.Path == "/commit":
+	switch u.Path {
+	case "/commit":
 		var c2 commit
 		if json.Unmarshal(c.Body, &c2) != nil {
 			fn(http1.Response{Status: 400}, nil)
@@ -77,7 +77,7 @@
 			return
 		}
 		fn(s.commit(c2), nil)
-	case u.Path == "/keys":
+	case "/keys":
 		rows := []statestore.KeyValue{}
 		for key, r := range s.rows {
 			if strings.HasPrefix(key, prefix) {
@@ -86,13 +86,13 @@
 		}
 		slices.SortFunc(rows, func(a, b statestore.KeyValue) int { return cmp.Compare(a.Key, b.Key) })
 		fn(reply(200, map[string]any{"rows": rows, "epoch": s.epoch}), nil)
-	case u.Path == "/watch":
+	case "/watch":
 		since, _ := strconv.ParseUint(u.Query().Get("since"), 10, 64)
 		w := watch{prefix, since, fn}
 		if !s.tell(w, u.Query().Get("waitMs") == "0") {
 			s.watches = append(s.watches, w)
 		}
-	case u.Path == "/grants":
+	case "/grants":
 		fn(reply(200, map[string]any{"permit": 1}), nil)
 	default: // a renewal
 		fn(reply(200, map[string]any{}), nil)
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -1,4 +1,4 @@
-// Package block is the duty of a block's owner: it keeps the records of the
+// Package shard is the duty of a block's owner: it keeps the records of the
 // tasks that were handed to the block, and commits every placement before its
 // launch is sent.
 package shard
@@ -59,7 +59,8 @@
 
 // NewTaskStore returns an empty task store.
 func NewTaskStore(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
-	set *settings.Settings, log *slog.Logger, block int) *TaskStore {
+	set *settings.Settings, log *slog.Logger, block int,
+) *TaskStore {
 	s := &TaskStore{rt: rt, state: state, leases: leases, cat: cat, store: store, set: set, log: log, block: block}
 	s.EndTerm()
 	return s
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -170,7 +170,7 @@
 				fn(OutcomeUnknown, nil)
 				return
 			}
-			out := OutcomeInvalid
+			out := OutcomeUnknown // an answer outside the protocol proves nothing
 			switch ans.Status {
 			case 200, 201, 204:
 				out = OutcomeOK
@@ -189,9 +189,6 @@
 			case 400:
 				out = OutcomeInvalid
 				c.log.Warn("state service finds fault", "target", target, "body", string(ans.Body))
-			default:
-				// An answer outside the protocol proves nothing.
-				out = OutcomeUnknown
 			}
 			c.LastResponseAt, c.HasResponded = c.rt.Now(), true
 			fn(out, ans.Body)
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -79,9 +79,11 @@
 
 // NewLeaseManager returns the lease manager of a node; nonce differs for every process.
 func NewLeaseManager(rt eventloop.Runtime, state *Client, log *slog.Logger, node string, nonce uint64, rank, blocks int) *LeaseManager {
-	o := &LeaseManager{rt: rt, state: state, log: log, node: node, nonce: nonce, rank: rank, blocks: blocks,
+	o := &LeaseManager{
+		rt: rt, state: state, log: log, node: node, nonce: nonce, rank: rank, blocks: blocks,
 		stamps: map[string]uint64{}, holders: map[string]holder{},
-		held: map[int]uint64{}, busy: map[string]bool{}, waived: map[int]uint64{}, before: map[int]time.Duration{}}
+		held: map[int]uint64{}, busy: map[string]bool{}, waived: map[int]uint64{}, before: map[int]time.Duration{},
+	}
 	o.row = NewMirror(rt, state, leasePrefix)
 	o.row.Reset = func(rows []KeyValue) {
 		clear(o.stamps)
--- a/internal/statestore/mirror_test.go
+++ b/internal/statestore/mirror_test.go
@@ -43,6 +43,7 @@
 func (s *store) After(_ time.Duration, fn func()) { s.timers = append(s.timers, fn) }
 func (s *store) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {
 }
+
 func (s *store) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	s.calls = append(s.calls, request{c, fn})
 }
--- a/internal/taskstate/record.go
+++ b/internal/taskstate/record.go
@@ -1,4 +1,4 @@
-// Package work is what has been handed out to the blocks of machines: the
+// Package taskstate is what has been handed out to the blocks of machines: the
 // leader's records, the pages on which a block's owner logs what becomes of the
 // tasks, every node's copy of both, and the tasks that an owner makes of them.
 package taskstate
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -31,9 +31,11 @@
 
 // NewStore returns an empty store.
 func NewStore(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Store {
-	s := &Store{RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
+	s := &Store{
+		RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
 		records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{},
-		pages: map[string]uint64{}, log: log}
+		pages: map[string]uint64{}, log: log,
+	}
 	s.mirror = statestore.NewMirror(rt, state, KeyPrefix)
 	s.mirror.Apply = s.apply
 	s.mirror.Reset = func(rows []statestore.KeyValue) {
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -105,8 +105,10 @@
 
 // NewJob returns a job of which no task is known yet.
 func NewJob(d *jobs.Spec, submitted int64, within bool) *Job {
-	return &Job{Spec: d, SubmittedMS: submitted, Rank: jobs.NewRank(d, submitted, within),
-		Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
+	return &Job{
+		Spec: d, SubmittedMS: submitted, Rank: jobs.NewRank(d, submitted, within),
+		Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{},
+	}
 }
 
 // OpenTasks counts the block's tasks of the job that are neither done nor given back.
--- a/internal/taskstate/wire_test.go
+++ b/internal/taskstate/wire_test.go
@@ -74,8 +74,15 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	want := []TaskStatus{{State: StatePlaced, Attempt: 1, WorkerID: "vm-1"}, {State: StatePlaced, Attempt: 1, WorkerID: "vm-1"}, {State: StatePlaced, Attempt: 3, WorkerID: "vm-2"},
-		{State: StateWaiting, Attempt: 4}, {State: StateReturned, Attempt: 5}, {State: StateDone, Attempt: 1}, {State: StateDone, Attempt: 1}}
+	want := []TaskStatus{
+		{State: StatePlaced, Attempt: 1, WorkerID: "vm-1"},
+		{State: StatePlaced, Attempt: 1, WorkerID: "vm-1"},
+		{State: StatePlaced, Attempt: 3, WorkerID: "vm-2"},
+		{State: StateWaiting, Attempt: 4},
+		{State: StateReturned, Attempt: 5},
+		{State: StateDone, Attempt: 1},
+		{State: StateDone, Attempt: 1},
+	}
 	for task, mark := range want {
 		if read[task] != mark || seenRunning[task] != (task == 2) {
 			t.Errorf("task %d: read %+v, running %v", task, read[task], seenRunning[task])
--- a/internal/taskstate/work_test.go
+++ b/internal/taskstate/work_test.go
@@ -59,8 +59,10 @@
 
 // TestBadRecords: what contradicts itself is refused, never half taken in.
 func TestBadRecords(t *testing.T) {
-	for _, bad := range []string{`{`, `{}`, `{"i":""}`, `{"i":"3-1"}`, `{"i":"0-2000"}`, `{"i":"1,1"}`, `{"i":"0-3","d":"4"}`,
-		`{"i":"0-3","p":{"9":{"h":"vm-1","t":1}}}`, `{"i":"0-3","a":{"x":1}}`, `{"i":"100000"}`, `{"i":"0","w":"0@x"}`} {
+	for _, bad := range []string{
+		`{`, `{}`, `{"i":""}`, `{"i":"3-1"}`, `{"i":"0-2000"}`, `{"i":"1,1"}`, `{"i":"0-3","d":"4"}`,
+		`{"i":"0-3","p":{"9":{"h":"vm-1","t":1}}}`, `{"i":"0-3","a":{"x":1}}`, `{"i":"100000"}`, `{"i":"0","w":"0@x"}`,
+	} {
 		if r, err := Decode("work/0/wk-1/0", []byte(bad), 1); err == nil {
 			t.Errorf("%s gave %+v", bad, r)
 		}
@@ -83,8 +85,10 @@
 // page is larger than allowed.
 func TestLogTellsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := &Store{RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
-			records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{}, pages: map[string]uint64{}, log: slog.New(slog.DiscardHandler)}
+		store := &Store{
+			RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
+			records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{}, pages: map[string]uint64{}, log: slog.New(slog.DiscardHandler),
+		}
 		var tasks []*Task
 		for n := range rapid.IntRange(1, 4).Draw(t, "records") {
 			id := []string{"wk-1", "wk-22", "wk-333", "wk-4444"}[n]
@@ -148,10 +152,12 @@
 				t.Fatalf("%s is %+v, the copy says %+v", k.Name(), k, m)
 			}
 			n := want[r.Job]
-			if k.State == StateDone {
+			switch k.State {
+			case StateDone:
 				n[0]++
-			} else if k.State == StatePlaced {
+			case StatePlaced:
 				n[1]++
+			case StateWaiting, StateDropped, StateReturned:
 			}
 			want[r.Job] = n
 		}
--- a/internal/testseed/seeded.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package seeded runs tests with a fixed seed of their generated inputs, so that CI sees
+// Package testseed runs tests with a fixed seed of their generated inputs, so that CI sees
 // the same ones each time. `go test ./internal/NAME -rapid.seed N -rapid.checks 3000`
 // searches elsewhere.
 package testseed
--- a/internal/userapi/api.go
+++ b/internal/userapi/api.go
@@ -57,8 +57,10 @@
 
 // NewAPI returns the user API.
 func NewAPI(rt eventloop.Runtime, state *statestore.Client, cat *Catalog, set *settings.Settings, log *slog.Logger) *API {
-	return &API{rt: rt, state: state, cat: cat, set: set, log: log, most: state.MaxOperations(), pending: map[string]*creation{},
-		Progress: func(string) (int, int) { return 0, 0 }, RunningGangTasks: func(string) int { return 0 }}
+	return &API{
+		rt: rt, state: state, cat: cat, set: set, log: log, most: state.MaxOperations(), pending: map[string]*creation{},
+		Progress: func(string) (int, int) { return 0, 0 }, RunningGangTasks: func(string) int { return 0 },
+	}
 }
 
 func refuse(reply http1.ResponseWriter, reason string) {
--- a/internal/userapi/api_test.go
+++ b/internal/userapi/api_test.go
@@ -36,6 +36,7 @@
 func (l *line) After(_ time.Duration, fn func()) { l.timers = append(l.timers, fn) }
 func (l *line) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {
 }
+
 func (l *line) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	l.calls = append(l.calls, waiting{c, fn})
 }
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -60,8 +60,10 @@
 
 // NewCatalog returns an empty catalog.
 func NewCatalog(rt eventloop.Runtime, state *statestore.Client, teams []settings.Team, log *slog.Logger) *Catalog {
-	c := &Catalog{entries: map[string]*Entry{}, open: map[string]*Entry{}, teams: map[string]settings.Team{},
-		rt: rt, log: log, JobChanged: func(*Entry) {}}
+	c := &Catalog{
+		entries: map[string]*Entry{}, open: map[string]*Entry{}, teams: map[string]settings.Team{},
+		rt: rt, log: log, JobChanged: func(*Entry) {},
+	}
 	for _, t := range teams {
 		c.teams[t.Name] = t
 	}
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -47,7 +47,7 @@
 // their Go names for want of a tag. Of a list, a field may
 // be zero in some elements but not in all.
 func unset(name string, value reflect.Value) []string {
-	switch value.Kind() {
+	switch value.Kind() { //nolint:exhaustive // only kinds that hold fields or elements matter
 	case reflect.Pointer:
 		if value.IsNil() {
 			return []string{name}
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -76,8 +76,10 @@
 
 // NewRegistry returns an empty table.
 func NewRegistry(rt eventloop.Runtime, lease Lease, tasks TaskStore, set *settings.Settings, log *slog.Logger) *Registry {
-	return &Registry{ClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
-		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{}}
+	return &Registry{
+		ClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
+		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{},
+	}
 }
 
 // zone finds or makes a zone's entry.
@@ -174,8 +176,10 @@
 	h := t.hosts[id]
 	if h == nil {
 		now := t.rt.Now()
-		h = &Worker{ID: id, KnownSince: now, IdleSince: now, LeaseFrom: max(now, t.lease.PreviousOwnerAnswersUntil()),
-			Tasks: map[*taskstate.Task]bool{}, FailedJobs: map[string]bool{}}
+		h = &Worker{
+			ID: id, KnownSince: now, IdleSince: now, LeaseFrom: max(now, t.lease.PreviousOwnerAnswersUntil()),
+			Tasks: map[*taskstate.Task]bool{}, FailedJobs: map[string]bool{},
+		}
 		t.hosts[id] = h
 		i, _ := slices.BinarySearchFunc(t.list, id, func(h *Worker, id string) int { return strings.Compare(h.ID, id) })
 		t.list = slices.Insert(t.list, i, h)
@@ -342,7 +346,7 @@
 	d := k.Job.Spec
 	saves := d.CheckpointIntervalSeconds > 0 && h.SpotNoticeAt > 0 &&
 		now > h.SpotNoticeAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
-	if h.DrainReason == "" || k.HaltDecided || !k.Running || k.Job.Gang != nil || !(d.IsService() || saves) {
+	if h.DrainReason == "" || k.HaltDecided || !k.Running || k.Job.Gang != nil || (!d.IsService() && !saves) {
 		return
 	}
 	k.Halt(d.CheckpointSeconds)
--- a/internal/workers/registry_test.go
+++ b/internal/workers/registry_test.go
@@ -54,6 +54,7 @@
 func (b *bench) After(time.Duration, func()) {}
 func (b *bench) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {
 }
+
 func (b *bench) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	b.calls = append(b.calls, call{c.Body, fn})
 }
@@ -63,11 +64,13 @@
 func (b *bench) MayAnswer() bool {
 	return !b.away && (!b.knows || b.now < b.proven+b.table.set.MaxKnowledgeAge())
 }
+
 func (b *bench) RenewToken() {
 	if !b.stuck {
 		b.term()
 	}
 }
+
 func (b *bench) CancellationsVerifiedSince(since time.Duration) bool {
 	return !b.knows || (b.proven >= since && b.now-b.proven <= tuning.MaxLaunchKnowledgeAge)
 }
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -1,4 +1,4 @@
-// Package agents speaks with the workers: it takes their reports, knows what
+// Package workers speaks with the workers: it takes their reports, knows what
 // is or may be on each machine, and gives orders under the block lease's token.
 package workers
 
