--- /dev/null
+++ b/internal/controller/knowledge_test.go
@@ -0,0 +1,57 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"lemonmoor/internal/tuning"
+	"lemonmoor/internal/userapi"
+)
+
+// knowing is a deployment whose block has an owner that answers its workers.
+func knowing(t *testing.T) (*world, *Node, *owner) {
+	t.Helper()
+	w := newWorld(1)
+	w.run(15 * time.Second)
+	n := w.owner(0).node
+	if o := n.owners[0]; !n.answering(o) {
+		t.Fatal("the owner answers nobody")
+	}
+	return w, n, n.owners[0]
+}
+
+// TestAnswersNeedRecentKnowledgeOfCancellations: an owner whose leases are proven and renewed
+// all the time answers workers no longer than its knowledge of cancellations is young enough.
+func TestAnswersNeedRecentKnowledgeOfCancellations(t *testing.T) {
+	w, n, o := knowing(t)
+	w.mute = userapi.KeyPrefix
+	w.run(w.now + w.set.MaxKnowledgeAge() - 3*tuning.KnowledgeVerifyInterval)
+	if !n.answering(o) {
+		t.Error("answers nobody while its knowledge is young enough")
+	}
+	w.run(w.now + 3*tuning.KnowledgeVerifyInterval)
+	if n.answering(o) {
+		proven, _ := n.cat.VerifiedAt()
+		t.Errorf("answers on knowledge %v old", n.rt.Now()-proven)
+	}
+	if n.rt.Now() >= n.leases.AnswersUntil() {
+		t.Error("its leases alone would have ended that")
+	}
+}
+
+// TestLaunchProofIsNewerThanThePlacementAndRecent: a proof of before the placement is none, nor
+// is one that is older than a launch may rest on.
+func TestLaunchProofIsNewerThanThePlacementAndRecent(t *testing.T) {
+	w, n, _ := knowing(t)
+	proven, known := n.cat.VerifiedAt()
+	if !known || !n.fresh(proven) {
+		t.Fatalf("known %v, fresh %v", known, n.fresh(proven))
+	}
+	if n.fresh(proven + time.Millisecond) {
+		t.Error("a proof of before the placement counts")
+	}
+	w.now += tuning.MaxLaunchKnowledgeAge + time.Second // nothing happens meanwhile
+	if n.fresh(proven) {
+		t.Error("an old proof counts")
+	}
+}
--- a/internal/controller/sim_state_test.go
+++ b/internal/controller/sim_state_test.go
@@ -126,6 +126,8 @@
 	switch {
 	case u.Path == "/commit":
 		reply(s.commit(c.Body))
+	case u.Path == "/watch" && s.w.mute != "" && q.Get("under") == s.w.mute:
+		// no answer
 	case u.Path == "/watch":
 		a, any := s.changes(q.Get("under"), since)
 		wait, _ := strconv.Atoi(q.Get("waitMs"))
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -46,6 +46,7 @@
 	value     int             // bytes of a value
 	lie       bool            // these limits are not told: breaking them is no fault
 	refused   map[string]bool // nodes that the state service refuses alone
+	mute      string          // a prefix of keys: the state service answers no watch of it
 	lag       float64         // of transactions without an answer, carried out 2 to 12 s later
 	unheard   float64         // of transactions carried out at once of which the answer is lost
 	keeps     float64         // of reports of which a copy is kept until a lease has changed hands
