--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,23 +15,35 @@
 	"lemonmoor/internal/workers"
 )
 
-// still is a runtime on which nothing happens by itself.
+// still is a runtime on which nothing happens by itself: timers wait for the test.
 type still struct {
 	now     time.Duration
 	calls   []http1.ClientRequest
 	answers []func(http1.Response, error)
+	timers  []func()
 }
 
-func (s *still) Now() time.Duration          { return s.now }
-func (s *still) WallClock() time.Time        { return time.UnixMilli(0) }
-func (s *still) Rand() float64               { return 0.5 }
-func (s *still) After(time.Duration, func()) {}
+func (s *still) Now() time.Duration   { return s.now }
+func (s *still) WallClock() time.Time { return time.UnixMilli(0) }
+func (s *still) Rand() float64        { return 0.5 }
+func (s *still) After(_ time.Duration, fn func()) {
+	s.timers = append(s.timers, fn)
+}
 func (s *still) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	s.calls = append(s.calls, c)
 	s.answers = append(s.answers, fn)
 }
 func (s *still) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
+// fire lets the timers run that are set now.
+func (s *still) fire() {
+	timers := s.timers
+	s.timers = nil
+	for _, fn := range timers {
+		fn()
+	}
+}
+
 var _ eventloop.Runtime = (*still)(nil)
 
 // leading is the leader's lease; out: its lease has run out.
@@ -361,3 +373,66 @@
 		}
 	}
 }
+
+// TestIdleMachineIsReturnedWhenItsOwnerAgrees: the leader's list may be old. An idle machine
+// is closed by its owner first, and returned when that says that nothing is on it.
+func TestIdleMachineIsReturnedWhenItsOwnerAgrees(t *testing.T) {
+	rt := &still{now: time.Hour}
+	set := &settings.Settings{}
+	set.Deployment.Cloud.RPS = 10
+	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.listed = true
+	status := MachineStatus{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}
+	var r StatusReply
+	for seq := range 600 {
+		rt.now += time.Second
+		r = f.HandleStatus(&ShardStatus{Full: seq == 0, Seq: uint64(seq + 1), Hosts: []MachineStatus{status}})
+		f.judge()
+		f.release(0)
+		if status.IdleMS += 1000; len(r.Drain) > 0 {
+			break
+		}
+	}
+	if len(r.Drain) != 1 || len(rt.calls) > 0 {
+		t.Fatalf("the owner is asked to close %v, %d calls to the cloud before it has", r.Drain, len(rt.calls))
+	}
+	status.AcceptsTasks, status.ReleaseReason = false, "idle"
+	f.HandleStatus(&ShardStatus{Full: true, Seq: 1000, Hosts: []MachineStatus{status}})
+	f.judge()
+	f.release(0)
+	if len(rt.calls) != 1 || rt.calls[0].Target != "/rentals/release" {
+		t.Errorf("%d calls to the cloud when it has", len(rt.calls))
+	}
+}
+
+// TestReturnedMachineIsNotTakenInAgain: an owner that has not heard yet, or a list that lags,
+// still tells of it.
+func TestReturnedMachineIsNotTakenInAgain(t *testing.T) {
+	rt := &still{now: time.Hour}
+	f := New(rt, "", leading{}, &settings.Settings{}, slog.New(slog.DiscardHandler))
+	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.returned["vm-1"] = rt.now
+	r := f.HandleStatus(&ShardStatus{Full: true, Seq: 1, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
+	f.takeListed(&listedMachine{ID: "vm-1", Build: "g8", Phase: "up"}, rt.now)
+	if len(f.machines) > 0 || len(r.Released) != 1 {
+		t.Errorf("%d machines, the owner is told that %v are gone", len(f.machines), r.Released)
+	}
+}
+
+// TestRepeatedRentalKeepsItsName: a rental without an answer may have been carried out; under
+// its own name once more it rents nothing more.
+func TestRepeatedRentalKeepsItsName(t *testing.T) {
+	rt := &still{now: time.Hour}
+	set := &settings.Settings{}
+	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f.hire(0, hire{Name: "r-7-1", Build: "g8", Zone: "a", Number: 2}, 0)
+	rt.answers[0](http1.Response{}, eventloop.ErrNoAnswer)
+	rt.fire()
+	if len(rt.calls) != 2 || string(rt.calls[1].Body) != string(rt.calls[0].Body) {
+		t.Fatalf("%d requests, the last %s", len(rt.calls), rt.calls[len(rt.calls)-1].Body)
+	}
+	if len(f.inFlight) != 1 {
+		t.Errorf("%d rentals count as under way", len(f.inFlight))
+	}
+}
--- a/internal/statestore/mirror_test.go
+++ b/internal/statestore/mirror_test.go
@@ -318,3 +318,47 @@
 	m.Verify(func(error) {})
 	deliver("check")
 }
+
+// TestEachChangeIsAppliedOnce: the long watch and the checks overlap; a change that a check has
+// brought in is not applied once more, since what follows it may be applied already.
+func TestEachChangeIsAppliedOnce(t *testing.T) {
+	s := newStore()
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
+	applied := map[uint64]int{}
+	m.Apply = func(_ string, _ json.RawMessage, stamp uint64) { applied[stamp]++ }
+	m.Start()
+	s.step(false) // the listing
+	s.set("a/0", "1")
+	m.Verify(func(error) {})
+	s.calls[0], s.calls[1] = s.calls[1], s.calls[0]
+	s.step(false) // the check
+	s.set("a/0", "2")
+	s.step(false) // the watch, from before
+	if applied[1] != 1 || applied[2] != 1 {
+		t.Errorf("applied %d and %d times", applied[1], applied[2])
+	}
+}
+
+// TestCheckOvertakenByReadingAnewProvesNothing: a check is under way when the history is found
+// too old. Taken in while the rows are read anew, its answer would move the copy past the
+// listing, which then takes it back.
+func TestCheckOvertakenByReadingAnewProvesNothing(t *testing.T) {
+	s := newStore()
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
+	m.Apply = func(string, json.RawMessage, uint64) {}
+	m.Reset = func([]KeyValue) {}
+	m.Start()
+	s.step(false) // the listing
+	s.set("a/0", "1")
+	var outcome error
+	m.Verify(func(err error) { outcome = err })
+	check := s.calls[1]
+	given := s.answer(check.call)
+	s.oldest = 9
+	s.calls = s.calls[:1]
+	s.step(false) // the watch: gone
+	check.fn(given, nil)
+	if outcome != ErrNotVerified {
+		t.Errorf("the check came to %v", outcome)
+	}
+}
--- a/internal/userapi/durable_test.go
+++ b/internal/userapi/durable_test.go
@@ -101,24 +101,33 @@
 	}
 }
 
-// TestPollWithoutProofIsUnavailable: without a proof that the copy is current, a poll gets
-// 503, whether the job is known here or not; never 404, nor an answer that may be old.
-func TestPollWithoutProofIsUnavailable(t *testing.T) {
+// TestWithoutProofUnavailable: without a proof that the copy is current, a poll, a cancellation
+// and a submission that cannot be carried out get 503, whether the job is known here or not;
+// never 404 or 422, nor an answer that may be old.
+func TestWithoutProofUnavailable(t *testing.T) {
 	l, _, d := newAPI(8000, storedRow(t, 1, 5, Record{SubmittedMS: 1}))
-	for _, id := range []string{"wk-000001", "wk-000002"} {
+	impossible := bytes.Replace(submission(2), []byte(`"cpus":1`), []byte(`"cpus":99`), 1)
+	for name, ask := range map[string]func(http1.ResponseWriter){
+		"poll, known":      func(r http1.ResponseWriter) { d.Poll("wk-000001", r) },
+		"poll, unknown":    func(r http1.ResponseWriter) { d.Poll("wk-000002", r) },
+		"cancel, known":    func(r http1.ResponseWriter) { d.Cancel("wk-000001", r) },
+		"cancel, unknown":  func(r http1.ResponseWriter) { d.Cancel("wk-000002", r) },
+		"submit, repeated": func(r http1.ResponseWriter) { d.Submit(submission(1), r) },
+		"submit, too much": func(r http1.ResponseWriter) { d.Submit(impossible, r) },
+	} {
 		for _, fail := range []func(func(http1.Response, error)){
 			func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNoAnswer) },
 			func(fn func(http1.Response, error)) { fn(http1.Response{Status: 503}, nil) },
 		} {
 			var told answers
-			d.Poll(id, told.reply)
+			ask(told.reply)
 			for _, fn := range l.timers { // checks are paced
 				fn()
 			}
 			l.timers = nil
 			fail(l.take(t, "/watch").fn)
 			if len(told) != 1 || told[0] != 503 {
-				t.Errorf("%s: told %v", id, told)
+				t.Errorf("%s: told %v", name, told)
 			}
 		}
 	}
--- a/internal/workers/proofs_test.go
+++ b/internal/workers/proofs_test.go
@@ -225,7 +225,7 @@
 			order := b.order(t)
 			b.deliver(order)
 			answer := b.report()
-			answer.Tasks = append(answer.Tasks, ReportedTask{Name: "wk-9/0", Attempt: 1, Phase: "running"})
+			answer.Tasks = append(answer.Tasks, ReportedTask{Name: "wk-1/7", Attempt: 1, Phase: "running"})
 			c.do(b, answer)
 			raw, err := json.Marshal(answer)
 			if err != nil {
@@ -239,6 +239,21 @@
 	}
 }
 
+// TestOneDirectOrderAtATime: what is placed while an order is under way to the machine leaves
+// when that is answered.
+func TestOneDirectOrderAtATime(t *testing.T) {
+	b := newBench(2)
+	b.hears(t)
+	b.place(0)
+	first := b.order(t)
+	b.place(1)
+	if b.table.AfterBatch(); len(b.calls) > 0 {
+		t.Fatal("a second order has left")
+	}
+	first.fn(b.deliver(first), nil)
+	b.order(t)
+}
+
 // TestReportedTaskCountsWithItsAttempt: another attempt than the one on record is ended, and
 // keeps the machine from other work until it is.
 func TestReportedTaskCountsWithItsAttempt(t *testing.T) {
@@ -478,3 +493,30 @@
 		})
 	}
 }
+
+// TestHaltOfACancelledTaskIsRepeated: a direct order to end it may be lost, so it is sent again
+// until the task is proven gone.
+func TestHaltOfACancelledTaskIsRepeated(t *testing.T) {
+	b := newBench(1)
+	b.placeAll(t)
+	k := b.job.Tasks[0]
+	b.off, b.job.Cancelled = b.now, true
+	b.table.CancelJob(b.job)
+	for try := range 3 {
+		c := b.order(t)
+		var o CommandMessage
+		if err := json.Unmarshal(c.body, &o); err != nil || !hasVerb(o.Commands, "halt") {
+			t.Fatalf("try %d: told %s", try, c.body)
+		}
+		c.fn(http1.Response{}, eventloop.ErrNoAnswer)
+		b.now += tuning.HaltRetryInterval
+		b.table.Tick()
+	}
+	c := b.order(t)
+	c.fn(b.deliver(c), nil)
+	b.now += time.Second
+	b.table.HandleHeartbeat(b.report())
+	if k.State != taskstate.StateDropped {
+		t.Errorf("state %v when it has ended", k.State)
+	}
+}
