--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -55,3 +55,17 @@
 		t.Error("an old proof counts")
 	}
 }
+
+// TestNoAnswersUnderARelinquishedToken: from the moment that an owner gives its shard up it
+// answers nobody under that token, also while it still holds the lease: the next owner may
+// begin before this one hears of it.
+func TestNoAnswersUnderARelinquishedToken(t *testing.T) {
+	_, n, o := knowing(t)
+	n.leases.RelinquishShards()
+	if n.leases.ShardToken(0) == 0 || !n.leases.LeaseValid() {
+		t.Fatal("the lease is gone at once")
+	}
+	if n.answering(o) {
+		t.Error("answers under a token that is given up")
+	}
+}
