--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -29,6 +29,7 @@
 func (s *still) After(_ time.Duration, fn func()) {
 	s.timers = append(s.timers, fn)
 }
+
 func (s *still) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	s.calls = append(s.calls, c)
 	s.answers = append(s.answers, fn)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -73,8 +73,10 @@
 // settle lets the leader decide once more.
 func (n *node) settle() {
 	n.statuses++
-	n.fleet.HandleStatus(&fleet.ShardStatus{Full: true, Token: 1, Seq: n.statuses,
-		Hosts: []fleet.MachineStatus{{ID: "vm-1", MachineType: "g8", Zone: "a", HasReported: true, AcceptsTasks: true}}})
+	n.fleet.HandleStatus(&fleet.ShardStatus{
+		Full: true, Token: 1, Seq: n.statuses,
+		Hosts: []fleet.MachineStatus{{ID: "vm-1", MachineType: "g8", Zone: "a", HasReported: true, AcceptsTasks: true}},
+	})
 	n.leader.RequestRound()
 	n.leader.AfterBatch()
 }
--- a/internal/statetest/statetest.go
+++ b/internal/statetest/statetest.go
@@ -97,31 +97,32 @@
 		fn(Reply(503, nil), nil)
 		return
 	}
-	u, err := url.Parse(call.Target)
+	target, err := url.Parse(call.Target)
 	if err != nil {
 		fn(http1.Response{Status: 400}, nil)
 		return
 	}
-	prefix := u.Query().Get("under")
-	switch u.Path {
+	query := target.Query()
+	prefix := query.Get("under")
+	switch target.Path {
 	case "/commit":
-		c := &Commit{Answer: fn}
-		if err := json.Unmarshal(call.Body, c); err != nil {
+		commit := &Commit{Answer: fn}
+		if err := json.Unmarshal(call.Body, commit); err != nil {
 			fn(http1.Response{Status: 400}, nil)
 			return
 		}
-		if s.Hold != nil && s.Hold(c) {
-			s.Held = append(s.Held, c)
+		if s.Hold != nil && s.Hold(commit) {
+			s.Held = append(s.Held, commit)
 			return
 		}
-		fn(s.Commit(c), nil)
+		fn(s.Commit(commit), nil)
 	case "/keys":
 		fn(Reply(200, map[string]any{"rows": s.list(prefix), "epoch": s.epoch}), nil)
 	case "/watch":
-		since, _ := strconv.ParseUint(u.Query().Get("since"), 10, 64)
-		w := watch{prefix, since, fn}
-		if !s.tell(w, u.Query().Get("waitMs") == "0") {
-			s.watches = append(s.watches, w)
+		since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
+		opened := watch{prefix, since, fn}
+		if !s.tell(opened, query.Get("waitMs") == "0") {
+			s.watches = append(s.watches, opened)
 		}
 	case "/grants":
 		fn(Reply(200, map[string]any{"permit": 1}), nil)
@@ -159,24 +160,24 @@
 }
 
 // tell answers a watch if there is anything to tell, or anyway.
-func (s *Service) tell(w watch, anyway bool) bool {
+func (s *Service) tell(open watch, anyway bool) bool {
 	events := []statestore.WatchEvent{}
 	for _, e := range s.log {
-		if e.Revision > w.since && strings.HasPrefix(e.PutKey+e.DeletedKey, w.prefix) {
+		if e.Revision > open.since && strings.HasPrefix(e.PutKey+e.DeletedKey, open.prefix) {
 			events = append(events, e)
 		}
 	}
 	if len(events) == 0 && !anyway {
 		return false
 	}
-	w.fn(Reply(200, map[string]any{"epoch": s.epoch, "log": events}), nil)
+	open.fn(Reply(200, map[string]any{"epoch": s.epoch, "log": events}), nil)
 	return true
 }
 
 // Commit carries a commit out, or refuses it for its guards.
-func (s *Service) Commit(c *Commit) http1.Response {
+func (s *Service) Commit(commit *Commit) http1.Response {
 	failed := []string{}
-	for _, g := range c.Guards {
+	for _, g := range commit.Guards {
 		if s.rows[g.Key].Revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
@@ -185,7 +186,7 @@
 		return Reply(409, map[string]any{"failed": failed, "epoch": s.epoch})
 	}
 	s.epoch++
-	for _, a := range c.Apply {
+	for _, a := range commit.Apply {
 		if a.DeleteKey != "" {
 			delete(s.rows, a.DeleteKey)
 		} else {
