--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -142,23 +142,9 @@
 			o.tasks.JobChanged(e)
 		}
 	}
-	n.store.RecordAdded = func(r *taskstate.Record) {
-		n.leader.RecordAdded(r)
-		for _, o := range n.owners {
-			o.tasks.RecordAdded(r)
-		}
-	}
-	n.store.RecordRemoved = func(r *taskstate.Record) {
-		n.leader.RecordRemoved(r)
-		for _, o := range n.owners {
-			o.tasks.RecordRemoved(r)
-		}
-	}
-	n.store.TaskStatusChanged = func(r *taskstate.Record, k int, was taskstate.TaskStatus) {
-		n.leader.TaskStatusChanged(r, k, was)
-		for _, o := range n.owners {
-			o.tasks.TaskStatusChanged(r, k)
-		}
+	n.store.Observe(n.leader)
+	for _, o := range n.owners {
+		n.store.Observe(o.tasks)
 	}
 	pace := func() time.Duration {
 		if n.leases.LeaderToken() != 0 || n.owning() {
@@ -174,7 +160,7 @@
 func (n *Node) connectUsers() {
 	n.api.MachineTypes = n.fleet.MachineTypes
 	n.api.Progress = n.store.Progress
-	n.api.RunningGangTasks = n.store.RunningTasks
+	n.api.RunningGangTasks = n.store.RunningGangTasks
 }
 
 // Start begins the node's work, once it is known how the machines are divided.
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -130,7 +130,7 @@
 		w.run(at)
 		for _, j := range w.jobs {
 			n := w.nodes[0].node
-			if e := n.cat.Get(j.id); e != nil && e.Phase == "" && n.store.RunningTasks(j.id) > 0 && j.gangStarts == 0 {
+			if e := n.cat.Get(j.id); e != nil && e.Phase == "" && n.store.RunningGangTasks(j.id) > 0 && j.gangStarts == 0 {
 				early++
 			}
 		}
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -82,7 +82,7 @@
 			n := w.owner(0)
 			for _, h := range n.node.owners[0].workers.Workers() {
 				for k := range h.Tasks {
-					if k.PlacementDurable && !k.LaunchSent {
+					if k.PlacementDurable && !k.Launch.Sent {
 						placed++
 					}
 				}
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -113,7 +113,7 @@
 		return true
 	}
 	k := j.Tasks[ref.Index]
-	if k == nil || j.Gang != nil || k.State != taskstate.StatePlaced || k.Attempt != ref.Attempt || !k.LaunchSent || k.HaltDecided {
+	if k == nil || j.Gang != nil || k.State != taskstate.StatePlaced || k.Attempt != ref.Attempt || !k.Launch.Sent || k.Halt.Decided {
 		return true
 	}
 	if !e.fresh() {
@@ -125,7 +125,7 @@
 
 // up tells whether a task surely runs.
 func (e *Executor) up(k *taskstate.Task) bool {
-	if k.State != taskstate.StatePlaced || !k.Running {
+	if k.State != taskstate.StatePlaced || !k.Observed.Running {
 		return false
 	}
 	h := e.workers.Worker(k.WorkerID)
@@ -173,7 +173,7 @@
 			if !e.up(k) {
 				return
 			}
-			untouched = untouched && !k.HaltDecided
+			untouched = untouched && !k.Halt.Decided
 		}
 		state.Attempt = j.Gang.Attempt
 	} else {
@@ -181,7 +181,7 @@
 		if k == nil || !e.up(k) {
 			return
 		}
-		state.Attempt, untouched = k.Attempt, !k.HaltDecided
+		state.Attempt, untouched = k.Attempt, !k.Halt.Decided
 	}
 	state.Runs = state.Attempt > ref.Attempt
 	state.Void = cancelled && state.Attempt == ref.Attempt && untouched
@@ -201,15 +201,15 @@
 		}
 		m := ClosedMachine{ID: h.ID}
 		for k := range h.Tasks {
-			if !k.LaunchSent || k.Job.Cancelled {
+			if !k.Launch.Sent || k.Job.Cancelled {
 				continue
 			}
 			placed := PlacedTask{Job: k.Job.Spec.ID, Index: k.Index, Attempt: k.Attempt}
 			if k.Job.Gang != nil {
 				placed.Attempt = k.WireAttempt()
 			}
-			if k.Running {
-				placed.RunsMS = max(1, (now - k.RunningSince).Milliseconds())
+			if k.Observed.Running {
+				placed.RunsMS = max(1, (now - k.Observed.RunningSince).Milliseconds())
 			}
 			m.Tasks = append(m.Tasks, placed)
 		}
--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -84,7 +84,7 @@
 		r := taskstate.NewRecord(b.block, b.plan.e.ID, b.plan.number, b.tasks, b.plan.zones, b.plan.attempts)
 		r.GangAttempt, r.PartSize = b.try, b.part
 		if b.done {
-			r.MarkAllDone()
+			r.SetAllDone()
 		}
 		b.plan.number++
 		value, err := r.Encode()
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -53,7 +53,7 @@
 	n.fleet = fleet.New(s, "cloud", n.leases, set, log)
 	n.leader = New(s, state, n.leases, n.catalog, n.store, n.fleet, set, log)
 	n.catalog.JobChanged = n.leader.JobChanged
-	n.store.RecordAdded, n.store.RecordRemoved, n.store.TaskStatusChanged = n.leader.RecordAdded, n.leader.RecordRemoved, n.leader.TaskStatusChanged
+	n.store.Observe(n.leader)
 	n.leases.LeadershipAcquired = func(token uint64) {
 		n.leader.BeginTerm(token)
 		n.fleet.BeginTerm()
@@ -266,7 +266,7 @@
 		if !ok {
 			t.Fatalf("takeover %v: not handed out again", takeover)
 		}
-		again, err := taskstate.Decode(next.Key, next.Value, next.Revision)
+		again, err := taskstate.DecodeRecord(next.Key, next.Value, next.Revision)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -317,7 +317,7 @@
 	if !ok {
 		t.Fatal("its other task is not handed out")
 	}
-	last, err := taskstate.Decode(row.Key, row.Value, row.Revision)
+	last, err := taskstate.DecodeRecord(row.Key, row.Value, row.Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -185,7 +185,7 @@
 
 // barred tells whether a task may not go to a machine.
 func barred(t *taskstate.Task, h *workers.Worker) bool {
-	return t.AvoidWorker == h.ID || slices.Contains(t.TriedWorkers, h.ID) || !Allowed(t, h)
+	return t.Queue.AvoidWorker == h.ID || slices.Contains(t.Tried.Workers, h.ID) || !Allowed(t, h)
 }
 
 // fit finds a machine for each task, nil if there are not enough: near ones
@@ -203,7 +203,7 @@
 		var open []*seat
 		sum, picky := 0, false
 		for _, i := range todo {
-			picky = picky || tasks[i].AvoidWorker != "" || len(tasks[i].TriedWorkers) > 0
+			picky = picky || tasks[i].Queue.AvoidWorker != "" || len(tasks[i].Tried.Workers) > 0
 		}
 		for _, h := range hosts {
 			if !Allowed(tasks[todo[0]], h) || !usable(h) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -50,8 +50,8 @@
 
 // AddTask takes a task that waits for a machine.
 func (p *Planner) AddTask(t *taskstate.Task, now time.Duration) {
-	t.Queued = false
-	t.EnqueuedAt = now
+	t.Queue.Queued = false
+	t.Queue.EnqueuedAt = now
 	if t.Job.Gang != nil {
 		p.gather(t.Job, now)
 		return
@@ -103,26 +103,26 @@
 func holds(t *taskstate.Task, h *workers.Worker, cpus, cards, memory float64) bool {
 	d := t.Job.Spec
 	return d.CPUs <= cpus+slack && d.GPUs <= cards+slack && d.MemoryGB <= memory+slack &&
-		t.AvoidWorker != h.ID && Allowed(t, h)
+		t.Queue.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // could tells whether a machine could take a task if it were empty.
 func could(t *taskstate.Task, h *workers.Worker) bool {
-	return h.MachineType != nil && h.MachineType.CanRun(t.Job.Spec) && t.AvoidWorker != h.ID && Allowed(t, h)
+	return h.MachineType != nil && h.MachineType.CanRun(t.Job.Spec) && t.Queue.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // live tells whether a queued task still waits.
 func live(t *taskstate.Task) bool {
-	return t.State == taskstate.StateWaiting && t.Queued && !t.Job.Cancelled
+	return t.State == taskstate.StateWaiting && t.Queue.Queued && !t.Job.Cancelled
 }
 
 // due tells whether a task is not paused after a failure.
 func due(t *taskstate.Task, now time.Duration) bool {
-	return now >= t.NotBefore && now >= t.Job.NotBefore
+	return now >= t.Queue.NotBefore && now >= t.Job.NotBefore
 }
 
 // plain tells whether a task may go wherever any other of its job may.
-func plain(t *taskstate.Task) bool { return t.Zone == "" && t.AvoidWorker == "" }
+func plain(t *taskstate.Task) bool { return t.Zone == "" && t.Queue.AvoidWorker == "" }
 
 // round is what one placement round works on.
 type round struct {
@@ -182,7 +182,7 @@
 		q = slices.DeleteFunc(q, dead)
 		if h := p.FindWorker(id); h == nil || !p.AcceptsTasks(h) {
 			for _, t := range q {
-				t.Queued = false
+				t.Queue.Queued = false
 				p.arrivals = append(p.arrivals, t)
 			}
 			q = nil
@@ -288,7 +288,7 @@
 }
 
 func (p *Planner) place(t *taskstate.Task, h *workers.Worker) {
-	t.Queued = false
+	t.Queue.Queued = false
 	p.PlaceTask(t, h)
 }
 
@@ -377,7 +377,7 @@
 	}
 	p.collect(r, 0, func(g *gang) bool { return r.now-g.job.Gang.EnqueuedAt >= p.WaitBound && !r.starved(g.job) })
 	for _, t := range p.extra {
-		if live(t) && r.now-t.EnqueuedAt >= p.WaitBound && due(t, r.now) && t.Job != skip && !r.starved(t.Job) {
+		if live(t) && r.now-t.Queue.EnqueuedAt >= p.WaitBound && due(t, r.now) && t.Job != skip && !r.starved(t.Job) {
 			serve(t, t.Job.Spec.Priority()+1)
 		}
 	}
@@ -388,7 +388,7 @@
 // the extra queue. The tasks of a job are alike and are placed together.
 func (p *Planner) arrive(r *round) {
 	tasks := slices.DeleteFunc(p.arrivals, func(t *taskstate.Task) bool {
-		return t.State != taskstate.StateWaiting || t.Job.Cancelled || t.Queued
+		return t.State != taskstate.StateWaiting || t.Job.Cancelled || t.Queue.Queued
 	})
 	p.arrivals = nil
 	slices.SortStableFunc(tasks, compare)
@@ -479,7 +479,7 @@
 // its image, else into the extra queue.
 func (p *Planner) queue(tasks []*taskstate.Task, r *round) {
 	for _, t := range tasks {
-		t.Queued = true
+		t.Queue.Queued = true
 	}
 	image := tasks[0].Job.Spec.Image
 	var caching []*workers.Worker
--- a/internal/shard/commit_test.go
+++ b/internal/shard/commit_test.go
@@ -159,10 +159,10 @@
 	}
 	first, second := s.Commit(s.Held[0]), s.Commit(s.Held[1])
 	s.Held[1].Answer(second, nil)
-	newest := k.LogPage
+	newest := k.Log.Page
 	s.Held[0].Answer(first, nil)
-	if k.LogPage != newest {
-		t.Errorf("page %d counts as the newest, page %d is", k.LogPage, newest)
+	if k.Log.Page != newest {
+		t.Errorf("page %d counts as the newest, page %d is", k.Log.Page, newest)
 	}
 }
 
--- a/internal/shard/flush.go
+++ b/internal/shard/flush.go
@@ -88,7 +88,7 @@
 		guards = append(guards, statestore.Condition{Key: key, Revision: s.pages.at(c.free[i]).stamp})
 		apply = append(apply, statestore.Operation{PutKey: key, Value: value})
 		for _, t := range on[i] {
-			t.Dirty = false
+			t.Log.Dirty = false
 			c.written = append(c.written, saved{t, t.State, t.Attempt, c.free[i]})
 		}
 	}
@@ -120,8 +120,8 @@
 	// page can be written over and the log stays as long as the work is.
 	if s.flights == 0 {
 		for _, t := range s.pages.oldest() {
-			if !t.Dirty {
-				t.Dirty = true
+			if !t.Log.Dirty {
+				t.Log.Dirty = true
 				take(t)
 			}
 		}
@@ -191,13 +191,13 @@
 		t.PlacementDurable = true
 		s.PlacementDurable(t)
 	}
-	if seq < t.LoggedCommit {
+	if seq < t.Log.Commit {
 		return // a later commit's answer was faster; what it tells is newer
 	}
-	t.LoggedCommit = seq
-	s.pages.take(t.LogPage)
-	t.LogPage = w.page
-	s.pages.put(t.LogPage, t)
+	t.Log.Commit = seq
+	s.pages.take(t.Log.Page)
+	t.Log.Page = w.page
+	s.pages.put(t.Log.Page, t)
 	if w.state == taskstate.StateDone {
 		t.DoneDurable = true
 	}
--- a/internal/shard/pages.go
+++ b/internal/shard/pages.go
@@ -98,7 +98,7 @@
 		}
 		tasks := make([]*taskstate.Task, 0, g.live)
 		for _, t := range g.tasks {
-			if t.LogPage == n {
+			if t.Log.Page == n {
 				tasks = append(tasks, t)
 			}
 		}
--- a/internal/shard/pages_test.go
+++ b/internal/shard/pages_test.go
@@ -17,7 +17,7 @@
 		p := pages{stamp: func(int) uint64 { return 0 }}
 		tasks := make([]*taskstate.Task, rapid.IntRange(1, 40).Draw(t, "tasks"))
 		for i := range tasks {
-			tasks[i] = &taskstate.Task{Index: i, LogPage: -1}
+			tasks[i] = &taskstate.Task{Index: i, Log: taskstate.LogPosition{Page: -1}}
 		}
 		type flight struct {
 			seq   uint64
@@ -60,13 +60,13 @@
 				flights = append(flights[:i:i], flights[i+1:]...)
 				p.written(f.page, f.seq)
 				for _, k := range f.tasks {
-					if f.seq < k.LoggedCommit {
+					if f.seq < k.Log.Commit {
 						continue
 					}
-					k.LoggedCommit = f.seq
-					p.take(k.LogPage)
-					k.LogPage = f.page[0]
-					p.put(k.LogPage, k)
+					k.Log.Commit = f.seq
+					p.take(k.Log.Page)
+					k.Log.Page = f.page[0]
+					p.put(k.Log.Page, k)
 				}
 			}
 			for _, k := range tasks {
--- a/internal/shard/state_test.go
+++ b/internal/shard/state_test.go
@@ -40,7 +40,7 @@
 	o.tasks.PlacementDurable = func(*taskstate.Task) {}
 	o.tasks.RecordsLoaded = func() {}
 	catalog.JobChanged = o.tasks.JobChanged
-	o.store.RecordAdded = o.tasks.RecordAdded
+	o.store.Observe(o.tasks)
 	o.leases.LeadershipAcquired = func(uint64) {}
 	o.leases.LeadershipLost = func() {}
 	o.leases.ShardAcquired = func(_ int, token uint64) {
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -151,7 +151,7 @@
 	c := taskstate.LoadRecord(j, r)
 	s.chunks[c.Key] = c
 	for _, t := range c.Tasks {
-		s.pages.put(t.LogPage, t)
+		s.pages.put(t.Log.Page, t)
 	}
 	return c
 }
@@ -199,7 +199,7 @@
 		if t.State != taskstate.StateDone {
 			t.State = taskstate.StateDropped
 		}
-		s.pages.take(t.LogPage)
+		s.pages.take(t.Log.Page)
 		if c.Job.Tasks[t.Index] == t {
 			delete(c.Job.Tasks, t.Index)
 		}
@@ -243,7 +243,7 @@
 
 // TaskStatusChanged takes note of a task of another block: one of a divided gang that is
 // done means that all are.
-func (s *TaskStore) TaskStatusChanged(r *taskstate.Record, k int) {
+func (s *TaskStore) TaskStatusChanged(r *taskstate.Record, k int, _ taskstate.TaskStatus) {
 	if !s.loaded || r.Shard == s.block || r.Statuses[k].State != taskstate.StateDone {
 		return
 	}
@@ -305,8 +305,8 @@
 	if len(s.dirty) == 0 {
 		s.since = s.rt.Now()
 	}
-	if !t.Dirty {
-		t.Dirty = true
+	if !t.Log.Dirty {
+		t.Log.Dirty = true
 		s.dirty = append(s.dirty, t)
 	}
 	s.urgent = s.urgent || urgent
--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -16,8 +16,8 @@
 	Started bool
 	// AttemptOver: the attempt comes to nothing; nothing of it is launched any more, and
 	// the next one waits until each of its tasks is proven gone. Since: from then.
-	AttemptOver bool
-	OverSince   time.Duration
+	AttemptOver      bool
+	AttemptOverSince time.Duration
 	// Checkpointing: it is over because it was told to save.
 	Checkpointing bool
 	// StartInDoubtSince is since when a task is gone without it being known whether the gang
@@ -45,18 +45,18 @@
 	return t.Attempt / tuning.GangAttemptStride
 }
 
-// advance gives a task that is to be placed its next number.
-func (t *Task) advance() {
+// beginAttempt gives a task that is to be placed its next attempt.
+func (t *Task) beginAttempt() {
 	g := t.Job.Gang
 	if g == nil {
 		t.Attempt++
 		return
 	}
 	if g.Attempt == 0 {
-		g.Attempt = t.Job.nextTry()
+		g.Attempt = t.Job.nextAttempt()
 	}
 	if first := g.Attempt * tuning.GangAttemptStride; t.Attempt < first {
-		t.Attempt, t.TriedWorkers, t.TriedWorkersIncomplete = first, nil, false
+		t.Attempt, t.Tried.Workers, t.Tried.Incomplete = first, nil, false
 	} else {
 		t.Attempt++
 	}
@@ -64,7 +64,7 @@
 
 // nextTry is a number that no attempt of the gang has had: the one that the
 // leader has chosen for the parts of a divided gang, or the next.
-func (j *Job) nextTry() uint64 {
+func (j *Job) nextAttempt() uint64 {
 	var next uint64
 	for _, c := range j.Groups {
 		if c.GangAttempt > 0 && c.OpenTasks > 0 {
@@ -84,7 +84,7 @@
 // of them it would be taken for the lost one.
 func (t *Task) Replaceable() bool {
 	first := t.Job.Gang.Attempt * tuning.GangAttemptStride
-	return t.Attempt < first || (!t.TriedWorkersIncomplete && t.Attempt+1 < first+tuning.GangAttemptStride)
+	return t.Attempt < first || (!t.Tried.Incomplete && t.Attempt+1 < first+tuning.GangAttemptStride)
 }
 
 // IsComplete tells whether the block has all of the gang's tasks, or of the part of
@@ -149,7 +149,7 @@
 // the placements of all are durable, so that none is on a machine without it
 // being known where the others go.
 func (t *Task) Launchable() bool {
-	if !t.PlacementDurable || t.LaunchSent || t.Job.Cancelled {
+	if !t.PlacementDurable || t.Launch.Sent || t.Job.Cancelled {
 		return false
 	}
 	g := t.Job.Gang
@@ -167,17 +167,6 @@
 	return true
 }
 
-// PlaceOn gives a waiting task to a machine; nothing is launched yet.
-func (t *Task) PlaceOn(host string) {
-	t.State, t.WorkerID = StatePlaced, host
-	t.Job.HasPlacedTask = true
-	t.advance()
-	if t.Job.Gang != nil {
-		t.TriedWorkers = append(t.TriedWorkers, host)
-	}
-	t.PlacementDurable, t.LaunchSent, t.LaunchInFlight, t.LaunchInDoubt, t.Reported, t.Running, t.HasImage, t.HasRun, t.HaltDecided, t.HaltSent = false, false, false, false, false, false, false, false, false, false
-}
-
 // RecoverGang works out what an earlier owner, or an earlier token, has left of the
 // gang. now is the time from which reports count.
 func (j *Job) RecoverGang(now time.Duration) {
@@ -195,9 +184,9 @@
 	for _, t := range j.Tasks {
 		switch {
 		case t.State == StatePlaced:
-			g.Started = g.Started || t.HasRun
-			t.TriedWorkers = []string{t.WorkerID}
-			t.TriedWorkersIncomplete = t.Attempt%tuning.GangAttemptStride > 0
+			g.Started = g.Started || t.Observed.HasRun
+			t.Tried.Workers = []string{t.WorkerID}
+			t.Tried.Incomplete = t.Attempt%tuning.GangAttemptStride > 0
 			if t.WireAttempt() != g.Attempt {
 				g.end(now) // of a version that took gangs for arrays
 			}
@@ -214,7 +203,7 @@
 
 func (g *Gang) end(now time.Duration) {
 	if !g.AttemptOver {
-		g.AttemptOver, g.OverSince = true, now
+		g.AttemptOver, g.AttemptOverSince = true, now
 	}
 }
 
@@ -295,7 +284,7 @@
 	case !g.Started:
 		wait = 0
 	}
-	return now-g.OverSince >= wait
+	return now-g.AttemptOverSince >= wait
 }
 
 // EndAttempt winds the present attempt up.
--- a/internal/taskstate/gang_test.go
+++ b/internal/taskstate/gang_test.go
@@ -44,14 +44,14 @@
 		last := make([]TaskStatus, n)
 		hosts := 0
 		commit := func(k *Task) {
-			m := TaskStatus{State: k.State, Attempt: k.Attempt, WorkerID: k.WorkerID, Running: k.HasRun}
+			m := TaskStatus{State: k.State, Attempt: k.Attempt, WorkerID: k.WorkerID, Running: k.Observed.HasRun}
 			if k.State != StatePlaced {
 				m.WorkerID, m.Running = "", false
 			}
 			if m == last[k.Index] {
 				return
 			}
-			if !m.after(last[k.Index]) {
+			if !m.supersedes(last[k.Index]) {
 				t.Fatalf("%+v does not supersede %+v", m, last[k.Index])
 			}
 			last[k.Index] = m
@@ -65,7 +65,7 @@
 			}
 		}
 		lose := func(k *Task, how Loss) {
-			k.State, k.WorkerID, k.HasRun = StateWaiting, "", false
+			k.State, k.WorkerID, k.Observed.HasRun = StateWaiting, "", false
 			j.TaskGone(k, how, now)
 			commit(k)
 		}
@@ -90,7 +90,7 @@
 					}
 					// Machines are few, so that the same one is chosen again.
 					host := fmt.Sprintf("vm-%d", rapid.IntRange(0, 3).Draw(t, "host"))
-					for _, h := range k.TriedWorkers {
+					for _, h := range k.Tried.Workers {
 						if h == host && k.Attempt >= j.Gang.Attempt<<10 && j.Gang.Attempt > 0 {
 							hosts++
 							host = fmt.Sprintf("vm-new-%d", hosts)
@@ -114,7 +114,7 @@
 				if rapid.Bool().Draw(t, "seen") {
 					j.ReportedRunning(now)
 					for _, k := range on {
-						k.HasRun = true
+						k.Observed.HasRun = true
 						commit(k)
 					}
 				}
--- a/internal/taskstate/page.go
+++ b/internal/taskstate/page.go
@@ -91,7 +91,7 @@
 				to = &runsOf{}
 				cost = len(t.WorkerID) + 8
 			}
-			if t.HasRun {
+			if t.Observed.HasRun {
 				cost += len(t.WorkerID) + 8 + runBytes
 			}
 		case StateReturned, StateDropped:
@@ -107,7 +107,7 @@
 		}
 		if t.State == StatePlaced {
 			placed[t.WorkerID] = to
-			if t.HasRun {
+			if t.Observed.HasRun {
 				if running[t.WorkerID] == nil {
 					running[t.WorkerID] = &runsOf{}
 				}
--- a/internal/taskstate/record.go
+++ b/internal/taskstate/record.go
@@ -80,7 +80,7 @@
 // record. Marks only go forward: attempts grow, within an attempt a task is
 // first placed, of a gang then seen running, then off its machine, then given
 // back; done is the end. So the order in which pages are read does not matter, nor does reading one twice.
-func (m TaskStatus) after(o TaskStatus) bool {
+func (m TaskStatus) supersedes(o TaskStatus) bool {
 	switch {
 	case o.State == StateDone:
 		return false
@@ -129,7 +129,7 @@
 
 // MarkAllDone makes it a record of tasks that are proven done already: those of a
 // gang, one of whose tasks is.
-func (r *Record) MarkAllDone() {
+func (r *Record) SetAllDone() {
 	for i := range r.Statuses {
 		r.Statuses[i] = TaskStatus{State: StateDone}
 	}
@@ -189,7 +189,7 @@
 }
 
 // Decode reads a record.
-func Decode(key string, value json.RawMessage, stamp uint64) (*Record, error) {
+func DecodeRecord(key string, value json.RawMessage, stamp uint64) (*Record, error) {
 	block, job, number, err := parseKey(key)
 	if err == nil && job == logName {
 		err = fmt.Errorf("not a work record: %q", key)
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -9,14 +9,22 @@
 	"lemonmoor/internal/statestore"
 )
 
+// Observer is told of changes to the records and of the status of their tasks, in the order
+// in which the copy takes them in.
+type Observer interface {
+	// RecordAdded tells of a new record.
+	RecordAdded(record *Record)
+	// RecordRemoved tells of a record that is no longer there.
+	RecordRemoved(record *Record)
+	// TaskStatusChanged tells that the status of the task at a position of a record was
+	// another one before.
+	TaskStatusChanged(record *Record, position int, previous TaskStatus)
+}
+
 // Store is every node's copy of all records and of what the pages say of their
 // tasks, fed by a watch.
 type Store struct {
-	// RecordAdded and Removed tell of records, Moved of a task of one that was
-	// marked otherwise before.
-	RecordAdded       func(*Record)
-	RecordRemoved     func(*Record)
-	TaskStatusChanged func(r *Record, position int, was TaskStatus)
+	observers []Observer
 
 	mirror  *statestore.Mirror
 	records map[string]*Record
@@ -32,7 +40,6 @@
 // NewStore returns an empty store.
 func NewStore(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Store {
 	s := &Store{
-		RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
 		records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{},
 		pages: map[string]uint64{}, log: log,
 	}
@@ -54,6 +61,9 @@
 	return s
 }
 
+// Observe has an observer told of changes, after those that were registered before it.
+func (s *Store) Observe(observer Observer) { s.observers = append(s.observers, observer) }
+
 // SetWatchPause sets how long to rest between changes.
 func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.WatchPause = pause }
 
@@ -88,14 +98,16 @@
 				delete(s.byJob, old.Job)
 				delete(s.sums, old.Job)
 			}
-			s.RecordRemoved(old)
+			for _, observer := range s.observers {
+				observer.RecordRemoved(old)
+			}
 		}
 		return
 	}
 	if old != nil {
 		return // records are written once; it was read before
 	}
-	r, err := Decode(key, value, stamp)
+	r, err := DecodeRecord(key, value, stamp)
 	if err != nil {
 		s.log.Error("work record does not parse", "err", err)
 		return
@@ -108,7 +120,9 @@
 	for _, m := range r.Statuses {
 		s.count(job, m, 1)
 	}
-	s.RecordAdded(r)
+	for _, observer := range s.observers {
+		observer.RecordAdded(r)
+	}
 }
 
 // read takes a page in. Words on records that are gone mean nothing any more.
@@ -130,11 +144,13 @@
 		switch {
 		case m == was || (m.State == StateDone && was.State == StateDone):
 			r.LogPages[k] = int32(page) // copied from a page that is to be written over
-		case m.after(was):
+		case m.supersedes(was):
 			r.Statuses[k], r.LogPages[k] = m, int32(page)
 			s.count(job, was, -1)
 			s.count(job, m, 1)
-			s.TaskStatusChanged(r, k, was)
+			for _, observer := range s.observers {
+				observer.TaskStatusChanged(r, k, was)
+			}
 		}
 	})
 	if err != nil {
@@ -161,7 +177,7 @@
 
 // RunningTasks tells how many tasks of a gang run: placed ones may still wait for
 // each other.
-func (s *Store) RunningTasks(job string) int {
+func (s *Store) RunningGangTasks(job string) int {
 	if n := s.sums[job]; n != nil {
 		return n.running
 	}
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -7,85 +7,182 @@
 	"lemonmoor/internal/jobs"
 )
 
-// State of a task, for the block's owner.
+// State is where a task stands, as far as the owner of its shard is concerned.
 type State uint8
 
 const (
-	// StateWaiting: on no machine.
+	// StateWaiting is the state of a task that is on no machine and is to run.
 	StateWaiting State = iota
-	// StatePlaced: given to a machine, or may still be on one.
+	// StatePlaced is the state of a task that was given to a machine, and of one that
+	// may still be on it: only a proof ends it.
 	StatePlaced
-	// StateDone: completed.
+	// StateDone is the state of a completed task. It is final.
 	StateDone
-	// StateDropped: will not run here, and is on no machine.
+	// StateDropped is the state of a task that will not run in this shard and is on no
+	// machine: its job is cancelled, or its record is gone.
 	StateDropped
-	// StateReturned to the leader, and on no machine.
+	// StateReturned is the state of a task that was given back to the leader and is on no
+	// machine. The task may come back in a later record.
 	StateReturned
 )
 
-// Task is one task that has been handed to a block.
+// String returns the state's name for logs and tests.
+func (s State) String() string {
+	switch s {
+	case StateWaiting:
+		return "waiting"
+	case StatePlaced:
+		return "placed"
+	case StateDone:
+		return "done"
+	case StateDropped:
+		return "dropped"
+	case StateReturned:
+		return "returned"
+	}
+	return "state " + strconv.Itoa(int(s))
+}
+
+// Task is one task that has been handed to a shard. The shard's owner holds it; it is used
+// within the owner's event loop only.
 type Task struct {
 	Job   *Job
 	Group *TaskGroup
 	Index int
 	State State
-	// LogPage of the log that tells of it, -1 for none; Dirty: it has changed since.
-	LogPage      int
-	Dirty        bool
-	LoggedCommit uint64 // the newest commit that has told of it
-	// Attempt is the last one used; attempts are never used twice. See Try.
+	// Zone was fixed when the task was handed out; "" for any.
+	Zone string
+
+	// Attempt is the last attempt used; attempts are never used twice. Workers know it
+	// as WireAttempt.
 	Attempt uint64
-	// WorkerID is the machine that has, or may have, the task while it is Placed.
+	// WorkerID names the worker that has, or may have, the task while it is placed.
 	WorkerID string
-
-	// PlacedAt is when the task was placed: its launch needs a later proof that its job
-	// is not cancelled. Halted is when it was last ordered to end because it is.
-	PlacedAt, CancelHaltSentAt time.Duration
-
-	// PlacementDurable: the placement is committed, so the launch may be sent.
+	// PlacedAt is when the task was placed: its launch needs a proof, later than that,
+	// that its job is not cancelled.
+	PlacedAt time.Duration
+	// PlacementDurable is set once the placement is committed, so that the launch may be
+	// sent.
 	PlacementDurable bool
-	// DoneDurable: the completion is committed, so the machine may forget it.
+	// DoneDurable is set once the completion is committed, so that the worker may forget
+	// the task.
 	DoneDurable bool
-	// LaunchSent: a launch has left, or may have left under an earlier token. Each
-	// launch leaves in exactly one message.
-	LaunchSent bool
-	// LaunchInFlight: that message is a direct order not answered yet.
-	LaunchInFlight bool
-	// LaunchInDoubt: it is a direct order that got no answer. It may be carried out
-	// any time until the worker has seen a higher token.
-	LaunchInDoubt bool
-	// A report that does not list the task proves it gone only at GoneMinToken
-	// or higher and, within the session Session, after Sequence.
-	GoneMinToken, GoneSession, GoneAfterSequence uint64
-	// Reported: listed in a report.
-	Reported        bool
-	Running         bool
-	HasImage        bool          // it has its image: it runs, or waits for its gang
-	HasRun          bool          // of a gang: seen running under this attempt; stored
-	RunningSince    time.Duration // when it was first seen running
-	HaltDecided     bool          // a halt has been decided
+
+	Launch   Launch
+	Gone     GoneProof
+	Observed Observation
+	Halt     Halt
+	Tried    TriedWorkers
+	Queue    QueueEntry
+	Log      LogPosition
+}
+
+// Launch is what is known of the launch command of a placed task. The command leaves in
+// exactly one message, so that it cannot be carried out twice.
+type Launch struct {
+	// Sent is set when the command has left, or may have left under an earlier token.
+	Sent bool
+	// InFlight is set while the command is in a direct message that is not answered yet.
+	InFlight bool
+	// InDoubt is set when that direct message got no answer. The worker may carry it out
+	// any time until it has seen a higher token.
+	InDoubt bool
+}
+
+// GoneProof tells which heartbeats prove a placed task gone from its worker by not listing
+// it: those that show MinToken or a higher token and, if Session is set, are of that
+// session and later than AfterSequence. A heartbeat of a later session than Session proves
+// it too.
+type GoneProof struct {
+	MinToken, Session, AfterSequence uint64
+}
+
+// Observation is what heartbeats have shown of a placed task.
+type Observation struct {
+	// Reported is set once a heartbeat has listed the task.
+	Reported bool
+	// Running is set once the task was seen running, RunningSince is when.
+	Running      bool
+	RunningSince time.Duration
+	// HasImage is set once the task has its image: it runs, or waits for its gang.
+	HasImage bool
+	// HasRun is set once a gang's task was seen running under the present attempt. It is
+	// stored in the log.
+	HasRun bool
+}
+
+// Halt is what is known of the commands to end a placed task.
+type Halt struct {
+	// Decided is set when the task is to be halted, with WindDownSeconds to save its
+	// progress.
+	Decided         bool
 	WindDownSeconds float64
-	HaltSent        bool // a direct message with the halt has left
+	// Sent is set when a direct message with the command has left.
+	Sent bool
+	// CancelSentAt is when the worker was last told to end the task because its job is
+	// cancelled.
+	CancelSentAt time.Duration
+}
 
-	// Of a gang: the machines that have had the task within the attempt, and
-	// whether there are others, not known any more.
-	TriedWorkers           []string
-	TriedWorkersIncomplete bool
+// TriedWorkers lists the workers that have had a gang's task within the present attempt.
+// None of them may get it again under that attempt: it would be taken for the lost one.
+type TriedWorkers struct {
+	Workers []string
+	// Incomplete is set when there are others that are not known any more.
+	Incomplete bool
+}
 
-	// For the queues.
+// QueueEntry is what the planner's queues keep with a waiting task.
+type QueueEntry struct {
 	Queued      bool
 	EnqueuedAt  time.Duration
 	NotBefore   time.Duration
-	AvoidWorker string // a machine that failed it
-	Zone        string // fixed at hand-out, "" for any
+	AvoidWorker string // a worker on which the task has failed; "" for none
 }
 
-// Name names a task on the wire.
+// LogPosition tells where the shard's log holds the status of a task.
+type LogPosition struct {
+	// Page is the log page that holds the newest committed status, -1 for none.
+	Page int
+	// Dirty is set when the task has changed since it was last written.
+	Dirty bool
+	// Commit is the number of the newest commit that has written the task's status.
+	Commit uint64
+}
+
+// Name returns the name by which workers know the task: JOB/INDEX.
 func (t *Task) Name() string { return t.Job.Spec.ID + "/" + strconv.Itoa(t.Index) }
 
-// Halt decides that the task is to be halted, with so many seconds to save.
-func (t *Task) Halt(windDown float64) {
-	t.HaltDecided, t.WindDownSeconds, t.HaltSent = true, windDown, false
+// PlaceOn gives a waiting task to a worker; nothing is launched yet.
+func (t *Task) PlaceOn(workerID string) {
+	t.State, t.WorkerID = StatePlaced, workerID
+	t.Job.HasPlacedTask = true
+	t.beginAttempt()
+	if t.Job.Gang != nil {
+		t.Tried.Workers = append(t.Tried.Workers, workerID)
+	}
+	t.clearPlacement()
+	t.Observed.Running, t.Observed.HasImage = false, false
+}
+
+// TakeOffWorker makes a placed task wait again. It must have been proven gone from its
+// worker.
+func (t *Task) TakeOffWorker() {
+	t.State, t.WorkerID = StateWaiting, ""
+	t.clearPlacement()
+}
+
+// clearPlacement forgets what was known of a placement.
+func (t *Task) clearPlacement() {
+	t.PlacementDurable, t.Launch = false, Launch{}
+	t.Observed.Reported, t.Observed.HasRun = false, false
+	t.Halt.Decided, t.Halt.Sent = false, false
+}
+
+// DecideHalt decides that the task is to be halted, with so many seconds to save its
+// progress.
+func (t *Task) DecideHalt(windDownSeconds float64) {
+	t.Halt.Decided, t.Halt.WindDownSeconds, t.Halt.Sent = true, windDownSeconds, false
 }
 
 // Job is a job of which a block has tasks.
@@ -145,13 +242,13 @@
 	for k, i := range r.TaskIndexes {
 		m := r.Statuses[k]
 		t := &tasks[k]
-		*t = Task{Job: j, Group: c, Index: i, State: m.State, Attempt: m.Attempt, WorkerID: m.WorkerID, HasRun: m.Running, LogPage: int(r.LogPages[k]), Zone: ZoneOf(r.Zones, i)}
+		*t = Task{Job: j, Group: c, Index: i, State: m.State, Attempt: m.Attempt, WorkerID: m.WorkerID, Observed: Observation{HasRun: m.Running}, Log: LogPosition{Page: int(r.LogPages[k])}, Zone: ZoneOf(r.Zones, i)}
 		j.HasPlacedTask = j.HasPlacedTask || m.Attempt > 0 || m.State == StateDone
 		switch m.State {
 		case StateDone:
 			t.DoneDurable = true
 		case StatePlaced:
-			t.PlacementDurable, t.LaunchSent = true, true
+			t.PlacementDurable, t.Launch.Sent = true, true
 		}
 		if m.State == StateWaiting || m.State == StatePlaced {
 			c.OpenTasks++
--- a/internal/taskstate/wire_test.go
+++ b/internal/taskstate/wire_test.go
@@ -41,7 +41,7 @@
 	wiretest.Written(t, storedRecord{}, `{"i":""}`)
 
 	const text = `{"i":"0-3,7","w":"1@2,3,7@9","z":["yard-a","yard-b"],"g":3,"n":4,"d":"2"}`
-	r, err := Decode("work/5/wk-000412/6", []byte(text), 8)
+	r, err := DecodeRecord("work/5/wk-000412/6", []byte(text), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	job := &Job{Spec: &jobs.Spec{ID: "wk-000412", Shape: "gang", Tasks: 7}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 	chunk := LoadRecord(job, NewRecord(5, "wk-000412", 6, []int{0, 1, 2, 3, 4, 5, 6}, nil, nil))
 	for i, task := range chunk.Tasks {
-		task.State, task.Attempt, task.WorkerID, task.HasRun = want[i].State, want[i].Attempt, want[i].WorkerID, i == 2
+		task.State, task.Attempt, task.WorkerID, task.Observed.HasRun = want[i].State, want[i].Attempt, want[i].WorkerID, i == 2
 	}
 	pages, _, rest, err := PackPages(chunk.Tasks, 8000, 3)
 	if err != nil || len(rest) > 0 || len(pages) != 1 || string(pages[0]) != text {
--- a/internal/taskstate/work_test.go
+++ b/internal/taskstate/work_test.go
@@ -34,7 +34,7 @@
 		if len(raw) > 8<<10 {
 			t.Fatalf("%d bytes", len(raw))
 		}
-		back, err := Decode(r.Key, raw, 7)
+		back, err := DecodeRecord(r.Key, raw, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,7 +47,7 @@
 // TestFirstVersionsRecords: the first version kept the tasks' states in the
 // records; they are read as they were meant.
 func TestFirstVersionsRecords(t *testing.T) {
-	r, err := Decode("work/0/wk-1/0", []byte(`{"i":"0-5","d":"0","r":"1","p":{"2":{"h":"vm-1","t":4}},"a":{"1":3,"5":2}}`), 1)
+	r, err := DecodeRecord("work/0/wk-1/0", []byte(`{"i":"0-5","d":"0","r":"1","p":{"2":{"h":"vm-1","t":4}},"a":{"1":3,"5":2}}`), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,12 +63,12 @@
 		`{`, `{}`, `{"i":""}`, `{"i":"3-1"}`, `{"i":"0-2000"}`, `{"i":"1,1"}`, `{"i":"0-3","d":"4"}`,
 		`{"i":"0-3","p":{"9":{"h":"vm-1","t":1}}}`, `{"i":"0-3","a":{"x":1}}`, `{"i":"100000"}`, `{"i":"0","w":"0@x"}`,
 	} {
-		if r, err := Decode("work/0/wk-1/0", []byte(bad), 1); err == nil {
+		if r, err := DecodeRecord("work/0/wk-1/0", []byte(bad), 1); err == nil {
 			t.Errorf("%s gave %+v", bad, r)
 		}
 	}
 	for _, key := range []string{"work/0/wk-1", "work/x/wk-1/0", "work/0/nojob/0", "work/0/wk-1/-1", "work/0/log/1"} {
-		if _, err := Decode(key, []byte(`{"i":"0"}`), 1); err == nil {
+		if _, err := DecodeRecord(key, []byte(`{"i":"0"}`), 1); err == nil {
 			t.Errorf("key %q was taken", key)
 		}
 	}
@@ -86,7 +86,6 @@
 func TestLogTellsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &Store{
-			RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
 			records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{}, pages: map[string]uint64{}, log: slog.New(slog.DiscardHandler),
 		}
 		var tasks []*Task
--- a/internal/workers/cancel.go
+++ b/internal/workers/cancel.go
@@ -11,8 +11,8 @@
 func (t *Registry) halts(h *Worker, orders []Command) []Command {
 	now := t.rt.Now()
 	for k := range h.Tasks {
-		if k.Job.Cancelled && k.LaunchSent && len(orders) < tuning.MaxCommandsPerMessage {
-			k.CancelHaltSentAt = now
+		if k.Job.Cancelled && k.Launch.Sent && len(orders) < tuning.MaxCommandsPerMessage {
+			k.Halt.CancelSentAt = now
 			orders = append(orders, halt(k.Name(), k.WireAttempt(), 0))
 		}
 	}
@@ -41,7 +41,7 @@
 		return cancelled && age >= t.set.MaxKnowledgeAge()
 	}
 	for k := range h.Tasks {
-		if k.Job.Cancelled && k.LaunchSent && old(k.Job.Spec.ID) {
+		if k.Job.Cancelled && k.Launch.Sent && old(k.Job.Spec.ID) {
 			return true
 		}
 	}
--- a/internal/workers/drain.go
+++ b/internal/workers/drain.go
@@ -21,10 +21,10 @@
 // save. The machine is told at once, and with each report until the task is gone.
 func (t *Registry) HaltTask(k *taskstate.Task) {
 	h := t.hosts[k.WorkerID]
-	if h == nil || k.HaltDecided {
+	if h == nil || k.Halt.Decided {
 		return
 	}
-	k.Halt(k.Job.Spec.CheckpointSeconds)
+	k.DecideHalt(k.Job.Spec.CheckpointSeconds)
 	t.ready[h] = true
 	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", OperatorDrain)
 }
@@ -40,8 +40,8 @@
 	}
 	j.EndAttempt(now)
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.WorkerID]; h != nil && k.State == taskstate.StatePlaced && k.LaunchSent {
-			k.Halt(0)
+		if h := t.hosts[k.WorkerID]; h != nil && k.State == taskstate.StatePlaced && k.Launch.Sent {
+			k.DecideHalt(0)
 			t.ready[h] = true
 		}
 	}
--- a/internal/workers/gang.go
+++ b/internal/workers/gang.go
@@ -49,8 +49,8 @@
 				"age_s", float64(t.rt.WallClock().UnixMilli()-j.SubmittedMS)/1000)
 		}
 		j.ReportedRunning(now)
-		if !k.HasRun {
-			k.HasRun = true
+		if !k.Observed.HasRun {
+			k.Observed.HasRun = true
 			t.tasks.TaskChanged(k, false) // for those who ask whether it runs
 		}
 	case "waiting", "fetching":
@@ -73,7 +73,7 @@
 		switch {
 		case k.State == taskstate.StateWaiting:
 			t.tasks.TaskDone(k)
-		case k.State == taskstate.StatePlaced && !k.LaunchSent && h != nil && h.Tasks[k]:
+		case k.State == taskstate.StatePlaced && !k.Launch.Sent && h != nil && h.Tasks[k]:
 			t.proveGone(h, k, taskstate.LossBeforeWaiting)
 		}
 	}
@@ -85,8 +85,8 @@
 		return
 	}
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.WorkerID]; k.State == taskstate.StatePlaced && k.LaunchSent && h != nil && !(k.HaltDecided && k.WindDownSeconds == 0) {
-			k.Halt(0)
+		if h := t.hosts[k.WorkerID]; k.State == taskstate.StatePlaced && k.Launch.Sent && h != nil && !(k.Halt.Decided && k.Halt.WindDownSeconds == 0) {
+			k.DecideHalt(0)
 			t.ready[h] = true
 		}
 	}
@@ -120,8 +120,8 @@
 			continue
 		}
 		if !g.Started {
-			if k.Reported && !k.HaltDecided {
-				k.Halt(0)
+			if k.Observed.Reported && !k.Halt.Decided {
+				k.DecideHalt(0)
 				t.ready[h] = true
 			}
 			continue
@@ -142,7 +142,7 @@
 	j.Gang.Checkpointing = true
 	for _, o := range j.Tasks {
 		if h := t.hosts[o.WorkerID]; o.State == taskstate.StatePlaced && h != nil {
-			o.Halt(j.Spec.CheckpointSeconds)
+			o.DecideHalt(j.Spec.CheckpointSeconds)
 			t.ready[h] = true
 		}
 	}
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -52,7 +52,7 @@
 	}
 	attempts := make([]uint64, len(carried))
 	for i, k := range carried {
-		k.LaunchSent, k.LaunchInFlight, k.GoneSession, k.GoneAfterSequence = true, true, h.Session, h.Sequence
+		k.Launch.Sent, k.Launch.InFlight, k.Gone.Session, k.Gone.AfterSequence = true, true, h.Session, h.Sequence
 		attempts[i] = k.Attempt
 	}
 	h.orderInFlight = true
@@ -66,8 +66,8 @@
 			t.ready[h] = true
 			mine := carried[:0:0]
 			for i, k := range carried {
-				if h.Tasks[k] && k.Attempt == attempts[i] && k.LaunchInFlight {
-					k.LaunchInFlight = false
+				if h.Tasks[k] && k.Attempt == attempts[i] && k.Launch.InFlight {
+					k.Launch.InFlight = false
 					mine = append(mine, k)
 				}
 			}
@@ -100,13 +100,13 @@
 // message. Repeated or late, a halt does no harm: it names the attempt.
 func (t *Registry) addHalts(h *Worker, msg *CommandMessage) {
 	for k := range h.Tasks {
-		if k.HaltDecided && k.Reported && !k.HaltSent && len(msg.Commands) < tuning.MaxCommandsPerMessage {
-			k.HaltSent = true // if this is lost, the next report's answer has it
-			msg.Commands = append(msg.Commands, halt(k.Name(), k.WireAttempt(), k.WindDownSeconds))
+		if k.Halt.Decided && k.Observed.Reported && !k.Halt.Sent && len(msg.Commands) < tuning.MaxCommandsPerMessage {
+			k.Halt.Sent = true // if this is lost, the next report's answer has it
+			msg.Commands = append(msg.Commands, halt(k.Name(), k.WireAttempt(), k.Halt.WindDownSeconds))
 		}
 	}
 	for k := range h.Tasks {
-		if k.Job.Cancelled && k.LaunchSent && t.rt.Now()-k.CancelHaltSentAt >= tuning.HaltRetryInterval {
+		if k.Job.Cancelled && k.Launch.Sent && t.rt.Now()-k.Halt.CancelSentAt >= tuning.HaltRetryInterval {
 			msg.Commands = t.halts(h, msg.Commands)
 			break
 		}
@@ -125,18 +125,18 @@
 	switch {
 	case err == eventloop.ErrNotSent || (err == nil && ans.Status == 409):
 		for _, k := range carried {
-			k.LaunchSent, k.GoneSession, k.GoneAfterSequence = k.Reported, 0, 0
+			k.Launch.Sent, k.Gone.Session, k.Gone.AfterSequence = k.Observed.Reported, 0, 0
 		}
 	case err == nil && ans.Status == 200 && r != nil:
 		for _, k := range carried {
-			k.GoneSession, k.GoneAfterSequence = r.Session, r.Sequence
+			k.Gone.Session, k.Gone.AfterSequence = r.Session, r.Sequence
 		}
 		if r.Session == h.Session && r.Sequence > h.Sequence && r.Token <= t.lease.Token() {
 			t.read(h, r, false)
 		}
 	default:
 		for _, k := range carried {
-			k.LaunchInDoubt = !k.Reported
+			k.Launch.InDoubt = !k.Observed.Reported
 		}
 	}
 	if err != nil || ans.Status != 200 {
--- a/internal/workers/proofs_test.go
+++ b/internal/workers/proofs_test.go
@@ -136,14 +136,14 @@
 	c.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	b.now += time.Second
 	b.table.HandleHeartbeat(b.report())
-	if k.State != taskstate.StatePlaced || !k.LaunchInDoubt {
-		t.Fatalf("state %v, in doubt %v", k.State, k.LaunchInDoubt)
+	if k.State != taskstate.StatePlaced || !k.Launch.InDoubt {
+		t.Fatalf("state %v, in doubt %v", k.State, k.Launch.InDoubt)
 	}
 	b.deliver(c) // late
 	b.now += time.Second
 	b.table.HandleHeartbeat(b.report())
-	if k.State != taskstate.StatePlaced || !k.Reported {
-		t.Errorf("state %v, seen %v when it runs", k.State, k.Reported)
+	if k.State != taskstate.StatePlaced || !k.Observed.Reported {
+		t.Errorf("state %v, seen %v when it runs", k.State, k.Observed.Reported)
 	}
 }
 
@@ -232,8 +232,8 @@
 				t.Fatal(err)
 			}
 			order.fn(http1.Response{Status: 200, Body: raw}, nil)
-			if h.UnknownTasks > 0 || k.LaunchInDoubt != c.doubt {
-				t.Errorf("tasks not on record: %d, in doubt: %v", h.UnknownTasks, k.LaunchInDoubt)
+			if h.UnknownTasks > 0 || k.Launch.InDoubt != c.doubt {
+				t.Errorf("tasks not on record: %d, in doubt: %v", h.UnknownTasks, k.Launch.InDoubt)
 			}
 		})
 	}
@@ -260,15 +260,15 @@
 	b := newBench(1)
 	h := b.hears(t)
 	k := b.job.Tasks[0]
-	k.State, k.WorkerID, k.Attempt, k.LaunchSent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 2, true, true
+	k.State, k.WorkerID, k.Attempt, k.Launch.Sent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 2, true, true
 	b.table.occupy(h, k)
 	b.worker.tasks[k.Name()] = 1
 	b.now += time.Second
 	_, body := b.table.HandleHeartbeat(b.report())
 	want := halt(k.Name(), 1, 0)
 	o := orders(t, body)
-	if k.Reported || len(o) != 1 || o[0].Verb != want.Verb || o[0].Attempt != 1 {
-		t.Errorf("seen %v, told %+v", k.Reported, o)
+	if k.Observed.Reported || len(o) != 1 || o[0].Verb != want.Verb || o[0].Attempt != 1 {
+		t.Errorf("seen %v, told %+v", k.Observed.Reported, o)
 	}
 	if b.table.AcceptsTasks(h) {
 		t.Error("gets tasks beside one that is not on record")
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -153,7 +153,7 @@
 		for _, c := range j.Groups {
 			for _, k := range c.Tasks {
 				if k.State == taskstate.StatePlaced {
-					k.GoneMinToken, k.LaunchSent = token, true
+					k.Gone.MinToken, k.Launch.Sent = token, true
 					t.occupy(t.host(k.WorkerID), k)
 				}
 			}
@@ -206,7 +206,7 @@
 }
 
 func (t *Registry) occupy(h *Worker, k *taskstate.Task) {
-	if !k.HasImage {
+	if !k.Observed.HasImage {
 		h.FetchingTasks++
 	}
 	h.AddTask(k)
@@ -220,10 +220,10 @@
 	if len(h.Tasks) == 0 {
 		h.IdleSince = t.rt.Now()
 	}
-	if !k.HasImage {
+	if !k.Observed.HasImage {
 		h.FetchingTasks--
 	}
-	k.Running, k.HasImage = false, false
+	k.Observed.Running, k.Observed.HasImage = false, false
 }
 
 // Place gives a waiting task to a machine. The launch leaves once the
@@ -235,7 +235,7 @@
 	k.PlaceOn(h.ID)
 	k.PlacedAt = t.rt.Now()
 	t.lease.CancellationsVerifiedSince(k.PlacedAt) // the proof comes while the placement is committed
-	k.GoneMinToken, k.GoneSession, k.GoneAfterSequence = t.lease.Token(), 0, 0
+	k.Gone.MinToken, k.Gone.Session, k.Gone.AfterSequence = t.lease.Token(), 0, 0
 	t.occupy(h, k)
 	t.tasks.TaskChanged(k, true)
 }
@@ -263,8 +263,7 @@
 // matters for a gang.
 func (t *Registry) proveGone(h *Worker, k *taskstate.Task, how taskstate.Loss) {
 	t.vacate(h, k)
-	k.State, k.WorkerID = taskstate.StateWaiting, ""
-	k.PlacementDurable, k.LaunchSent, k.LaunchInFlight, k.LaunchInDoubt, k.Reported, k.HaltDecided, k.HaltSent, k.HasRun = false, false, false, false, false, false, false, false
+	k.TakeOffWorker()
 	if k.Job.Cancelled {
 		t.tasks.DropTask(k)
 		return
@@ -312,8 +311,8 @@
 			}
 		}
 		for k := range h.Tasks {
-			if k.LaunchSent {
-				if k.Job.Cancelled && now-k.CancelHaltSentAt >= tuning.HaltRetryInterval {
+			if k.Launch.Sent {
+				if k.Job.Cancelled && now-k.Halt.CancelSentAt >= tuning.HaltRetryInterval {
 					t.Announce(h.ID, h.Addr) // if it has not seen the token
 					t.ready[h] = true
 				}
@@ -346,10 +345,10 @@
 	d := k.Job.Spec
 	saves := d.CheckpointIntervalSeconds > 0 && h.SpotNoticeAt > 0 &&
 		now > h.SpotNoticeAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
-	if h.DrainReason == "" || k.HaltDecided || !k.Running || k.Job.Gang != nil || (!d.IsService() && !saves) {
+	if h.DrainReason == "" || k.Halt.Decided || !k.Observed.Running || k.Job.Gang != nil || (!d.IsService() && !saves) {
 		return
 	}
-	k.Halt(d.CheckpointSeconds)
+	k.DecideHalt(d.CheckpointSeconds)
 	t.ready[h] = true
 	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", h.DrainReason)
 }
--- a/internal/workers/registry_test.go
+++ b/internal/workers/registry_test.go
@@ -269,7 +269,7 @@
 				b.table.Tick()
 			case 8: // another term: the records say what is placed
 				for _, k := range b.job.Tasks {
-					k.LaunchInFlight, k.LaunchInDoubt, k.GoneSession, k.GoneAfterSequence, k.Reported = false, false, 0, 0, false
+					k.Launch.InFlight, k.Launch.InDoubt, k.Gone.Session, k.Gone.AfterSequence, k.Observed.Reported = false, false, 0, 0, false
 				}
 				b.term()
 			}
@@ -343,8 +343,8 @@
 		b.table.Tick()
 		b.calls = nil
 		b.table.AfterBatch()
-		if k.HaltDecided != c.moves || len(b.calls) > 0 != c.moves {
-			t.Errorf("%s: stopping %v, %d orders", name, k.HaltDecided, len(b.calls))
+		if k.Halt.Decided != c.moves || len(b.calls) > 0 != c.moves {
+			t.Errorf("%s: stopping %v, %d orders", name, k.Halt.Decided, len(b.calls))
 			continue
 		}
 		if c.moves {
@@ -368,7 +368,7 @@
 	}
 	k := b.job.Tasks[0]
 	b.table.Place(k, b.table.Worker("vm-1"))
-	k.PlacementDurable, k.LaunchSent = true, true
+	k.PlacementDurable, k.Launch.Sent = true, true
 	b.term()
 	h := b.table.Worker("vm-1")
 	end := b.table.leaseEnd(h)
@@ -513,7 +513,7 @@
 	}
 	b.now += time.Second
 	b.table.HandleHeartbeat(b.report()) // which makes the table take a new token
-	k.LaunchInDoubt = false             // which settles it: tasks are read anew
+	k.Launch.InDoubt = false            // which settles it: tasks are read anew
 	b.worker.token = b.token
 	b.table.HandleHeartbeat(b.report())
 	if !b.table.AcceptsTasks(h) {
@@ -611,7 +611,7 @@
 				}
 				if !b.stuck && rapid.IntRange(0, 4).Draw(t, "another term") == 0 {
 					for _, k := range b.job.Tasks {
-						k.LaunchInFlight, k.LaunchInDoubt, k.GoneSession, k.GoneAfterSequence, k.Reported = false, false, 0, 0, false
+						k.Launch.InFlight, k.Launch.InDoubt, k.Gone.Session, k.Gone.AfterSequence, k.Observed.Reported = false, false, 0, 0, false
 					}
 					b.term()
 				}
@@ -630,7 +630,7 @@
 	b := newBench(1)
 	b.earlier = b.now + 12*time.Second
 	k := b.job.Tasks[0]
-	k.State, k.WorkerID, k.Attempt, k.LaunchSent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
+	k.State, k.WorkerID, k.Attempt, k.Launch.Sent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
 	b.worker.tasks[k.Name()] = 1
 	b.table.BeginTerm()
 	copied := b.report()
@@ -655,7 +655,7 @@
 	b.table.HandleHeartbeat(b.report())
 	b.worker.token = b.token
 	k := b.job.Tasks[0]
-	k.State, k.WorkerID, k.Attempt, k.LaunchSent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
+	k.State, k.WorkerID, k.Attempt, k.Launch.Sent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
 	b.worker.tasks[k.Name()] = 1
 	b.term()
 	b.now += 20 * time.Second
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -129,14 +129,14 @@
 		switch {
 		case k.Job.Cancelled:
 			orders = append(orders, halt(k.Name(), k.WireAttempt(), 0))
-		case k.HaltDecided:
-			orders = append(orders, halt(k.Name(), k.WireAttempt(), k.WindDownSeconds))
+		case k.Halt.Decided:
+			orders = append(orders, halt(k.Name(), k.WireAttempt(), k.Halt.WindDownSeconds))
 		}
 	}
 	if beat && t.lease.LeaseValid() && t.accepts(h) && !h.Deaf {
 		for k := range h.Tasks {
 			if len(orders) < tuning.MaxCommandsPerMessage && k.Launchable() && t.lease.CancellationsVerifiedSince(k.PlacedAt) {
-				k.LaunchSent, k.GoneSession, k.GoneAfterSequence = true, r.Session, r.Sequence
+				k.Launch.Sent, k.Gone.Session, k.Gone.AfterSequence = true, r.Session, r.Sequence
 				orders = append(orders, Command{Verb: "launch", TaskName: k.Name(), Attempt: k.WireAttempt()})
 			}
 		}
@@ -152,17 +152,17 @@
 func (t *Registry) unlisted(h *Worker, r *Heartbeat, listed map[*taskstate.Task]bool, later, acked bool) {
 	lost := false
 	for k := range h.Tasks {
-		if listed[k] || !k.LaunchSent || k.LaunchInFlight {
+		if listed[k] || !k.Launch.Sent || k.Launch.InFlight {
 			continue
 		}
 		switch {
-		case k.GoneSession > 0 && r.Session > k.GoneSession, later && k.Reported:
+		case k.Gone.Session > 0 && r.Session > k.Gone.Session, later && k.Observed.Reported:
 			// A later session: the worker killed all of the earlier one.
 			t.proveGone(h, k, taskstate.LossVanished)
-		case r.Token >= k.GoneMinToken && acked && !k.LaunchInDoubt && (k.GoneSession == 0 || (r.Session == k.GoneSession && r.Sequence > k.GoneAfterSequence)):
-			lost = lost || (k.GoneSession > 0 && !k.Reported)
+		case r.Token >= k.Gone.MinToken && acked && !k.Launch.InDoubt && (k.Gone.Session == 0 || (r.Session == k.Gone.Session && r.Sequence > k.Gone.AfterSequence)):
+			lost = lost || (k.Gone.Session > 0 && !k.Observed.Reported)
 			t.proveGone(h, k, taskstate.LossVanished)
-		case k.LaunchInDoubt:
+		case k.Launch.InDoubt:
 			// The order may still be under way; a new token settles it.
 			t.log.Info("order in doubt, renewing the token", "host", h.ID, "task", k.Name())
 			t.lease.RenewToken()
@@ -189,23 +189,23 @@
 		return t.unrecorded(h, k, l, acked, orders)
 	}
 	seen[k] = true
-	if k.GoneSession > 0 && !k.Reported {
+	if k.Gone.Session > 0 && !k.Observed.Reported {
 		h.LostLaunches = 0 // it has heard of this one
 	}
-	k.Reported, k.LaunchSent = true, true
-	if k.LaunchInFlight {
+	k.Observed.Reported, k.Launch.Sent = true, true
+	if k.Launch.InFlight {
 		// The order's own answer is still to come and tells the rest.
 		return orders
 	}
-	k.LaunchInDoubt = false
+	k.Launch.InDoubt = false
 	switch l.Phase {
 	case "running", "saving", "waiting":
-		if !k.HasImage {
-			k.HasImage = true
+		if !k.Observed.HasImage {
+			k.Observed.HasImage = true
 			h.FetchingTasks--
 		}
-		if l.Phase == "running" && !k.Running {
-			k.Running, k.RunningSince = true, t.rt.Now()
+		if l.Phase == "running" && !k.Observed.Running {
+			k.Observed.Running, k.Observed.RunningSince = true, t.rt.Now()
 		}
 		t.mate(k, l.Phase)
 		return orders
@@ -253,12 +253,12 @@
 	case "full":
 		how = taskstate.LossBeforeWaiting
 		h.RefusesUntil = t.rt.Now() + tuning.RefusedTaskPause
-		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause/4
+		k.Queue.NotBefore = t.rt.Now() + tuning.RefusedTaskPause/4
 	case "busy", "unknown":
 		how = taskstate.LossBeforeWaiting
-		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause
+		k.Queue.NotBefore = t.rt.Now() + tuning.RefusedTaskPause
 	case "halted":
-		if g := k.Job.Gang; g != nil && !g.AttemptOver && k.HaltDecided {
+		if g := k.Job.Gang; g != nil && !g.AttemptOver && k.Halt.Decided {
 			how = taskstate.LossVanished // one that waited was told to leave its machine
 		}
 	case "alone", "mates_gone":
@@ -311,7 +311,7 @@
 func (t *Registry) failed(h *Worker, k *taskstate.Task) {
 	h.ConsecutiveFailures++
 	h.FailedJobs[k.Job.Spec.ID] = true
-	k.AvoidWorker = h.ID
+	k.Queue.AvoidWorker = h.ID
 	t.log.Info("task failed", "host", h.ID, "task", k.Name(), "in a row", h.ConsecutiveFailures)
 	k.Job.ConsecutiveFailures++
 	if k.Job.ConsecutiveFailures >= 3 {
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -130,8 +130,8 @@
 		if orders := b.say(t, phase, ""); len(orders) > 0 {
 			t.Errorf("%s: answered by %+v", phase, orders)
 		}
-		if task := b.job.Tasks[0]; task.Running != want.runs || task.HasImage != want.hasImage {
-			t.Errorf("%s: running %v, image there %v", phase, task.Running, task.HasImage)
+		if task := b.job.Tasks[0]; task.Observed.Running != want.runs || task.Observed.HasImage != want.hasImage {
+			t.Errorf("%s: running %v, image there %v", phase, task.Observed.Running, task.Observed.HasImage)
 		}
 	}
 }
@@ -190,8 +190,8 @@
 		wiretest.Written(t, orders, want.orders)
 		task := b.job.Tasks[0]
 		if done := task.State == taskstate.StateDone; gone != want.gone || done != want.done || (machine.ConsecutiveFailures > 0) != want.failed ||
-			(machine.RefusesUntil > 0) != want.full || (task.NotBefore > 0) != want.delay {
-			t.Errorf("%s: gone %v, done %v, failed %d, refused %v, not before %v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.NotBefore)
+			(machine.RefusesUntil > 0) != want.full || (task.Queue.NotBefore > 0) != want.delay {
+			t.Errorf("%s: gone %v, done %v, failed %d, refused %v, not before %v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.Queue.NotBefore)
 		}
 	}
 }
