--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -24,70 +24,70 @@
 // Client keeps connections to the services that the program calls.
 type Client struct {
 	sockets *SocketBudget
-	vital   []string // addresses that are called however few sockets are left
+	alwaysReachable   []string // addresses that are called however few sockets are left
 	mu      sync.Mutex
-	idle    map[string][]idleConn
+	idle    map[string][]idleConnection
 }
 
-type idleConn struct {
+type idleConnection struct {
 	conn net.Conn
-	at   time.Time
+	idleSince   time.Time
 }
 
-// errNoSocket says that a call was not sent because too few sockets are left.
-var errNoSocket = errors.New("no socket to spare")
+// errSocketsScarce says that a call was not sent because too few sockets are left.
+var errSocketsScarce = errors.New("no socket to spare")
 
 // NewClient returns a client without connections. Calls to the vital addresses
 // are made however few sockets are left.
 func NewClient(sockets *SocketBudget, vital ...string) *Client {
-	return &Client{sockets: sockets, vital: vital, idle: map[string][]idleConn{}}
+	return &Client{sockets: sockets, alwaysReachable: vital, idle: map[string][]idleConnection{}}
 }
 
 // Send sends one request and waits for its answer. sent tells whether any of it
 // may have reached the other side.
-func (c *Client) Send(addr string, call ClientRequest, timeout time.Duration) (ans *Response, sent bool, err error) {
+func (c *Client) Send(addr string, request ClientRequest, timeout time.Duration) (response *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
-	conn := c.take(addr)
+	conn := c.takeIdle(addr)
 	if conn == nil {
-		if c.sockets.IsScarce() && !slices.Contains(c.vital, addr) {
-			return nil, false, errNoSocket
+		if c.sockets.IsScarce() && !slices.Contains(c.alwaysReachable, addr) {
+			return nil, false, errSocketsScarce
 		}
-		c.sockets.opened()
+		c.sockets.noteOpened()
 		conn, err = net.DialTimeout("tcp", addr, timeout)
 		if err != nil {
-			c.sockets.closed()
+			c.sockets.noteClosed()
 			return nil, false, fmt.Errorf("connect to %s: %w", addr, err)
 		}
 	}
 	if err := conn.SetDeadline(deadline); err != nil {
-		c.drop(conn)
+		c.closeConnection(conn)
 		return nil, false, fmt.Errorf("set deadline: %w", err)
 	}
-	if _, err := conn.Write(appendCall(nil, addr, call)); err != nil {
-		c.drop(conn)
+	if _, err := conn.Write(appendRequest(nil, addr, request)); err != nil {
+		c.closeConnection(conn)
 		return nil, true, fmt.Errorf("send to %s: %w", addr, err)
 	}
-	ans, err = read(conn)
+	response, err = readResponse(conn)
 	if err != nil {
-		c.drop(conn)
+		c.closeConnection(conn)
 		return nil, true, fmt.Errorf("answer of %s: %w", addr, err)
 	}
-	if ans.Close {
-		c.drop(conn)
+	if response.CloseAfter {
+		c.closeConnection(conn)
 	} else {
-		c.put(addr, conn)
+		c.putIdle(addr, conn)
 	}
-	return ans, true, nil
+	return response, true, nil
 }
 
-// drop closes a connection.
-func (c *Client) drop(conn net.Conn) {
+// closeConnection closes a connection.
+func (c *Client) closeConnection(conn net.Conn) {
 	_ = conn.Close() // the connection is given up either way
-	c.sockets.closed()
+	c.sockets.noteClosed()
 }
 
-// read waits for one whole answer.
-func read(conn net.Conn) (*Response, error) {
+// readResponse waits for one whole answer.
+func readResponse(conn net.Conn) (*Response, error) {
 	buf := make([]byte, 0, 2048)
 	for {
 		if len(buf) == cap(buf) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *Client) take(addr string) net.Conn {
+func (c *Client) takeIdle(addr string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
@@ -116,23 +116,23 @@
 		last := list[len(list)-1]
 		list = list[:len(list)-1]
 		c.idle[addr] = list
-		if time.Since(last.at) < tuning.IdleClientConnectionTimeout {
+		if time.Since(last.idleSince) < tuning.IdleClientConnectionTimeout {
 			return last.conn
 		}
-		c.drop(last.conn)
+		c.closeConnection(last.conn)
 	}
 	delete(c.idle, addr)
 	return nil
 }
 
-func (c *Client) put(addr string, conn net.Conn) {
+func (c *Client) putIdle(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= tuning.MaxIdleConnectionsPerAddress || (c.sockets.IsTight() && !slices.Contains(c.vital, addr)) {
-		c.drop(conn)
+	if len(c.idle[addr]) >= tuning.MaxIdleConnectionsPerAddress || (c.sockets.IsTight() && !slices.Contains(c.alwaysReachable, addr)) {
+		c.closeConnection(conn)
 		return
 	}
-	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
+	c.idle[addr] = append(c.idle[addr], idleConnection{conn, time.Now()})
 }
 
 // CloseIdle closes connections that nobody has used for a while, and all to others
@@ -142,13 +142,13 @@
 	defer c.mu.Unlock()
 	tight := c.sockets.IsTight()
 	for addr, list := range c.idle {
-		spare := tight && !slices.Contains(c.vital, addr)
+		spare := tight && !slices.Contains(c.alwaysReachable, addr)
 		kept := list[:0]
-		for _, i := range list {
-			if !spare && time.Since(i.at) < tuning.IdleClientConnectionTimeout {
-				kept = append(kept, i)
+		for _, idle := range list {
+			if !spare && time.Since(idle.idleSince) < tuning.IdleClientConnectionTimeout {
+				kept = append(kept, idle)
 			} else {
-				c.drop(i.conn)
+				c.closeConnection(idle.conn)
 			}
 		}
 		if len(kept) == 0 {
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -18,14 +18,14 @@
 	Path   string
 	Query  string
 	Body   []byte
-	Close  bool // the sender closes the connection after the answer
+	CloseAfter  bool // the sender closes the connection after the answer
 }
 
 // Response is one parsed answer.
 type Response struct {
 	Status int
 	Body   []byte
-	Close  bool
+	CloseAfter  bool
 }
 
 // ProtocolError is a request that gets an error status and a closed connection.
@@ -34,115 +34,115 @@
 	Reason string
 }
 
-func (f *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", f.Status, f.Reason) }
+func (e *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-// errMore says that the message is not complete yet.
-var errMore = errors.New("incomplete")
+// errIncomplete says that the message is not complete yet.
+var errIncomplete = errors.New("incomplete")
 
-var headEnd = []byte("\r\n\r\n")
+var headerTerminator = []byte("\r\n\r\n")
 
-// head is what requests and answers have in common.
-type head struct {
-	first   string
-	length  int // -1: not given
+// messageHead is what requests and answers have in common.
+type messageHead struct {
+	startLine   string
+	contentLength  int // -1: not given
 	chunked bool
-	close   bool
-	keep    bool
+	connectionClose   bool
+	connectionKeepAlive    bool
 	size    int // bytes of the head with its empty line
 }
 
 // parseHead reads the first line and the header fields.
-func parseHead(buf []byte) (head, error) {
-	h := head{length: -1}
-	end := bytes.Index(buf, headEnd)
+func parseHead(buf []byte) (messageHead, error) {
+	head := messageHead{contentLength: -1}
+	end := bytes.Index(buf, headerTerminator)
 	if end < 0 {
 		if len(buf) > tuning.MaxHeaderBytes {
-			return h, &ProtocolError{431, "head too large"}
+			return head, &ProtocolError{431, "head too large"}
 		}
-		return h, errMore
+		return head, errIncomplete
 	}
 	if end > tuning.MaxHeaderBytes {
-		return h, &ProtocolError{431, "head too large"}
+		return head, &ProtocolError{431, "head too large"}
 	}
-	h.size = end + len(headEnd)
+	head.size = end + len(headerTerminator)
 	text := string(buf[:end])
 	first, rest, _ := strings.Cut(text, "\r\n")
-	h.first = first
+	head.startLine = first
 	for rest != "" {
 		var line string
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return h, &ProtocolError{400, "malformed header field"}
+			return head, &ProtocolError{400, "malformed header field"}
 		}
 		value = strings.TrimSpace(value)
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || value[0] == '+' || (h.length >= 0 && h.length != int(n)) {
-				return h, &ProtocolError{400, "malformed Content-Length"}
+			if err != nil || value[0] == '+' || (head.contentLength >= 0 && head.contentLength != int(n)) {
+				return head, &ProtocolError{400, "malformed Content-Length"}
 			}
-			h.length = int(n)
+			head.contentLength = int(n)
 		case strings.EqualFold(name, "Transfer-Encoding"):
 			if !strings.EqualFold(value, "chunked") {
-				return h, &ProtocolError{501, "transfer encoding not supported"}
+				return head, &ProtocolError{501, "transfer encoding not supported"}
 			}
-			h.chunked = true
+			head.chunked = true
 		case strings.EqualFold(name, "Connection"):
-			h.close = h.close || strings.EqualFold(value, "close")
-			h.keep = h.keep || strings.EqualFold(value, "keep-alive")
+			head.connectionClose = head.connectionClose || strings.EqualFold(value, "close")
+			head.connectionKeepAlive = head.connectionKeepAlive || strings.EqualFold(value, "keep-alive")
 		}
 	}
-	if h.chunked && h.length >= 0 {
-		return h, &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
+	if head.chunked && head.contentLength >= 0 {
+		return head, &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
 	}
-	return h, nil
+	return head, nil
 }
 
-// body reads the message's body, at most limit bytes of it (0: no limit).
-func (h *head) body(buf []byte, limit int) (body []byte, used int, err error) {
+// parseBody reads the message's body, at most limit bytes of it (0: no limit).
+func (h *messageHead) parseBody(buf []byte, limit int) (body []byte, used int, err error) {
 	if h.chunked {
-		return chunks(buf, limit)
+		return parseChunks(buf, limit)
 	}
-	n := max(h.length, 0)
+	n := max(h.contentLength, 0)
 	if limit > 0 && n > limit {
 		return nil, 0, &ProtocolError{413, "body too large"}
 	}
 	if len(buf) < n {
-		return nil, 0, errMore
+		return nil, 0, errIncomplete
 	}
 	return buf[:n], n, nil
 }
 
-// chunks reads a chunked body.
-func chunks(buf []byte, limit int) (body []byte, used int, err error) {
+// parseChunks reads a chunked body.
+func parseChunks(buf []byte, limit int) (body []byte, used int, err error) {
 	for {
-		end := bytes.Index(buf[used:], headEnd[:2])
+		end := bytes.Index(buf[used:], headerTerminator[:2])
 		if end < 0 {
 			if len(buf)-used > 64 {
 				return nil, 0, &ProtocolError{400, "malformed chunk"}
 			}
-			return nil, 0, errMore
+			return nil, 0, errIncomplete
 		}
-		size, _, _ := strings.Cut(string(buf[used:used+end]), ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+		sizeField, _, _ := strings.Cut(string(buf[used:used+end]), ";")
+		size, err := strconv.ParseUint(strings.TrimSpace(sizeField), 16, 31)
 		if err != nil {
 			return nil, 0, &ProtocolError{400, "malformed chunk"}
 		}
-		if limit > 0 && len(body)+int(n) > limit {
+		if limit > 0 && len(body)+int(size) > limit {
 			return nil, 0, &ProtocolError{413, "body too large"}
 		}
 		used += end + 2
-		if len(buf)-used < int(n)+2 {
-			return nil, 0, errMore
+		if len(buf)-used < int(size)+2 {
+			return nil, 0, errIncomplete
 		}
-		body = append(body, buf[used:used+int(n)]...)
-		used += int(n)
+		body = append(body, buf[used:used+int(size)]...)
+		used += int(size)
 		if buf[used] != '\r' || buf[used+1] != '\n' {
 			return nil, 0, &ProtocolError{400, "malformed chunk"}
 		}
 		used += 2
-		if n == 0 {
+		if size == 0 {
 			return body, used, nil
 		}
 	}
@@ -156,14 +156,14 @@
 	for skip+1 < len(buf) && skip < 4 && buf[skip] == '\r' && buf[skip+1] == '\n' {
 		skip += 2
 	}
-	h, err := parseHead(buf[skip:])
-	if err == errMore {
+	head, err := parseHead(buf[skip:])
+	if err == errIncomplete {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	parts := strings.Split(h.first, " ")
+	parts := strings.Split(head.startLine, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
 		return nil, 0, &ProtocolError{400, "malformed request line"}
 	}
@@ -175,8 +175,8 @@
 	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
 		return nil, 0, &ProtocolError{505, "HTTP version not supported"}
 	}
-	body, n, err := h.body(buf[skip+h.size:], tuning.MaxBodyBytes)
-	if err == errMore {
+	body, bodySize, err := head.parseBody(buf[skip+head.size:], tuning.MaxBodyBytes)
+	if err == errIncomplete {
 		return nil, 0, nil
 	}
 	if err != nil {
@@ -186,44 +186,44 @@
 	return &Request{
 		Method: parts[0], Path: path, Query: query,
 		Body:  bytes.Clone(body),
-		Close: h.close || (parts[2] == "HTTP/1.0" && !h.keep),
-	}, skip + h.size + n, nil
+		CloseAfter: head.connectionClose || (parts[2] == "HTTP/1.0" && !head.connectionKeepAlive),
+	}, skip + head.size + bodySize, nil
 }
 
 // ParseResponse reads one answer off the front of buf; eof says that no more
 // bytes will come. It takes no bytes while the answer is not complete.
 func ParseResponse(buf []byte, eof bool) (*Response, int, error) {
-	h, err := parseHead(buf)
-	if err == errMore {
+	head, err := parseHead(buf)
+	if err == errIncomplete {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	version, rest, _ := strings.Cut(h.first, " ")
+	version, rest, _ := strings.Cut(head.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(version, "HTTP/1.") || status < 100 || status > 599 {
 		return nil, 0, &ProtocolError{400, "malformed status line"}
 	}
-	if h.length < 0 && !h.chunked && status != 204 && status != 304 {
+	if head.contentLength < 0 && !head.chunked && status != 204 && status != 304 {
 		if !eof {
 			return nil, 0, nil // the body ends with the connection
 		}
-		return &Response{Status: status, Body: bytes.Clone(buf[h.size:]), Close: true}, len(buf), nil
+		return &Response{Status: status, Body: bytes.Clone(buf[head.size:]), CloseAfter: true}, len(buf), nil
 	}
-	body, n, err := h.body(buf[h.size:], 0)
-	if err == errMore {
+	body, bodySize, err := head.parseBody(buf[head.size:], 0)
+	if err == errIncomplete {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	return &Response{Status: status, Body: bytes.Clone(body), Close: h.close}, h.size + n, nil
+	return &Response{Status: status, Body: bytes.Clone(body), CloseAfter: head.connectionClose}, head.size + bodySize, nil
 }
 
-// reasons are the status texts that lemonmoor sends.
-var reasons = map[int]string{
+// reasonPhrases are the status texts that lemonmoor sends.
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
 	413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
@@ -233,7 +233,7 @@
 
 // AppendResponse writes an answer. A retryAfter of 0 is left out.
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
-	reason := reasons[status]
+	reason := reasonPhrases[status]
 	if reason == "" {
 		reason = "Status"
 	}
@@ -261,19 +261,19 @@
 	Body   []byte
 }
 
-// appendCall writes a request.
-func appendCall(dst []byte, host string, c ClientRequest) []byte {
-	dst = append(dst, c.Method...)
+// appendRequest writes a request.
+func appendRequest(dst []byte, host string, request ClientRequest) []byte {
+	dst = append(dst, request.Method...)
 	dst = append(dst, ' ')
-	dst = append(dst, c.Target...)
+	dst = append(dst, request.Target...)
 	dst = append(dst, " HTTP/1.1\r\nHost: "...)
 	dst = append(dst, host...)
-	if c.Body != nil {
+	if request.Body != nil {
 		dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-		dst = strconv.AppendInt(dst, int64(len(c.Body)), 10)
-	} else if c.Method == "POST" {
+		dst = strconv.AppendInt(dst, int64(len(request.Body)), 10)
+	} else if request.Method == "POST" {
 		dst = append(dst, "\r\nContent-Length: 0"...)
 	}
 	dst = append(dst, "\r\n\r\n"...)
-	return append(dst, c.Body...)
+	return append(dst, request.Body...)
 }
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -95,7 +95,7 @@
 		closing := rapid.Bool().Draw(t, "close")
 		raw := AppendResponse(nil, status, body, rapid.IntRange(0, 30).Draw(t, "retry"), closing)
 		a, n, err := ParseResponse(raw, false)
-		if err != nil || n != len(raw) || a.Status != status || !bytes.Equal(a.Body, body) || a.Close != closing {
+		if err != nil || n != len(raw) || a.Status != status || !bytes.Equal(a.Body, body) || a.CloseAfter != closing {
 			t.Fatalf("%+v, %d of %d, %v", a, n, len(raw), err)
 		}
 	})
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -32,21 +32,21 @@
 	started time.Time
 
 	mu    sync.Mutex
-	conns map[gnet.Conn]*session
+	connections map[gnet.Conn]*connectionState
 }
 
-// session is what the server keeps of a connection.
-type session struct {
-	busy    atomic.Bool  // a request waits for its answer
-	touched atomic.Int64 // ms since start, of the last byte or answer
-	partial atomic.Bool  // an incomplete request is buffered
-	user    atomic.Bool  // its last request was a user's
+// connectionState is what the server keeps of a connection.
+type connectionState struct {
+	awaitsResponse    atomic.Bool  // a request waits for its answer
+	lastActivityMS atomic.Int64 // ms since start, of the last byte or answer
+	hasPartialRequest atomic.Bool  // an incomplete request is buffered
+	isUser    atomic.Bool  // its last request was a user's
 }
 
 // NewServer returns a server that hands requests to handle.
 func NewServer(handle Handler, sockets *SocketBudget, log *slog.Logger) *Server {
 	return &Server{
-		handle: handle, sockets: sockets, log: log, started: time.Now(), conns: map[gnet.Conn]*session{},
+		handle: handle, sockets: sockets, log: log, started: time.Now(), connections: map[gnet.Conn]*connectionState{},
 		IsUser: func(*Request) bool { return false }, WorkerIdleTimeout: tuning.IdleConnectionTimeout,
 	}
 }
@@ -56,19 +56,19 @@
 	return gnet.Run(s, "tcp://"+addr,
 		gnet.WithNumEventLoop(1), gnet.WithTicker(true), gnet.WithReuseAddr(true),
 		gnet.WithReadBufferCap(16*1024), gnet.WithWriteBufferCap(16*1024),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(quiet{s.log}))
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(gnetLogger{s.log}))
 }
 
-func (s *Server) ms() int64 { return time.Since(s.started).Milliseconds() }
+func (s *Server) uptimeMS() int64 { return time.Since(s.started).Milliseconds() }
 
 // OnOpen notes a new connection.
-func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	ses := &session{}
-	ses.touched.Store(s.ms())
-	c.SetContext(ses)
-	s.sockets.opened()
+func (s *Server) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
+	state := &connectionState{}
+	state.lastActivityMS.Store(s.uptimeMS())
+	connection.SetContext(state)
+	s.sockets.noteOpened()
 	s.mu.Lock()
-	s.conns[c] = ses
+	s.connections[connection] = state
 	s.mu.Unlock()
 	if s.sockets.IsExhausted() {
 		return nil, gnet.Close
@@ -77,81 +77,81 @@
 }
 
 // OnClose forgets a connection.
-func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
+func (s *Server) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	s.mu.Lock()
-	_, there := s.conns[c]
-	delete(s.conns, c)
+	_, there := s.connections[connection]
+	delete(s.connections, connection)
 	s.mu.Unlock()
 	if there {
-		s.sockets.closed()
+		s.sockets.noteClosed()
 	}
 	return gnet.None
 }
 
 // OnTraffic reads requests, one at a time: the next is not looked at before
 // the answer to the last has gone out.
-func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
-	ses, ok := c.Context().(*session)
+func (s *Server) OnTraffic(connection gnet.Conn) gnet.Action {
+	state, ok := connection.Context().(*connectionState)
 	if !ok {
 		return gnet.Close
 	}
-	if ses.busy.Load() {
-		if c.InboundBuffered() > 2*tuning.MaxBodyBytes {
+	if state.awaitsResponse.Load() {
+		if connection.InboundBuffered() > 2*tuning.MaxBodyBytes {
 			return gnet.Close
 		}
 		return gnet.None
 	}
-	buf, _ := c.Peek(-1)
+	buf, _ := connection.Peek(-1)
 	if len(buf) == 0 {
 		return gnet.None
 	}
-	ses.touched.Store(s.ms())
-	req, n, err := ParseRequest(buf)
+	state.lastActivityMS.Store(s.uptimeMS())
+	request, size, err := ParseRequest(buf)
 	if err != nil {
 		status := 400
 		if f, ok := err.(*ProtocolError); ok {
 			status = f.Status
 		}
-		_, _ = c.Write(AppendResponse(nil, status, ErrorBody(err.Error()), 0, true))
+		_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(err.Error()), 0, true))
 		return gnet.Close
 	}
-	if req == nil {
-		ses.partial.Store(true)
+	if request == nil {
+		state.hasPartialRequest.Store(true)
 		return gnet.None
 	}
-	ses.partial.Store(false)
-	_, _ = c.Discard(n)
-	user := s.IsUser(req)
-	ses.user.Store(user)
-	if user && s.sockets.IsScarce() {
-		_, _ = c.Write(AppendResponse(nil, 503, ErrorBody("no sockets left"), tuning.RetryAfterSeconds, true))
+	state.hasPartialRequest.Store(false)
+	_, _ = connection.Discard(size)
+	isUser := s.IsUser(request)
+	state.isUser.Store(isUser)
+	if isUser && s.sockets.IsScarce() {
+		_, _ = connection.Write(AppendResponse(nil, 503, ErrorBody("no sockets left"), tuning.RetryAfterSeconds, true))
 		return gnet.Close
 	}
-	ses.busy.Store(true)
-	s.handle(req, s.replyTo(c, ses, req.Close, user))
+	state.awaitsResponse.Store(true)
+	s.handle(request, s.responseWriter(connection, state, request.CloseAfter, isUser))
 	return gnet.None
 }
 
-// replyTo answers the request that a connection is busy with, once.
-func (s *Server) replyTo(c gnet.Conn, ses *session, last, user bool) ResponseWriter {
+// responseWriter answers the request that a connection is busy with, once.
+func (s *Server) responseWriter(connection gnet.Conn, state *connectionState, closeAfter, isUser bool) ResponseWriter {
 	var once atomic.Bool
 	return func(status int, body []byte, retryAfter int) {
 		if !once.CompareAndSwap(false, true) {
 			return
 		}
-		closing := last || (user && s.sockets.IsTight())
+		closing := closeAfter || (isUser && s.sockets.IsTight())
 		out := AppendResponse(nil, status, body, retryAfter, closing)
-		_ = c.AsyncWrite(out, func(c gnet.Conn, err error) error {
-			if err != nil || c == nil {
+		_ = connection.AsyncWrite(out, func(connection gnet.Conn, err error) error {
+			if err != nil || connection == nil {
 				return nil
 			}
-			ses.touched.Store(s.ms())
-			ses.busy.Store(false)
+			state.lastActivityMS.Store(s.uptimeMS())
+			state.awaitsResponse.Store(false)
 			if closing {
-				return c.Close()
+				return connection.Close()
 			}
-			if c.InboundBuffered() > 0 {
-				return c.Wake(nil)
+			if connection.InboundBuffered() > 0 {
+				return connection.Wake(nil)
 			}
 			return nil
 		})
@@ -161,38 +161,38 @@
 // OnTick closes slow and idle connections, users' at once when sockets are
 // tight.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
-	now := s.ms()
-	users := tuning.IdleConnectionTimeout
+	now := s.uptimeMS()
+	userIdleTimeout := tuning.IdleConnectionTimeout
 	if s.sockets.IsTight() {
-		users = tuning.SocketSweepInterval
+		userIdleTimeout = tuning.SocketSweepInterval
 	}
-	var old []gnet.Conn
+	var expired []gnet.Conn
 	s.mu.Lock()
-	for c, ses := range s.conns {
-		age := time.Duration(now-ses.touched.Load()) * time.Millisecond
-		if ses.busy.Load() {
+	for connection, state := range s.connections {
+		age := time.Duration(now-state.lastActivityMS.Load()) * time.Millisecond
+		if state.awaitsResponse.Load() {
 			continue
 		}
 		limit := s.WorkerIdleTimeout
-		if ses.user.Load() {
-			limit = users
+		if state.isUser.Load() {
+			limit = userIdleTimeout
 		}
-		if age > limit || (ses.partial.Load() && age > tuning.SlowRequestTimeout) {
-			old = append(old, c)
+		if age > limit || (state.hasPartialRequest.Load() && age > tuning.SlowRequestTimeout) {
+			expired = append(expired, connection)
 		}
 	}
 	s.mu.Unlock()
-	for _, c := range old {
-		_ = c.Close()
+	for _, connection := range expired {
+		_ = connection.Close()
 	}
 	return tuning.SocketSweepInterval, gnet.None
 }
 
-// quiet carries gnet's own messages to the log at debug level.
-type quiet struct{ log *slog.Logger }
+// gnetLogger carries gnet's own messages to the log at debug level.
+type gnetLogger struct{ log *slog.Logger }
 
-func (q quiet) Debugf(string, ...any)          {}
-func (q quiet) Infof(string, ...any)           {}
-func (q quiet) Warnf(format string, a ...any)  { q.log.Debug("gnet", "format", format, "args", a) }
-func (q quiet) Errorf(format string, a ...any) { q.log.Debug("gnet", "format", format, "args", a) }
-func (q quiet) Fatalf(format string, a ...any) { q.log.Error("gnet", "format", format, "args", a) }
+func (g gnetLogger) Debugf(string, ...any)          {}
+func (g gnetLogger) Infof(string, ...any)           {}
+func (g gnetLogger) Warnf(format string, a ...any)  { g.log.Debug("gnet", "format", format, "args", a) }
+func (g gnetLogger) Errorf(format string, a ...any) { g.log.Debug("gnet", "format", format, "args", a) }
+func (g gnetLogger) Fatalf(format string, a ...any) { g.log.Error("gnet", "format", format, "args", a) }
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -46,21 +46,21 @@
 		_, _, err := c.Send(addr, ClientRequest{Method: "GET", Target: "/"}, 5*time.Second)
 		return err
 	}
-	fill := func(left float64) { sockets.open.Store(limit - int64(left*limit)) }
-	if err := ask(worker); err != nil || sockets.open.Load() != 1 {
-		t.Fatalf("%d open, %v", sockets.open.Load(), err)
+	fill := func(left float64) { sockets.openSockets.Store(limit - int64(left*limit)) }
+	if err := ask(worker); err != nil || sockets.openSockets.Load() != 1 {
+		t.Fatalf("%d open, %v", sockets.openSockets.Load(), err)
 	}
 	fill(tuning.TightSocketShare - 0.01)
-	before := sockets.open.Load()
+	before := sockets.openSockets.Load()
 	worker.CloseIdle()
-	if n := sockets.open.Load(); n != before-1 {
+	if n := sockets.openSockets.Load(); n != before-1 {
 		t.Errorf("%d of %d open after the idle one was to go", n, before)
 	}
-	if err := ask(worker); err != nil || sockets.open.Load() != before-1 {
-		t.Errorf("%d open after a call, %v", sockets.open.Load(), err)
+	if err := ask(worker); err != nil || sockets.openSockets.Load() != before-1 {
+		t.Errorf("%d open after a call, %v", sockets.openSockets.Load(), err)
 	}
 	fill(tuning.ScarceSocketShare - 0.01)
-	if err := ask(worker); !errors.Is(err, errNoSocket) {
+	if err := ask(worker); !errors.Is(err, errSocketsScarce) {
 		t.Errorf("a direct order takes one of the last sockets: %v", err)
 	}
 	if err := ask(state); err != nil {
@@ -95,7 +95,7 @@
 		var ans *Response
 		for range 200 { // until it listens
 			if ans, _, err = client.Send(addr, ClientRequest{Method: "GET", Target: path}, 5*time.Second); err == nil {
-				return ans.Status, ans.Close
+				return ans.Status, ans.CloseAfter
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -115,7 +115,7 @@
 		{tuning.ScarceSocketShare - 0.02, "/work", 503, true},
 		{tuning.ScarceSocketShare - 0.02, "/beat", 200, false},
 	} {
-		sockets.open.Store(limit - int64(c.left*limit))
+		sockets.openSockets.Store(limit - int64(c.left*limit))
 		if status, closed := ask(c.path); status != c.status || closed != c.close {
 			t.Errorf("%s with %.2f of the sockets left: %d, closed %v", c.path, c.left, status, closed)
 		}
