--- a/cmd/lemonmoor/main.go
+++ b/cmd/lemonmoor/main.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -109,16 +110,22 @@
 	rt := eventloop.NewSystemRuntime(loop, client, peer.NewClient())
 	// Below 2^50, exact wherever JSON numbers are read as floating point.
 	node := controller.New(rt, set, rand.Uint64()>>14, log)
-	server := http1.NewServer(func(req *http1.Request, reply http1.ResponseWriter) {
-		lane := controller.RequestLane(req)
-		if lane == eventloop.UserLane && loop.QueueLength(lane) > tuning.MaxQueuedUserRequests {
-			reply(503, http1.ErrorBody("overloaded"), tuning.RetryAfterSeconds)
-			return
-		}
-		loop.Post(lane, func() { node.Handle(req, reply) })
-	}, sockets, log)
-	server.IsUser = func(req *http1.Request) bool { return controller.RequestLane(req) == eventloop.UserLane }
-	server.WorkerIdleTimeout = tuning.AbandonedConnectionHeartbeats * set.HeartbeatInterval()
+	server := http1.NewServer(http1.ServerConfig{
+		Handle: func(request *http1.Request, respond http1.ResponseWriter) {
+			lane := controller.RequestLane(request)
+			if lane == eventloop.UserLane && loop.QueueLength(lane) > tuning.MaxQueuedUserRequests {
+				respond(http.StatusServiceUnavailable, http1.ErrorBody("overloaded"), tuning.RetryAfterSeconds)
+				return
+			}
+			loop.Post(lane, func() { node.Handle(request, respond) })
+		},
+		Sockets: sockets,
+		Log:     log,
+		IsUser: func(request *http1.Request) bool {
+			return controller.RequestLane(request) == eventloop.UserLane
+		},
+		WorkerIdleTimeout: tuning.AbandonedConnectionHeartbeats * set.HeartbeatInterval(),
+	})
 
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -1,7 +1,6 @@
 package http1
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -12,58 +11,46 @@
 	"lemonmoor/internal/tuning"
 )
 
-// ErrorBody is the JSON body of a refusal.
-func ErrorBody(reason string) []byte {
-	b, err := json.Marshal(map[string]string{"error": reason})
-	if err != nil {
-		return []byte("{}")
-	}
-	return b
-}
-
-// Client keeps connections to the services that the program calls.
+// Client calls the state service, the cloud and the workers, and keeps connections to them
+// for the next call. It is safe for concurrent use.
 type Client struct {
-	sockets *SocketBudget
-	alwaysReachable   []string // addresses that are called however few sockets are left
-	mu      sync.Mutex
-	idle    map[string][]idleConnection
+	sockets         *SocketBudget
+	alwaysReachable []string // addresses that are called however few sockets are left
+
+	mu   sync.Mutex
+	idle map[string][]idleConnection // by address, the one used last at the end
 }
 
 type idleConnection struct {
-	conn net.Conn
-	idleSince   time.Time
+	conn      net.Conn
+	idleSince time.Time
 }
 
 // errSocketsScarce says that a call was not sent because too few sockets are left.
 var errSocketsScarce = errors.New("no socket to spare")
 
-// NewClient returns a client without connections. Calls to the vital addresses
-// are made however few sockets are left.
-func NewClient(sockets *SocketBudget, vital ...string) *Client {
-	return &Client{sockets: sockets, alwaysReachable: vital, idle: map[string][]idleConnection{}}
+// NewClient returns a client without connections. The addresses in alwaysReachable are
+// called however few sockets are left.
+func NewClient(sockets *SocketBudget, alwaysReachable ...string) *Client {
+	return &Client{sockets: sockets, alwaysReachable: alwaysReachable, idle: map[string][]idleConnection{}}
 }
 
-// Send sends one request and waits for its answer. sent tells whether any of it
-// may have reached the other side.
+// Send sends one request and waits for its response, timeout for both together. sent
+// reports whether any of the request may have reached the other side, so that it may have
+// been carried out although there is an error.
 func (c *Client) Send(addr string, request ClientRequest, timeout time.Duration) (response *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
 	conn := c.takeIdle(addr)
 	if conn == nil {
-		if c.sockets.IsScarce() && !slices.Contains(c.alwaysReachable, addr) {
-			return nil, false, errSocketsScarce
-		}
-		c.sockets.noteOpened()
-		conn, err = net.DialTimeout("tcp", addr, timeout)
-		if err != nil {
-			c.sockets.noteClosed()
-			return nil, false, fmt.Errorf("connect to %s: %w", addr, err)
+		if conn, err = c.dial(addr, timeout); err != nil {
+			return nil, false, err
 		}
 	}
 	if err := conn.SetDeadline(deadline); err != nil {
 		c.closeConnection(conn)
 		return nil, false, fmt.Errorf("set deadline: %w", err)
 	}
-	if _, err := conn.Write(appendRequest(nil, addr, request)); err != nil {
+	if _, err := conn.Write(encodeRequest(addr, request)); err != nil {
 		c.closeConnection(conn)
 		return nil, true, fmt.Errorf("send to %s: %w", addr, err)
 	}
@@ -80,34 +67,54 @@
 	return response, true, nil
 }
 
-// closeConnection closes a connection.
+// dial opens a connection unless too few sockets are left for that.
+func (c *Client) dial(addr string, timeout time.Duration) (net.Conn, error) {
+	if c.sockets.IsScarce() && !c.isAlwaysReachable(addr) {
+		return nil, errSocketsScarce
+	}
+	c.sockets.noteOpened()
+	conn, err := net.DialTimeout("tcp", addr, timeout)
+	if err != nil {
+		c.sockets.noteClosed()
+		return nil, fmt.Errorf("connect to %s: %w", addr, err)
+	}
+	return conn, nil
+}
+
+func (c *Client) isAlwaysReachable(addr string) bool { return slices.Contains(c.alwaysReachable, addr) }
+
+// closeConnection closes a connection and returns its socket to the budget.
 func (c *Client) closeConnection(conn net.Conn) {
 	_ = conn.Close() // the connection is given up either way
 	c.sockets.noteClosed()
 }
 
-// readResponse waits for one whole answer.
+// initialReadBuffer is the size in bytes of a buffer that most responses fit into.
+const initialReadBuffer = 2048
+
+// readResponse waits for one whole response.
 func readResponse(conn net.Conn) (*Response, error) {
-	buf := make([]byte, 0, 2048)
+	buf := make([]byte, 0, initialReadBuffer)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
 		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
-		buf = buf[:len(buf)+n]
-		ans, _, perr := ParseResponse(buf, err != nil)
-		if perr != nil {
-			return nil, perr
-		}
-		if ans != nil {
-			return ans, nil
-		}
+		size, readErr := conn.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+size]
+		response, _, err := ParseResponse(buf, readErr != nil)
 		if err != nil {
 			return nil, err
 		}
+		if response != nil {
+			return response, nil
+		}
+		if readErr != nil {
+			return nil, readErr
+		}
 	}
 }
 
+// takeIdle returns an open connection that is not in use, nil if there is none.
 func (c *Client) takeIdle(addr string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,27 +132,30 @@
 	return nil
 }
 
+// putIdle keeps a connection for the next call, or closes it if there are enough or
+// sockets are tight.
 func (c *Client) putIdle(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= tuning.MaxIdleConnectionsPerAddress || (c.sockets.IsTight() && !slices.Contains(c.alwaysReachable, addr)) {
+	if len(c.idle[addr]) >= tuning.MaxIdleConnectionsPerAddress || (c.sockets.IsTight() && !c.isAlwaysReachable(addr)) {
 		c.closeConnection(conn)
 		return
 	}
 	c.idle[addr] = append(c.idle[addr], idleConnection{conn, time.Now()})
 }
 
-// CloseIdle closes connections that nobody has used for a while, and all to others
-// than the vital addresses when sockets are tight.
+// CloseIdle closes the connections that have not been used for
+// tuning.IdleClientConnectionTimeout and, while sockets are tight, all that are not in use,
+// except those to the addresses that must stay reachable.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	tight := c.sockets.IsTight()
 	for addr, list := range c.idle {
-		spare := tight && !slices.Contains(c.alwaysReachable, addr)
+		closeAll := tight && !c.isAlwaysReachable(addr)
 		kept := list[:0]
 		for _, idle := range list {
-			if !spare && time.Since(idle.idleSince) < tuning.IdleClientConnectionTimeout {
+			if !closeAll && time.Since(idle.idleSince) < tuning.IdleClientConnectionTimeout {
 				kept = append(kept, idle)
 			} else {
 				c.closeConnection(idle.conn)
--- /dev/null
+++ b/internal/http1/message.go
@@ -0,0 +1,121 @@
+// Package http1 is HTTP/1.1 as far as the controllers need it: a parser for requests and
+// responses, a server on gnet, a small client, and the budget of sockets that server and
+// client share. It owns the open connections and nothing else, and must not know what the
+// messages mean: routing and retries belong to its callers.
+package http1
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+)
+
+// Request is a parsed request.
+type Request struct {
+	Method string
+	Path   string // without the query
+	Query  string // without the question mark
+	Body   []byte
+	// CloseAfter reports that the sender closes the connection after the response.
+	CloseAfter bool
+}
+
+// Response is a parsed response.
+type Response struct {
+	Status int
+	Body   []byte
+	// CloseAfter reports that the sender closes the connection after this response.
+	CloseAfter bool
+}
+
+// ClientRequest is a request to be sent. A nil Body sends none.
+type ClientRequest struct {
+	Method string
+	Target string // path and query
+	Body   []byte // JSON
+}
+
+// ProtocolError says that a message is malformed, too large or not supported. Its request
+// is answered with Status, and the connection is closed.
+type ProtocolError struct {
+	Status int
+	Reason string
+}
+
+// Error names the status and the reason.
+func (e *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
+
+// ErrorBody is the JSON body of a response that refuses a request.
+func ErrorBody(reason string) []byte {
+	body, err := json.Marshal(struct {
+		Error string `json:"error"`
+	}{reason})
+	if err != nil {
+		return []byte("{}")
+	}
+	return body
+}
+
+// reasonPhrases are the reason phrases of the statuses that the controllers send.
+// http.StatusText has the older phrases for 413 and 422.
+var reasonPhrases = map[int]string{
+	http.StatusOK:                          "OK",
+	http.StatusCreated:                     "Created",
+	http.StatusBadRequest:                  "Bad Request",
+	http.StatusNotFound:                    "Not Found",
+	http.StatusMethodNotAllowed:            "Method Not Allowed",
+	http.StatusRequestTimeout:              "Request Timeout",
+	http.StatusConflict:                    "Conflict",
+	http.StatusRequestEntityTooLarge:       "Content Too Large",
+	http.StatusMisdirectedRequest:          "Misdirected Request",
+	http.StatusUnprocessableEntity:         "Unprocessable Content",
+	http.StatusTooManyRequests:             "Too Many Requests",
+	http.StatusRequestHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	http.StatusInternalServerError:         "Internal Server Error",
+	http.StatusNotImplemented:              "Not Implemented",
+	http.StatusServiceUnavailable:          "Service Unavailable",
+	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
+}
+
+// AppendResponse appends a response with a JSON body to dst. retryAfter is in seconds; 0
+// sends no Retry-After. closeAfter announces that the connection is closed.
+func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
+	reason := reasonPhrases[status]
+	if reason == "" {
+		reason = "Status"
+	}
+	dst = append(dst, "HTTP/1.1 "...)
+	dst = strconv.AppendInt(dst, int64(status), 10)
+	dst = append(dst, ' ')
+	dst = append(dst, reason...)
+	dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
+	dst = strconv.AppendInt(dst, int64(len(body)), 10)
+	if retryAfter > 0 {
+		dst = append(dst, "\r\nRetry-After: "...)
+		dst = strconv.AppendInt(dst, int64(retryAfter), 10)
+	}
+	if closeAfter {
+		dst = append(dst, "\r\nConnection: close"...)
+	}
+	dst = append(dst, "\r\n\r\n"...)
+	return append(dst, body...)
+}
+
+// encodeRequest returns the bytes of a request. host goes into the Host field.
+func encodeRequest(host string, request ClientRequest) []byte {
+	var encoded []byte
+	encoded = append(encoded, request.Method...)
+	encoded = append(encoded, ' ')
+	encoded = append(encoded, request.Target...)
+	encoded = append(encoded, " HTTP/1.1\r\nHost: "...)
+	encoded = append(encoded, host...)
+	if request.Body != nil {
+		encoded = append(encoded, "\r\nContent-Type: application/json\r\nContent-Length: "...)
+		encoded = strconv.AppendInt(encoded, int64(len(request.Body)), 10)
+	} else if request.Method == http.MethodPost {
+		encoded = append(encoded, "\r\nContent-Length: 0"...)
+	}
+	encoded = append(encoded, "\r\n\r\n"...)
+	return append(encoded, request.Body...)
+}
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -1,219 +1,220 @@
-// Package http1 is lemonmoor's own HTTP/1.1: a parser for requests and
-// answers, a server on gnet and a small client.
 package http1
 
 import (
 	"bytes"
 	"errors"
-	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 
 	"lemonmoor/internal/tuning"
 )
 
-// Request is one parsed request.
-type Request struct {
-	Method string
-	Path   string
-	Query  string
-	Body   []byte
-	CloseAfter  bool // the sender closes the connection after the answer
-}
-
-// Response is one parsed answer.
-type Response struct {
-	Status int
-	Body   []byte
-	CloseAfter  bool
-}
-
-// ProtocolError is a request that gets an error status and a closed connection.
-type ProtocolError struct {
-	Status int
-	Reason string
-}
-
-func (e *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
-
-// errIncomplete says that the message is not complete yet.
+// errIncomplete says that more bytes of the message are to come.
 var errIncomplete = errors.New("incomplete")
 
-var headerTerminator = []byte("\r\n\r\n")
+var (
+	headerTerminator = []byte("\r\n\r\n")
+	lineTerminator   = []byte("\r\n")
+)
+
+const (
+	// maxChunkLine is the most bytes of the line that gives a chunk's size.
+	maxChunkLine = 64
+	// maxLeadingBytes is how many bytes of empty lines may stand before a request
+	// (RFC 9112, section 2.2).
+	maxLeadingBytes = 4
+)
 
-// messageHead is what requests and answers have in common.
+// messageHead is the part before the body, which requests and responses share.
 type messageHead struct {
-	startLine   string
-	contentLength  int // -1: not given
-	chunked bool
-	connectionClose   bool
-	connectionKeepAlive    bool
-	size    int // bytes of the head with its empty line
+	startLine           string
+	contentLength       int // -1: not given
+	chunked             bool
+	connectionClose     bool
+	connectionKeepAlive bool
+	size                int // bytes, the empty line that ends it included
 }
 
-// parseHead reads the first line and the header fields.
+// parseHead reads the start line and the header fields off the front of buf.
 func parseHead(buf []byte) (messageHead, error) {
 	head := messageHead{contentLength: -1}
 	end := bytes.Index(buf, headerTerminator)
-	if end < 0 {
-		if len(buf) > tuning.MaxHeaderBytes {
-			return head, &ProtocolError{431, "head too large"}
-		}
+	if end < 0 && len(buf) <= tuning.MaxHeaderBytes {
 		return head, errIncomplete
 	}
-	if end > tuning.MaxHeaderBytes {
-		return head, &ProtocolError{431, "head too large"}
+	if end < 0 || end > tuning.MaxHeaderBytes {
+		return head, &ProtocolError{http.StatusRequestHeaderFieldsTooLarge, "head too large"}
 	}
 	head.size = end + len(headerTerminator)
-	text := string(buf[:end])
-	first, rest, _ := strings.Cut(text, "\r\n")
-	head.startLine = first
+	startLine, rest, _ := strings.Cut(string(buf[:end]), "\r\n")
+	head.startLine = startLine
 	for rest != "" {
 		var line string
 		line, rest, _ = strings.Cut(rest, "\r\n")
-		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return head, &ProtocolError{400, "malformed header field"}
-		}
-		value = strings.TrimSpace(value)
-		switch {
-		case strings.EqualFold(name, "Content-Length"):
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || value[0] == '+' || (head.contentLength >= 0 && head.contentLength != int(n)) {
-				return head, &ProtocolError{400, "malformed Content-Length"}
-			}
-			head.contentLength = int(n)
-		case strings.EqualFold(name, "Transfer-Encoding"):
-			if !strings.EqualFold(value, "chunked") {
-				return head, &ProtocolError{501, "transfer encoding not supported"}
-			}
-			head.chunked = true
-		case strings.EqualFold(name, "Connection"):
-			head.connectionClose = head.connectionClose || strings.EqualFold(value, "close")
-			head.connectionKeepAlive = head.connectionKeepAlive || strings.EqualFold(value, "keep-alive")
+		if err := head.parseField(line); err != nil {
+			return head, err
 		}
 	}
 	if head.chunked && head.contentLength >= 0 {
-		return head, &ProtocolError{400, "both Content-Length and Transfer-Encoding"}
+		return head, &ProtocolError{http.StatusBadRequest, "both Content-Length and Transfer-Encoding"}
 	}
 	return head, nil
 }
 
-// parseBody reads the message's body, at most limit bytes of it (0: no limit).
-func (h *messageHead) parseBody(buf []byte, limit int) (body []byte, used int, err error) {
+// parseField reads one header field; those that do not matter here are only checked.
+func (h *messageHead) parseField(line string) error {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || name == "" || strings.ContainsAny(name, " \t") {
+		return &ProtocolError{http.StatusBadRequest, "malformed header field"}
+	}
+	value = strings.TrimSpace(value)
+	switch {
+	case strings.EqualFold(name, "Content-Length"):
+		length, err := strconv.ParseUint(value, 10, 31)
+		if err != nil || value[0] == '+' || (h.contentLength >= 0 && h.contentLength != int(length)) {
+			return &ProtocolError{http.StatusBadRequest, "malformed Content-Length"}
+		}
+		h.contentLength = int(length)
+	case strings.EqualFold(name, "Transfer-Encoding"):
+		if !strings.EqualFold(value, "chunked") {
+			return &ProtocolError{http.StatusNotImplemented, "transfer encoding not supported"}
+		}
+		h.chunked = true
+	case strings.EqualFold(name, "Connection"):
+		h.connectionClose = h.connectionClose || strings.EqualFold(value, "close")
+		h.connectionKeepAlive = h.connectionKeepAlive || strings.EqualFold(value, "keep-alive")
+	}
+	return nil
+}
+
+// parseBody reads the message's body off the front of buf and returns how many bytes it
+// took. A body above limit bytes is an error; a limit of 0 is none.
+func (h *messageHead) parseBody(buf []byte, limit int) (body []byte, size int, err error) {
 	if h.chunked {
 		return parseChunks(buf, limit)
 	}
-	n := max(h.contentLength, 0)
-	if limit > 0 && n > limit {
-		return nil, 0, &ProtocolError{413, "body too large"}
+	length := max(h.contentLength, 0)
+	if limit > 0 && length > limit {
+		return nil, 0, &ProtocolError{http.StatusRequestEntityTooLarge, "body too large"}
 	}
-	if len(buf) < n {
+	if len(buf) < length {
 		return nil, 0, errIncomplete
 	}
-	return buf[:n], n, nil
+	return buf[:length], length, nil
 }
 
-// parseChunks reads a chunked body.
+// parseChunks is parseBody for a chunked body (RFC 9112, section 7.1). Trailer fields are
+// not supported.
 func parseChunks(buf []byte, limit int) (body []byte, used int, err error) {
 	for {
-		end := bytes.Index(buf[used:], headerTerminator[:2])
+		end := bytes.Index(buf[used:], lineTerminator)
 		if end < 0 {
-			if len(buf)-used > 64 {
-				return nil, 0, &ProtocolError{400, "malformed chunk"}
+			if len(buf)-used > maxChunkLine {
+				return nil, 0, &ProtocolError{http.StatusBadRequest, "malformed chunk"}
 			}
 			return nil, 0, errIncomplete
 		}
 		sizeField, _, _ := strings.Cut(string(buf[used:used+end]), ";")
 		size, err := strconv.ParseUint(strings.TrimSpace(sizeField), 16, 31)
 		if err != nil {
-			return nil, 0, &ProtocolError{400, "malformed chunk"}
+			return nil, 0, &ProtocolError{http.StatusBadRequest, "malformed chunk"}
 		}
 		if limit > 0 && len(body)+int(size) > limit {
-			return nil, 0, &ProtocolError{413, "body too large"}
+			return nil, 0, &ProtocolError{http.StatusRequestEntityTooLarge, "body too large"}
 		}
-		used += end + 2
-		if len(buf)-used < int(size)+2 {
+		used += end + len(lineTerminator)
+		if len(buf)-used < int(size)+len(lineTerminator) {
 			return nil, 0, errIncomplete
 		}
 		body = append(body, buf[used:used+int(size)]...)
 		used += int(size)
-		if buf[used] != '\r' || buf[used+1] != '\n' {
-			return nil, 0, &ProtocolError{400, "malformed chunk"}
+		if !bytes.HasPrefix(buf[used:], lineTerminator) {
+			return nil, 0, &ProtocolError{http.StatusBadRequest, "malformed chunk"}
 		}
-		used += 2
+		used += len(lineTerminator)
 		if size == 0 {
 			return body, used, nil
 		}
 	}
 }
 
-// ParseRequest reads one request off the front of buf and says how many bytes
-// it took; none if the request is not complete yet. Bodies are copied.
+// ParseRequest reads one request off the front of buf and returns how many bytes it took.
+// While the request is incomplete it returns nil and takes none. The body is a copy. An
+// error is a *ProtocolError.
 func ParseRequest(buf []byte) (*Request, int, error) {
-	// Stray empty lines before a request are allowed for.
-	skip := 0
-	for skip+1 < len(buf) && skip < 4 && buf[skip] == '\r' && buf[skip+1] == '\n' {
-		skip += 2
+	skipped := 0
+	for skipped < maxLeadingBytes && bytes.HasPrefix(buf[skipped:], lineTerminator) {
+		skipped += len(lineTerminator)
 	}
-	head, err := parseHead(buf[skip:])
-	if err == errIncomplete {
+	head, err := parseHead(buf[skipped:])
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	parts := strings.Split(head.startLine, " ")
-	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
-		return nil, 0, &ProtocolError{400, "malformed request line"}
-	}
-	for _, c := range []byte(parts[0]) {
-		if c < 'A' || c > 'Z' {
-			return nil, 0, &ProtocolError{400, "malformed method"}
-		}
-	}
-	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
-		return nil, 0, &ProtocolError{505, "HTTP version not supported"}
+	method, target, version, err := parseRequestLine(head.startLine)
+	if err != nil {
+		return nil, 0, err
 	}
-	body, bodySize, err := head.parseBody(buf[skip+head.size:], tuning.MaxBodyBytes)
-	if err == errIncomplete {
+	body, bodySize, err := head.parseBody(buf[skipped+head.size:], tuning.MaxBodyBytes)
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	path, query, _ := strings.Cut(parts[1], "?")
+	path, query, _ := strings.Cut(target, "?")
 	return &Request{
-		Method: parts[0], Path: path, Query: query,
-		Body:  bytes.Clone(body),
-		CloseAfter: head.connectionClose || (parts[2] == "HTTP/1.0" && !head.connectionKeepAlive),
-	}, skip + head.size + bodySize, nil
+		Method:     method,
+		Path:       path,
+		Query:      query,
+		Body:       bytes.Clone(body),
+		CloseAfter: head.connectionClose || (version == "HTTP/1.0" && !head.connectionKeepAlive),
+	}, skipped + head.size + bodySize, nil
 }
 
-// ParseResponse reads one answer off the front of buf; eof says that no more
-// bytes will come. It takes no bytes while the answer is not complete.
+// parseRequestLine divides the start line of a request.
+func parseRequestLine(line string) (method, target, version string, err error) {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
+		return "", "", "", &ProtocolError{http.StatusBadRequest, "malformed request line"}
+	}
+	for _, letter := range []byte(parts[0]) {
+		if letter < 'A' || letter > 'Z' {
+			return "", "", "", &ProtocolError{http.StatusBadRequest, "malformed method"}
+		}
+	}
+	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
+		return "", "", "", &ProtocolError{http.StatusHTTPVersionNotSupported, "HTTP version not supported"}
+	}
+	return parts[0], parts[1], parts[2], nil
+}
+
+// ParseResponse reads one response off the front of buf and returns how many bytes it took.
+// While the response is incomplete it returns nil and takes none; eof says that no more
+// bytes will come. The body is a copy. An error is a *ProtocolError.
 func ParseResponse(buf []byte, eof bool) (*Response, int, error) {
 	head, err := parseHead(buf)
-	if err == errIncomplete {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	version, rest, _ := strings.Cut(head.startLine, " ")
-	code, _, _ := strings.Cut(rest, " ")
-	status, err := strconv.Atoi(code)
-	if err != nil || !strings.HasPrefix(version, "HTTP/1.") || status < 100 || status > 599 {
-		return nil, 0, &ProtocolError{400, "malformed status line"}
+	status, err := parseStatusLine(head.startLine)
+	if err != nil {
+		return nil, 0, err
 	}
-	if head.contentLength < 0 && !head.chunked && status != 204 && status != 304 {
+	if head.contentLength < 0 && !head.chunked && status != http.StatusNoContent && status != http.StatusNotModified {
 		if !eof {
 			return nil, 0, nil // the body ends with the connection
 		}
 		return &Response{Status: status, Body: bytes.Clone(buf[head.size:]), CloseAfter: true}, len(buf), nil
 	}
 	body, bodySize, err := head.parseBody(buf[head.size:], 0)
-	if err == errIncomplete {
+	if errors.Is(err, errIncomplete) {
 		return nil, 0, nil
 	}
 	if err != nil {
@@ -222,58 +223,13 @@
 	return &Response{Status: status, Body: bytes.Clone(body), CloseAfter: head.connectionClose}, head.size + bodySize, nil
 }
 
-// reasonPhrases are the status texts that lemonmoor sends.
-var reasonPhrases = map[int]string{
-	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
-	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
-	413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-	429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
-	501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported",
-}
-
-// AppendResponse writes an answer. A retryAfter of 0 is left out.
-func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closing bool) []byte {
-	reason := reasonPhrases[status]
-	if reason == "" {
-		reason = "Status"
-	}
-	dst = append(dst, "HTTP/1.1 "...)
-	dst = strconv.AppendInt(dst, int64(status), 10)
-	dst = append(dst, ' ')
-	dst = append(dst, reason...)
-	dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-	dst = strconv.AppendInt(dst, int64(len(body)), 10)
-	if retryAfter > 0 {
-		dst = append(dst, "\r\nRetry-After: "...)
-		dst = strconv.AppendInt(dst, int64(retryAfter), 10)
-	}
-	if closing {
-		dst = append(dst, "\r\nConnection: close"...)
-	}
-	dst = append(dst, "\r\n\r\n"...)
-	return append(dst, body...)
-}
-
-// ClientRequest is a request to be sent.
-type ClientRequest struct {
-	Method string
-	Target string
-	Body   []byte
-}
-
-// appendRequest writes a request.
-func appendRequest(dst []byte, host string, request ClientRequest) []byte {
-	dst = append(dst, request.Method...)
-	dst = append(dst, ' ')
-	dst = append(dst, request.Target...)
-	dst = append(dst, " HTTP/1.1\r\nHost: "...)
-	dst = append(dst, host...)
-	if request.Body != nil {
-		dst = append(dst, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-		dst = strconv.AppendInt(dst, int64(len(request.Body)), 10)
-	} else if request.Method == "POST" {
-		dst = append(dst, "\r\nContent-Length: 0"...)
+// parseStatusLine reads the status out of the start line of a response.
+func parseStatusLine(line string) (int, error) {
+	version, rest, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(rest, " ")
+	status, err := strconv.Atoi(code)
+	if err != nil || !strings.HasPrefix(version, "HTTP/1.") || status < 100 || status > 599 {
+		return 0, &ProtocolError{http.StatusBadRequest, "malformed status line"}
 	}
-	dst = append(dst, "\r\n\r\n"...)
-	return append(dst, request.Body...)
+	return status, nil
 }
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -12,9 +12,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestRequestsInPieces: however a request is cut up, it parses to the same,
+// TestParseRequestInPieces: however a request is cut up, it parses to the same,
 // takes its own bytes only, and never before it is whole.
-func TestRequestsInPieces(t *testing.T) {
+func TestParseRequestInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
 		path := "/" + rapid.StringMatching(`[a-z/0-9-]{0,30}`).Draw(t, "path")
@@ -50,8 +50,8 @@
 	})
 }
 
-// TestAnyBytes: no input makes the parser panic or take more than it was given.
-func TestAnyBytes(t *testing.T) {
+// TestParsersTakeAnyBytes: no input makes the parser panic or take more than it was given.
+func TestParsersTakeAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := rapid.SampledFrom([]string{"", "GET / HTTP/1.1\r\n", "POST /work HTTP/1.1\r\nContent-Length: ", "HTTP/1.1 200 OK\r\n"}).Draw(t, "head")
 		buf := append([]byte(head), rapid.SliceOfN(rapid.SampledFrom([]byte("\r\n: 0123abcfGET/HTP.-+\x00\xff")), 0, 200).Draw(t, "rest")...)
@@ -64,7 +64,8 @@
 	})
 }
 
-func TestBadRequests(t *testing.T) {
+// TestMalformedRequestsAreRefused: each fault has its status.
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	for raw, status := range map[string]int{
 		"GET /\r\n\r\n":                                                                     400,
 		"get / HTTP/1.1\r\n\r\n":                                                            400,
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestAnswersComeBack: what is written as an answer parses to the same.
-func TestAnswersComeBack(t *testing.T) {
+// TestResponsesRoundTrip: a response that is written parses to the same.
+func TestResponsesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		status := rapid.SampledFrom([]int{200, 201, 404, 409, 421, 503}).Draw(t, "status")
 		body := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "body")
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -1,7 +1,9 @@
 package http1
 
 import (
+	"errors"
 	"log/slog"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -11,85 +13,100 @@
 	"lemonmoor/internal/tuning"
 )
 
-// ResponseWriter answers a request once; it may be called from any goroutine.
+// ResponseWriter answers a request; calls after the first do nothing. retryAfter is in
+// seconds, 0 for none. It may be called from any goroutine.
 type ResponseWriter func(status int, body []byte, retryAfter int)
 
-// Handler takes requests off the network. It must not block.
-type Handler func(req *Request, reply ResponseWriter)
+// Handler takes a request off the network. It must not block.
+type Handler func(request *Request, respond ResponseWriter)
 
-// Server serves HTTP/1.1 on gnet's event loop.
-type Server struct {
-	gnet.BuiltinEventEngine
-	// IsUser tells users' requests from the others'.
+// ServerConfig is what a server needs to know of the process that it serves.
+type ServerConfig struct {
+	Handle  Handler
+	Sockets *SocketBudget
+	Log     *slog.Logger
+	// IsUser reports whether a request comes from a user, whose connections yield to those
+	// of workers when sockets run out. Nil takes none for a user's.
 	IsUser func(*Request) bool
-	// WorkerIdleTimeout is when a connection that is no user's counts as forsaken: a
-	// machine that died or was cut off does not close its own.
+	// WorkerIdleTimeout is how long a connection that is no user's may be idle. A machine
+	// that died or was cut off does not close its own. 0 stands for
+	// tuning.IdleConnectionTimeout.
 	WorkerIdleTimeout time.Duration
+}
 
-	handle  Handler
-	sockets *SocketBudget
-	log     *slog.Logger
+// Server serves HTTP/1.1 on gnet's event loop, one request of a connection at a time.
+type Server struct {
+	gnet.BuiltinEventEngine
+	config  ServerConfig
 	started time.Time
 
-	mu    sync.Mutex
+	mu          sync.Mutex
 	connections map[gnet.Conn]*connectionState
 }
 
-// connectionState is what the server keeps of a connection.
+// connectionState is what the server knows of a connection. The event loop and the
+// goroutines that answer share it.
 type connectionState struct {
-	awaitsResponse    atomic.Bool  // a request waits for its answer
-	lastActivityMS atomic.Int64 // ms since start, of the last byte or answer
-	hasPartialRequest atomic.Bool  // an incomplete request is buffered
-	isUser    atomic.Bool  // its last request was a user's
+	awaitsResponse    atomic.Bool
+	lastActivityMS    atomic.Int64 // uptime at the last byte or response, in milliseconds
+	hasPartialRequest atomic.Bool
+	isUser            atomic.Bool // the last request came from a user
 }
 
-// NewServer returns a server that hands requests to handle.
-func NewServer(handle Handler, sockets *SocketBudget, log *slog.Logger) *Server {
-	return &Server{
-		handle: handle, sockets: sockets, log: log, started: time.Now(), connections: map[gnet.Conn]*connectionState{},
-		IsUser: func(*Request) bool { return false }, WorkerIdleTimeout: tuning.IdleConnectionTimeout,
+// NewServer returns a server that does not listen yet.
+func NewServer(config ServerConfig) *Server {
+	if config.IsUser == nil {
+		config.IsUser = func(*Request) bool { return false }
+	}
+	if config.WorkerIdleTimeout == 0 {
+		config.WorkerIdleTimeout = tuning.IdleConnectionTimeout
 	}
+	return &Server{config: config, started: time.Now(), connections: map[gnet.Conn]*connectionState{}}
 }
 
+// bufferBytes is the capacity of gnet's read and write buffers of one connection.
+const bufferBytes = 16 * 1024
+
 // Serve listens on addr until the process ends or listening fails.
 func (s *Server) Serve(addr string) error {
 	return gnet.Run(s, "tcp://"+addr,
 		gnet.WithNumEventLoop(1), gnet.WithTicker(true), gnet.WithReuseAddr(true),
-		gnet.WithReadBufferCap(16*1024), gnet.WithWriteBufferCap(16*1024),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(gnetLogger{s.log}))
+		gnet.WithReadBufferCap(bufferBytes), gnet.WithWriteBufferCap(bufferBytes),
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(gnetLogger{s.config.Log}))
 }
 
 func (s *Server) uptimeMS() int64 { return time.Since(s.started).Milliseconds() }
 
-// OnOpen notes a new connection.
+// OnOpen implements gnet.EventHandler: it counts a new connection, and closes it if the
+// last sockets are needed for calls that must go through.
 func (s *Server) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
 	state := &connectionState{}
 	state.lastActivityMS.Store(s.uptimeMS())
 	connection.SetContext(state)
-	s.sockets.noteOpened()
+	s.config.Sockets.noteOpened()
 	s.mu.Lock()
 	s.connections[connection] = state
 	s.mu.Unlock()
-	if s.sockets.IsExhausted() {
+	if s.config.Sockets.IsExhausted() {
 		return nil, gnet.Close
 	}
 	return nil, gnet.None
 }
 
-// OnClose forgets a connection.
+// OnClose implements gnet.EventHandler: it forgets a connection.
 func (s *Server) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	s.mu.Lock()
 	_, there := s.connections[connection]
 	delete(s.connections, connection)
 	s.mu.Unlock()
 	if there {
-		s.sockets.noteClosed()
+		s.config.Sockets.noteClosed()
 	}
 	return gnet.None
 }
 
-// OnTraffic reads requests, one at a time: the next is not looked at before
-// the answer to the last has gone out.
+// OnTraffic implements gnet.EventHandler: it hands the next request to the handler. Further
+// ones wait until the response has been written.
 func (s *Server) OnTraffic(connection gnet.Conn) gnet.Action {
 	state, ok := connection.Context().(*connectionState)
 	if !ok {
@@ -97,7 +114,7 @@
 	}
 	if state.awaitsResponse.Load() {
 		if connection.InboundBuffered() > 2*tuning.MaxBodyBytes {
-			return gnet.Close
+			return gnet.Close // it pipelines requests, which the protocol rules out
 		}
 		return gnet.None
 	}
@@ -108,42 +125,47 @@
 	state.lastActivityMS.Store(s.uptimeMS())
 	request, size, err := ParseRequest(buf)
 	if err != nil {
-		status := 400
-		if f, ok := err.(*ProtocolError); ok {
-			status = f.Status
+		status := http.StatusBadRequest
+		var protocolError *ProtocolError
+		if errors.As(err, &protocolError) {
+			status = protocolError.Status
 		}
-		_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(err.Error()), 0, true))
-		return gnet.Close
+		return refuse(connection, status, err.Error(), 0)
 	}
+	state.hasPartialRequest.Store(request == nil)
 	if request == nil {
-		state.hasPartialRequest.Store(true)
 		return gnet.None
 	}
-	state.hasPartialRequest.Store(false)
-	_, _ = connection.Discard(size)
-	isUser := s.IsUser(request)
+	_, _ = connection.Discard(size) // no more than Peek returned
+	isUser := s.config.IsUser(request)
 	state.isUser.Store(isUser)
-	if isUser && s.sockets.IsScarce() {
-		_, _ = connection.Write(AppendResponse(nil, 503, ErrorBody("no sockets left"), tuning.RetryAfterSeconds, true))
-		return gnet.Close
+	if isUser && s.config.Sockets.IsScarce() {
+		return refuse(connection, http.StatusServiceUnavailable, "no sockets left", tuning.RetryAfterSeconds)
 	}
 	state.awaitsResponse.Store(true)
-	s.handle(request, s.responseWriter(connection, state, request.CloseAfter, isUser))
+	s.config.Handle(request, s.responseWriter(connection, state, request.CloseAfter, isUser))
 	return gnet.None
 }
 
-// responseWriter answers the request that a connection is busy with, once.
+// refuse answers on the event loop and has the connection closed.
+func refuse(connection gnet.Conn, status int, reason string, retryAfter int) gnet.Action {
+	_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(reason), retryAfter, true)) // closed either way
+	return gnet.Close
+}
+
+// responseWriter returns what answers the request that a connection waits with. closeAfter
+// says that the client asked for the connection to be closed.
 func (s *Server) responseWriter(connection gnet.Conn, state *connectionState, closeAfter, isUser bool) ResponseWriter {
-	var once atomic.Bool
+	var answered atomic.Bool
 	return func(status int, body []byte, retryAfter int) {
-		if !once.CompareAndSwap(false, true) {
+		if !answered.CompareAndSwap(false, true) {
 			return
 		}
-		closing := closeAfter || (isUser && s.sockets.IsTight())
-		out := AppendResponse(nil, status, body, retryAfter, closing)
-		_ = connection.AsyncWrite(out, func(connection gnet.Conn, err error) error {
+		closing := closeAfter || (isUser && s.config.Sockets.IsTight())
+		response := AppendResponse(nil, status, body, retryAfter, closing)
+		_ = connection.AsyncWrite(response, func(connection gnet.Conn, err error) error {
 			if err != nil || connection == nil {
-				return nil
+				return nil //nolint:nilerr // the connection is gone, and OnClose has been told
 			}
 			state.lastActivityMS.Store(s.uptimeMS())
 			state.awaitsResponse.Store(false)
@@ -154,45 +176,66 @@
 				return connection.Wake(nil)
 			}
 			return nil
-		})
+		}) // fails only if the connection is gone
 	}
 }
 
-// OnTick closes slow and idle connections, users' at once when sockets are
-// tight.
+// OnTick implements gnet.EventHandler: it closes idle connections and those whose request
+// arrives too slowly. While sockets are tight, users' idle ones go at once.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
-	now := s.uptimeMS()
 	userIdleTimeout := tuning.IdleConnectionTimeout
-	if s.sockets.IsTight() {
+	if s.config.Sockets.IsTight() {
 		userIdleTimeout = tuning.SocketSweepInterval
 	}
-	var expired []gnet.Conn
+	for _, connection := range s.expired(userIdleTimeout) {
+		_ = connection.Close() // fails only if it is closed already
+	}
+	return tuning.SocketSweepInterval, gnet.None
+}
+
+// expired lists the connections that are to be closed.
+func (s *Server) expired(userIdleTimeout time.Duration) []gnet.Conn {
 	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.uptimeMS()
+	var expired []gnet.Conn
 	for connection, state := range s.connections {
-		age := time.Duration(now-state.lastActivityMS.Load()) * time.Millisecond
 		if state.awaitsResponse.Load() {
 			continue
 		}
-		limit := s.WorkerIdleTimeout
+		idle := time.Duration(now-state.lastActivityMS.Load()) * time.Millisecond
+		limit := s.config.WorkerIdleTimeout
 		if state.isUser.Load() {
 			limit = userIdleTimeout
 		}
-		if age > limit || (state.hasPartialRequest.Load() && age > tuning.SlowRequestTimeout) {
+		if idle > limit || (state.hasPartialRequest.Load() && idle > tuning.SlowRequestTimeout) {
 			expired = append(expired, connection)
 		}
 	}
-	s.mu.Unlock()
-	for _, connection := range expired {
-		_ = connection.Close()
-	}
-	return tuning.SocketSweepInterval, gnet.None
+	return expired
 }
 
-// gnetLogger carries gnet's own messages to the log at debug level.
+// gnetLogger carries gnet's own messages to the log: at debug level, since gnet warns of
+// every connection that a client resets, and fatal ones as errors.
 type gnetLogger struct{ log *slog.Logger }
 
-func (g gnetLogger) Debugf(string, ...any)          {}
-func (g gnetLogger) Infof(string, ...any)           {}
-func (g gnetLogger) Warnf(format string, a ...any)  { g.log.Debug("gnet", "format", format, "args", a) }
-func (g gnetLogger) Errorf(format string, a ...any) { g.log.Debug("gnet", "format", format, "args", a) }
-func (g gnetLogger) Fatalf(format string, a ...any) { g.log.Error("gnet", "format", format, "args", a) }
+// Debugf drops a message.
+func (g gnetLogger) Debugf(string, ...any) {}
+
+// Infof drops a message.
+func (g gnetLogger) Infof(string, ...any) {}
+
+// Warnf logs a warning at debug level.
+func (g gnetLogger) Warnf(format string, args ...any) { g.debug(format, args) }
+
+// Errorf logs an error at debug level.
+func (g gnetLogger) Errorf(format string, args ...any) { g.debug(format, args) }
+
+// Fatalf logs what ends the server.
+func (g gnetLogger) Fatalf(format string, args ...any) {
+	g.log.Error("HTTP server failed", "format", format, "args", args)
+}
+
+func (g gnetLogger) debug(format string, args []any) {
+	g.log.Debug("HTTP server message", "format", format, "args", args)
+}
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -10,35 +10,45 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestSocketsRunOut guards against a process that meets the platform's limit:
-// near it connections that are not in use are closed, then direct orders are not
-// sent, and calls to the state service are still made.
-func TestSocketsRunOut(t *testing.T) {
+// startEchoServer answers every request on loopback with an empty object until the test
+// ends, and returns its address.
+func startEchoServer(t *testing.T) string {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Skip("no loopback here:", err)
 	}
-	defer func() { _ = listener.Close() }()
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				buf := make([]byte, 1024)
-				for {
-					if _, err := conn.Read(buf); err != nil {
-						return
-					}
-					if _, err := conn.Write(AppendResponse(nil, 200, []byte("{}"), 0, false)); err != nil {
-						return
-					}
-				}
-			}()
+			go answerAll(conn)
 		}
 	}()
-	addr := listener.Addr().String()
+	return listener.Addr().String()
+}
+
+// answerAll answers what comes on a connection until it fails.
+func answerAll(conn net.Conn) {
+	buf := make([]byte, 1024)
+	for {
+		if _, err := conn.Read(buf); err != nil {
+			return
+		}
+		if _, err := conn.Write(AppendResponse(nil, 200, []byte("{}"), 0, false)); err != nil {
+			return
+		}
+	}
+}
+
+// TestConnectionsAreGivenUpInOrderAsSocketsRunOut guards against a process that meets the platform's limit:
+// near it connections that are not in use are closed, then direct commands are not
+// sent, and calls to the state service are still made.
+func TestConnectionsAreGivenUpInOrderAsSocketsRunOut(t *testing.T) {
+	addr := startEchoServer(t)
 	const limit = 1000
 	sockets := NewSocketBudget(limit)
 	worker, state := NewClient(sockets), NewClient(sockets, addr)
@@ -61,7 +71,7 @@
 	}
 	fill(tuning.ScarceSocketShare - 0.01)
 	if err := ask(worker); !errors.Is(err, errSocketsScarce) {
-		t.Errorf("a direct order takes one of the last sockets: %v", err)
+		t.Errorf("a direct command takes one of the last sockets: %v", err)
 	}
 	if err := ask(state); err != nil {
 		t.Errorf("the state service is not called: %v", err)
@@ -74,9 +84,9 @@
 	}
 }
 
-// TestUsersYieldToReports: with few sockets left users are refused at once and
-// told when to come back, and reports are answered.
-func TestUsersYieldToReports(t *testing.T) {
+// TestUsersYieldToHeartbeatsWhenSocketsAreScarce: users are refused at once and told when
+// to come back, and heartbeats are answered.
+func TestUsersYieldToHeartbeatsWhenSocketsAreScarce(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Skip("no loopback here:", err)
@@ -87,22 +97,26 @@
 	}
 	const limit = 1000
 	sockets := NewSocketBudget(limit)
-	server := NewServer(func(_ *Request, reply ResponseWriter) { reply(200, []byte("{}"), 0) }, sockets, slog.New(slog.DiscardHandler))
-	server.IsUser = func(r *Request) bool { return r.Path == "/work" }
+	server := NewServer(ServerConfig{
+		Handle:  func(_ *Request, respond ResponseWriter) { respond(200, []byte("{}"), 0) },
+		Sockets: sockets,
+		Log:     slog.New(slog.DiscardHandler),
+		IsUser:  func(r *Request) bool { return r.Path == "/work" },
+	})
 	go func() { _ = server.Serve(addr) }()
 	client := NewClient(NewSocketBudget(0))
 	ask := func(path string) (int, bool) {
-		var ans *Response
+		var response *Response
 		for range 200 { // until it listens
-			if ans, _, err = client.Send(addr, ClientRequest{Method: "GET", Target: path}, 5*time.Second); err == nil {
-				return ans.Status, ans.CloseAfter
+			if response, _, err = client.Send(addr, ClientRequest{Method: "GET", Target: path}, 5*time.Second); err == nil {
+				return response.Status, response.CloseAfter
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		t.Fatal(err)
 		return 0, false
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		left   float64
 		path   string
 		status int
@@ -115,9 +129,9 @@
 		{tuning.ScarceSocketShare - 0.02, "/work", 503, true},
 		{tuning.ScarceSocketShare - 0.02, "/beat", 200, false},
 	} {
-		sockets.openSockets.Store(limit - int64(c.left*limit))
-		if status, closed := ask(c.path); status != c.status || closed != c.close {
-			t.Errorf("%s with %.2f of the sockets left: %d, closed %v", c.path, c.left, status, closed)
+		sockets.openSockets.Store(limit - int64(test.left*limit))
+		if status, closed := ask(test.path); status != test.status || closed != test.close {
+			t.Errorf("%s with %.2f of the sockets left: %d, closed %v", test.path, test.left, status, closed)
 		}
 	}
 }
--- a/internal/http1/surface_test.go
+++ b/internal/http1/surface_test.go
@@ -15,9 +15,9 @@
 		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}":                                                         AppendResponse(nil, 200, []byte("{}"), 0, false),
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\nRetry-After: 3\r\nConnection: close\r\n\r\n{}": AppendResponse(nil, 503, []byte("{}"), 3, true),
 		"HTTP/1.1 421 Misdirected Request\r\nContent-Type: application/json\r\nContent-Length: 0\r\n\r\n":                                          AppendResponse(nil, 421, nil, 0, false),
-		"POST /commit HTTP/1.1\r\nHost: state:1\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}":                                  appendRequest(nil, "state:1", ClientRequest{Method: "POST", Target: "/commit", Body: []byte("{}")}),
-		"POST /grants/1/touch HTTP/1.1\r\nHost: state:1\r\nContent-Length: 0\r\n\r\n":                                                              appendRequest(nil, "state:1", ClientRequest{Method: "POST", Target: "/grants/1/touch"}),
-		"GET /keys HTTP/1.1\r\nHost: state:1\r\n\r\n":                                                                                              appendRequest(nil, "state:1", ClientRequest{Method: "GET", Target: "/keys"}),
+		"POST /commit HTTP/1.1\r\nHost: state:1\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}":                                  encodeRequest("state:1", ClientRequest{Method: "POST", Target: "/commit", Body: []byte("{}")}),
+		"POST /grants/1/touch HTTP/1.1\r\nHost: state:1\r\nContent-Length: 0\r\n\r\n":                                                              encodeRequest("state:1", ClientRequest{Method: "POST", Target: "/grants/1/touch"}),
+		"GET /keys HTTP/1.1\r\nHost: state:1\r\n\r\n":                                                                                              encodeRequest("state:1", ClientRequest{Method: "GET", Target: "/keys"}),
 	} {
 		if string(got) != want {
 			t.Errorf("%q instead of %q", got, want)
