--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,6 +1,8 @@
-// Package adminclient lets operators' commands ask the controllers: over the same HTTP/2
-// streams by which these talk among themselves, any of them, again and again until one
-// answers or the time is up.
+// Package adminclient sends operators' requests to the controllers, over the same HTTP/2
+// streams by which these talk among themselves. It asks one controller after the other, and
+// all of them again, until one gives a final answer or the time is up. It owns no state
+// beyond one request, and must not know what the requests mean: its caller judges the
+// answers.
 package adminclient
 
 import (
@@ -13,7 +15,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Sender sends a message to a controller and waits for its answer.
+// Sender sends a message to a controller and waits for its answer, at most timeout.
 type Sender interface {
 	Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
@@ -24,10 +26,10 @@
 	Endpoint string
 }
 
-// Nodes lists the controllers that a settings file names, its own first.
-func Nodes(set *settings.Settings) []Node {
-	nodes := []Node{{set.Node, set.PeerBind}}
-	for _, peer := range set.Seeds {
+// Nodes lists the controllers that a settings file names, the one that it belongs to first.
+func Nodes(settings *settings.Settings) []Node {
+	nodes := []Node{{settings.Node, settings.PeerBind}}
+	for _, peer := range settings.Seeds {
 		nodes = append(nodes, Node{peer.Node, peer.Endpoint})
 	}
 	return nodes
@@ -35,10 +37,11 @@
 
 // Client asks controllers.
 type Client struct {
-	Sender  Sender
-	Nodes   []Node
+	Sender Sender
+	Nodes  []Node
+	// Timeout bounds a request with all its repeats.
 	Timeout time.Duration
-	// Sleep and Now are the clock, replaced in tests.
+	// Sleep and Now are the clock; tests replace them.
 	Sleep func(time.Duration)
 	Now   func() time.Time
 }
@@ -48,13 +51,13 @@
 	return &Client{Sender: sender, Nodes: nodes, Timeout: timeout, Sleep: time.Sleep, Now: time.Now}
 }
 
-// NoAnswerError says that no controller could carry a request out in time. Whether an
-// earlier try was carried out is not known; the request may be sent again.
+// NoAnswerError says that no controller gave a final answer in time. Whether the request was
+// carried out is not known; it may be sent again.
 type NoAnswerError struct {
-	Asked []Failure
+	Asked []Failure // one for each node
 }
 
-// Failure is what came of asking one node, the last time.
+// Failure is what came of asking one node the last time.
 type Failure struct {
 	Node   Node
 	Reason string
@@ -63,23 +66,28 @@
 // Error names the nodes that were asked and what came of it.
 func (e *NoAnswerError) Error() string {
 	parts := make([]string, len(e.Asked))
-	for i, f := range e.Asked {
-		parts[i] = fmt.Sprintf("%s (%s): %s", f.Node.Name, f.Node.Endpoint, f.Reason)
+	for i, failure := range e.Asked {
+		parts[i] = fmt.Sprintf("%s (%s): %s", failure.Node.Name, failure.Node.Endpoint, failure.Reason)
 	}
 	return "no leader reachable; asked " + strings.Join(parts, "; ")
 }
 
 // Verdict is what an answer means to the one who asked.
 type Verdict struct {
-	// Final: the answer stands. Otherwise Reason says why not, and the request is sent
-	// again after Retry at the earliest.
+	// Final says that the answer stands. Otherwise Reason says why not, and the request is
+	// sent again after Retry at the earliest.
 	Final  bool
 	Reason string
 	Retry  time.Duration
 }
 
-// Ask sends a request until judge calls an answer final.
-func (c *Client) Ask(path string, request any, judge func(answer []byte) (Verdict, error)) error {
+// Judge tells what an answer means. An error says that it does not parse; the next
+// controller is asked then.
+type Judge func(answer []byte) (Verdict, error)
+
+// Ask sends a request, encoded as JSON, until judge calls an answer final. If none is in
+// time it returns a *NoAnswerError.
+func (c *Client) Ask(path string, request any, judge Judge) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return fmt.Errorf("request: %w", err)
@@ -89,11 +97,11 @@
 	for {
 		retry := tuning.OperatorRetryDelay
 		for i, node := range c.Nodes {
-			left := deadline.Sub(c.Now())
-			if left <= 0 {
+			remaining := deadline.Sub(c.Now())
+			if remaining <= 0 {
 				break
 			}
-			verdict := c.ask(node, path, body, min(left, 2*tuning.PeerRequestTimeout), judge)
+			verdict := c.askNode(node, path, body, min(remaining, 2*tuning.PeerRequestTimeout), judge)
 			if verdict.Final {
 				return nil
 			}
@@ -101,14 +109,14 @@
 			retry = max(retry, verdict.Retry)
 		}
 		if c.Now().Add(retry).After(deadline) {
-			return &NoAnswerError{asked(c.Nodes, failures)}
+			return &NoAnswerError{withUnaskedNodes(c.Nodes, failures)}
 		}
 		c.Sleep(retry)
 	}
 }
 
-// asked fills in the nodes for which there was no time.
-func asked(nodes []Node, failures []Failure) []Failure {
+// withUnaskedNodes fills in the nodes for which there was no time.
+func withUnaskedNodes(nodes []Node, failures []Failure) []Failure {
 	for i := range failures {
 		if failures[i].Reason == "" {
 			failures[i] = Failure{nodes[i], "not asked: no time left"}
@@ -117,8 +125,8 @@
 	return failures
 }
 
-// ask sends a request to one node.
-func (c *Client) ask(node Node, path string, body []byte, timeout time.Duration, judge func([]byte) (Verdict, error)) Verdict {
+// askNode sends the request to one node and judges its answer.
+func (c *Client) askNode(node Node, path string, body []byte, timeout time.Duration, judge Judge) Verdict {
 	answer, err := c.Sender.Send(node.Endpoint, path, body, timeout)
 	if err != nil {
 		return Verdict{Reason: err.Error()}
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// sender answers from a script, by endpoint, and takes its time.
-type sender struct {
+// scriptedSender answers from a script, by endpoint. What is not in the script takes the
+// whole timeout.
+type scriptedSender struct {
 	now     time.Time
 	answers map[string][]string // in their order; the last one stays
 	asked   []string
 }
 
-func (s *sender) Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error) {
+func (s *scriptedSender) Send(endpoint, _ string, _ []byte, timeout time.Duration) ([]byte, error) {
 	s.asked = append(s.asked, endpoint)
 	list := s.answers[endpoint]
 	if len(list) == 0 || list[0] == "" {
@@ -30,7 +31,7 @@
 	return []byte(list[0]), nil
 }
 
-func client(s *sender, timeout time.Duration) *Client {
+func newTestClient(s *scriptedSender, timeout time.Duration) *Client {
 	c := NewClient(s, []Node{{"n0", "e0"}, {"n1", "e1"}, {"n2", "e2"}}, timeout)
 	c.Now = func() time.Time { return s.now }
 	c.Sleep = func(d time.Duration) { s.now = s.now.Add(d) }
@@ -48,11 +49,11 @@
 	}
 }
 
-// TestAskAnyNode: dead nodes, ones that do not lead and ones that answer nonsense are
+// TestAskGoesOnUntilANodeAnswers: dead nodes, ones that do not lead and ones that answer nonsense are
 // passed over, and asked again, until one answers.
-func TestAskAnyNode(t *testing.T) {
-	s := &sender{answers: map[string][]string{"e0": {""}, "e1": {"later", "garbage", "done"}, "e2": {"later"}}}
-	if err := client(s, time.Minute).Ask("/x", 1, judge); err != nil {
+func TestAskGoesOnUntilANodeAnswers(t *testing.T) {
+	s := &scriptedSender{answers: map[string][]string{"e0": {""}, "e1": {"later", "garbage", "done"}, "e2": {"later"}}}
+	if err := newTestClient(s, time.Minute).Ask("/x", 1, judge); err != nil {
 		t.Fatal(err)
 	}
 	if got := strings.Join(s.asked, " "); got != "e0 e1 e2 e0 e1 e2 e0 e1" {
@@ -60,14 +61,15 @@
 	}
 }
 
-// TestAskInVain: within the time limit, and every node is named with the reason.
-func TestAskInVain(t *testing.T) {
+// TestAskWithoutAnswerNamesEveryNode: it ends within the time limit, and the error gives the
+// reason for each node.
+func TestAskWithoutAnswerNamesEveryNode(t *testing.T) {
 	for _, timeout := range []time.Duration{time.Second, 7 * time.Second, 20 * time.Second} {
-		s := &sender{answers: map[string][]string{"e1": {"later"}}}
+		s := &scriptedSender{answers: map[string][]string{"e1": {"later"}}}
 		begun := s.now
-		err := client(s, timeout).Ask("/x", 1, judge)
-		var silent *NoAnswerError
-		if !errors.As(err, &silent) || len(silent.Asked) != 3 {
+		err := newTestClient(s, timeout).Ask("/x", 1, judge)
+		var noAnswer *NoAnswerError
+		if !errors.As(err, &noAnswer) || len(noAnswer.Asked) != 3 {
 			t.Fatalf("%v", err)
 		}
 		if took := s.now.Sub(begun); took > timeout {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -2,15 +2,17 @@
 
 import (
 	"bytes"
+	"errors"
 	"log/slog"
 	"net"
+	"net/http"
 	"testing"
 	"time"
 )
 
-// TestMessagesAndRefusals: a message reaches the other controller's handler over
+// TestMessagesAreAnsweredOrRefused: a message reaches the other controller's handler over
 // HTTP/2 and its answer comes back; refused and unreachable ones are errors.
-func TestMessagesAndRefusals(t *testing.T) {
+func TestMessagesAreAnsweredOrRefused(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Skip("no loopback here:", err)
@@ -24,10 +26,10 @@
 			answer(append([]byte(path+" "), body...), path != "/refused")
 		}, slog.New(slog.DiscardHandler))
 	}()
-	links := NewClient()
+	client := NewClient()
 	var got []byte
 	for range 100 { // until it listens
-		if got, err = links.Send(addr, "/digest", []byte("{}"), 5*time.Second); err == nil {
+		if got, err = client.Send(addr, "/digest", []byte("{}"), 5*time.Second); err == nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -36,10 +38,12 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	large := bytes.Repeat([]byte("x"), 300<<10)
-	if got, err = links.Send(addr, "/beat", large, 5*time.Second); err != nil || len(got) != len(large)+6 {
+	if got, err = client.Send(addr, "/beat", large, 5*time.Second); err != nil || len(got) != len(large)+6 {
 		t.Fatalf("%d bytes came back, %v", len(got), err)
 	}
-	if _, err = links.Send(addr, "/refused", nil, 5*time.Second); err == nil {
-		t.Error("a refused message is no error")
+	_, err = client.Send(addr, "/refused", nil, 5*time.Second)
+	var refused *StatusError
+	if !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
+		t.Errorf("a refused message gives %v", err)
 	}
 }
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -431,6 +431,8 @@
 	PeerDialTimeout = 1 * time.Second
 	// PeerPingAfter is how long a connection may be quiet before it is tested.
 	PeerPingAfter = 3 * time.Second
+	// PeerIdleTimeout is how long a connection to a peer stays open without messages.
+	PeerIdleTimeout = 1 * time.Minute
 	// MaxPeerMessageBytes is the most bytes of a message.
 	MaxPeerMessageBytes = 1 << 20
 )
