--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -93,8 +93,10 @@
 func (n *Node) build(nonce uint64, rank int) {
 	rt, set, log := n.rt, n.set, n.log
 	n.owners = nil
-	n.leases = statestore.NewLeaseManager(rt, n.state, log, set.Node, nonce, rank, set.ShardCount())
-	n.leases.AnswerGracePeriod = set.AnswerGracePeriod()
+	n.leases = statestore.NewLeaseManager(rt, n.state, log, statestore.LeaseConfig{
+		Node: set.Node, Nonce: nonce, Rank: rank, ShardCount: set.ShardCount(),
+		AnswerGracePeriod: set.AnswerGracePeriod(), Observer: leaseObserver{n},
+	})
 	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log)
 	n.store = taskstate.NewStore(rt, n.state, log)
 	n.fleet = fleet.New(rt, set.External.Cloud, n.leases, set, log)
@@ -106,34 +108,36 @@
 	n.telling = make([]bool, len(n.owners))
 	n.buildDrains()
 
-	n.connectLeases()
 	n.connectRecords()
 	n.connectUsers()
 }
 
-// connectLeases has the slices told of what this node wins and loses.
-func (n *Node) connectLeases() {
-	n.leases.LeadershipAcquired = func(token uint64) {
-		n.leader.BeginTerm(token)
-		n.fleet.BeginTerm()
-		if n.drains != nil {
-			n.drains.coordinator.BeginTerm(token)
-		}
-	}
-	n.leases.LeadershipLost = func() {
-		n.leader.EndTerm()
-		n.fleet.EndTerm()
-		if n.drains != nil {
-			n.drains.coordinator.EndTerm()
-		}
+// leaseObserver begins and ends the terms of a node's slices with its leases.
+type leaseObserver struct{ node *Node }
+
+func (o leaseObserver) LeadershipAcquired(token uint64) {
+	o.node.leader.BeginTerm(token)
+	o.node.fleet.BeginTerm()
+	if o.node.drains != nil {
+		o.node.drains.coordinator.BeginTerm(token)
 	}
-	n.leases.ShardAcquired = func(b int, token uint64) {
-		n.lastBeat = n.rt.Now() // its workers need time to come here
-		n.owners[b].begin(token)
+}
+
+func (o leaseObserver) LeadershipLost() {
+	o.node.leader.EndTerm()
+	o.node.fleet.EndTerm()
+	if o.node.drains != nil {
+		o.node.drains.coordinator.EndTerm()
 	}
-	n.leases.ShardLost = func(b int) { n.owners[b].end() }
 }
 
+func (o leaseObserver) ShardAcquired(shard int, token uint64) {
+	o.node.lastBeat = o.node.rt.Now() // its workers need time to come here
+	o.node.owners[shard].begin(token)
+}
+
+func (o leaseObserver) ShardLost(shard int) { o.node.owners[shard].end() }
+
 // connectRecords has the slices told of the jobs and the records.
 func (n *Node) connectRecords() {
 	n.cat.JobChanged = func(e *userapi.Entry) {
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -21,12 +21,12 @@
 // or that follows from the settings if it holds none yet.
 func (n *Node) settleLayout(try int, fn func(blocks int)) {
 	again := func() { n.rt.After(n.state.Backoff(try), func() { n.settleLayout(try+1, fn) }) }
-	n.state.List(layoutKey, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
-		if out != statestore.OutcomeOK {
+	n.state.List(layoutKey, func(listed statestore.ListResult) {
+		if listed.Outcome != statestore.OutcomeOK {
 			again()
 			return
 		}
-		for _, r := range rows {
+		for _, r := range listed.Entries {
 			var l layout
 			if r.Key != layoutKey {
 				continue
@@ -43,16 +43,16 @@
 			return
 		}
 		// None is stored: a new deployment, or work of a version that kept none.
-		n.state.List(taskstate.KeyPrefix, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
-			if out != statestore.OutcomeOK {
+		n.state.List(taskstate.KeyPrefix, func(listed statestore.ListResult) {
+			if listed.Outcome != statestore.OutcomeOK {
 				again()
 				return
 			}
 			l := layout{n.set.ShardCount()}
-			if len(rows) > 0 {
+			if len(listed.Entries) > 0 {
 				l.Blocks = 1
 			}
-			for _, r := range rows {
+			for _, r := range listed.Entries {
 				l.Blocks = max(l.Blocks, taskstate.ShardOfKey(r.Key)+1)
 			}
 			value, err := json.Marshal(l)
--- a/internal/drain/book.go
+++ b/internal/drain/book.go
@@ -80,11 +80,13 @@
 
 // NewRecords returns an empty book.
 func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Records {
-	b := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
+	b := &Records{OnChange: func() {}, log: log}
 	b.clear()
-	b.mirror.Reset = func([]statestore.KeyValue) { b.clear() }
-	b.mirror.Apply = b.apply
-	b.mirror.Updated = func() { b.OnChange() }
+	b.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{
+		Reset:   func([]statestore.KeyValue) { b.clear() },
+		Apply:   b.apply,
+		Updated: func() { b.OnChange() },
+	})
 	return b
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -47,22 +47,13 @@
 		return statetest.Reply(200, map[string]any{"hosts": []any{}})
 	}
 	n := &node{service: s}
-	n.leases = statestore.NewLeaseManager(s, state, log, "node-0", 1, 0, 1)
+	n.leases = statestore.NewLeaseManager(s, state, log, statestore.LeaseConfig{Node: "node-0", Nonce: 1, ShardCount: 1, Observer: n})
 	n.catalog = userapi.NewCatalog(s, state, set.Deployment.Teams, log)
 	n.store = taskstate.NewStore(s, state, log)
 	n.fleet = fleet.New(s, "cloud", n.leases, set, log)
 	n.leader = New(s, state, n.leases, n.catalog, n.store, n.fleet, set, log)
 	n.catalog.JobChanged = n.leader.JobChanged
 	n.store.RecordAdded, n.store.RecordRemoved, n.store.TaskStatusChanged = n.leader.RecordAdded, n.leader.RecordRemoved, n.leader.TaskStatusChanged
-	n.leases.LeadershipAcquired = func(token uint64) {
-		n.leader.BeginTerm(token)
-		n.fleet.BeginTerm()
-	}
-	n.leases.LeadershipLost = func() {
-		n.leader.EndTerm()
-		n.fleet.EndTerm()
-	}
-	n.leases.ShardAcquired, n.leases.ShardLost = func(int, uint64) {}, func(int) {}
 	n.fleet.Start()
 	n.catalog.Start()
 	n.store.Start()
@@ -70,6 +61,24 @@
 	return n
 }
 
+// LeadershipAcquired begins a term.
+func (n *node) LeadershipAcquired(token uint64) {
+	n.leader.BeginTerm(token)
+	n.fleet.BeginTerm()
+}
+
+// LeadershipLost ends the term.
+func (n *node) LeadershipLost() {
+	n.leader.EndTerm()
+	n.fleet.EndTerm()
+}
+
+// ShardAcquired is of no interest here.
+func (n *node) ShardAcquired(int, uint64) {}
+
+// ShardLost is of no interest here.
+func (n *node) ShardLost(int) {}
+
 // settle lets the leader decide once more.
 func (n *node) settle() {
 	n.statuses++
--- a/internal/shard/state_test.go
+++ b/internal/shard/state_test.go
@@ -32,7 +32,7 @@
 	state.FreshnessCheckInterval = 0
 	state.SetLimits(statestore.Limits{MaxOperations: 10, MaxValueBytes: 1 << 16, FutureWriteShare: 1})
 	o := &owner{}
-	o.leases = statestore.NewLeaseManager(s, state, log, node, 1, 0, 1)
+	o.leases = statestore.NewLeaseManager(s, state, log, statestore.LeaseConfig{Node: node, Nonce: 1, ShardCount: 1, Observer: o})
 	catalog := userapi.NewCatalog(s, state, nil, log)
 	o.store = taskstate.NewStore(s, state, log)
 	o.tasks = NewTaskStore(s, state, o.leases, catalog, o.store, set, log, 0)
@@ -41,20 +41,31 @@
 	o.tasks.RecordsLoaded = func() {}
 	catalog.JobChanged = o.tasks.JobChanged
 	o.store.RecordAdded = o.tasks.RecordAdded
-	o.leases.LeadershipAcquired = func(uint64) {}
-	o.leases.LeadershipLost = func() {}
-	o.leases.ShardAcquired = func(_ int, token uint64) {
-		o.token = token
-		o.begun++
-		o.tasks.BeginTerm(token)
-	}
-	o.leases.ShardLost = func(int) { o.token = 0; o.tasks.EndTerm() }
 	catalog.Start()
 	o.store.Start()
 	o.leases.Start()
 	return o
 }
 
+// LeadershipAcquired is of no interest here.
+func (o *owner) LeadershipAcquired(uint64) {}
+
+// LeadershipLost is of no interest here.
+func (o *owner) LeadershipLost() {}
+
+// ShardAcquired begins a term.
+func (o *owner) ShardAcquired(_ int, token uint64) {
+	o.token = token
+	o.begun++
+	o.tasks.BeginTerm(token)
+}
+
+// ShardLost ends the term.
+func (o *owner) ShardLost(int) {
+	o.token = 0
+	o.tasks.EndTerm()
+}
+
 // owned is a state service with one job of so many tasks handed to block 0, and the
 // block's owner, which has read it.
 func owned(t *testing.T, tasks int) (*statetest.Service, *owner) {
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -234,9 +234,16 @@
 	})
 }
 
-// List reads all rows under a prefix, page by page. The epoch is that of the
-// first page: later changes may or may not be in the rows.
-func (c *Client) List(prefix string, fn func(rows []KeyValue, epoch uint64, out Outcome)) {
+// ListResult is the result of a listing.
+type ListResult struct {
+	Outcome Outcome
+	Entries []KeyValue
+	// Revision is that of the first page: later changes may or may not be in Entries.
+	Revision uint64
+}
+
+// List reads all key-values under a prefix, page by page.
+func (c *Client) List(prefix string, fn func(ListResult)) {
 	var all []KeyValue
 	var epoch uint64
 	var page func(since string)
@@ -247,7 +254,7 @@
 		}
 		c.call("GET", target, nil, tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
 			if out != OutcomeOK {
-				fn(nil, 0, out)
+				fn(ListResult{Outcome: out})
 				return
 			}
 			var reply struct {
@@ -256,7 +263,7 @@
 				Epoch   uint64     `json:"epoch"`
 			}
 			if err := json.Unmarshal(raw, &reply); err != nil {
-				fn(nil, 0, OutcomeUnknown)
+				fn(ListResult{Outcome: OutcomeUnknown})
 				return
 			}
 			if since == "" {
@@ -267,7 +274,7 @@
 				page(reply.Rows[len(reply.Rows)-1].Key)
 				return
 			}
-			fn(all, epoch, OutcomeOK)
+			fn(ListResult{OutcomeOK, all, epoch})
 		})
 	}
 	page("")
@@ -281,13 +288,21 @@
 	Revision   uint64          `json:"stamp"`
 }
 
-// Watch asks for the changes under a prefix after an epoch and waits for the
-// first of them up to wait.
-func (c *Client) Watch(prefix string, since uint64, wait time.Duration, fn func(events []WatchEvent, epoch uint64, out Outcome)) {
+// WatchResult is the result of a watch.
+type WatchResult struct {
+	Outcome Outcome
+	Events  []WatchEvent
+	// Revision is the one up to which Events are complete.
+	Revision uint64
+}
+
+// Watch asks for the changes under a prefix after a revision and waits for the first of
+// them up to wait. OutcomeGone means that the service has dropped the history since then.
+func (c *Client) Watch(prefix string, since uint64, wait time.Duration, fn func(WatchResult)) {
 	target := fmt.Sprintf("/watch?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
 	c.call("GET", target, nil, wait+tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
 		if out != OutcomeOK {
-			fn(nil, 0, out)
+			fn(WatchResult{Outcome: out})
 			return
 		}
 		var reply struct {
@@ -295,15 +310,21 @@
 			Log   []WatchEvent `json:"log"`
 		}
 		if err := json.Unmarshal(raw, &reply); err != nil || reply.Epoch < since {
-			fn(nil, 0, OutcomeUnknown)
+			fn(WatchResult{Outcome: OutcomeUnknown})
 			return
 		}
-		fn(reply.Log, reply.Epoch, OutcomeOK)
+		fn(WatchResult{OutcomeOK, reply.Log, reply.Epoch})
 	})
 }
 
+// GrantResult is the result of a request for a lease.
+type GrantResult struct {
+	Outcome Outcome
+	LeaseID uint64
+}
+
 // GrantLease asks for a new lease.
-func (c *Client) GrantLease(ttl time.Duration, fn func(permit uint64, out Outcome)) {
+func (c *Client) GrantLease(ttl time.Duration, fn func(GrantResult)) {
 	body := map[string]int64{"ttlMs": ttl.Milliseconds()}
 	c.call("POST", "/grants", body, tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
 		var reply struct {
@@ -314,7 +335,7 @@
 				out = OutcomeUnknown
 			}
 		}
-		fn(reply.Permit, out)
+		fn(GrantResult{out, reply.Permit})
 	})
 }
 
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -37,21 +37,44 @@
 
 func (h holder) is(node string, nonce uint64) bool { return h.Node == node && h.Nonce == nonce }
 
+// LeaseObserver is told, on the event loop, which leases this process acquires and loses.
+type LeaseObserver interface {
+	// LeadershipAcquired tells that this process leads under a fencing token.
+	LeadershipAcquired(token uint64)
+	// LeadershipLost tells that it leads no longer.
+	LeadershipLost()
+	// ShardAcquired tells that this process owns a shard under a fencing token. It is also
+	// called when the token of a shard already owned is replaced.
+	ShardAcquired(shard int, token uint64)
+	// ShardLost tells that it owns the shard no longer.
+	ShardLost(shard int)
+}
+
+// LeaseConfig is what a lease manager needs to know.
+type LeaseConfig struct {
+	// Node names this node.
+	Node string
+	// Nonce differs for every process.
+	Nonce uint64
+	// Rank differs for every node of the deployment, from 0 on; it spreads their attempts
+	// to become the leader.
+	Rank int
+	// ShardCount is the number of shards.
+	ShardCount int
+	// AnswerGracePeriod is how long after the end of its lease an owner goes on answering
+	// workers.
+	AnswerGracePeriod time.Duration
+	// Observer is told of what this process acquires and loses.
+	Observer LeaseObserver
+}
+
 // LeaseManager runs for the lead and holds leases. A lease key is set when it is
 // given or when a new token is wanted, never to renew it, so its stamp is the
 // token; renewal touches the node's one grant. What this process holds it
 // learns from the watch alone, so that it sees all changes in their order.
 type LeaseManager struct {
-	// LeadershipAcquired and LeadershipLost tell of the lead.
-	LeadershipAcquired func(token uint64)
-	LeadershipLost     func()
-	// ShardAcquired and ShardLost tell of blocks; ShardAcquired also tells of a new
-	// token of a block already held.
-	ShardAcquired func(block int, token uint64)
-	ShardLost     func(block int)
-
-	// AnswerGracePeriod is how long past its lease an owner goes on answering workers.
-	AnswerGracePeriod time.Duration
+	observer          LeaseObserver
+	answerGracePeriod time.Duration // see LeaseConfig
 
 	rt     eventloop.Runtime
 	state  *Client
@@ -77,30 +100,30 @@
 	settled time.Duration         // last change of the blocks' owners
 }
 
-// NewLeaseManager returns the lease manager of a node; nonce differs for every process.
-func NewLeaseManager(rt eventloop.Runtime, state *Client, log *slog.Logger, node string, nonce uint64, rank, blocks int) *LeaseManager {
+// NewLeaseManager returns the lease manager of a node.
+func NewLeaseManager(rt eventloop.Runtime, state *Client, log *slog.Logger, config LeaseConfig) *LeaseManager {
 	o := &LeaseManager{
-		rt: rt, state: state, log: log, node: node, nonce: nonce, rank: rank, blocks: blocks,
+		rt: rt, state: state, log: log, node: config.Node, nonce: config.Nonce, rank: config.Rank, blocks: config.ShardCount,
+		observer: config.Observer, answerGracePeriod: config.AnswerGracePeriod,
 		stamps: map[string]uint64{}, holders: map[string]holder{},
 		held: map[int]uint64{}, busy: map[string]bool{}, waived: map[int]uint64{}, before: map[int]time.Duration{},
 	}
-	o.row = NewMirror(rt, state, leasePrefix)
-	o.row.Reset = func(rows []KeyValue) {
-		clear(o.stamps)
-		clear(o.holders)
-		held := map[string]bool{}
-		for _, r := range rows {
-			held[r.Key] = true
-		}
-		for b := range o.blocks { // how its holder came to it is not known
-			o.answered(b, held[ShardKey(b)])
-		}
-	}
-	o.row.Apply = o.apply
-	o.row.Updated = o.look
+	o.row = NewMirror(rt, state, leasePrefix, MirrorHandler{Reset: o.reset, Apply: o.apply, Updated: o.look})
 	return o
 }
 
+func (o *LeaseManager) reset(rows []KeyValue) {
+	clear(o.stamps)
+	clear(o.holders)
+	held := map[string]bool{}
+	for _, r := range rows {
+		held[r.Key] = true
+	}
+	for b := range o.blocks { // how its holder came to it is not known
+		o.answered(b, held[ShardKey(b)])
+	}
+}
+
 // Start begins to run for the lead.
 func (o *LeaseManager) Start() {
 	o.row.Start()
@@ -134,7 +157,7 @@
 // answering for the hold if its lease has run out; if the block was taken from it
 // while it held it, until its copy of the leases is too old, see AnswersUntil.
 func (o *LeaseManager) answered(block int, taken bool) {
-	until := o.rt.Now() + o.AnswerGracePeriod
+	until := o.rt.Now() + o.answerGracePeriod
 	if taken {
 		until += tuning.LeaseTTL
 	}
@@ -154,7 +177,7 @@
 	if !known {
 		return 0
 	}
-	return min(o.valid, proven+tuning.LeaseTTL) + o.AnswerGracePeriod
+	return min(o.valid, proven+tuning.LeaseTTL) + o.answerGracePeriod
 }
 
 // VerifyIfStale has the copy of the leases shown to be current if that was long ago.
@@ -199,12 +222,12 @@
 		o.lead = token
 		if was != 0 {
 			o.log.Info("lead lost", "token", was)
-			o.LeadershipLost()
+			o.observer.LeadershipLost()
 		}
 		if token != 0 {
 			o.log.Info("lead won", "token", token)
 			o.leadAt = o.rt.Now()
-			o.LeadershipAcquired(token)
+			o.observer.LeadershipAcquired(token)
 		}
 	}
 	for b := range o.blocks {
@@ -216,12 +239,12 @@
 		if token == 0 {
 			delete(o.held, b)
 			o.log.Info("block lost", "block", b, "token", was)
-			o.ShardLost(b)
+			o.observer.ShardLost(b)
 			continue
 		}
 		o.held[b] = token
 		o.log.Info("block won", "block", b, "token", token)
-		o.ShardAcquired(b, token)
+		o.observer.ShardAcquired(b, token)
 	}
 	if !o.LeaseValid() || !o.row.IsReady() {
 		return
@@ -462,12 +485,12 @@
 	again := func(d time.Duration) { o.rt.After(d, o.renew) }
 	until := o.rt.Now() + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
 	if o.permit == 0 {
-		o.state.GrantLease(tuning.LeaseTTL, func(permit uint64, out Outcome) {
-			if out != OutcomeOK {
+		o.state.GrantLease(tuning.LeaseTTL, func(granted GrantResult) {
+			if granted.Outcome != OutcomeOK {
 				again(tuning.LeaseRenewRetryDelay)
 				return
 			}
-			o.permit, o.valid = permit, until
+			o.permit, o.valid = granted.LeaseID, until
 			if o.row.IsReady() {
 				o.look()
 			}
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -19,15 +19,23 @@
 	t.Helper()
 	s := newStore()
 	s.now = time.Hour
-	o := NewLeaseManager(s, New(s, "state", slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler), "node-0", 1, 0, 2)
-	o.AnswerGracePeriod = 4 * time.Second
-	o.LeadershipAcquired, o.LeadershipLost = func(uint64) {}, func() {}
-	o.ShardAcquired, o.ShardLost = func(int, uint64) {}, func(int) {}
+	log := slog.New(slog.DiscardHandler)
+	o := NewLeaseManager(s, New(s, "state", log), log, LeaseConfig{
+		Node: "node-0", Nonce: 1, ShardCount: 2, AnswerGracePeriod: 4 * time.Second, Observer: ignoreLeases{},
+	})
 	o.Start()
 	s.reply(t, "/keys", `{"rows":[],"epoch":1}`)
 	return s, o
 }
 
+// ignoreLeases is an observer that does nothing.
+type ignoreLeases struct{}
+
+func (ignoreLeases) LeadershipAcquired(uint64) {}
+func (ignoreLeases) LeadershipLost()           {}
+func (ignoreLeases) ShardAcquired(int, uint64) {}
+func (ignoreLeases) ShardLost(int)             {}
+
 // take finds the first request to a path that has not been answered.
 func (s *store) take(t *testing.T, path string) request {
 	t.Helper()
@@ -144,7 +152,7 @@
 		}, 4*time.Second + tuning.LeaseTTL},
 		{"read anew", func(o *LeaseManager) {
 			rows := []KeyValue{{ShardKey(0), holderValue(t, second), 8}}
-			o.row.Reset(rows)
+			o.reset(rows)
 			o.apply(rows[0].Key, rows[0].Value, rows[0].Revision)
 		}, 4*time.Second + tuning.LeaseTTL},
 		{"renewed by its holder", func(o *LeaseManager) {
@@ -178,7 +186,7 @@
 	s.now += 5 * time.Second
 	s.fire()
 	s.reply(t, "/grants/5/touch", `{}`)
-	if got, want := o.AnswersUntil(), proven+tuning.LeaseTTL+o.AnswerGracePeriod; got != want {
+	if got, want := o.AnswersUntil(), proven+tuning.LeaseTTL+o.answerGracePeriod; got != want {
 		t.Errorf("answers until %v after the proof, want %v", got-proven, want-proven)
 	}
 }
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -14,17 +14,22 @@
 // ErrNotVerified says that the mirror could not be shown to be current.
 var ErrNotVerified = errors.New("state not proven current")
 
-// Mirror keeps a copy of all rows under a prefix, fed by a watch. Apply gets
-// every row and change in order; a nil value is a removal. Reset is called
-// before the rows are read anew.
-type Mirror struct {
-	Apply func(key string, value json.RawMessage, stamp uint64)
-	Reset func(rows []KeyValue)
-	// Updated is called after every full reading and every change.
+// MirrorHandler is what the owner of a mirror does with the key-values it receives.
+type MirrorHandler struct {
+	// Apply takes every key-value and every change in the order of their revisions. A nil
+	// value means that the key has been removed.
+	Apply func(key string, value json.RawMessage, revision uint64)
+	// Reset, if set, is called with a complete listing before its entries are applied.
+	Reset func(entries []KeyValue)
+	// Updated, if set, is called after every complete listing and after every change.
 	Updated func()
-	// WatchPause is how long to rest after changes before the watch is opened
-	// again; a copy that nothing is decided from can wait.
-	WatchPause func() time.Duration
+}
+
+// Mirror keeps a copy of all key-values under a prefix current: it lists them once, then
+// follows their changes by a watch.
+type Mirror struct {
+	handler    MirrorHandler
+	watchPause func() time.Duration // nil: none
 
 	rt     eventloop.Runtime
 	state  *Client
@@ -48,11 +53,16 @@
 	known  bool
 }
 
-// NewMirror returns a mirror of the rows under prefix.
-func NewMirror(rt eventloop.Runtime, state *Client, prefix string) *Mirror {
-	return &Mirror{rt: rt, state: state, prefix: prefix}
+// NewMirror returns a mirror of the key-values under prefix.
+func NewMirror(rt eventloop.Runtime, state *Client, prefix string, handler MirrorHandler) *Mirror {
+	return &Mirror{rt: rt, state: state, prefix: prefix, handler: handler}
 }
 
+// SetWatchPause sets how long the mirror waits after changes before it opens the watch
+// again; a copy that nothing is decided from may lag behind. It is asked after each watch
+// that brought changes.
+func (m *Mirror) SetWatchPause(pause func() time.Duration) { m.watchPause = pause }
+
 // IsReady tells whether all rows have been read once.
 func (m *Mirror) IsReady() bool { return m.ready }
 
@@ -78,11 +88,11 @@
 	m.reading = true
 	life := m.life
 	asked := m.rt.Now()
-	m.state.List(m.prefix, func(rows []KeyValue, epoch uint64, out Outcome) {
+	m.state.List(m.prefix, func(listed ListResult) {
 		if life != m.life {
 			return
 		}
-		if out != OutcomeOK {
+		if listed.Outcome != OutcomeOK {
 			m.rt.After(m.state.Backoff(try), func() {
 				if life == m.life {
 					m.read(try + 1)
@@ -90,18 +100,18 @@
 			})
 			return
 		}
-		if m.Reset != nil {
-			m.Reset(rows)
+		if m.handler.Reset != nil {
+			m.handler.Reset(listed.Entries)
 		}
 		// In the order of their making, as a watch would have told of them.
-		slices.SortStableFunc(rows, func(a, b KeyValue) int { return cmp.Compare(a.Revision, b.Revision) })
-		for _, r := range rows {
-			m.Apply(r.Key, r.Value, r.Revision)
+		slices.SortStableFunc(listed.Entries, func(a, b KeyValue) int { return cmp.Compare(a.Revision, b.Revision) })
+		for _, r := range listed.Entries {
+			m.handler.Apply(r.Key, r.Value, r.Revision)
 		}
-		m.epoch, m.ready, m.reading = epoch, true, false
+		m.epoch, m.ready, m.reading = listed.Revision, true, false
 		m.prove(asked)
-		if m.Updated != nil {
-			m.Updated()
+		if m.handler.Updated != nil {
+			m.handler.Updated()
 		}
 		m.follow(life, 0)
 	})
@@ -109,17 +119,17 @@
 
 func (m *Mirror) follow(life, try int) {
 	asked := m.rt.Now()
-	m.state.Watch(m.prefix, m.epoch, tuning.WatchTimeout, func(events []WatchEvent, epoch uint64, out Outcome) {
+	m.state.Watch(m.prefix, m.epoch, tuning.WatchTimeout, func(watched WatchResult) {
 		if life != m.life {
 			return
 		}
-		switch out {
+		switch watched.Outcome {
 		case OutcomeOK:
-			m.take(events, epoch)
+			m.take(watched.Events, watched.Revision)
 			m.prove(asked)
 			pause := time.Duration(0)
-			if m.WatchPause != nil && len(events) > 0 {
-				pause = m.rest(m.WatchPause())
+			if m.watchPause != nil && len(watched.Events) > 0 {
+				pause = m.rest(m.watchPause())
 			}
 			if pause == 0 {
 				m.follow(life, 0)
@@ -161,14 +171,14 @@
 			continue
 		}
 		if e.DeletedKey != "" {
-			m.Apply(e.DeletedKey, nil, e.Revision)
+			m.handler.Apply(e.DeletedKey, nil, e.Revision)
 		} else {
-			m.Apply(e.PutKey, e.Value, e.Revision)
+			m.handler.Apply(e.PutKey, e.Value, e.Revision)
 		}
 	}
 	m.epoch = epoch
-	if len(events) > 0 && m.Updated != nil {
-		m.Updated()
+	if len(events) > 0 && m.handler.Updated != nil {
+		m.handler.Updated()
 	}
 }
 
@@ -225,14 +235,14 @@
 	}
 	m.checking, m.checked, m.lastCheck = true, true, m.rt.Now()
 	life, asked := m.life, m.lastCheck
-	m.state.Watch(m.prefix, m.epoch, 0, func(events []WatchEvent, epoch uint64, out Outcome) {
+	m.state.Watch(m.prefix, m.epoch, 0, func(watched WatchResult) {
 		m.checking = false
 		var err error
 		switch {
-		case out == OutcomeOK && life == m.life:
-			m.take(events, epoch)
+		case watched.Outcome == OutcomeOK && life == m.life:
+			m.take(watched.Events, watched.Revision)
 			m.prove(asked)
-		case out == OutcomeGone && life == m.life:
+		case watched.Outcome == OutcomeGone && life == m.life:
 			m.read(0)
 			err = ErrNotVerified
 		default:
--- a/internal/statestore/mirror_test.go
+++ b/internal/statestore/mirror_test.go
@@ -130,16 +130,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
 		state := New(s, "state", slog.New(slog.DiscardHandler))
-		m := NewMirror(s, state, "a/")
 		have := map[string]string{}
-		m.Apply = func(key string, value json.RawMessage, _ uint64) {
-			if value == nil {
-				delete(have, key)
-			} else {
-				have[key] = string(value)
-			}
-		}
-		m.Reset = func([]KeyValue) { clear(have) }
+		m := NewMirror(s, state, "a/", MirrorHandler{
+			Apply: func(key string, value json.RawMessage, _ uint64) {
+				if value == nil {
+					delete(have, key)
+				} else {
+					have[key] = string(value)
+				}
+			},
+			Reset: func([]KeyValue) { clear(have) },
+		})
 		m.Start()
 		for range rapid.IntRange(5, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
@@ -208,10 +209,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
 		state := New(s, "state", slog.New(slog.DiscardHandler))
-		m := NewMirror(s, state, "a/")
 		have, log := map[string]string{}, map[string][]written{}
-		m.Apply = func(key string, value json.RawMessage, _ uint64) { have[key] = string(value) }
-		m.Reset = func([]KeyValue) { clear(have) }
+		m := NewMirror(s, state, "a/", MirrorHandler{
+			Apply: func(key string, value json.RawMessage, _ uint64) { have[key] = string(value) },
+			Reset: func([]KeyValue) { clear(have) },
+		})
 		m.Start()
 		proofs := 0
 		var last time.Duration
@@ -262,10 +264,11 @@
 // it, and the listing took it back.
 func TestReadingAnewDoesNotGoBack(t *testing.T) {
 	s := newStore()
-	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
 	have := map[string]string{}
-	m.Apply = func(key string, value json.RawMessage, _ uint64) { have[key] = string(value) }
-	m.Reset = func([]KeyValue) { clear(have) }
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/", MirrorHandler{
+		Apply: func(key string, value json.RawMessage, _ uint64) { have[key] = string(value) },
+		Reset: func([]KeyValue) { clear(have) },
+	})
 	for i := range 3 { // two pages
 		s.set(fmt.Sprintf("a/%d", i), "1")
 	}
@@ -297,8 +300,9 @@
 func TestProofCountsFromTheRequest(t *testing.T) {
 	s := newStore()
 	s.now = time.Hour
-	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
-	m.Apply = func(string, json.RawMessage, uint64) {}
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/", MirrorHandler{
+		Apply: func(string, json.RawMessage, uint64) {},
+	})
 	deliver := func(what string) {
 		t.Helper()
 		asked := s.now
@@ -323,9 +327,10 @@
 // brought in is not applied once more, since what follows it may be applied already.
 func TestEachChangeIsAppliedOnce(t *testing.T) {
 	s := newStore()
-	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
 	applied := map[uint64]int{}
-	m.Apply = func(_ string, _ json.RawMessage, stamp uint64) { applied[stamp]++ }
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/", MirrorHandler{
+		Apply: func(_ string, _ json.RawMessage, stamp uint64) { applied[stamp]++ },
+	})
 	m.Start()
 	s.step(false) // the listing
 	s.set("a/0", "1")
@@ -344,9 +349,10 @@
 // listing, which then takes it back.
 func TestCheckOvertakenByReadingAnewProvesNothing(t *testing.T) {
 	s := newStore()
-	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/")
-	m.Apply = func(string, json.RawMessage, uint64) {}
-	m.Reset = func([]KeyValue) {}
+	m := NewMirror(s, New(s, "state", slog.New(slog.DiscardHandler)), "a/", MirrorHandler{
+		Apply: func(string, json.RawMessage, uint64) {},
+		Reset: func([]KeyValue) {},
+	})
 	m.Start()
 	s.step(false) // the listing
 	s.set("a/0", "1")
--- a/internal/statestore/wire_test.go
+++ b/internal/statestore/wire_test.go
@@ -88,11 +88,11 @@
 	c := New(s, "state", slog.New(slog.DiscardHandler))
 	var got []KeyValue
 	var at uint64
-	c.List("job/", func(rows []KeyValue, epoch uint64, out Outcome) {
-		if out != OutcomeOK {
-			t.Errorf("outcome %v", out)
+	c.List("job/", func(listed ListResult) {
+		if listed.Outcome != OutcomeOK {
+			t.Errorf("outcome %v", listed.Outcome)
 		}
-		got, at = rows, epoch
+		got, at = listed.Entries, listed.Revision
 	})
 	first := s.calls[0].call.Target
 	limit, _ := strings.CutPrefix(first, "/keys?under=job%2F&limit=")
@@ -110,11 +110,11 @@
 	c := New(s, "state", slog.New(slog.DiscardHandler))
 	var got []WatchEvent
 	var at uint64
-	c.Watch("work/", 6, 1500*time.Millisecond, func(events []WatchEvent, epoch uint64, out Outcome) {
-		if out != OutcomeOK {
-			t.Errorf("outcome %v", out)
+	c.Watch("work/", 6, 1500*time.Millisecond, func(watched WatchResult) {
+		if watched.Outcome != OutcomeOK {
+			t.Errorf("outcome %v", watched.Outcome)
 		}
-		got, at = events, epoch
+		got, at = watched.Events, watched.Revision
 	})
 	s.sent(t, "GET", "/watch?under=work%2F&since=6&waitMs=1500", "")(reply(200, `{"epoch":9,"log":[{"set":"work/0/wk-1/0","v":{"i":"0"},"stamp":7},`+
 		`{"remove":"work/0/wk-2/0","stamp":9}]}`), nil)
@@ -129,7 +129,7 @@
 	s := newStore()
 	c := New(s, "state", slog.New(slog.DiscardHandler))
 	permit, touched, ended := uint64(0), OutcomeUnknown, OutcomeUnknown
-	c.GrantLease(1500*time.Millisecond, func(p uint64, out Outcome) { permit = p })
+	c.GrantLease(1500*time.Millisecond, func(granted GrantResult) { permit = granted.LeaseID })
 	s.sent(t, "POST", "/grants", `{"ttlMs":1500}`)(reply(201, `{"permit":12}`), nil)
 	c.RenewLease(12, func(out Outcome) { touched = out })
 	s.sent(t, "POST", "/grants/12/touch", "")(reply(200, `{}`), nil)
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -36,26 +36,26 @@
 		records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{},
 		pages: map[string]uint64{}, log: log,
 	}
-	s.mirror = statestore.NewMirror(rt, state, KeyPrefix)
-	s.mirror.Apply = s.apply
-	s.mirror.Reset = func(rows []statestore.KeyValue) {
-		// What is there still is not taken away and brought back: an owner
-		// would lose sight of the tasks on its machines.
-		there := make(map[string]bool, len(rows))
-		for _, r := range rows {
-			there[r.Key] = true
-		}
-		for key := range s.records {
-			if !there[key] {
-				s.apply(key, nil, 0)
-			}
+	s.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{Apply: s.apply, Reset: s.reset})
+	return s
+}
+
+// reset removes the records that a new listing lacks. What is there still is not taken
+// away and brought back: an owner would lose sight of the tasks on its machines.
+func (s *Store) reset(rows []statestore.KeyValue) {
+	there := make(map[string]bool, len(rows))
+	for _, r := range rows {
+		there[r.Key] = true
+	}
+	for key := range s.records {
+		if !there[key] {
+			s.apply(key, nil, 0)
 		}
 	}
-	return s
 }
 
 // SetWatchPause sets how long to rest between changes.
-func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.WatchPause = pause }
+func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.SetWatchPause(pause) }
 
 // Start begins to read the records.
 func (s *Store) Start() { s.mirror.Start() }
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -67,13 +67,12 @@
 	for _, t := range teams {
 		c.teams[t.Name] = t
 	}
-	c.mirror = statestore.NewMirror(rt, state, KeyPrefix)
-	c.mirror.Apply = c.apply
+	c.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{Apply: c.apply})
 	return c
 }
 
 // SetWatchPause sets how long to rest between changes.
-func (c *Catalog) SetWatchPause(pause func() time.Duration) { c.mirror.WatchPause = pause }
+func (c *Catalog) SetWatchPause(pause func() time.Duration) { c.mirror.SetWatchPause(pause) }
 
 // Start begins to read the job records.
 func (c *Catalog) Start() { c.mirror.Start() }
