--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -67,7 +67,7 @@
 	o.workers.MachineType = n.fleet.MachineType
 	o.planner.AcceptsTasks = o.workers.AcceptsTasks
 	o.planner.FindWorker = o.workers.Worker
-	o.planner.PlaceTask = o.workers.Place
+	o.planner.PlaceTask = o.workers.PlaceTask
 	o.planner.StartsPromptly = n.set.StartsPromptly
 	o.planner.UpdateRank = func(j *taskstate.Job, wallMS int64) bool {
 		return j.Rank.Update(j.Spec, n.set, wallMS, j.OpenTasks())
--- a/internal/workers/gang.go
+++ b/internal/workers/gang.go
@@ -116,7 +116,7 @@
 	g, save := j.Gang, time.Duration(j.Spec.CheckpointSeconds*float64(time.Second))
 	for _, k := range j.Tasks {
 		h := t.hosts[k.WorkerID]
-		if k.State != taskstate.StatePlaced || h == nil || h.SpotNoticeAt == 0 {
+		if k.State != taskstate.StatePlaced || h == nil || h.TerminationAt == 0 {
 			continue
 		}
 		if !g.Started {
@@ -126,7 +126,7 @@
 			}
 			continue
 		}
-		last := h.SpotNoticeAt - save - tuning.SpotNoticeReserve
+		last := h.TerminationAt - save - tuning.SpotNoticeReserve
 		if j.Spec.CheckpointIntervalSeconds == 0 || now < last-tuning.CheckpointMargin || now > last {
 			continue
 		}
--- a/internal/workers/gang_test.go
+++ b/internal/workers/gang_test.go
@@ -21,7 +21,7 @@
 	b.table.HandleHeartbeat(b.report())
 	h := b.table.Worker("vm-1")
 	for _, k := range b.job.Tasks {
-		b.table.Place(k, h)
+		b.table.PlaceTask(k, h)
 	}
 	n := 0
 	for _, k := range b.job.Tasks {
--- a/internal/workers/proofs_test.go
+++ b/internal/workers/proofs_test.go
@@ -30,7 +30,7 @@
 // place gives a task to the machine; the placement is durable at once.
 func (b *bench) place(index int) *taskstate.Task {
 	k := b.job.Tasks[index]
-	b.table.Place(k, b.table.Worker("vm-1"))
+	b.table.PlaceTask(k, b.table.Worker("vm-1"))
 	k.PlacementDurable = true
 	b.table.PlacementDurable(k)
 	return k
@@ -167,7 +167,7 @@
 	b := newBench(2)
 	b.hears(t)
 	first := b.job.Tasks[0]
-	b.table.Place(first, b.table.Worker("vm-1"))
+	b.table.PlaceTask(first, b.table.Worker("vm-1"))
 	first.PlacementDurable = true
 	b.now += time.Second
 	sent, r := b.now, b.report()
@@ -281,7 +281,7 @@
 	b.placeAll(t)
 	k := b.job.Tasks[0]
 	lease := b.table.set.WorkerLease()
-	b.now = b.table.Worker("vm-1").LeaseFrom + lease + lease*tuning.DriftPerMille/1000
+	b.now = b.table.Worker("vm-1").LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000
 	b.table.Tick()
 	if k.State != taskstate.StatePlaced {
 		t.Fatal("called gone while its worker's clock may not have ended the lease")
@@ -449,8 +449,8 @@
 func TestGiveBackLosesNothing(t *testing.T) {
 	notice := 60.0
 	drained := func(b *bench, h *Worker) { b.table.StopPlacements(h.ID, "idle") }
-	closed := func(b *bench, _ *Worker) { b.table.ClosedByDrain = func(string) bool { return true } }
-	noticed := func(b *bench, h *Worker) { h.SpotNoticeAt = b.now + time.Duration(notice)*time.Second }
+	closed := func(b *bench, _ *Worker) { b.table.IsClosedByDrain = func(string) bool { return true } }
+	noticed := func(b *bench, h *Worker) { h.TerminationAt = b.now + time.Duration(notice)*time.Second }
 	for _, c := range []struct {
 		name       string
 		do         func(*bench, *Worker)
@@ -472,7 +472,7 @@
 		{"noticed, with a task not on record", noticed, false, true, 0, 1, ""},
 		{"noticed, about to go", func(b *bench, h *Worker) {
 			noticed(b, h)
-			b.now = h.SpotNoticeAt
+			b.now = h.TerminationAt
 		}, true, false, 0, 1, "taken by the cloud"},
 		{"silent, with a task", func(b *bench, _ *Worker) { b.now += time.Hour }, true, false, 1, 9, ReleaseSilent},
 		{"silent as most are", func(b *bench, _ *Worker) { b.now += time.Hour }, true, false, 5, 9, ""},
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -47,8 +47,8 @@
 	TaskWaiting func(*taskstate.Task)
 	// MachineType finds a machine type by its label.
 	MachineType func(label string) *jobs.MachineType
-	// ClosedByDrain tells whether operators' drains keep new tasks off a machine.
-	ClosedByDrain func(host string) bool
+	// IsClosedByDrain tells whether operators' drains keep new tasks off a machine.
+	IsClosedByDrain func(host string) bool
 	rt            eventloop.Runtime
 	lease         Lease
 	tasks         TaskStore
@@ -77,7 +77,7 @@
 // NewRegistry returns an empty table.
 func NewRegistry(rt eventloop.Runtime, lease Lease, tasks TaskStore, set *settings.Settings, log *slog.Logger) *Registry {
 	return &Registry{
-		ClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
+		IsClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
 		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{},
 	}
 }
@@ -129,7 +129,7 @@
 		h.Tasks = map[*taskstate.Task]bool{}
 		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
 		// Between two tokens of its own a process knows what it has answered.
-		h.LeaseFrom = max(h.LeaseFrom, t.lease.PreviousOwnerAnswersUntil())
+		h.LeaseRenewedAt = max(h.LeaseRenewedAt, t.lease.PreviousOwnerAnswersUntil())
 		h.LeaseExpired, h.announcing = false, false
 		h.markHearing()
 	}
@@ -177,7 +177,7 @@
 	if h == nil {
 		now := t.rt.Now()
 		h = &Worker{
-			ID: id, KnownSince: now, IdleSince: now, LeaseFrom: max(now, t.lease.PreviousOwnerAnswersUntil()),
+			ID: id, KnownSince: now, IdleSince: now, LeaseRenewedAt: max(now, t.lease.PreviousOwnerAnswersUntil()),
 			Tasks: map[*taskstate.Task]bool{}, FailedJobs: map[string]bool{},
 		}
 		t.hosts[id] = h
@@ -226,9 +226,9 @@
 	k.Running, k.HasImage = false, false
 }
 
-// Place gives a waiting task to a machine. The launch leaves once the
+// PlaceTask gives a waiting task to a machine. The launch leaves once the
 // placement is durable.
-func (t *Registry) Place(k *taskstate.Task, h *Worker) {
+func (t *Registry) PlaceTask(k *taskstate.Task, h *Worker) {
 	if g := k.Job.Gang; g != nil && !h.HasImage(k.Job.Spec.Image) {
 		g.UncachedPlacements++
 	}
@@ -283,7 +283,7 @@
 // leaseEnd is when all tasks of a machine that stays silent are surely gone.
 func (t *Registry) leaseEnd(h *Worker) time.Duration {
 	lease := t.set.WorkerLease()
-	return h.LeaseFrom + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
+	return h.LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
 }
 
 // Tick looks for machines whose lease has run out and for placements that can
@@ -344,8 +344,8 @@
 // machine. The machine is told at once, and with each report until it is gone.
 func (t *Registry) move(h *Worker, k *taskstate.Task, now time.Duration) {
 	d := k.Job.Spec
-	saves := d.CheckpointIntervalSeconds > 0 && h.SpotNoticeAt > 0 &&
-		now > h.SpotNoticeAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
+	saves := d.CheckpointIntervalSeconds > 0 && h.TerminationAt > 0 &&
+		now > h.TerminationAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
 	if h.DrainReason == "" || k.HaltDecided || !k.Running || k.Job.Gang != nil || (!d.IsService() && !saves) {
 		return
 	}
--- a/internal/workers/registry_test.go
+++ b/internal/workers/registry_test.go
@@ -252,7 +252,7 @@
 			case 4: // placements
 				for _, k := range b.job.Tasks {
 					if h := b.table.Worker("vm-1"); h != nil && b.table.AcceptsTasks(h) && k.State == taskstate.StateWaiting {
-						b.table.Place(k, h)
+						b.table.PlaceTask(k, h)
 						k.PlacementDurable = true
 						b.table.PlacementDurable(k)
 					}
@@ -331,7 +331,7 @@
 		b.worker.token = b.token
 		b.table.HandleHeartbeat(b.report())
 		k := b.job.Tasks[0]
-		b.table.Place(k, b.table.Worker("vm-1"))
+		b.table.PlaceTask(k, b.table.Worker("vm-1"))
 		k.PlacementDurable = true
 		sent := b.now
 		_, body := b.table.HandleHeartbeat(b.report())
@@ -367,7 +367,7 @@
 		b.table.HandleHeartbeat(b.report())
 	}
 	k := b.job.Tasks[0]
-	b.table.Place(k, b.table.Worker("vm-1"))
+	b.table.PlaceTask(k, b.table.Worker("vm-1"))
 	k.PlacementDurable, k.LaunchSent = true, true
 	b.term()
 	h := b.table.Worker("vm-1")
@@ -499,7 +499,7 @@
 	b.table.HandleHeartbeat(b.report())
 	h := b.table.Worker("vm-1")
 	k := b.job.Tasks[0]
-	b.table.Place(k, h)
+	b.table.PlaceTask(k, h)
 	k.PlacementDurable = true
 	b.table.PlacementDurable(k)
 	b.table.AfterBatch()
@@ -584,7 +584,7 @@
 			case 4:
 				for _, k := range b.job.Tasks {
 					if h := b.table.Worker("vm-1"); h != nil && b.table.AcceptsTasks(h) && k.State == taskstate.StateWaiting && !k.Job.Cancelled {
-						b.table.Place(k, h)
+						b.table.PlaceTask(k, h)
 						k.PlacementDurable = true
 						b.table.PlacementDurable(k)
 					}
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -37,7 +37,7 @@
 	switch {
 	case !h.HasReported:
 		return ""
-	case h.SpotNoticeAt > 0 && (now > h.SpotNoticeAt-tuning.SpotNoticeReserve || (len(h.Tasks) == 0 && h.UnknownTasks == 0)):
+	case h.TerminationAt > 0 && (now > h.TerminationAt-tuning.SpotNoticeReserve || (len(h.Tasks) == 0 && h.UnknownTasks == 0)):
 		return "taken by the cloud"
 	case t.IsSuspect(h) && silent*2 <= up:
 		for k := range h.Tasks {
@@ -46,9 +46,9 @@
 			}
 		}
 		return ReleaseSilent
-	case h.DrainReason != "" && h.SpotNoticeAt == 0 && len(h.Tasks) == 0 && (h.UnknownTasks == 0 || h.DrainReason == deafDrain):
+	case h.DrainReason != "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && (h.UnknownTasks == 0 || h.DrainReason == deafDrain):
 		return h.DrainReason
-	case h.DrainReason == "" && h.SpotNoticeAt == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.ClosedByDrain(h.ID):
+	case h.DrainReason == "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.IsClosedByDrain(h.ID):
 		return OperatorDrain
 	}
 	return ""
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -71,9 +71,9 @@
 func (t *Registry) leaseRuns(h *Worker, r *Heartbeat) {
 	h.LeaseExpired = false
 	if now := t.rt.Now(); r.Token >= t.lease.Token() {
-		h.LeaseFrom = now
+		h.LeaseRenewedAt = now
 	} else {
-		h.LeaseFrom = max(h.LeaseFrom, now)
+		h.LeaseRenewedAt = max(h.LeaseRenewedAt, now)
 	}
 }
 
@@ -101,7 +101,7 @@
 		h.Session, h.Sequence = r.Session, r.Sequence
 	}
 	if r.SpotNoticeSeconds != nil {
-		h.SpotNoticeAt = t.rt.Now() + time.Duration(*r.SpotNoticeSeconds*float64(time.Second))
+		h.TerminationAt = t.rt.Now() + time.Duration(*r.SpotNoticeSeconds*float64(time.Second))
 		if h.DrainReason == "" {
 			h.DrainReason = "spot notice"
 			t.log.Info("spot notice", "host", h.ID, "seconds", *r.SpotNoticeSeconds)
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -85,7 +85,7 @@
 	b.worker.token = 1
 	b.table.HandleHeartbeat(b.report())
 	task := b.job.Tasks[0]
-	b.table.Place(task, b.table.Worker("vm-1"))
+	b.table.PlaceTask(task, b.table.Worker("vm-1"))
 	task.PlacementDurable = true
 	b.table.PlacementDurable(task)
 	b.table.AfterBatch()
@@ -98,7 +98,7 @@
 	b.worker.token = 1
 	b.table.HandleHeartbeat(b.report())
 	task = b.job.Tasks[0]
-	b.table.Place(task, b.table.Worker("vm-1"))
+	b.table.PlaceTask(task, b.table.Worker("vm-1"))
 	task.PlacementDurable = true
 	b.table.PlacementDurable(task)
 	if status, body := b.table.HandleHeartbeat(b.report()); status != 200 || string(body) != `{"baton":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}` {
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -22,10 +22,10 @@
 	Token             uint64        // highest the worker has shown
 	LastHeartbeatAt   time.Duration // its newest report
 	KnownSince        time.Duration // when this process first knew of it
-	// LeaseFrom bounds from when the worker's lease last ran: no answer that
+	// LeaseRenewedAt bounds from when the worker's lease last ran: no answer that
 	// renews it was given to a report received later.
-	LeaseFrom    time.Duration
-	SpotNoticeAt time.Duration // when the cloud takes it, 0: no notice
+	LeaseRenewedAt    time.Duration
+	TerminationAt time.Duration // when the cloud takes it, 0: no notice
 	DrainReason  string        // why it gets no more tasks, "" if it does
 	LeaseExpired bool          // its lease has run out unheard
 	IdleSince    time.Duration // since when it has had no tasks
