--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -41,7 +41,6 @@
 	cluster := &drainCluster{n, book}
 	n.drains = &drains{book, drain.NewCoordinator(n.rt, n.state, n.leases, book, cluster, n.set, tracer, n.log)}
 	for _, o := range n.owners {
-		o.workers.IsClosedByDrain = book.IsClosed
 		o.drains = drain.NewExecutor(n.rt, book, o.workers, o.tasks, func() bool {
 			return o.token != 0 && o.tasks.IsLoaded() && o.LeaseValid()
 		})
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -5,6 +5,7 @@
 
 	"lemonmoor/internal/drain"
 	"lemonmoor/internal/fleet"
+	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/placement"
 	"lemonmoor/internal/shard"
 	"lemonmoor/internal/taskstate"
@@ -55,26 +56,37 @@
 func newOwner(n *Node, number int) *owner {
 	o := &owner{node: n, block: number, told: map[string]fleet.MachineStatus{}}
 	o.tasks = shard.NewTaskStore(n.rt, n.state, n.leases, n.cat, n.store, n.set, n.log, number)
-	o.workers = workers.NewRegistry(n.rt, o, o.tasks, n.set, n.log)
-	o.planner = placement.New(n.set.WaitBound())
+	o.workers = workers.NewRegistry(workers.Dependencies{Runtime: n.rt, Lease: o, Tasks: o.tasks, Scheduler: o, Settings: n.set, Log: n.log})
+	o.planner = placement.New(o.workers, o, n.set.WaitBound())
 	o.tasks.TaskWaiting = o.arrive
 	o.tasks.PlacementDurable = o.workers.PlacementDurable
 	o.tasks.DiscardTask = o.workers.DiscardTask
 	o.tasks.GangDone = o.workers.GangDone
 	o.tasks.CancelJob = o.workers.CancelJob
 	o.tasks.RecordsLoaded = o.workers.BeginTerm
-	o.workers.TaskWaiting = o.arrive
-	o.workers.MachineType = n.fleet.MachineType
-	o.planner.AcceptsTasks = o.workers.AcceptsTasks
-	o.planner.FindWorker = o.workers.Worker
-	o.planner.PlaceTask = o.workers.PlaceTask
-	o.planner.StartsPromptly = n.set.StartsPromptly
-	o.planner.UpdateRank = func(j *taskstate.Job, wallMS int64) bool {
-		return j.Rank.Update(j.Spec, n.set, wallMS, j.OpenTasks())
-	}
 	return o
 }
 
+// TaskWaiting has a task placed that has become free for another machine.
+func (o *owner) TaskWaiting(t *taskstate.Task) { o.arrive(t) }
+
+// MachineType finds a machine type by its name, nil if it is not known.
+func (o *owner) MachineType(name string) *jobs.MachineType { return o.node.fleet.MachineType(name) }
+
+// IsClosedByDrain tells whether operators' drains keep new tasks off a machine.
+func (o *owner) IsClosedByDrain(workerID string) bool {
+	return o.node.drains != nil && o.node.drains.book.IsClosed(workerID)
+}
+
+// UpdateRank brings a job's rank up to a time of day in milliseconds and tells whether it
+// changed.
+func (o *owner) UpdateRank(j *taskstate.Job, wallMS int64) bool {
+	return j.Rank.Update(j.Spec, o.node.set, wallMS, j.OpenTasks())
+}
+
+// StartsPromptly tells whether gangs of a class should find room at once.
+func (o *owner) StartsPromptly(class string) bool { return o.node.set.StartsPromptly(class) }
+
 func (o *owner) arrive(t *taskstate.Task) {
 	if t.Job.Gang != nil && t.Job.ChosenAttemptOver() {
 		o.tasks.RecallTasks(t.Job.Spec.ID, len(t.Job.Tasks)) // the leader divides it anew
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -2,11 +2,11 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/workers"
@@ -28,7 +28,7 @@
 	if !slices.Contains(p.gangs, j) {
 		p.gangs = append(p.gangs, j)
 		j.Gang.EnqueuedAt = now
-		if class := j.Spec.Class; p.StartsPromptly(class) {
+		if class := j.Spec.Class; p.policy.StartsPromptly(class) {
 			x := p.expected[class]
 			if x == nil {
 				x = &expected{}
@@ -53,7 +53,7 @@
 func (p *Planner) keepWarm(r *round) {
 	most := 0.0
 	for _, h := range r.open {
-		h.ReservedCPUs, h.ReservedGPUs, h.ReservedMemoryGB = 0, 0, 0
+		h.Reserved = resource.Vector{}
 		most += tuning.MaxGangReserveShare * h.MachineType.CPUs
 	}
 	classes := make([]string, 0, len(p.expected))
@@ -98,9 +98,7 @@
 				}
 			}
 			for _, h := range best {
-				h.ReservedCPUs += x.desc.CPUs
-				h.ReservedGPUs += x.desc.GPUs
-				h.ReservedMemoryGB += x.desc.MemoryGB
+				h.Reserved = h.Reserved.Plus(x.desc.Resources())
 			}
 		}
 	}
@@ -108,8 +106,7 @@
 
 // unkept tells how many tasks a machine has room for that is not kept.
 func unkept(t *taskstate.Task, h *workers.Worker) int {
-	cpus, cards, memory := h.Free()
-	return number(t, cpus-h.ReservedCPUs, cards-h.ReservedGPUs, memory-h.ReservedMemoryGB)
+	return t.Job.Spec.Resources().CountIn(h.Free().Minus(h.Reserved))
 }
 
 // muster finds the gangs that want machines now.
@@ -127,7 +124,7 @@
 		if len(tasks) == 0 || slices.ContainsFunc(tasks, func(t *taskstate.Task) bool { return !due(t, r.now) }) {
 			continue
 		}
-		p.UpdateRank(j, r.wall)
+		p.policy.UpdateRank(j, r.wall)
 		slices.SortFunc(tasks, func(a, b *taskstate.Task) int { return cmp.Compare(a.Index, b.Index) })
 		r.gangs = append(r.gangs, gang{j, tasks})
 	}
@@ -152,7 +149,7 @@
 		return false
 	}
 	for i, t := range g.tasks {
-		p.PlaceTask(t, hosts[i])
+		p.machines.PlaceTask(t, hosts[i])
 	}
 	g.tasks = nil
 	return true
@@ -160,8 +157,7 @@
 
 // space tells how many tasks of a job a machine has room for.
 func space(t *taskstate.Task, h *workers.Worker) int {
-	cpus, cards, memory := h.Free()
-	return number(t, cpus, cards, memory)
+	return t.Job.Spec.Resources().CountIn(h.Free())
 }
 
 // whole is the same for the machine if it were empty.
@@ -169,18 +165,7 @@
 	if h.MachineType == nil {
 		return 0
 	}
-	return number(t, h.MachineType.CPUs, h.MachineType.GPUs, h.MachineType.MemoryGB)
-}
-
-func number(t *taskstate.Task, cpus, cards, memory float64) int {
-	n := math.MaxInt32
-	d := t.Job.Spec
-	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.GPUs, cards}, {d.MemoryGB, memory}} {
-		if x.need > 0 {
-			n = min(n, int(math.Floor((x.left+slack)/x.need)))
-		}
-	}
-	return max(n, 0)
+	return t.Job.Spec.Resources().CountIn(h.MachineType.Resources())
 }
 
 // barred tells whether a task may not go to a machine.
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -11,7 +11,6 @@
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/workers"
 )
 
 // gang makes a gang whose tasks arrive.
@@ -34,13 +33,7 @@
 
 func newGangYard(types ...*jobs.MachineType) *yard {
 	y := newYard(types...)
-	y.PlaceTask = func(t *taskstate.Task, h *workers.Worker) {
-		t.PlaceOn(h.ID)
-		h.Tasks[t] = true
-		h.CPUs += t.Job.Spec.CPUs
-		h.MemoryGB += t.Job.Spec.MemoryGB
-		h.UseImage(t.Job.Spec.Image, t.Job.Spec.ImageGB)
-	}
+	y.placesGangs = true
 	return y
 }
 
@@ -68,7 +61,7 @@
 			h.Zone = []string{"a", "b"}[i%2]
 			room[h.Zone] += h.MachineType.CPUs
 		}
-		y.StartsPromptly = func(string) bool { return rapid.Bool().Draw(t, "prompt") }
+		y.promptly = func(string) bool { return rapid.Bool().Draw(t, "prompt") }
 		var gangs []*taskstate.Job
 		var small []*taskstate.Task
 		for n := range rapid.IntRange(1, 4).Draw(t, "gangs") {
@@ -86,7 +79,7 @@
 			y.round()
 			y.now += 5 * time.Second
 			for _, h := range y.hosts {
-				if cpus, _, memory := h.Free(); cpus < -1e-6 || memory < -1e-6 {
+				if free := h.Free(); free.CPUs < -1e-6 || free.MemoryGB < -1e-6 {
 					t.Fatalf("%s holds too much", h.ID)
 				}
 			}
@@ -98,7 +91,7 @@
 					t.Fatalf("%d of %d tasks are placed", placed(j), len(j.Tasks))
 				}
 				for _, k := range j.Tasks {
-					if h := y.FindWorker(k.WorkerID); h.Zone != k.Zone || k.WireAttempt() != j.Gang.Attempt {
+					if h := y.Worker(k.WorkerID); h.Zone != k.Zone || k.WireAttempt() != j.Gang.Attempt {
 						t.Fatalf("task in zone %s, not %s, attempt %d of %d", h.Zone, k.Zone, k.WireAttempt(), j.Gang.Attempt)
 					}
 					y.end(k)
@@ -140,9 +133,9 @@
 func TestRoomForGangsToCome(t *testing.T) {
 	y := newGangYard(large, large, large, large, large, large)
 	for _, h := range y.hosts[1:] {
-		h.CPUs = h.MachineType.CPUs // in use
+		h.Used.CPUs = h.MachineType.CPUs // in use
 	}
-	y.StartsPromptly = func(string) bool { return true }
+	y.promptly = func(string) bool { return true }
 	first := y.gang(1, "x", 2, 4)
 	y.round()
 	if placed(first) != 4 {
@@ -162,7 +155,7 @@
 		}
 	}
 	y.round()
-	if cpus, _, _ := y.hosts[0].Free(); cpus > slack {
-		t.Errorf("%g processors are still kept", cpus)
+	if free := y.hosts[0].Free(); free.CPUs > slack {
+		t.Errorf("%g processors are still kept", free.CPUs)
 	}
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -84,7 +84,5 @@
 		}
 		return 1
 	}
-	x, _, _ := a.Free()
-	y, _, _ := b.Free()
-	return cmp.Compare(x, y)
+	return cmp.Compare(a.Free().CPUs, b.Free().CPUs)
 }
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -52,8 +52,7 @@
 		replicas := y.service(1, "x", 1, rapid.IntRange(2, 6).Draw(t, "wanted"))
 		free := 0
 		for _, h := range y.hosts {
-			cpus, _, _ := h.Free()
-			free += int(cpus)
+			free += int(h.Free().CPUs)
 		}
 		before := map[string]bool{} // machines that cached the image and had services
 		for _, h := range y.hosts {
@@ -110,8 +109,8 @@
 	y.job(100, "standard", "y", 4, 10)
 	y.round()
 	for _, h := range serving() {
-		if h.CPUs > h.ServiceCPUs {
-			t.Errorf("%s has %.0f processors of arrays while others have room", h.ID, h.CPUs-h.ServiceCPUs)
+		if h.Used.CPUs > h.ServiceCPUs {
+			t.Errorf("%s has %.0f processors of arrays while others have room", h.ID, h.Used.CPUs-h.ServiceCPUs)
 		}
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -10,36 +10,47 @@
 	"time"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/workers"
 )
 
-// Planner holds the queues.
-type Planner struct {
+// Workers is what a Planner asks of the machines of its shard.
+type Workers interface {
 	// AcceptsTasks tells whether a machine may be given tasks.
-	AcceptsTasks func(*workers.Worker) bool
-	// FindWorker finds a machine by its name.
-	FindWorker func(id string) *workers.Worker
+	AcceptsTasks(*workers.Worker) bool
+	// Worker finds a machine by its name, nil if it is not known.
+	Worker(id string) *workers.Worker
 	// PlaceTask gives a task to a machine.
-	PlaceTask func(*taskstate.Task, *workers.Worker)
-	// UpdateRank brings a job's rank up to a time of day and tells whether it changed.
-	UpdateRank func(j *taskstate.Job, wallMS int64) bool
+	PlaceTask(*taskstate.Task, *workers.Worker)
+}
+
+// Policy is what the users expect of jobs.
+type Policy interface {
+	// UpdateRank brings a job's rank up to a time of day in milliseconds and tells
+	// whether it changed.
+	UpdateRank(job *taskstate.Job, wallMS int64) bool
 	// StartsPromptly tells whether gangs of a class should find room at once.
-	StartsPromptly func(class string) bool
-	// WaitBound is the wait in the extra queue after which a task goes first.
-	WaitBound time.Duration
+	StartsPromptly(class string) bool
+}
 
-	arrivals []*taskstate.Task
-	queues   map[string][]*taskstate.Task // by machine
-	extra    []*taskstate.Task
-	gangs    []*taskstate.Job // that want machines, as units; see gang.go
-	expected map[string]*expected
+// Planner holds the queues.
+type Planner struct {
+	machines  Workers
+	policy    Policy
+	waitBound time.Duration // wait in the extra queue after which a task goes first
+	arrivals  []*taskstate.Task
+	queues    map[string][]*taskstate.Task // by machine
+	extra     []*taskstate.Task
+	gangs     []*taskstate.Job // that want machines, as units; see gang.go
+	expected  map[string]*expected
 }
 
-// New returns a planner with empty queues.
-func New(bound time.Duration) *Planner {
-	return &Planner{WaitBound: bound, queues: map[string][]*taskstate.Task{}, expected: map[string]*expected{}, StartsPromptly: func(string) bool { return false }}
+// New returns a planner with empty queues. Tasks that have waited for waitBound in the
+// extra queue go first.
+func New(machines Workers, policy Policy, waitBound time.Duration) *Planner {
+	return &Planner{machines: machines, policy: policy, waitBound: waitBound, queues: map[string][]*taskstate.Task{}, expected: map[string]*expected{}}
 }
 
 // Reset empties the queues.
@@ -85,25 +96,21 @@
 		(d.Spot || !h.Spot)
 }
 
-const slack = 1e-9 // sums of decimal amounts are not exact
+const slack = resource.Epsilon
 
 // fits tells whether a machine may take a task now, without what is kept for
 // gangs to come.
 func fits(t *taskstate.Task, h *workers.Worker) bool {
-	cpus, cards, memory := h.Free()
-	return holds(t, h, cpus-h.ReservedCPUs, cards-h.ReservedGPUs, memory-h.ReservedMemoryGB)
+	return holds(t, h, h.Free().Minus(h.Reserved))
 }
 
 // fitsAtAll is the same with what is kept.
 func fitsAtAll(t *taskstate.Task, h *workers.Worker) bool {
-	cpus, cards, memory := h.Free()
-	return holds(t, h, cpus, cards, memory)
+	return holds(t, h, h.Free())
 }
 
-func holds(t *taskstate.Task, h *workers.Worker, cpus, cards, memory float64) bool {
-	d := t.Job.Spec
-	return d.CPUs <= cpus+slack && d.GPUs <= cards+slack && d.MemoryGB <= memory+slack &&
-		t.AvoidWorker != h.ID && Allowed(t, h)
+func holds(t *taskstate.Task, h *workers.Worker, available resource.Vector) bool {
+	return t.Job.Spec.Resources().Fits(available) && t.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // could tells whether a machine could take a task if it were empty.
@@ -143,11 +150,11 @@
 func (p *Planner) RunRound(hosts []*workers.Worker, now time.Duration, wall time.Time) {
 	r := &round{now: now, wall: wall.UnixMilli()}
 	for _, h := range hosts {
-		if !p.AcceptsTasks(h) {
+		if !p.machines.AcceptsTasks(h) {
 			continue
 		}
 		r.open = append(r.open, h)
-		if cpus, _, memory := h.Free(); cpus > slack && memory > slack {
+		if free := h.Free(); free.CPUs > slack && free.MemoryGB > slack {
 			r.free = append(r.free, h)
 		}
 	}
@@ -180,7 +187,7 @@
 	note(p.extra)
 	for id, q := range p.queues {
 		q = slices.DeleteFunc(q, dead)
-		if h := p.FindWorker(id); h == nil || !p.AcceptsTasks(h) {
+		if h := p.machines.Worker(id); h == nil || !p.machines.AcceptsTasks(h) {
 			for _, t := range q {
 				t.Queued = false
 				p.arrivals = append(p.arrivals, t)
@@ -200,7 +207,7 @@
 func (p *Planner) reorder(r *round) {
 	changed := false
 	look := func(j *taskstate.Job) {
-		if p.UpdateRank(j, r.wall) {
+		if p.policy.UpdateRank(j, r.wall) {
 			changed = true
 		}
 	}
@@ -289,7 +296,7 @@
 
 func (p *Planner) place(t *taskstate.Task, h *workers.Worker) {
 	t.Queued = false
-	p.PlaceTask(t, h)
+	p.machines.PlaceTask(t, h)
 }
 
 // candidate tells whether a machine can start a queued task of a priority;
@@ -361,8 +368,8 @@
 			if _, taken := r.kept[h]; taken || !could(t, h) {
 				continue
 			}
-			if cpus, _, _ := h.Free(); cpus > most {
-				best, most = h, cpus
+			if free := h.Free().CPUs; free > most {
+				best, most = h, free
 			}
 		}
 		if best != nil {
@@ -375,9 +382,9 @@
 			serve(t, jobs.PriorityCritical+1)
 		}
 	}
-	p.collect(r, 0, func(g *gang) bool { return r.now-g.job.Gang.EnqueuedAt >= p.WaitBound && !r.starved(g.job) })
+	p.collect(r, 0, func(g *gang) bool { return r.now-g.job.Gang.EnqueuedAt >= p.waitBound && !r.starved(g.job) })
 	for _, t := range p.extra {
-		if live(t) && r.now-t.EnqueuedAt >= p.WaitBound && due(t, r.now) && t.Job != skip && !r.starved(t.Job) {
+		if live(t) && r.now-t.EnqueuedAt >= p.waitBound && due(t, r.now) && t.Job != skip && !r.starved(t.Job) {
 			serve(t, t.Job.Spec.Priority()+1)
 		}
 	}
@@ -457,7 +464,7 @@
 			break
 		}
 		if h.ServiceCPUs > slack && !taken[h.ID] && fits(tasks[0], h) {
-			p.PlaceTask(tasks[0], h)
+			p.machines.PlaceTask(tasks[0], h)
 			tasks = tasks[1:]
 		}
 	}
@@ -468,7 +475,7 @@
 func (p *Planner) fill(tasks []*taskstate.Task, hosts []*workers.Worker) []*taskstate.Task {
 	for _, h := range hosts {
 		for len(tasks) > 0 && fits(tasks[0], h) {
-			p.PlaceTask(tasks[0], h)
+			p.machines.PlaceTask(tasks[0], h)
 			tasks = tasks[1:]
 		}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,8 +16,11 @@
 // yard is a planner with machines whose tasks are kept here.
 type yard struct {
 	*Planner
-	hosts []*workers.Worker
-	now   time.Duration
+	hosts       []*workers.Worker
+	now         time.Duration
+	byID        map[string]*workers.Worker
+	placesGangs bool                    // tasks are placed as gangs are
+	promptly    func(class string) bool // nil: no class starts promptly
 }
 
 var (
@@ -26,32 +29,41 @@
 )
 
 func newYard(types ...*jobs.MachineType) *yard {
-	y := &yard{Planner: New(tuning.WaitBound), now: time.Hour}
+	y := &yard{now: time.Hour, byID: map[string]*workers.Worker{}}
+	y.Planner = New(y, y, tuning.WaitBound)
 	for i, t := range types {
-		y.hosts = append(y.hosts, &workers.Worker{ID: fmt.Sprintf("vm-%03d", i), MachineTypeName: t.Name, Zone: "a", MachineType: t, Tasks: map[*taskstate.Task]bool{}})
-	}
-	y.AcceptsTasks = func(h *workers.Worker) bool { return h.DrainReason == "" }
-	y.FindWorker = func(id string) *workers.Worker {
-		for _, h := range y.hosts {
-			if h.ID == id {
-				return h
-			}
+		h := &workers.Worker{
+			ID:      fmt.Sprintf("vm-%03d", i),
+			Machine: workers.Machine{MachineTypeName: t.Name, Zone: "a", MachineType: t},
+			Load:    workers.Load{Tasks: map[*taskstate.Task]bool{}},
 		}
-		return nil
-	}
-	y.UpdateRank = func(*taskstate.Job, int64) bool { return false }
-	y.PlaceTask = func(t *taskstate.Task, h *workers.Worker) {
-		t.State, t.WorkerID, t.Job.HasPlacedTask = taskstate.StatePlaced, h.ID, true
-		h.AddTask(t)
+		y.hosts = append(y.hosts, h)
+		y.byID[h.ID] = h
 	}
 	return y
 }
 
+func (y *yard) AcceptsTasks(h *workers.Worker) bool   { return h.DrainReason == "" }
+func (y *yard) Worker(id string) *workers.Worker      { return y.byID[id] }
+func (y *yard) UpdateRank(*taskstate.Job, int64) bool { return false }
+func (y *yard) StartsPromptly(class string) bool      { return y.promptly != nil && y.promptly(class) }
+func (y *yard) PlaceTask(t *taskstate.Task, h *workers.Worker) {
+	if y.placesGangs {
+		t.PlaceOn(h.ID)
+		h.Tasks[t] = true
+		h.Used = h.Used.Plus(t.Job.Spec.Resources())
+		h.UseImage(t.Job.Spec.Image, t.Job.Spec.ImageGB)
+		return
+	}
+	t.State, t.WorkerID, t.Job.HasPlacedTask = taskstate.StatePlaced, h.ID, true
+	h.AddTask(t)
+}
+
 func (y *yard) round() { y.RunRound(y.hosts, y.now, time.UnixMilli(0).Add(y.now)) }
 
 // end takes a task off its machine.
 func (y *yard) end(t *taskstate.Task) {
-	y.FindWorker(t.WorkerID).RemoveTask(t)
+	y.Worker(t.WorkerID).RemoveTask(t)
 	t.State = taskstate.StateDone
 }
 
@@ -139,7 +151,7 @@
 	for range 3 {
 		y.end(done)
 		y.round()
-		for k := range y.FindWorker(thief).Tasks {
+		for k := range y.Worker(thief).Tasks {
 			done = k
 		}
 		taken = append(taken, done.Job.Spec.Image)
@@ -203,8 +215,8 @@
 			y.round()
 		}
 		for _, h := range y.hosts {
-			if h.CPUs > h.MachineType.CPUs+slack || h.MemoryGB > h.MachineType.MemoryGB+slack {
-				t.Fatalf("%s has %g of %g processors taken", h.ID, h.CPUs, h.MachineType.CPUs)
+			if h.Used.CPUs > h.MachineType.CPUs+slack || h.Used.MemoryGB > h.MachineType.MemoryGB+slack {
+				t.Fatalf("%s has %g of %g processors taken", h.ID, h.Used.CPUs, h.MachineType.CPUs)
 			}
 		}
 		queued := map[*taskstate.Task]int{}
@@ -237,11 +249,6 @@
 				types[i] = large
 			}
 			y := newYard(types...)
-			byID := map[string]*workers.Worker{}
-			for _, h := range y.hosts {
-				byID[h.ID] = h
-			}
-			y.FindWorker = func(id string) *workers.Worker { return byID[id] }
 			for i := range 40 {
 				y.job(i, "standard", fmt.Sprint("image", i%16), 16, n*4/40)
 			}
@@ -258,8 +265,8 @@
 // may share the rate.
 func TestFetchesApart(t *testing.T) {
 	y := newYard(large, large, large)
-	y.hosts[0].CPUs, y.hosts[0].FetchingTasks = 16, 1
-	y.hosts[1].CPUs = 8
+	y.hosts[0].Used.CPUs, y.hosts[0].FetchingTasks = 16, 1
+	y.hosts[1].Used.CPUs = 8
 	a := y.job(1, "standard", "x", 4, 1)
 	y.round()
 	if a[0].WorkerID != "vm-001" {
--- a/internal/workers/announce.go
+++ b/internal/workers/announce.go
@@ -18,8 +18,8 @@
 	if h.Addr == "" {
 		h.Addr = addr
 	}
-	if h.Token < t.lease.Token() && !h.Deaf && !h.announcing {
-		h.announcing = true
+	if h.Token < t.lease.Token() && !h.Deaf && !h.commands.announcePends {
+		h.commands.announcePends = true
 		t.greets = append(t.greets, h)
 	}
 }
@@ -28,7 +28,7 @@
 func (t *Registry) announceNext() {
 	for t.greeting < tuning.MaxConcurrentAnnouncements && len(t.greets) > 0 {
 		h := t.greets[0]
-		t.greets, h.announcing = t.greets[1:], false
+		t.greets, h.commands.announcePends = t.greets[1:], false
 		token := t.lease.Token()
 		if h.Token >= token || t.hosts[h.ID] != h || t.cutOff(h.Zone) {
 			continue
@@ -64,7 +64,7 @@
 	}
 	if !h.HasReported {
 		h.HasReported, h.Addr, h.MachineTypeName, h.Zone, h.Spot = true, r.Addr, r.MachineType, r.Zone, r.Spot
-		h.MachineType = t.MachineType(r.MachineType)
+		h.MachineType = t.scheduler.MachineType(r.MachineType)
 	}
 	if h.Session == 0 {
 		h.Session = r.Session
--- a/internal/workers/deaf.go
+++ b/internal/workers/deaf.go
@@ -13,7 +13,7 @@
 	if h.Deaf || (h.UnacknowledgedHeartbeats < tuning.DeafHeartbeats && h.LostLaunches < tuning.DeafLaunches) {
 		return
 	}
-	h.Deaf, h.deaf, h.probed = true, t.rt.Now(), t.rt.Now()
+	h.Deaf, h.deafSince, h.probedAt = true, t.rt.Now(), t.rt.Now()
 	t.log.Info("machine reports but does not hear", "host", h.ID, "unheard", h.UnacknowledgedHeartbeats, "lost", h.LostLaunches)
 }
 
@@ -21,10 +21,10 @@
 // no lease; its answer is the proof that the machine hears again.
 func (t *Registry) probe(h *Worker) {
 	now := t.rt.Now()
-	if now-h.probed < tuning.DeafProbeInterval {
+	if now-h.probedAt < tuning.DeafProbeInterval {
 		return
 	}
-	h.probed = now
+	h.probedAt = now
 	token := t.lease.Token()
 	body, err := json.Marshal(CommandMessage{Token: token, Session: h.Session, Commands: t.halts(h, []Command{})})
 	if err != nil {
--- a/internal/workers/drain.go
+++ b/internal/workers/drain.go
@@ -9,7 +9,9 @@
 
 // accepts tells whether a machine may be given tasks as far as drains go, those of the
 // daemon's own and the operators'.
-func (t *Registry) accepts(h *Worker) bool { return h.DrainReason == "" && !t.IsClosedByDrain(h.ID) }
+func (t *Registry) accepts(h *Worker) bool {
+	return h.DrainReason == "" && !t.scheduler.IsClosedByDrain(h.ID)
+}
 
 // IsCurrent tells whether a machine is heard under the present token, so that what its
 // reports list is so.
--- a/internal/workers/gang.go
+++ b/internal/workers/gang.go
@@ -28,7 +28,7 @@
 	if j.Gang.StartInDoubtSince != doubt && j.Gang.StartInDoubtSince > 0 {
 		for _, o := range j.Tasks {
 			if h := t.hosts[o.WorkerID]; o.State == taskstate.StatePlaced && h != nil {
-				h.probeTasks, t.ready[h] = true, true
+				h.commands.probeTasks, t.ready[h] = true, true
 			}
 		}
 	}
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -23,7 +23,7 @@
 		clear(t.held)
 	}
 	for h := range t.ready {
-		if h.orderInFlight {
+		if h.commands.inFlight {
 			continue // looked at again when the answer is in
 		}
 		delete(t.ready, h)
@@ -41,10 +41,10 @@
 	msg := CommandMessage{Token: token, Session: h.Session, Commands: []Command{}}
 	carried := t.launches(h, &msg)
 	t.addHalts(h, &msg)
-	if len(msg.Commands) == 0 && !h.probeTasks {
+	if len(msg.Commands) == 0 && !h.commands.probeTasks {
 		return
 	}
-	h.probeTasks = false
+	h.commands.probeTasks = false
 	body, err := json.Marshal(msg)
 	if err != nil {
 		t.log.Error("orders do not encode", "err", err)
@@ -55,14 +55,14 @@
 		k.LaunchSent, k.LaunchInFlight, k.GoneSession, k.GoneAfterSequence = true, true, h.Session, h.Sequence
 		attempts[i] = k.Attempt
 	}
-	h.orderInFlight = true
+	h.commands.inFlight = true
 	begun := t.begun
 	t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
 		func(ans http1.Response, err error) {
 			if t.begun != begun || t.lease.Token() != token || t.hosts[h.ID] != h {
 				return // another term has read the records anew
 			}
-			h.orderInFlight = false
+			h.commands.inFlight = false
 			t.ready[h] = true
 			mine := carried[:0:0]
 			for i, k := range carried {
@@ -111,7 +111,7 @@
 			break
 		}
 	}
-	msg.Commands, h.ends = append(msg.Commands, h.ends...), nil
+	msg.Commands, h.commands.pendingHalts = append(msg.Commands, h.commands.pendingHalts...), nil
 }
 
 // directAnswered takes what came of a direct message that carried launches.
@@ -144,6 +144,6 @@
 		delete(t.ready, h)
 	}
 	if err == eventloop.ErrNoAnswer {
-		h.missed = t.rt.Now()
+		h.commands.unansweredAt = t.rt.Now()
 	}
 }
--- a/internal/workers/proofs_test.go
+++ b/internal/workers/proofs_test.go
@@ -201,8 +201,8 @@
 	b.place(1)
 	b.order(t)
 	late.fn(http1.Response{}, eventloop.ErrNoAnswer)
-	if !b.table.AcceptsTasks(h) || !h.orderInFlight {
-		t.Errorf("open %v, an order is under way: %v", b.table.AcceptsTasks(h), h.orderInFlight)
+	if !b.table.AcceptsTasks(h) || !h.commands.inFlight {
+		t.Errorf("open %v, an order is under way: %v", b.table.AcceptsTasks(h), h.commands.inFlight)
 	}
 }
 
@@ -449,7 +449,7 @@
 func TestGiveBackLosesNothing(t *testing.T) {
 	notice := 60.0
 	drained := func(b *bench, h *Worker) { b.table.StopPlacements(h.ID, "idle") }
-	closed := func(b *bench, _ *Worker) { b.table.IsClosedByDrain = func(string) bool { return true } }
+	closed := func(b *bench, _ *Worker) { b.closed = true }
 	noticed := func(b *bench, h *Worker) { h.TerminationAt = b.now + time.Duration(notice)*time.Second }
 	for _, c := range []struct {
 		name       string
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -41,30 +41,45 @@
 	DropTask(t *taskstate.Task)
 }
 
-// Registry holds all machines.
-type Registry struct {
+// Scheduler is what the registry asks of the shard owner that it works for.
+type Scheduler interface {
 	// TaskWaiting is called for a task that has become free for another machine.
-	TaskWaiting func(*taskstate.Task)
-	// MachineType finds a machine type by its label.
-	MachineType func(label string) *jobs.MachineType
+	TaskWaiting(*taskstate.Task)
+	// MachineType finds a machine type by its name, nil if it is not known.
+	MachineType(name string) *jobs.MachineType
 	// IsClosedByDrain tells whether operators' drains keep new tasks off a machine.
-	IsClosedByDrain func(host string) bool
-	rt            eventloop.Runtime
-	lease         Lease
-	tasks         TaskStore
-	set           *settings.Settings
-	log           *slog.Logger
-	hosts         map[string]*Worker
-	list          []*Worker     // in the order of their names
-	begun         time.Duration // this term
-	since         time.Duration // when reports began to be taken in, this time
-	ready         map[*Worker]bool
-	held          map[*Worker]bool // have launches that wait for a proof, see Lease.Fresh
-	heldAt        time.Duration    // the newest placement of those
-	greets        []*Worker        // to be told of the token
-	greeting      int              // being told
-	gone          map[string]bool  // returned machines
-	zones         map[string]*zone
+	IsClosedByDrain(workerID string) bool
+}
+
+// Dependencies is what a Registry works with.
+type Dependencies struct {
+	Runtime   eventloop.Runtime
+	Lease     Lease
+	Tasks     TaskStore
+	Scheduler Scheduler
+	Settings  *settings.Settings
+	Log       *slog.Logger
+}
+
+// Registry holds all machines.
+type Registry struct {
+	rt        eventloop.Runtime
+	lease     Lease
+	tasks     TaskStore
+	scheduler Scheduler
+	set       *settings.Settings
+	log       *slog.Logger
+	hosts     map[string]*Worker
+	list      []*Worker     // in the order of their names
+	begun     time.Duration // this term
+	since     time.Duration // when reports began to be taken in, this time
+	ready     map[*Worker]bool
+	held      map[*Worker]bool // have launches that wait for a proof, see Lease.Fresh
+	heldAt    time.Duration    // the newest placement of those
+	greets    []*Worker        // to be told of the token
+	greeting  int              // being told
+	gone      map[string]bool  // returned machines
+	zones     map[string]*zone
 }
 
 // zone is what the table knows of a zone as a whole: one that is cut off falls
@@ -74,10 +89,10 @@
 	up    int           // machines there that have reported, as of the last Tick
 }
 
-// NewRegistry returns an empty table.
-func NewRegistry(rt eventloop.Runtime, lease Lease, tasks TaskStore, set *settings.Settings, log *slog.Logger) *Registry {
+// NewRegistry returns an empty registry.
+func NewRegistry(d Dependencies) *Registry {
 	return &Registry{
-		IsClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
+		rt: d.Runtime, lease: d.Lease, tasks: d.Tasks, scheduler: d.Scheduler, set: d.Settings, log: d.Log,
 		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{},
 	}
 }
@@ -126,11 +141,11 @@
 	t.begun = t.rt.Now()
 	t.since = t.begun
 	for _, h := range t.hosts {
-		h.Tasks = map[*taskstate.Task]bool{}
-		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
+		h.Load.clear()
+		h.commands.inFlight = false
 		// Between two tokens of its own a process knows what it has answered.
 		h.LeaseRenewedAt = max(h.LeaseRenewedAt, t.lease.PreviousOwnerAnswersUntil())
-		h.LeaseExpired, h.announcing = false, false
+		h.LeaseExpired, h.commands.announcePends = false, false
 		h.markHearing()
 	}
 	clear(t.ready)
@@ -164,8 +179,8 @@
 // EndTerm forgets what only holds for a term.
 func (t *Registry) EndTerm() {
 	for _, h := range t.hosts {
-		h.Tasks = map[*taskstate.Task]bool{}
-		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
+		h.Load.clear()
+		h.commands.inFlight = false
 	}
 	clear(t.ready)
 	clear(t.held)
@@ -177,8 +192,10 @@
 	if h == nil {
 		now := t.rt.Now()
 		h = &Worker{
-			ID: id, KnownSince: now, IdleSince: now, LeaseRenewedAt: max(now, t.lease.PreviousOwnerAnswersUntil()),
-			Tasks: map[*taskstate.Task]bool{}, FailedJobs: map[string]bool{},
+			ID:           id,
+			SessionState: SessionState{LeaseRenewedAt: max(now, t.lease.PreviousOwnerAnswersUntil())},
+			Load:         Load{Tasks: map[*taskstate.Task]bool{}, IdleSince: now},
+			Health:       Health{FailedJobs: map[string]bool{}},
 		}
 		t.hosts[id] = h
 		i, _ := slices.BinarySearchFunc(t.list, id, func(h *Worker, id string) int { return strings.Compare(h.ID, id) })
@@ -202,7 +219,7 @@
 	suspect := time.Duration(float64(t.set.HeartbeatInterval()) * tuning.SuspectHeartbeats)
 	return h.HasReported && !h.LeaseExpired && !h.Deaf && t.accepts(h) && h.MachineType != nil && h.UnknownTasks == 0 &&
 		h.Token >= t.lease.Token() && now-h.LastHeartbeatAt < suspect && now >= h.RefusesUntil &&
-		h.missed <= h.LastHeartbeatAt && !t.cutOff(h.Zone)
+		h.commands.unansweredAt <= h.LastHeartbeatAt && !t.cutOff(h.Zone)
 }
 
 func (t *Registry) occupy(h *Worker, k *taskstate.Task) {
@@ -277,7 +294,7 @@
 		t.lost(k, how)
 	}
 	t.tasks.TaskChanged(k, false)
-	t.TaskWaiting(k)
+	t.scheduler.TaskWaiting(k)
 }
 
 // leaseEnd is when all tasks of a machine that stays silent are surely gone.
@@ -307,7 +324,7 @@
 		}
 		if h.Deaf {
 			t.probe(h)
-			if len(h.Tasks) == 0 && h.DrainReason == "" && now-h.deaf > t.set.WorkerLease() {
+			if len(h.Tasks) == 0 && h.DrainReason == "" && now-h.deafSince > t.set.WorkerLease() {
 				t.StopPlacements(h.ID, deafDrain) // settled, and it has not come back
 			}
 		}
--- a/internal/workers/registry_test.go
+++ b/internal/workers/registry_test.go
@@ -34,6 +34,7 @@
 	knows       bool
 	stuck       bool          // there is no new token to be had
 	expired     bool          // the lease is not surely valid
+	closed      bool          // operators' drains keep new tasks off the machine
 	earlier     time.Duration // until then an earlier owner may answer
 	worker      struct {
 		shift, tick, token uint64
@@ -84,6 +85,17 @@
 func (b *bench) TaskChanged(*taskstate.Task, bool) {}
 func (b *bench) TaskDone(t *taskstate.Task)        { t.State = taskstate.StateDone }
 func (b *bench) DropTask(t *taskstate.Task)        { t.State = taskstate.StateDropped }
+func (b *bench) TaskWaiting(t *taskstate.Task) {
+	if b.gone != nil {
+		b.gone(t)
+	}
+}
+
+func (b *bench) MachineType(string) *jobs.MachineType {
+	return &jobs.MachineType{Name: "g8", CPUs: 64, MemoryGB: 64}
+}
+func (b *bench) IsClosedByDrain(string) bool { return b.closed }
+
 func (b *bench) term() {
 	b.token++
 	b.table.EndTerm()
@@ -94,13 +106,7 @@
 	b := &bench{token: 1, now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 36, 66
-	b.table = NewRegistry(b, b, b, set, slog.New(slog.DiscardHandler))
-	b.table.MachineType = func(string) *jobs.MachineType { return &jobs.MachineType{Name: "g8", CPUs: 64, MemoryGB: 64} }
-	b.table.TaskWaiting = func(t *taskstate.Task) {
-		if b.gone != nil {
-			b.gone(t)
-		}
-	}
+	b.table = NewRegistry(Dependencies{Runtime: b, Lease: b, Tasks: b, Scheduler: b, Settings: set, Log: slog.New(slog.DiscardHandler)})
 	index := make([]int, tasks)
 	for i := range index {
 		index[i] = i
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -48,7 +48,7 @@
 		return ReleaseSilent
 	case h.DrainReason != "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && (h.UnknownTasks == 0 || h.DrainReason == deafDrain):
 		return h.DrainReason
-	case h.DrainReason == "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.IsClosedByDrain(h.ID):
+	case h.DrainReason == "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.scheduler.IsClosedByDrain(h.ID):
 		return OperatorDrain
 	}
 	return ""
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -29,10 +29,10 @@
 	t.zone(r.Zone).heard = now
 	if !h.HasReported || h.MachineTypeName != r.MachineType || h.Addr != r.Addr {
 		h.HasReported, h.Addr, h.MachineTypeName, h.Zone, h.Spot = true, r.Addr, r.MachineType, r.Zone, r.Spot
-		h.MachineType = t.MachineType(r.MachineType)
+		h.MachineType = t.scheduler.MachineType(r.MachineType)
 	}
 	if h.MachineType == nil {
-		h.MachineType = t.MachineType(r.MachineType)
+		h.MachineType = t.scheduler.MachineType(r.MachineType)
 	}
 	if r.Token >= token || r.Token > h.Token {
 		h.UnacknowledgedHeartbeats = 0
@@ -49,10 +49,10 @@
 	}
 	orders := t.read(h, r, true)
 	t.listen(h)
-	h.ends = nil
+	h.commands.pendingHalts = nil
 	outlives := t.outlives(h, r)
 	if outlives {
-		h.ends = t.cancelled(r) // they go directly, tasks that the records do not have too
+		h.commands.pendingHalts = t.cancelled(r) // they go directly, tasks that the records do not have too
 		t.ready[h] = true
 	}
 	if h.Deaf || outlives {
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -4,100 +4,111 @@
 	"time"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 )
 
-// Worker is one machine.
+// Worker is what the registry knows of one worker and the machine that it runs on.
 type Worker struct {
-	ID              string
+	ID string
+	Machine
+	SessionState
+	Load
+	Health
+	commands commandDelivery
+	images   ImageCache
+}
+
+// Machine is what a worker's heartbeats say of the machine that it runs on.
+type Machine struct {
 	Addr            string
 	Zone            string
 	Spot            bool
 	MachineTypeName string
-	MachineType     *jobs.MachineType
+	MachineType     *jobs.MachineType // nil while no type of that name is known
+}
 
-	// HasReported: its worker has reported to this process.
-	HasReported       bool
+// SessionState is how far the conversation with a worker has come: the session, the
+// fencing token and the lease by which its tasks live.
+type SessionState struct {
+	HasReported       bool // to this process
 	Session, Sequence uint64
-	Token             uint64        // highest the worker has shown
-	LastHeartbeatAt   time.Duration // its newest report
-	KnownSince        time.Duration // when this process first knew of it
+	Token             uint64        // highest that the worker has shown
+	LastHeartbeatAt   time.Duration // its newest heartbeat
 	// LeaseRenewedAt bounds from when the worker's lease last ran: no answer that
-	// renews it was given to a report received later.
-	LeaseRenewedAt    time.Duration
-	TerminationAt time.Duration // when the cloud takes it, 0: no notice
-	DrainReason  string        // why it gets no more tasks, "" if it does
-	LeaseExpired bool          // its lease has run out unheard
-	IdleSince    time.Duration // since when it has had no tasks
+	// renews it was given to a heartbeat received later.
+	LeaseRenewedAt time.Duration
+	LeaseExpired   bool // it has run out with no heartbeat
+}
 
+// Load is what the tasks on a machine take of it, and what is reserved besides.
+type Load struct {
 	Tasks map[*taskstate.Task]bool // placed here
-	// FetchingTasks counts those of them that do not run yet: they wait for their
+	// FetchingTasks counts those of Tasks that do not run yet: they wait for their
 	// image, as far as one can tell.
 	FetchingTasks int
-	// UnknownTasks holds tasks that the worker lists and the records do not.
-	UnknownTasks int
-	CPUs         float64 // taken by Tasks
-	GPUs         float64
-	MemoryGB     float64
-	// ServiceCPUs is the part of CPUs that replicas of services take.
-	ServiceCPUs float64
-
-	// ReservedCPUs, ReservedGPUs and ReservedMemoryGB are kept for gangs to come.
-	ReservedCPUs, ReservedGPUs, ReservedMemoryGB float64
+	UnknownTasks  int             // tasks that the worker lists and the records do not
+	Used          resource.Vector // by Tasks
+	ServiceCPUs   float64         // processors that replicas of services use
+	Reserved      resource.Vector // for gangs that are expected
+	IdleSince     time.Duration   // when the last of Tasks left
+}
 
-	RefusesUntil time.Duration // no tasks before, after it said it is full
-	// UnacknowledgedHeartbeats counts reports in a row that were answered under a token which
-	// the next did not show, Lost launches in a row that never showed: proof
-	// that it reports, but does not hear. Deaf: found so, and when.
+// Health is what speaks against giving a worker tasks.
+type Health struct {
+	TerminationAt time.Duration // when the cloud takes the spot machine, 0: no notice
+	DrainReason   string        // why it gets no more tasks, "" if it does
+	RefusesUntil  time.Duration // no tasks before, after it said it is full
+	// UnacknowledgedHeartbeats counts heartbeats in a row that were answered under a
+	// token which the next one did not show, LostLaunches launches in a row that never
+	// showed: proof that its heartbeats arrive, but our answers don't.
 	UnacknowledgedHeartbeats int
 	LostLaunches             int
-	Deaf                     bool
-	deaf                     time.Duration
-	probed                   time.Duration
+	Deaf                     bool // found so at deafSince
+	deafSince                time.Duration
+	probedAt                 time.Duration
+	ConsecutiveFailures      int             // tasks that failed here since one ran well
+	FailedJobs               map[string]bool // jobs of those tasks
+}
 
-	missed              time.Duration // when an order last went unanswered
-	ConsecutiveFailures int           // tasks that failed here since one ran well
-	FailedJobs          map[string]bool
-	orderInFlight       bool      // a direct order is under way
-	ends                []Command // halts that an answer may not carry, see Registry.outlives
-	probeTasks          bool      // how its tasks are is to be asked directly
-	announcing          bool      // to be told of the token
-	images              ImageCache
+// commandDelivery is what is to be told to a worker directly, and what came of it.
+type commandDelivery struct {
+	inFlight      bool          // a direct message is under way
+	unansweredAt  time.Duration // when a direct message last went unanswered
+	pendingHalts  []Command     // that an answer may not carry, see Registry.outlives
+	probeTasks    bool          // how its tasks are is to be asked directly
+	announcePends bool          // to be told of the token
 }
 
 // Free is what new tasks may take.
-func (h *Worker) Free() (cpus, cards, memory float64) {
+func (h *Worker) Free() resource.Vector {
 	if h.MachineType == nil || h.UnknownTasks > 0 {
-		return 0, 0, 0
+		return resource.Vector{}
 	}
-	return h.MachineType.CPUs - h.CPUs, h.MachineType.GPUs - h.GPUs, h.MachineType.MemoryGB - h.MemoryGB
+	return h.MachineType.Resources().Minus(h.Used)
 }
 
 // AddTask notes that a task takes room on the machine.
 func (h *Worker) AddTask(k *taskstate.Task) {
-	d := k.Job.Spec
+	spec := k.Job.Spec
 	h.Tasks[k] = true
-	h.CPUs += d.CPUs
-	h.GPUs += d.GPUs
-	h.MemoryGB += d.MemoryGB
-	if d.IsService() {
-		h.ServiceCPUs += d.CPUs
+	h.Used = h.Used.Plus(spec.Resources())
+	if spec.IsService() {
+		h.ServiceCPUs += spec.CPUs
 	}
-	h.UseImage(d.Image, d.ImageGB)
+	h.UseImage(spec.Image, spec.ImageGB)
 }
 
 // RemoveTask notes that a task has left its room on the machine.
 func (h *Worker) RemoveTask(k *taskstate.Task) {
-	d := k.Job.Spec
+	spec := k.Job.Spec
 	delete(h.Tasks, k)
-	h.CPUs -= d.CPUs
-	h.GPUs -= d.GPUs
-	h.MemoryGB -= d.MemoryGB
-	if d.IsService() {
-		h.ServiceCPUs -= d.CPUs
+	h.Used = h.Used.Minus(spec.Resources())
+	if spec.IsService() {
+		h.ServiceCPUs -= spec.CPUs
 	}
 	if len(h.Tasks) == 0 { // sums of decimal amounts are not exact
-		h.CPUs, h.GPUs, h.MemoryGB, h.ServiceCPUs = 0, 0, 0, 0
+		h.Used, h.ServiceCPUs = resource.Vector{}, 0
 	}
 }
 
@@ -115,3 +126,10 @@
 
 // UseImage notes that a task with an image starts on the machine.
 func (h *Worker) UseImage(image string, gb float64) { h.images.Use(image, gb, h.MachineType) }
+
+// clear forgets the tasks of an earlier term. ServiceCPUs is left: it only steers
+// where placement puts services, and starts anew when the machine runs empty.
+func (l *Load) clear() {
+	l.Tasks = map[*taskstate.Task]bool{}
+	l.Used, l.UnknownTasks, l.FetchingTasks = resource.Vector{}, 0, 0
+}
