--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -12,7 +12,7 @@
 	return f.rt.Now() - max(f.reachable[zone], f.since)
 }
 
-// cutOff tells whether a zone is cut off from the owners, though others are not.
+// isZonePartitioned tells whether a zone is cut off from the owners, though others are not.
 // Its machines are no room and none are rented there; see tuning.DarkKeep.
 func (f *Fleet) cutOff(zone string) bool {
 	at, was := f.cutOffAt[zone] // stays so while any machine there is left
--- a/internal/workers/announce.go
+++ b/internal/workers/announce.go
@@ -10,67 +10,67 @@
 // Announce tells a machine of the present token, directly: it need not come with
 // its next report first, which may be ten seconds away, before it gets tasks
 // again. The machine then reports at once.
-func (t *Registry) Announce(id, addr string) {
-	if addr == "" || t.gone[id] {
+func (r *Registry) Announce(id, addr string) {
+	if addr == "" || r.released[id] {
 		return
 	}
-	h := t.host(id)
-	if h.Addr == "" {
-		h.Addr = addr
+	worker := r.ensureWorker(id)
+	if worker.Addr == "" {
+		worker.Addr = addr
 	}
-	if h.Token < t.lease.Token() && !h.Deaf && !h.commands.announcePends {
-		h.commands.announcePends = true
-		t.greets = append(t.greets, h)
+	if worker.Token < r.lease.Token() && !worker.Deaf && !worker.commands.announcementQueued {
+		worker.commands.announcementQueued = true
+		r.announceQueue = append(r.announceQueue, worker)
 	}
 }
 
-// announceNext sends the announcements that wait, a few at a time.
-func (t *Registry) announceNext() {
-	for t.greeting < tuning.MaxConcurrentAnnouncements && len(t.greets) > 0 {
-		h := t.greets[0]
-		t.greets, h.commands.announcePends = t.greets[1:], false
-		token := t.lease.Token()
-		if h.Token >= token || t.hosts[h.ID] != h || t.cutOff(h.Zone) {
+// sendAnnouncements sends the announcements that wait, a few at a time.
+func (r *Registry) sendAnnouncements() {
+	for r.announcementsInFlight < tuning.MaxConcurrentAnnouncements && len(r.announceQueue) > 0 {
+		worker := r.announceQueue[0]
+		r.announceQueue, worker.commands.announcementQueued = r.announceQueue[1:], false
+		token := r.lease.Token()
+		if worker.Token >= token || r.workers[worker.ID] != worker || r.isZonePartitioned(worker.Zone) {
 			continue
 		}
 		// Of a machine that this process has not heard of, the session is a
 		// guess; refused for another one, the message does no harm.
-		body, err := json.Marshal(CommandMessage{Token: token, Session: max(h.Session, 1), Commands: t.halts(h, []Command{})})
+		body, err := json.Marshal(CommandMessage{Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{})})
 		if err != nil {
 			return
 		}
-		t.greeting++
-		begun := t.begun
-		t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
-			func(ans http1.Response, err error) {
-				if t.begun != begun || t.lease.Token() != token {
+		r.announcementsInFlight++
+		termBeganAt := r.termBeganAt
+		r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
+			func(response http1.Response, err error) {
+				if r.termBeganAt != termBeganAt || r.lease.Token() != token {
 					return // a new term greets anew
 				}
-				t.greeting--
-				if t.hosts[h.ID] == h && err == nil {
-					t.announced(h, ans.Body, token)
+				r.announcementsInFlight--
+				if r.workers[worker.ID] == worker && err == nil {
+					r.handleAnnouncementAnswer(worker, response.Body, token)
 				}
 			})
 	}
 }
 
-// announced takes the answer to an announcement: the worker's report. It proves that
+// handleAnnouncementAnswer takes the answer to an announcement: the worker's report. It proves that
 // the machine hears, and what it lists; like any answer to an order it proves
 // nothing gone.
-func (t *Registry) announced(h *Worker, body []byte, token uint64) {
-	r, err := ParseHeartbeat(body)
-	if err != nil || r.WorkerID != h.ID || r.Token != token || r.Session < h.Session {
+func (r *Registry) handleAnnouncementAnswer(worker *Worker, body []byte, token uint64) {
+	heartbeat, err := ParseHeartbeat(body)
+	if err != nil || heartbeat.WorkerID != worker.ID || heartbeat.Token != token || heartbeat.Session < worker.Session {
 		return
 	}
-	if !h.HasReported {
-		h.HasReported, h.Addr, h.MachineTypeName, h.Zone, h.Spot = true, r.Addr, r.MachineType, r.Zone, r.Spot
-		h.MachineType = t.scheduler.MachineType(r.MachineType)
+	if !worker.HasReported {
+		worker.HasReported, worker.Addr, worker.MachineTypeName, worker.Zone, worker.Spot = true, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot
+		worker.MachineType = r.scheduler.MachineType(heartbeat.MachineType)
 	}
-	if h.Session == 0 {
-		h.Session = r.Session
+	if worker.Session == 0 {
+		worker.Session = heartbeat.Session
 	}
-	h.LastHeartbeatAt = t.rt.Now()
-	if r.Session == h.Session && r.Sequence > h.Sequence {
-		t.read(h, r, false)
+	worker.LastHeartbeatAt = r.runtime.Now()
+	if heartbeat.Session == worker.Session && heartbeat.Sequence > worker.Sequence {
+		r.reconcile(worker, heartbeat, false)
 	}
 }
--- a/internal/workers/deaf.go
+++ b/internal/workers/deaf.go
@@ -7,58 +7,58 @@
 	"lemonmoor/internal/tuning"
 )
 
-// listen decides whether a machine that reports hears us too. To have been heard
+// detectDeafness decides whether a machine that reports hears us too. To have been heard
 // is no proof of that: seen as alive, it swallowed task after task.
-func (t *Registry) listen(h *Worker) {
-	if h.Deaf || (h.UnacknowledgedHeartbeats < tuning.DeafHeartbeats && h.LostLaunches < tuning.DeafLaunches) {
+func (r *Registry) detectDeafness(worker *Worker) {
+	if worker.Deaf || (worker.UnacknowledgedHeartbeats < tuning.DeafHeartbeats && worker.LostLaunches < tuning.DeafLaunches) {
 		return
 	}
-	h.Deaf, h.deafSince, h.probedAt = true, t.rt.Now(), t.rt.Now()
-	t.log.Info("machine reports but does not hear", "host", h.ID, "unheard", h.UnacknowledgedHeartbeats, "lost", h.LostLaunches)
+	worker.Deaf, worker.deafSince, worker.probedAt = true, r.runtime.Now(), r.runtime.Now()
+	r.log.Info("machine reports but does not hear", "host", worker.ID, "unheard", worker.UnacknowledgedHeartbeats, "lost", worker.LostLaunches)
 }
 
-// probe asks a deaf machine directly. No order is in the message and it renews
+// probeDeafWorker asks a deaf machine directly. No order is in the message and it renews
 // no lease; its answer is the proof that the machine hears again.
-func (t *Registry) probe(h *Worker) {
-	now := t.rt.Now()
-	if now-h.probedAt < tuning.DeafProbeInterval {
+func (r *Registry) probeDeafWorker(worker *Worker) {
+	now := r.runtime.Now()
+	if now-worker.probedAt < tuning.DeafProbeInterval {
 		return
 	}
-	h.probedAt = now
-	token := t.lease.Token()
-	body, err := json.Marshal(CommandMessage{Token: token, Session: h.Session, Commands: t.halts(h, []Command{})})
+	worker.probedAt = now
+	token := r.lease.Token()
+	body, err := json.Marshal(CommandMessage{Token: token, Session: worker.Session, Commands: r.appendCancellationHalts(worker, []Command{})})
 	if err != nil {
 		return
 	}
-	t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
-		func(ans http1.Response, err error) {
-			if err != nil || t.lease.Token() != token || t.hosts[h.ID] != h || !h.Deaf {
+	r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
+		func(response http1.Response, err error) {
+			if err != nil || r.lease.Token() != token || r.workers[worker.ID] != worker || !worker.Deaf {
 				return
 			}
-			r, err := ParseHeartbeat(ans.Body)
-			if err != nil || r.WorkerID != h.ID || r.Token < token {
+			heartbeat, err := ParseHeartbeat(response.Body)
+			if err != nil || heartbeat.WorkerID != worker.ID || heartbeat.Token < token {
 				return
 			}
-			t.log.Info("machine hears again", "host", h.ID)
-			h.markHearing()
-			if h.DrainReason == deafDrain {
-				h.DrainReason = ""
+			r.log.Info("machine hears again", "host", worker.ID)
+			worker.markHearing()
+			if worker.DrainReason == drainReasonDeaf {
+				worker.DrainReason = ""
 			}
 		})
 }
 
-func (h *Worker) markHearing() { h.Deaf, h.UnacknowledgedHeartbeats, h.LostLaunches = false, 0, 0 }
+func (w *Worker) markHearing() { w.Deaf, w.UnacknowledgedHeartbeats, w.LostLaunches = false, 0, 0 }
 
 // CountDeaf tells how many of the machines that report do not hear, and how many
 // report.
-func (t *Registry) CountDeaf() (deaf, up int) {
-	for _, h := range t.list {
-		if h.HasReported && !h.LeaseExpired {
-			up++
-			if h.Deaf {
+func (r *Registry) CountDeaf() (deaf, reporting int) {
+	for _, worker := range r.sortedWorkers {
+		if worker.HasReported && !worker.LeaseExpired {
+			reporting++
+			if worker.Deaf {
 				deaf++
 			}
 		}
 	}
-	return deaf, up
+	return deaf, reporting
 }
--- a/internal/workers/drain.go
+++ b/internal/workers/drain.go
@@ -9,42 +9,42 @@
 
 // accepts tells whether a machine may be given tasks as far as drains go, those of the
 // daemon's own and the operators'.
-func (t *Registry) accepts(h *Worker) bool {
-	return h.DrainReason == "" && !t.scheduler.IsClosedByDrain(h.ID)
+func (r *Registry) accepts(worker *Worker) bool {
+	return worker.DrainReason == "" && !r.scheduler.IsClosedByDrain(worker.ID)
 }
 
 // IsCurrent tells whether a machine is heard under the present token, so that what its
 // reports list is so.
-func (t *Registry) IsCurrent(h *Worker) bool {
-	return h.HasReported && !h.LeaseExpired && !h.Deaf && h.Token >= t.lease.Token() && !t.IsSuspect(h)
+func (r *Registry) IsCurrent(worker *Worker) bool {
+	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
 }
 
 // HaltTask has a task halted that an operators' drain moves, with the time that it needs to
 // save. The machine is told at once, and with each report until the task is gone.
-func (t *Registry) HaltTask(k *taskstate.Task) {
-	h := t.hosts[k.WorkerID]
-	if h == nil || k.HaltDecided {
+func (r *Registry) HaltTask(task *taskstate.Task) {
+	worker := r.workers[task.WorkerID]
+	if worker == nil || task.HaltDecided {
 		return
 	}
-	k.Halt(k.Job.Spec.CheckpointSeconds)
-	t.ready[h] = true
-	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", OperatorDrain)
+	task.Halt(task.Job.Spec.CheckpointSeconds)
+	r.commandsDue[worker] = true
+	r.log.Info("moving task", "host", worker.ID, "task", task.Name(), "why", OperatorDrain)
 }
 
 // HaltGang has all tasks of a gang halted, at the same time. One that has not started
 // has nothing to save.
-func (t *Registry) HaltGang(j *taskstate.Job) {
-	now := t.rt.Now()
-	t.log.Info("moving gang", "job", j.Spec.ID, "why", OperatorDrain)
-	if j.Gang.Started && j.Spec.CheckpointIntervalSeconds > 0 {
-		t.saveAll(j, now)
+func (r *Registry) HaltGang(job *taskstate.Job) {
+	now := r.runtime.Now()
+	r.log.Info("moving gang", "job", job.Spec.ID, "why", OperatorDrain)
+	if job.Gang.Started && job.Spec.CheckpointIntervalSeconds > 0 {
+		r.checkpointGang(job, now)
 		return
 	}
-	j.EndAttempt(now)
-	for _, k := range j.Tasks {
-		if h := t.hosts[k.WorkerID]; h != nil && k.State == taskstate.StatePlaced && k.LaunchSent {
-			k.Halt(0)
-			t.ready[h] = true
+	job.EndAttempt(now)
+	for _, task := range job.Tasks {
+		if worker := r.workers[task.WorkerID]; worker != nil && task.State == taskstate.StatePlaced && task.LaunchSent {
+			task.Halt(0)
+			r.commandsDue[worker] = true
 		}
 	}
 }
--- a/internal/workers/gang_test.go
+++ b/internal/workers/gang_test.go
@@ -8,77 +8,77 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// placeAll places all tasks of the bench's job on its machine and lets the worker
+// placeAndLaunchAll places all tasks of the bench's job on its machine and lets the worker
 // launch them.
-func (b *bench) placeAll(t *testing.T) *Worker {
+func (f *registryFixture) placeAndLaunchAll(t *testing.T) *Worker {
 	t.Helper()
-	status, body := b.table.HandleHeartbeat(b.report())
+	status, body := f.registry.HandleHeartbeat(f.heartbeat())
 	if status != 200 {
 		t.Fatal(status)
 	}
-	b.hear(body, b.worker.shift, b.now)
-	b.now += time.Second
-	b.table.HandleHeartbeat(b.report())
-	h := b.table.Worker("vm-1")
-	for _, k := range b.job.Tasks {
-		b.table.PlaceTask(k, h)
+	f.receiveAnswer(body, f.worker.session, f.now)
+	f.now += time.Second
+	f.registry.HandleHeartbeat(f.heartbeat())
+	worker := f.registry.Worker("vm-1")
+	for _, task := range f.job.Tasks {
+		f.registry.PlaceTask(task, worker)
 	}
 	n := 0
-	for _, k := range b.job.Tasks {
-		k.PlacementDurable = true
-		b.table.PlacementDurable(k)
-		if n++; b.job.Gang != nil && n < len(b.job.Tasks) {
-			if b.table.AfterBatch(); len(b.calls) > 0 {
+	for _, task := range f.job.Tasks {
+		task.PlacementDurable = true
+		f.registry.PlacementDurable(task)
+		if n++; f.job.Gang != nil && n < len(f.job.Tasks) {
+			if f.registry.AfterBatch(); len(f.calls) > 0 {
 				t.Fatal("launched before the last placement was durable")
 			}
 		}
 	}
-	b.table.AfterBatch()
-	for len(b.calls) > 0 {
-		c := b.calls[0]
-		b.calls = b.calls[1:]
-		c.fn(b.deliver(c), nil)
+	f.registry.AfterBatch()
+	for len(f.calls) > 0 {
+		direct := f.calls[0]
+		f.calls = f.calls[1:]
+		direct.fn(f.deliverDirect(direct), nil)
 	}
-	return h
+	return worker
 }
 
-// say reports the tasks in a state, and returns the orders of the answer.
-func (b *bench) say(t *testing.T, phase, cause string) []Command {
+// reportAll reports the tasks in a state, and returns the orders of the answer.
+func (f *registryFixture) reportAll(t *testing.T, phase, cause string) []Command {
 	t.Helper()
-	b.now += time.Second
-	r := b.report()
-	for i := range r.Tasks {
-		r.Tasks[i].Phase, r.Tasks[i].Cause = phase, cause
+	f.now += time.Second
+	heartbeat := f.heartbeat()
+	for i := range heartbeat.Tasks {
+		heartbeat.Tasks[i].Phase, heartbeat.Tasks[i].Cause = phase, cause
 	}
-	status, body := b.table.HandleHeartbeat(r)
-	var o CommandMessage
-	if status != 200 || json.Unmarshal(body, &o) != nil {
+	status, body := f.registry.HandleHeartbeat(heartbeat)
+	var message CommandMessage
+	if status != 200 || json.Unmarshal(body, &message) != nil {
 		t.Fatal(status, string(body))
 	}
-	return o.Commands
+	return message.Commands
 }
 
-func newGangBench(tasks int) *bench {
-	b := newBench(tasks)
-	b.job.Spec.Shape, b.job.Spec.Tasks, b.job.Gang = "gang", tasks, &taskstate.Gang{}
-	return b
+func newGangFixture(tasks int) *registryFixture {
+	fixture := newRegistryFixture(tasks)
+	fixture.job.Spec.Shape, fixture.job.Spec.Tasks, fixture.job.Gang = "gang", tasks, &taskstate.Gang{}
+	return fixture
 }
 
 // TestUnknownWordsOccupy: a state or a reason that this version does not know
 // never proves a task gone, nor does it keep the task for ever: one with an unknown
 // reason is forgotten, and gone when it is off the list.
 func TestUnknownWordsOccupy(t *testing.T) {
-	b := newBench(2)
-	h := b.placeAll(t)
-	if b.say(t, "pondering", ""); len(h.Tasks) != 2 {
-		t.Errorf("%d of 2 tasks occupy the machine in an unknown state", len(h.Tasks))
+	fixture := newRegistryFixture(2)
+	worker := fixture.placeAndLaunchAll(t)
+	if fixture.reportAll(t, "pondering", ""); len(worker.Tasks) != 2 {
+		t.Errorf("%d of 2 tasks occupy the machine in an unknown state", len(worker.Tasks))
 	}
-	orders := b.say(t, "ended", "moonshine")
-	if len(h.Tasks) != 2 || len(orders) != 2 || orders[0].Verb != "forget" {
-		t.Errorf("%d tasks, orders %+v", len(h.Tasks), orders)
+	orders := fixture.reportAll(t, "ended", "moonshine")
+	if len(worker.Tasks) != 2 || len(orders) != 2 || orders[0].Verb != "forget" {
+		t.Errorf("%d tasks, orders %+v", len(worker.Tasks), orders)
 	}
-	clear(b.worker.tasks)
-	if b.say(t, "", ""); len(h.Tasks) != 0 {
+	clear(fixture.worker.tasks)
+	if fixture.reportAll(t, "", ""); len(worker.Tasks) != 0 {
 		t.Error("off the list, they still occupy the machine")
 	}
 }
@@ -88,27 +88,27 @@
 // pause that grows.
 func TestGangCausesAreNoFaults(t *testing.T) {
 	for _, cause := range []string{"alone", "mates_gone"} {
-		b := newGangBench(3)
-		b.phase = "fetching"
+		fixture := newGangFixture(3)
+		fixture.phase = "fetching"
 		var pause time.Duration
 		for round := range 5 {
-			h := b.placeAll(t)
-			b.say(t, "waiting", "")
-			b.say(t, "ended", cause)
-			clear(b.worker.tasks)
-			if h.DrainReason != "" || h.ConsecutiveFailures > 0 || b.job.ConsecutiveFailures > 0 {
-				t.Fatalf("%s counts as a fault: %+v", cause, h)
+			worker := fixture.placeAndLaunchAll(t)
+			fixture.reportAll(t, "waiting", "")
+			fixture.reportAll(t, "ended", cause)
+			clear(fixture.worker.tasks)
+			if worker.DrainReason != "" || worker.ConsecutiveFailures > 0 || fixture.job.ConsecutiveFailures > 0 {
+				t.Fatalf("%s counts as a fault: %+v", cause, worker)
 			}
-			if b.job.Gang.Attempt != 0 || len(h.Tasks) != 0 {
+			if fixture.job.Gang.Attempt != 0 || len(worker.Tasks) != 0 {
 				t.Fatalf("%s: the attempt is not through", cause)
 			}
-			if wait := b.job.NotBefore - b.now; cause == "alone" {
+			if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
 				if round > 0 && wait <= pause {
 					t.Errorf("round %d: a pause of %v after one of %v", round, wait, pause)
 				}
 				pause = wait
 			}
-			b.now += time.Minute
+			fixture.now += time.Minute
 		}
 	}
 }
@@ -116,33 +116,33 @@
 // TestOneDoneAllDone: one task of a gang proven done means that all are; those not
 // heard of occupy their places until they are proven gone, and nothing is launched.
 func TestOneDoneAllDone(t *testing.T) {
-	b := newGangBench(3)
-	h := b.placeAll(t)
-	b.say(t, "running", "")
-	b.now += time.Second
-	r := b.report()
+	fixture := newGangFixture(3)
+	worker := fixture.placeAndLaunchAll(t)
+	fixture.reportAll(t, "running", "")
+	fixture.now += time.Second
+	heartbeat := fixture.heartbeat()
 	done := 0
-	for i := range r.Tasks {
-		r.Tasks[i].Phase = "running"
+	for i := range heartbeat.Tasks {
+		heartbeat.Tasks[i].Phase = "running"
 		if done == 0 {
-			r.Tasks[i].Phase, r.Tasks[i].Cause = "ended", "done"
+			heartbeat.Tasks[i].Phase, heartbeat.Tasks[i].Cause = "ended", "done"
 			done++
 		}
 	}
-	b.table.HandleHeartbeat(r)
-	if !b.job.Gang.Done || len(h.Tasks) != 2 {
-		t.Fatalf("done %v, %d tasks on the machine", b.job.Gang.Done, len(h.Tasks))
+	fixture.registry.HandleHeartbeat(heartbeat)
+	if !fixture.job.Gang.Done || len(worker.Tasks) != 2 {
+		t.Fatalf("done %v, %d tasks on the machine", fixture.job.Gang.Done, len(worker.Tasks))
 	}
 	waiting := 0
-	b.gone = func(*taskstate.Task) { waiting++ }
-	b.now += b.table.set.WorkerLease() + time.Minute
-	b.table.Tick() // the machine stays silent
-	for _, k := range b.job.Tasks {
-		if k.State != taskstate.StateDone {
-			t.Errorf("task %d is in state %d", k.Index, k.State)
+	fixture.onTaskWaiting = func(*taskstate.Task) { waiting++ }
+	fixture.now += fixture.registry.settings.WorkerLease() + time.Minute
+	fixture.registry.Tick() // the machine stays silent
+	for _, task := range fixture.job.Tasks {
+		if task.State != taskstate.StateDone {
+			t.Errorf("task %d is in state %d", task.Index, task.State)
 		}
 	}
-	if waiting > 0 || len(b.job.TasksToPlace()) > 0 {
+	if waiting > 0 || len(fixture.job.TasksToPlace()) > 0 {
 		t.Error("something of it would be launched again")
 	}
 }
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -10,140 +10,140 @@
 )
 
 // AfterBatch sends direct orders for placements that have become durable.
-func (t *Registry) AfterBatch() {
-	if !t.tasks.IsLoaded() || !t.lease.LeaseValid() {
-		clear(t.ready)
+func (r *Registry) AfterBatch() {
+	if !r.tasks.IsLoaded() || !r.lease.LeaseValid() {
+		clear(r.commandsDue)
 		return
 	}
-	t.announceNext()
-	if len(t.held) > 0 && t.lease.CancellationsVerifiedSince(t.heldAt) {
-		for h := range t.held {
-			t.ready[h] = true
+	r.sendAnnouncements()
+	if len(r.awaitingVerification) > 0 && r.lease.CancellationsVerifiedSince(r.newestAwaitingPlacedAt) {
+		for worker := range r.awaitingVerification {
+			r.commandsDue[worker] = true
 		}
-		clear(t.held)
+		clear(r.awaitingVerification)
 	}
-	for h := range t.ready {
-		if h.commands.inFlight {
+	for worker := range r.commandsDue {
+		if worker.commands.inFlight {
 			continue // looked at again when the answer is in
 		}
-		delete(t.ready, h)
-		if !h.HasReported || h.Token != t.lease.Token() || h.LeaseExpired || h.Deaf {
+		delete(r.commandsDue, worker)
+		if !worker.HasReported || worker.Token != r.lease.Token() || worker.LeaseExpired || worker.Deaf {
 			continue
 		}
-		t.direct(h)
+		r.sendDirectCommands(worker)
 	}
 }
 
-// direct sends the launches that wait for a machine, each in this one message
+// sendDirectCommands sends the launches that wait for a machine, each in this one message
 // only.
-func (t *Registry) direct(h *Worker) {
-	token := t.lease.Token()
-	msg := CommandMessage{Token: token, Session: h.Session, Commands: []Command{}}
-	carried := t.launches(h, &msg)
-	t.addHalts(h, &msg)
-	if len(msg.Commands) == 0 && !h.commands.probeTasks {
+func (r *Registry) sendDirectCommands(worker *Worker) {
+	token := r.lease.Token()
+	message := CommandMessage{Token: token, Session: worker.Session, Commands: []Command{}}
+	launched := r.appendLaunches(worker, &message)
+	r.appendHalts(worker, &message)
+	if len(message.Commands) == 0 && !worker.commands.probeTasks {
 		return
 	}
-	h.commands.probeTasks = false
-	body, err := json.Marshal(msg)
+	worker.commands.probeTasks = false
+	body, err := json.Marshal(message)
 	if err != nil {
-		t.log.Error("orders do not encode", "err", err)
+		r.log.Error("orders do not encode", "err", err)
 		return
 	}
-	attempts := make([]uint64, len(carried))
-	for i, k := range carried {
-		k.LaunchSent, k.LaunchInFlight, k.GoneSession, k.GoneAfterSequence = true, true, h.Session, h.Sequence
-		attempts[i] = k.Attempt
+	attempts := make([]uint64, len(launched))
+	for i, task := range launched {
+		task.LaunchSent, task.LaunchInFlight, task.GoneSession, task.GoneAfterSequence = true, true, worker.Session, worker.Sequence
+		attempts[i] = task.Attempt
 	}
-	h.commands.inFlight = true
-	begun := t.begun
-	t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
-		func(ans http1.Response, err error) {
-			if t.begun != begun || t.lease.Token() != token || t.hosts[h.ID] != h {
+	worker.commands.inFlight = true
+	termBeganAt := r.termBeganAt
+	r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
+		func(response http1.Response, err error) {
+			if r.termBeganAt != termBeganAt || r.lease.Token() != token || r.workers[worker.ID] != worker {
 				return // another term has read the records anew
 			}
-			h.commands.inFlight = false
-			t.ready[h] = true
-			mine := carried[:0:0]
-			for i, k := range carried {
-				if h.Tasks[k] && k.Attempt == attempts[i] && k.LaunchInFlight {
-					k.LaunchInFlight = false
-					mine = append(mine, k)
+			worker.commands.inFlight = false
+			r.commandsDue[worker] = true
+			stillLaunching := launched[:0:0]
+			for i, task := range launched {
+				if worker.Tasks[task] && task.Attempt == attempts[i] && task.LaunchInFlight {
+					task.LaunchInFlight = false
+					stillLaunching = append(stillLaunching, task)
 				}
 			}
-			t.directAnswered(h, mine, ans, err)
+			r.handleDirectAnswer(worker, stillLaunching, response, err)
 		})
 }
 
-// launches adds the launches that wait for a machine to a message, and returns their
+// appendLaunches adds the launches that wait for a machine to a message, and returns their
 // tasks.
-func (t *Registry) launches(h *Worker, msg *CommandMessage) []*taskstate.Task {
-	var carried []*taskstate.Task
-	if !t.accepts(h) {
+func (r *Registry) appendLaunches(worker *Worker, message *CommandMessage) []*taskstate.Task {
+	var launched []*taskstate.Task
+	if !r.accepts(worker) {
 		return nil
 	}
-	for k := range h.Tasks {
-		if len(carried) >= tuning.MaxCommandsPerMessage || !k.Launchable() {
+	for task := range worker.Tasks {
+		if len(launched) >= tuning.MaxCommandsPerMessage || !task.Launchable() {
 			continue
 		}
-		if !t.lease.CancellationsVerifiedSince(k.PlacedAt) {
-			t.held[h], t.heldAt = true, max(t.heldAt, k.PlacedAt)
+		if !r.lease.CancellationsVerifiedSince(task.PlacedAt) {
+			r.awaitingVerification[worker], r.newestAwaitingPlacedAt = true, max(r.newestAwaitingPlacedAt, task.PlacedAt)
 			continue
 		}
-		carried = append(carried, k)
-		msg.Commands = append(msg.Commands, Command{Verb: "launch", TaskName: k.Name(), Attempt: k.WireAttempt()})
+		launched = append(launched, task)
+		message.Commands = append(message.Commands, Command{Verb: "launch", TaskName: task.Name(), Attempt: task.WireAttempt()})
 	}
-	return carried
+	return launched
 }
 
-// addHalts adds the halts that a machine has not been told, or has to be told again, to a
+// appendHalts adds the halts that a machine has not been told, or has to be told again, to a
 // message. Repeated or late, a halt does no harm: it names the attempt.
-func (t *Registry) addHalts(h *Worker, msg *CommandMessage) {
-	for k := range h.Tasks {
-		if k.HaltDecided && k.Reported && !k.HaltSent && len(msg.Commands) < tuning.MaxCommandsPerMessage {
-			k.HaltSent = true // if this is lost, the next report's answer has it
-			msg.Commands = append(msg.Commands, halt(k.Name(), k.WireAttempt(), k.WindDownSeconds))
+func (r *Registry) appendHalts(worker *Worker, message *CommandMessage) {
+	for task := range worker.Tasks {
+		if task.HaltDecided && task.Reported && !task.HaltSent && len(message.Commands) < tuning.MaxCommandsPerMessage {
+			task.HaltSent = true // if this is lost, the next report's answer has it
+			message.Commands = append(message.Commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
 		}
 	}
-	for k := range h.Tasks {
-		if k.Job.Cancelled && k.LaunchSent && t.rt.Now()-k.CancelHaltSentAt >= tuning.HaltRetryInterval {
-			msg.Commands = t.halts(h, msg.Commands)
+	for task := range worker.Tasks {
+		if task.Job.Cancelled && task.LaunchSent && r.runtime.Now()-task.CancelHaltSentAt >= tuning.HaltRetryInterval {
+			message.Commands = r.appendCancellationHalts(worker, message.Commands)
 			break
 		}
 	}
-	msg.Commands, h.commands.pendingHalts = append(msg.Commands, h.commands.pendingHalts...), nil
+	message.Commands, worker.commands.pendingHalts = append(message.Commands, worker.commands.pendingHalts...), nil
 }
 
-// directAnswered takes what came of a direct message that carried launches.
-func (t *Registry) directAnswered(h *Worker, carried []*taskstate.Task, ans http1.Response, err error) {
-	var r *Heartbeat
-	if err == nil && (ans.Status == 200 || ans.Status == 409) {
-		if r, err = ParseHeartbeat(ans.Body); err == nil && r.WorkerID != h.ID {
-			r = nil
+// handleDirectAnswer takes what came of a direct message that carried launches.
+func (r *Registry) handleDirectAnswer(worker *Worker, launched []*taskstate.Task, response http1.Response, err error) {
+	var heartbeat *Heartbeat
+	if err == nil && (response.Status == 200 || response.Status == 409) {
+		if heartbeat, err = ParseHeartbeat(response.Body); err == nil && heartbeat.WorkerID != worker.ID {
+			heartbeat = nil
 		}
 	}
 	switch {
-	case err == eventloop.ErrNotSent || (err == nil && ans.Status == 409):
-		for _, k := range carried {
-			k.LaunchSent, k.GoneSession, k.GoneAfterSequence = k.Reported, 0, 0
+	case err == eventloop.ErrNotSent || (err == nil && response.Status == 409):
+		for _, task := range launched {
+			task.LaunchSent, task.GoneSession, task.GoneAfterSequence = task.Reported, 0, 0
 		}
-	case err == nil && ans.Status == 200 && r != nil:
-		for _, k := range carried {
-			k.GoneSession, k.GoneAfterSequence = r.Session, r.Sequence
+	case err == nil && response.Status == 200 && heartbeat != nil:
+		for _, task := range launched {
+			task.GoneSession, task.GoneAfterSequence = heartbeat.Session, heartbeat.Sequence
 		}
-		if r.Session == h.Session && r.Sequence > h.Sequence && r.Token <= t.lease.Token() {
-			t.read(h, r, false)
+		if heartbeat.Session == worker.Session && heartbeat.Sequence > worker.Sequence && heartbeat.Token <= r.lease.Token() {
+			r.reconcile(worker, heartbeat, false)
 		}
 	default:
-		for _, k := range carried {
-			k.LaunchInDoubt = !k.Reported
+		for _, task := range launched {
+			task.LaunchInDoubt = !task.Reported
 		}
 	}
-	if err != nil || ans.Status != 200 {
+	if err != nil || response.Status != 200 {
 		// Not again at once: the next report carries the launches.
-		delete(t.ready, h)
+		delete(r.commandsDue, worker)
 	}
 	if err == eventloop.ErrNoAnswer {
-		h.commands.unansweredAt = t.rt.Now()
+		worker.commands.unansweredAt = r.runtime.Now()
 	}
 }
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -63,55 +63,55 @@
 
 // Registry holds all machines.
 type Registry struct {
-	rt        eventloop.Runtime
-	lease     Lease
-	tasks     TaskStore
-	scheduler Scheduler
-	set       *settings.Settings
-	log       *slog.Logger
-	hosts     map[string]*Worker
-	list      []*Worker     // in the order of their names
-	begun     time.Duration // this term
-	since     time.Duration // when reports began to be taken in, this time
-	ready     map[*Worker]bool
-	held      map[*Worker]bool // have launches that wait for a proof, see Lease.Fresh
-	heldAt    time.Duration    // the newest placement of those
-	greets    []*Worker        // to be told of the token
-	greeting  int              // being told
-	gone      map[string]bool  // returned machines
-	zones     map[string]*zone
+	runtime                eventloop.Runtime
+	lease                  Lease
+	tasks                  TaskStore
+	scheduler              Scheduler
+	settings               *settings.Settings
+	log                    *slog.Logger
+	workers                map[string]*Worker
+	sortedWorkers          []*Worker     // in the order of their names
+	termBeganAt            time.Duration // this term
+	listeningSince         time.Duration // when reports began to be taken in, this time
+	commandsDue            map[*Worker]bool
+	awaitingVerification   map[*Worker]bool // have launches that wait for a proof, see Lease.Fresh
+	newestAwaitingPlacedAt time.Duration    // the newest placement of those
+	announceQueue          []*Worker        // to be told of the token
+	announcementsInFlight  int              // being told
+	released               map[string]bool  // returned machines
+	zones                  map[string]*zoneState
 }
 
-// zone is what the table knows of a zone as a whole: one that is cut off falls
+// zoneState is what the table knows of a zone as a whole: one that is cut off falls
 // silent at once, long before each of its machines is late.
-type zone struct {
-	heard time.Duration // the newest report from it
-	up    int           // machines there that have reported, as of the last Tick
+type zoneState struct {
+	lastHeartbeatAt  time.Duration // the newest report from it
+	reportingWorkers int           // machines there that have reported, as of the last Tick
 }
 
 // NewRegistry returns an empty registry.
-func NewRegistry(d Dependencies) *Registry {
+func NewRegistry(dependencies Dependencies) *Registry {
 	return &Registry{
-		rt: d.Runtime, lease: d.Lease, tasks: d.Tasks, scheduler: d.Scheduler, set: d.Settings, log: d.Log,
-		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{},
+		runtime: dependencies.Runtime, lease: dependencies.Lease, tasks: dependencies.Tasks, scheduler: dependencies.Scheduler, settings: dependencies.Settings, log: dependencies.Log,
+		workers: map[string]*Worker{}, commandsDue: map[*Worker]bool{}, awaitingVerification: map[*Worker]bool{}, released: map[string]bool{}, zones: map[string]*zoneState{},
 	}
 }
 
-// zone finds or makes a zone's entry.
-func (t *Registry) zone(name string) *zone {
-	z := t.zones[name]
-	if z == nil {
-		z = &zone{}
-		t.zones[name] = z
+// ensureZone finds or makes a zone's entry.
+func (r *Registry) ensureZone(name string) *zoneState {
+	zone := r.zones[name]
+	if zone == nil {
+		zone = &zoneState{}
+		r.zones[name] = zone
 	}
-	return z
+	return zone
 }
 
 // ReachableZones lists the zones from which something has been heard of late.
-func (t *Registry) ReachableZones() []string {
+func (r *Registry) ReachableZones() []string {
 	var list []string
-	for name, z := range t.zones {
-		if z.heard > 0 && t.rt.Now()-z.heard <= tuning.ZonePartitionAfter {
+	for name, zone := range r.zones {
+		if zone.lastHeartbeatAt > 0 && r.runtime.Now()-zone.lastHeartbeatAt <= tuning.ZonePartitionAfter {
 			list = append(list, name)
 		}
 	}
@@ -119,15 +119,15 @@
 	return list
 }
 
-// cutOff tells whether a zone seems to be cut off: many machines report from it,
+// isZonePartitioned tells whether a zone seems to be cut off: many machines report from it,
 // and none has for a while, though others are heard.
-func (t *Registry) cutOff(name string) bool {
-	z := t.zones[name]
-	if z == nil || !t.set.IsZonePartitioned(z.up, t.rt.Now()-max(z.heard, t.since)) {
+func (r *Registry) isZonePartitioned(name string) bool {
+	zone := r.zones[name]
+	if zone == nil || !r.settings.IsZonePartitioned(zone.reportingWorkers, r.runtime.Now()-max(zone.lastHeartbeatAt, r.listeningSince)) {
 		return false
 	}
-	for _, o := range t.zones {
-		if o.heard > z.heard+tuning.ZonePartitionAfter/2 {
+	for _, other := range r.zones {
+		if other.lastHeartbeatAt > zone.lastHeartbeatAt+tuning.ZonePartitionAfter/2 {
 			return true
 		}
 	}
@@ -137,39 +137,39 @@
 // BeginTerm starts a term: whatever the records place may be on its machine under
 // an earlier token, and any earlier owner may have answered reports until now
 // plus the hold.
-func (t *Registry) BeginTerm() {
-	t.begun = t.rt.Now()
-	t.since = t.begun
-	for _, h := range t.hosts {
-		h.Load.clear()
-		h.commands.inFlight = false
+func (r *Registry) BeginTerm() {
+	r.termBeganAt = r.runtime.Now()
+	r.listeningSince = r.termBeganAt
+	for _, worker := range r.workers {
+		worker.Load.clear()
+		worker.commands.inFlight = false
 		// Between two tokens of its own a process knows what it has answered.
-		h.LeaseRenewedAt = max(h.LeaseRenewedAt, t.lease.PreviousOwnerAnswersUntil())
-		h.LeaseExpired, h.commands.announcePends = false, false
-		h.markHearing()
+		worker.LeaseRenewedAt = max(worker.LeaseRenewedAt, r.lease.PreviousOwnerAnswersUntil())
+		worker.LeaseExpired, worker.commands.announcementQueued = false, false
+		worker.markHearing()
 	}
-	clear(t.ready)
-	clear(t.held)
-	t.greets, t.greeting = nil, 0
+	clear(r.commandsDue)
+	clear(r.awaitingVerification)
+	r.announceQueue, r.announcementsInFlight = nil, 0
 	// Those heard of late come first: hundreds that are cut off or dead, each of
 	// which is waited for, must not keep the others waiting.
-	for _, late := range []bool{false, true} {
-		for _, h := range t.list {
-			if (t.begun-h.LastHeartbeatAt > t.set.WorkerDeadAfter()) == late {
-				t.Announce(h.ID, h.Addr)
+	for _, isSilent := range []bool{false, true} {
+		for _, worker := range r.sortedWorkers {
+			if (r.termBeganAt-worker.LastHeartbeatAt > r.settings.WorkerDeadAfter()) == isSilent {
+				r.Announce(worker.ID, worker.Addr)
 			}
 		}
 	}
-	token := t.lease.Token()
-	t.tasks.EachJob(func(j *taskstate.Job) {
-		if j.Gang != nil {
-			t.take(j)
+	token := r.lease.Token()
+	r.tasks.EachJob(func(job *taskstate.Job) {
+		if job.Gang != nil {
+			r.recoverGang(job)
 		}
-		for _, c := range j.Groups {
-			for _, k := range c.Tasks {
-				if k.State == taskstate.StatePlaced {
-					k.GoneMinToken, k.LaunchSent = token, true
-					t.occupy(t.host(k.WorkerID), k)
+		for _, group := range job.Groups {
+			for _, task := range group.Tasks {
+				if task.State == taskstate.StatePlaced {
+					task.GoneMinToken, task.LaunchSent = token, true
+					r.addTask(r.ensureWorker(task.WorkerID), task)
 				}
 			}
 		}
@@ -177,212 +177,212 @@
 }
 
 // EndTerm forgets what only holds for a term.
-func (t *Registry) EndTerm() {
-	for _, h := range t.hosts {
-		h.Load.clear()
-		h.commands.inFlight = false
+func (r *Registry) EndTerm() {
+	for _, worker := range r.workers {
+		worker.Load.clear()
+		worker.commands.inFlight = false
 	}
-	clear(t.ready)
-	clear(t.held)
+	clear(r.commandsDue)
+	clear(r.awaitingVerification)
 }
 
-// host finds or makes a machine's entry.
-func (t *Registry) host(id string) *Worker {
-	h := t.hosts[id]
-	if h == nil {
-		now := t.rt.Now()
-		h = &Worker{
+// ensureWorker finds or makes a machine's entry.
+func (r *Registry) ensureWorker(id string) *Worker {
+	worker := r.workers[id]
+	if worker == nil {
+		now := r.runtime.Now()
+		worker = &Worker{
 			ID:           id,
-			SessionState: SessionState{LeaseRenewedAt: max(now, t.lease.PreviousOwnerAnswersUntil())},
+			SessionState: SessionState{LeaseRenewedAt: max(now, r.lease.PreviousOwnerAnswersUntil())},
 			Load:         Load{Tasks: map[*taskstate.Task]bool{}, IdleSince: now},
 			Health:       Health{FailedJobs: map[string]bool{}},
 		}
-		t.hosts[id] = h
-		i, _ := slices.BinarySearchFunc(t.list, id, func(h *Worker, id string) int { return strings.Compare(h.ID, id) })
-		t.list = slices.Insert(t.list, i, h)
+		r.workers[id] = worker
+		i, _ := slices.BinarySearchFunc(r.sortedWorkers, id, func(worker *Worker, id string) int { return strings.Compare(worker.ID, id) })
+		r.sortedWorkers = slices.Insert(r.sortedWorkers, i, worker)
 	}
-	return h
+	return worker
 }
 
 // Worker finds a machine.
-func (t *Registry) Worker(id string) *Worker { return t.hosts[id] }
+func (r *Registry) Worker(id string) *Worker { return r.workers[id] }
 
 // Workers returns the machines in the order of their names. The list is the table's
 // own.
-func (t *Registry) Workers() []*Worker { return t.list }
+func (r *Registry) Workers() []*Worker { return r.sortedWorkers }
 
 // AcceptsTasks tells whether a machine may be given tasks now. One that has left an
 // order unanswered gets none before its next report: what is placed on a machine
 // that is cut off or dead waits there until its lease has run out.
-func (t *Registry) AcceptsTasks(h *Worker) bool {
-	now := t.rt.Now()
-	suspect := time.Duration(float64(t.set.HeartbeatInterval()) * tuning.SuspectHeartbeats)
-	return h.HasReported && !h.LeaseExpired && !h.Deaf && t.accepts(h) && h.MachineType != nil && h.UnknownTasks == 0 &&
-		h.Token >= t.lease.Token() && now-h.LastHeartbeatAt < suspect && now >= h.RefusesUntil &&
-		h.commands.unansweredAt <= h.LastHeartbeatAt && !t.cutOff(h.Zone)
+func (r *Registry) AcceptsTasks(worker *Worker) bool {
+	now := r.runtime.Now()
+	suspectAfter := time.Duration(float64(r.settings.HeartbeatInterval()) * tuning.SuspectHeartbeats)
+	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && r.accepts(worker) && worker.MachineType != nil && worker.UnknownTasks == 0 &&
+		worker.Token >= r.lease.Token() && now-worker.LastHeartbeatAt < suspectAfter && now >= worker.RefusesUntil &&
+		worker.commands.unansweredAt <= worker.LastHeartbeatAt && !r.isZonePartitioned(worker.Zone)
 }
 
-func (t *Registry) occupy(h *Worker, k *taskstate.Task) {
-	if !k.HasImage {
-		h.FetchingTasks++
+func (r *Registry) addTask(worker *Worker, task *taskstate.Task) {
+	if !task.HasImage {
+		worker.FetchingTasks++
 	}
-	h.AddTask(k)
+	worker.AddTask(task)
 }
 
-func (t *Registry) vacate(h *Worker, k *taskstate.Task) {
-	if !h.Tasks[k] {
+func (r *Registry) removeTask(worker *Worker, task *taskstate.Task) {
+	if !worker.Tasks[task] {
 		return
 	}
-	h.RemoveTask(k)
-	if len(h.Tasks) == 0 {
-		h.IdleSince = t.rt.Now()
+	worker.RemoveTask(task)
+	if len(worker.Tasks) == 0 {
+		worker.IdleSince = r.runtime.Now()
 	}
-	if !k.HasImage {
-		h.FetchingTasks--
+	if !task.HasImage {
+		worker.FetchingTasks--
 	}
-	k.Running, k.HasImage = false, false
+	task.Running, task.HasImage = false, false
 }
 
 // PlaceTask gives a waiting task to a machine. The launch leaves once the
 // placement is durable.
-func (t *Registry) PlaceTask(k *taskstate.Task, h *Worker) {
-	if g := k.Job.Gang; g != nil && !h.HasImage(k.Job.Spec.Image) {
-		g.UncachedPlacements++
+func (r *Registry) PlaceTask(task *taskstate.Task, worker *Worker) {
+	if gang := task.Job.Gang; gang != nil && !worker.HasImage(task.Job.Spec.Image) {
+		gang.UncachedPlacements++
 	}
-	k.PlaceOn(h.ID)
-	k.PlacedAt = t.rt.Now()
-	t.lease.CancellationsVerifiedSince(k.PlacedAt) // the proof comes while the placement is committed
-	k.GoneMinToken, k.GoneSession, k.GoneAfterSequence = t.lease.Token(), 0, 0
-	t.occupy(h, k)
-	t.tasks.TaskChanged(k, true)
+	task.PlaceOn(worker.ID)
+	task.PlacedAt = r.runtime.Now()
+	r.lease.CancellationsVerifiedSince(task.PlacedAt) // the proof comes while the placement is committed
+	task.GoneMinToken, task.GoneSession, task.GoneAfterSequence = r.lease.Token(), 0, 0
+	r.addTask(worker, task)
+	r.tasks.TaskChanged(task, true)
 }
 
 // PlacementDurable notes that a placement is durable.
-func (t *Registry) PlacementDurable(k *taskstate.Task) {
-	if k.Job.Gang != nil {
-		if k.Launchable() { // with the last of a gang, all of it
-			t.log.Debug("gang placed", "job", k.Job.Spec.ID, "attempt", k.WireAttempt(), "tasks", len(k.Job.Tasks), "fetching", k.Job.Gang.UncachedPlacements,
-				"age_s", float64(t.rt.WallClock().UnixMilli()-k.Job.SubmittedMS)/1000)
-			for _, o := range k.Job.Tasks {
-				if h := t.hosts[o.WorkerID]; h != nil {
-					t.ready[h] = true
+func (r *Registry) PlacementDurable(task *taskstate.Task) {
+	if task.Job.Gang != nil {
+		if task.Launchable() { // with the last of a gang, all of it
+			r.log.Debug("gang placed", "job", task.Job.Spec.ID, "attempt", task.WireAttempt(), "tasks", len(task.Job.Tasks), "fetching", task.Job.Gang.UncachedPlacements,
+				"age_s", float64(r.runtime.WallClock().UnixMilli()-task.Job.SubmittedMS)/1000)
+			for _, member := range task.Job.Tasks {
+				if worker := r.workers[member.WorkerID]; worker != nil {
+					r.commandsDue[worker] = true
 				}
 			}
 		}
 		return
 	}
-	if h := t.hosts[k.WorkerID]; h != nil {
-		t.ready[h] = true
+	if worker := r.workers[task.WorkerID]; worker != nil {
+		r.commandsDue[worker] = true
 	}
 }
 
-// proveGone ends a placement: the task is surely not on its machine. how only
+// endPlacement ends a placement: the task is surely not on its machine. how only
 // matters for a gang.
-func (t *Registry) proveGone(h *Worker, k *taskstate.Task, how taskstate.Loss) {
-	t.vacate(h, k)
-	k.State, k.WorkerID = taskstate.StateWaiting, ""
-	k.PlacementDurable, k.LaunchSent, k.LaunchInFlight, k.LaunchInDoubt, k.Reported, k.HaltDecided, k.HaltSent, k.HasRun = false, false, false, false, false, false, false, false
-	if k.Job.Cancelled {
-		t.tasks.DropTask(k)
+func (r *Registry) endPlacement(worker *Worker, task *taskstate.Task, loss taskstate.Loss) {
+	r.removeTask(worker, task)
+	task.State, task.WorkerID = taskstate.StateWaiting, ""
+	task.PlacementDurable, task.LaunchSent, task.LaunchInFlight, task.LaunchInDoubt, task.Reported, task.HaltDecided, task.HaltSent, task.HasRun = false, false, false, false, false, false, false, false
+	if task.Job.Cancelled {
+		r.tasks.DropTask(task)
 		return
 	}
-	if g := k.Job.Gang; g != nil {
-		if g.Done {
-			t.tasks.TaskDone(k)
+	if gang := task.Job.Gang; gang != nil {
+		if gang.Done {
+			r.tasks.TaskDone(task)
 			return
 		}
-		t.lost(k, how)
+		r.gangTaskLost(task, loss)
 	}
-	t.tasks.TaskChanged(k, false)
-	t.scheduler.TaskWaiting(k)
+	r.tasks.TaskChanged(task, false)
+	r.scheduler.TaskWaiting(task)
 }
 
-// leaseEnd is when all tasks of a machine that stays silent are surely gone.
-func (t *Registry) leaseEnd(h *Worker) time.Duration {
-	lease := t.set.WorkerLease()
-	return h.LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
+// leaseExpiresAt is when all tasks of a machine that stays silent are surely gone.
+func (r *Registry) leaseExpiresAt(worker *Worker) time.Duration {
+	lease := r.settings.WorkerLease()
+	return worker.LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
 }
 
 // Tick looks for machines whose lease has run out and for placements that can
 // no longer be launched.
-func (t *Registry) Tick() {
-	if !t.tasks.IsLoaded() {
+func (r *Registry) Tick() {
+	if !r.tasks.IsLoaded() {
 		return
 	}
-	now := t.rt.Now()
-	if !t.lease.MayAnswer() {
+	now := r.runtime.Now()
+	if !r.lease.MayAnswer() {
 		// In an outage of the state service that outlasts the hold, reports are
 		// turned away: that is no silence of the machines.
-		t.since = now
+		r.listeningSince = now
 	}
-	for _, z := range t.zones {
-		z.up = 0
+	for _, zone := range r.zones {
+		zone.reportingWorkers = 0
 	}
-	for _, h := range t.list {
-		if h.HasReported {
-			t.zone(h.Zone).up++
+	for _, worker := range r.sortedWorkers {
+		if worker.HasReported {
+			r.ensureZone(worker.Zone).reportingWorkers++
 		}
-		if h.Deaf {
-			t.probe(h)
-			if len(h.Tasks) == 0 && h.DrainReason == "" && now-h.deafSince > t.set.WorkerLease() {
-				t.StopPlacements(h.ID, deafDrain) // settled, and it has not come back
+		if worker.Deaf {
+			r.probeDeafWorker(worker)
+			if len(worker.Tasks) == 0 && worker.DrainReason == "" && now-worker.deafSince > r.settings.WorkerLease() {
+				r.StopPlacements(worker.ID, drainReasonDeaf) // settled, and it has not come back
 			}
 		}
-		for k := range h.Tasks {
-			if k.LaunchSent {
-				if k.Job.Cancelled && now-k.CancelHaltSentAt >= tuning.HaltRetryInterval {
-					t.Announce(h.ID, h.Addr) // if it has not seen the token
-					t.ready[h] = true
+		for task := range worker.Tasks {
+			if task.LaunchSent {
+				if task.Job.Cancelled && now-task.CancelHaltSentAt >= tuning.HaltRetryInterval {
+					r.Announce(worker.ID, worker.Addr) // if it has not seen the token
+					r.commandsDue[worker] = true
 				}
-				t.move(h, k, now)
+				r.haltIfMustMove(worker, task, now)
 				continue
 			}
 			// Never launched: free for another machine when this one does
 			// not take tasks any more.
-			if g := k.Job.Gang; (g != nil && (g.AttemptOver || g.Done)) || !t.accepts(h) || h.Deaf || k.Job.Cancelled || (h.HasReported && now-h.LastHeartbeatAt > t.set.WorkerDeadAfter()/2) || !h.HasReported {
-				t.proveGone(h, k, taskstate.LossBeforeWaiting)
+			if gang := task.Job.Gang; (gang != nil && (gang.AttemptOver || gang.Done)) || !r.accepts(worker) || worker.Deaf || task.Job.Cancelled || (worker.HasReported && now-worker.LastHeartbeatAt > r.settings.WorkerDeadAfter()/2) || !worker.HasReported {
+				r.endPlacement(worker, task, taskstate.LossBeforeWaiting)
 			}
 		}
-		if !h.LeaseExpired && now > t.leaseEnd(h) && len(h.Tasks) > 0 {
-			t.log.Info("worker lease has run out", "host", h.ID, "tasks", len(h.Tasks))
-			h.LeaseExpired = true
-			t.clear(h)
+		if !worker.LeaseExpired && now > r.leaseExpiresAt(worker) && len(worker.Tasks) > 0 {
+			r.log.Info("worker lease has run out", "host", worker.ID, "tasks", len(worker.Tasks))
+			worker.LeaseExpired = true
+			r.endAllPlacements(worker)
 		}
 	}
-	t.tasks.EachJob(func(j *taskstate.Job) {
-		if j.Gang != nil {
-			t.tend(j, now)
+	r.tasks.EachJob(func(job *taskstate.Job) {
+		if job.Gang != nil {
+			r.checkGang(job, now)
 		}
 	})
 }
 
-// move stops a running task that has to go on elsewhere: a replica on a machine
+// haltIfMustMove stops a running task that has to go on elsewhere: a replica on a machine
 // that is drained, or one that can save, in time before the cloud takes its
 // machine. The machine is told at once, and with each report until it is gone.
-func (t *Registry) move(h *Worker, k *taskstate.Task, now time.Duration) {
-	d := k.Job.Spec
-	saves := d.CheckpointIntervalSeconds > 0 && h.TerminationAt > 0 &&
-		now > h.TerminationAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
-	if h.DrainReason == "" || k.HaltDecided || !k.Running || k.Job.Gang != nil || (!d.IsService() && !saves) {
+func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
+	spec := task.Job.Spec
+	mustSave := spec.CheckpointIntervalSeconds > 0 && worker.TerminationAt > 0 &&
+		now > worker.TerminationAt-time.Duration(spec.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
+	if worker.DrainReason == "" || task.HaltDecided || !task.Running || task.Job.Gang != nil || (!spec.IsService() && !mustSave) {
 		return
 	}
-	k.Halt(d.CheckpointSeconds)
-	t.ready[h] = true
-	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", h.DrainReason)
+	task.Halt(spec.CheckpointSeconds)
+	r.commandsDue[worker] = true
+	r.log.Info("moving task", "host", worker.ID, "task", task.Name(), "why", worker.DrainReason)
 }
 
 // DiscardTask takes a task that was never launched off its machine; its record is
 // gone.
-func (t *Registry) DiscardTask(k *taskstate.Task) {
-	if h := t.hosts[k.WorkerID]; h != nil {
-		t.vacate(h, k)
+func (r *Registry) DiscardTask(task *taskstate.Task) {
+	if worker := r.workers[task.WorkerID]; worker != nil {
+		r.removeTask(worker, task)
 	}
 }
 
-// clear proves all tasks of a machine gone.
-func (t *Registry) clear(h *Worker) {
-	for k := range h.Tasks {
-		t.proveGone(h, k, taskstate.LossVanished)
+// endAllPlacements proves all tasks of a machine gone.
+func (r *Registry) endAllPlacements(worker *Worker) {
+	for task := range worker.Tasks {
+		r.endPlacement(worker, task, taskstate.LossVanished)
 	}
 }
 
@@ -394,4 +394,4 @@
 	ReleaseSilentUrgent = "silent with urgent tasks"
 )
 
-const deafDrain = "does not hear"
+const drainReasonDeaf = "does not hear"
--- a/internal/workers/registry_test.go
+++ b/internal/workers/registry_test.go
@@ -17,195 +17,197 @@
 	"lemonmoor/internal/tuning"
 )
 
-// bench is a registry with one machine: its runtime, lease, task store and worker. The
+// registryFixture is a registry with one machine: its runtime, lease, task store and worker. The
 // worker keeps the protocol: sessions, leases, tokens, attempts.
-type bench struct {
-	now   time.Duration
-	token uint64
-	table *Registry
-	job   *taskstate.Job
-	calls []call // direct orders on their way
-	gone  func(*taskstate.Task)
-	away  bool   // reports are turned away
-	phase string // of the tasks in reports, "" for running
+type registryFixture struct {
+	now                 time.Duration
+	token               uint64
+	registry            *Registry
+	job                 *taskstate.Job
+	calls               []sentRequest // direct orders on their way
+	onTaskWaiting       func(*taskstate.Task)
+	turnsHeartbeatsAway bool   // reports are turned away
+	phase               string // of the tasks in reports, "" for running
 	// Of cancellations: when the user was told, 0 for never, and up to when the owner
 	// knows of them; knows: it rests on that.
-	off, proven time.Duration
-	knows       bool
-	stuck       bool          // there is no new token to be had
-	expired     bool          // the lease is not surely valid
-	closed      bool          // operators' drains keep new tasks off the machine
-	earlier     time.Duration // until then an earlier owner may answer
-	worker      struct {
-		shift, tick, token uint64
-		leased             time.Duration
-		tasks              map[string]uint64 // attempts of running tasks
-		seen               map[string]bool   // task@attempt, ever launched in this session
+	cancelledAt, verifiedAt   time.Duration
+	needsVerification         bool
+	noNewToken                bool          // there is no new token to be had
+	leaseInvalid              bool          // the lease is not surely valid
+	closedByDrain             bool          // operators' drains keep new tasks off the machine
+	previousOwnerAnswersUntil time.Duration // until then an earlier owner may answer
+	worker                    struct {
+		session, sequence, token uint64
+		leaseRenewedAt           time.Duration
+		tasks                    map[string]uint64 // attempts of running tasks
+		everLaunched             map[string]bool   // task@attempt, ever launched in this session
 	}
 }
 
-type call struct {
+type sentRequest struct {
 	body []byte
 	fn   func(http1.Response, error)
 }
 
-func (b *bench) Now() time.Duration          { return b.now }
-func (b *bench) WallClock() time.Time        { return time.UnixMilli(0).Add(b.now) }
-func (b *bench) Rand() float64               { return 0.5 }
-func (b *bench) After(time.Duration, func()) {}
-func (b *bench) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {
+func (f *registryFixture) Now() time.Duration          { return f.now }
+func (f *registryFixture) WallClock() time.Time        { return time.UnixMilli(0).Add(f.now) }
+func (f *registryFixture) Rand() float64               { return 0.5 }
+func (f *registryFixture) After(time.Duration, func()) {}
+func (f *registryFixture) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {
 }
 
-func (b *bench) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
-	b.calls = append(b.calls, call{c.Body, fn})
+func (f *registryFixture) CallHTTP(_ string, request http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
+	f.calls = append(f.calls, sentRequest{request.Body, fn})
 }
 
-func (b *bench) Token() uint64    { return b.token }
-func (b *bench) LeaseValid() bool { return !b.expired }
-func (b *bench) MayAnswer() bool {
-	return !b.away && (!b.knows || b.now < b.proven+b.table.set.MaxKnowledgeAge())
+func (f *registryFixture) Token() uint64    { return f.token }
+func (f *registryFixture) LeaseValid() bool { return !f.leaseInvalid }
+func (f *registryFixture) MayAnswer() bool {
+	return !f.turnsHeartbeatsAway && (!f.needsVerification || f.now < f.verifiedAt+f.registry.settings.MaxKnowledgeAge())
 }
 
-func (b *bench) RenewToken() {
-	if !b.stuck {
-		b.term()
+func (f *registryFixture) RenewToken() {
+	if !f.noNewToken {
+		f.beginTerm()
 	}
 }
 
-func (b *bench) CancellationsVerifiedSince(since time.Duration) bool {
-	return !b.knows || (b.proven >= since && b.now-b.proven <= tuning.MaxLaunchKnowledgeAge)
+func (f *registryFixture) CancellationsVerifiedSince(since time.Duration) bool {
+	return !f.needsVerification || (f.verifiedAt >= since && f.now-f.verifiedAt <= tuning.MaxLaunchKnowledgeAge)
 }
-func (b *bench) PreviousOwnerAnswersUntil() time.Duration { return b.earlier }
-func (b *bench) CancellationAge(string) (time.Duration, bool) {
-	return b.now - b.off, b.job.Cancelled
+func (f *registryFixture) PreviousOwnerAnswersUntil() time.Duration {
+	return f.previousOwnerAnswersUntil
 }
-func (b *bench) IsLoaded() bool                    { return true }
-func (b *bench) Job(string) *taskstate.Job         { return b.job }
-func (b *bench) EachJob(fn func(*taskstate.Job))   { fn(b.job) }
-func (b *bench) TaskChanged(*taskstate.Task, bool) {}
-func (b *bench) TaskDone(t *taskstate.Task)        { t.State = taskstate.StateDone }
-func (b *bench) DropTask(t *taskstate.Task)        { t.State = taskstate.StateDropped }
-func (b *bench) TaskWaiting(t *taskstate.Task) {
-	if b.gone != nil {
-		b.gone(t)
+func (f *registryFixture) CancellationAge(string) (time.Duration, bool) {
+	return f.now - f.cancelledAt, f.job.Cancelled
+}
+func (f *registryFixture) IsLoaded() bool                    { return true }
+func (f *registryFixture) Job(string) *taskstate.Job         { return f.job }
+func (f *registryFixture) EachJob(fn func(*taskstate.Job))   { fn(f.job) }
+func (f *registryFixture) TaskChanged(*taskstate.Task, bool) {}
+func (f *registryFixture) TaskDone(task *taskstate.Task)     { task.State = taskstate.StateDone }
+func (f *registryFixture) DropTask(task *taskstate.Task)     { task.State = taskstate.StateDropped }
+func (f *registryFixture) TaskWaiting(task *taskstate.Task) {
+	if f.onTaskWaiting != nil {
+		f.onTaskWaiting(task)
 	}
 }
 
-func (b *bench) MachineType(string) *jobs.MachineType {
+func (f *registryFixture) MachineType(string) *jobs.MachineType {
 	return &jobs.MachineType{Name: "g8", CPUs: 64, MemoryGB: 64}
 }
-func (b *bench) IsClosedByDrain(string) bool { return b.closed }
+func (f *registryFixture) IsClosedByDrain(string) bool { return f.closedByDrain }
 
-func (b *bench) term() {
-	b.token++
-	b.table.EndTerm()
-	b.table.BeginTerm()
+func (f *registryFixture) beginTerm() {
+	f.token++
+	f.registry.EndTerm()
+	f.registry.BeginTerm()
 }
 
-func newBench(tasks int) *bench {
-	b := &bench{token: 1, now: time.Hour}
+func newRegistryFixture(tasks int) *registryFixture {
+	fixture := &registryFixture{token: 1, now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 36, 66
-	b.table = NewRegistry(Dependencies{Runtime: b, Lease: b, Tasks: b, Scheduler: b, Settings: set, Log: slog.New(slog.DiscardHandler)})
+	fixture.registry = NewRegistry(Dependencies{Runtime: fixture, Lease: fixture, Tasks: fixture, Scheduler: fixture, Settings: set, Log: slog.New(slog.DiscardHandler)})
 	index := make([]int, tasks)
 	for i := range index {
 		index[i] = i
 	}
-	b.job = &taskstate.Job{Spec: &jobs.Spec{ID: "wk-1", CPUs: 1, Shape: "array"}, Tasks: map[int]*taskstate.Task{}, Groups: map[string]*taskstate.TaskGroup{}}
-	taskstate.LoadRecord(b.job, taskstate.NewRecord(0, "wk-1", 0, index, nil, nil))
-	b.worker.shift, b.worker.leased = 1, b.now
-	b.worker.tasks, b.worker.seen = map[string]uint64{}, map[string]bool{}
-	b.table.BeginTerm()
-	return b
+	fixture.job = &taskstate.Job{Spec: &jobs.Spec{ID: "wk-1", CPUs: 1, Shape: "array"}, Tasks: map[int]*taskstate.Task{}, Groups: map[string]*taskstate.TaskGroup{}}
+	taskstate.LoadRecord(fixture.job, taskstate.NewRecord(0, "wk-1", 0, index, nil, nil))
+	fixture.worker.session, fixture.worker.leaseRenewedAt = 1, fixture.now
+	fixture.worker.tasks, fixture.worker.everLaunched = map[string]uint64{}, map[string]bool{}
+	fixture.registry.BeginTerm()
+	return fixture
 }
 
-// expire ends the worker's session when its lease has run out.
-func (b *bench) expire() {
-	if w := &b.worker; b.now-w.leased > b.table.set.WorkerLease() {
-		w.shift++
-		w.leased = b.now
-		clear(w.tasks)
-		clear(w.seen)
+// expireLease ends the worker's session when its lease has run out.
+func (f *registryFixture) expireLease() {
+	if worker := &f.worker; f.now-worker.leaseRenewedAt > f.registry.settings.WorkerLease() {
+		worker.session++
+		worker.leaseRenewedAt = f.now
+		clear(worker.tasks)
+		clear(worker.everLaunched)
 	}
 }
 
-func (b *bench) report() *Heartbeat {
-	b.expire()
-	w := &b.worker
-	w.tick++
-	r := &Heartbeat{WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: w.shift, Sequence: w.tick, Token: w.token}
-	for ref, attempt := range w.tasks {
-		phase := b.phase
+func (f *registryFixture) heartbeat() *Heartbeat {
+	f.expireLease()
+	worker := &f.worker
+	worker.sequence++
+	heartbeat := &Heartbeat{WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: worker.session, Sequence: worker.sequence, Token: worker.token}
+	for ref, attempt := range worker.tasks {
+		phase := f.phase
 		if phase == "" {
 			phase = "running"
 		}
-		r.Tasks = append(r.Tasks, ReportedTask{Name: ref, Attempt: attempt, Phase: phase})
+		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: ref, Attempt: attempt, Phase: phase})
 	}
-	return r
+	return heartbeat
 }
 
-// obey carries orders out.
-func (b *bench) obey(token uint64, orders []Command) {
-	w := &b.worker
-	w.token = token
-	for _, o := range orders {
-		switch o.Verb {
+// executeCommands carries orders out.
+func (f *registryFixture) executeCommands(token uint64, orders []Command) {
+	worker := &f.worker
+	worker.token = token
+	for _, command := range orders {
+		switch command.Verb {
 		case "launch":
-			if key := fmt.Sprint(o.TaskName, "@", o.Attempt); !w.seen[key] {
-				w.seen[key] = true
-				w.tasks[o.TaskName] = o.Attempt
+			if key := fmt.Sprint(command.TaskName, "@", command.Attempt); !worker.everLaunched[key] {
+				worker.everLaunched[key] = true
+				worker.tasks[command.TaskName] = command.Attempt
 			}
 		case "halt":
-			if w.tasks[o.TaskName] == o.Attempt {
-				delete(w.tasks, o.TaskName)
+			if worker.tasks[command.TaskName] == command.Attempt {
+				delete(worker.tasks, command.TaskName)
 			}
 		}
 	}
 }
 
-// hear takes the answer to a report that was sent at a time.
-func (b *bench) hear(body []byte, shift uint64, sent time.Duration) {
-	b.expire()
-	var o CommandMessage
-	if json.Unmarshal(body, &o) != nil || o.Token < b.worker.token || shift != b.worker.shift {
+// receiveAnswer takes the answer to a report that was sent at a time.
+func (f *registryFixture) receiveAnswer(body []byte, shift uint64, sent time.Duration) {
+	f.expireLease()
+	var message CommandMessage
+	if json.Unmarshal(body, &message) != nil || message.Token < f.worker.token || shift != f.worker.session {
 		return
 	}
-	b.worker.leased = max(b.worker.leased, sent)
-	b.obey(o.Token, o.Commands)
+	f.worker.leaseRenewedAt = max(f.worker.leaseRenewedAt, sent)
+	f.executeCommands(message.Token, message.Commands)
 }
 
-// deliver carries a direct order out, perhaps late.
-func (b *bench) deliver(c call) http1.Response {
-	b.expire()
-	var o CommandMessage
-	if json.Unmarshal(c.body, &o) != nil || o.Token < b.worker.token || o.Session != b.worker.shift {
-		raw, _ := json.Marshal(b.report())
+// deliverDirect carries a direct order out, perhaps late.
+func (f *registryFixture) deliverDirect(direct sentRequest) http1.Response {
+	f.expireLease()
+	var message CommandMessage
+	if json.Unmarshal(direct.body, &message) != nil || message.Token < f.worker.token || message.Session != f.worker.session {
+		raw, _ := json.Marshal(f.heartbeat())
 		return http1.Response{Status: 409, Body: raw}
 	}
-	b.obey(o.Token, o.Commands)
-	raw, _ := json.Marshal(b.report())
+	f.executeCommands(message.Token, message.Commands)
+	raw, _ := json.Marshal(f.heartbeat())
 	return http1.Response{Status: 200, Body: raw}
 }
 
-// settleOrder lets the first direct order go: it is carried out or not, answered or
+// settleDirectMessage lets the first direct order go: it is carried out or not, answered or
 // not, now or later; those that are carried out later are returned with the rest.
-func (b *bench) settleOrder(t *rapid.T, late []call) []call {
-	if len(b.calls) == 0 {
+func (f *registryFixture) settleDirectMessage(t *rapid.T, late []sentRequest) []sentRequest {
+	if len(f.calls) == 0 {
 		return late
 	}
-	c := b.calls[0]
-	b.calls = b.calls[1:]
+	direct := f.calls[0]
+	f.calls = f.calls[1:]
 	switch rapid.IntRange(0, 3).Draw(t, "fate") {
 	case 0:
-		c.fn(b.deliver(c), nil)
+		direct.fn(f.deliverDirect(direct), nil)
 	case 1:
-		b.deliver(c)
-		c.fn(http1.Response{}, eventloop.ErrNoAnswer)
+		f.deliverDirect(direct)
+		direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	case 2:
-		late = append(late, c)
-		c.fn(http1.Response{}, eventloop.ErrNoAnswer)
+		late = append(late, direct)
+		direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	case 3:
-		c.fn(http1.Response{}, eventloop.ErrNotSent)
+		direct.fn(http1.Response{}, eventloop.ErrNotSent)
 	}
 	return late
 }
@@ -215,69 +217,69 @@
 // its way can start it there.
 func TestGoneIsGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(4)
-		var late []call         // direct orders that may still be carried out
+		fixture := newRegistryFixture(4)
+		var late []sentRequest  // direct orders that may still be carried out
 		var copies []*Heartbeat // reports that may come once more
-		b.gone = func(k *taskstate.Task) {
-			b.expire()
-			if b.worker.tasks[k.Name()] == k.Attempt {
-				t.Fatalf("%s, attempt %d, is called gone and runs", k.Name(), k.Attempt)
+		fixture.onTaskWaiting = func(task *taskstate.Task) {
+			fixture.expireLease()
+			if fixture.worker.tasks[task.Name()] == task.Attempt {
+				t.Fatalf("%s, attempt %d, is called gone and runs", task.Name(), task.Attempt)
 			}
-			for _, c := range append(late, b.calls...) {
-				var o CommandMessage
-				_ = json.Unmarshal(c.body, &o)
-				if o.Token < b.worker.token || o.Session != b.worker.shift {
+			for _, direct := range append(late, fixture.calls...) {
+				var message CommandMessage
+				_ = json.Unmarshal(direct.body, &message)
+				if message.Token < fixture.worker.token || message.Session != fixture.worker.session {
 					continue
 				}
-				for _, order := range o.Commands {
+				for _, order := range message.Commands {
 					key := fmt.Sprint(order.TaskName, "@", order.Attempt)
-					if order.Verb == "launch" && order.TaskName == k.Name() && order.Attempt == k.Attempt && !b.worker.seen[key] {
-						t.Fatalf("%s, attempt %d, is called gone and may start", k.Name(), k.Attempt)
+					if order.Verb == "launch" && order.TaskName == task.Name() && order.Attempt == task.Attempt && !fixture.worker.everLaunched[key] {
+						t.Fatalf("%s, attempt %d, is called gone and may start", task.Name(), task.Attempt)
 					}
 				}
 			}
 		}
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			b.now += time.Duration(rapid.SampledFrom([]int{1, 500, 5000, 20000}).Draw(t, "ms")) * time.Millisecond
+			fixture.now += time.Duration(rapid.SampledFrom([]int{1, 500, 5000, 20000}).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
 			case 0, 1, 2: // a report; its answer may be lost
-				sent := b.now
-				r := b.report()
-				copies = append(copies, r)
+				sent := fixture.now
+				heartbeat := fixture.heartbeat()
+				copies = append(copies, heartbeat)
 				if rapid.IntRange(0, 9).Draw(t, "report lost") == 0 {
 					continue
 				}
-				status, body := b.table.HandleHeartbeat(r)
+				status, body := fixture.registry.HandleHeartbeat(heartbeat)
 				if status == 200 && rapid.IntRange(0, 3).Draw(t, "answer lost") > 0 {
-					b.hear(body, r.Session, sent)
+					fixture.receiveAnswer(body, heartbeat.Session, sent)
 				}
 			case 3: // a copy of an earlier report
 				if len(copies) > 0 {
-					b.table.HandleHeartbeat(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
+					fixture.registry.HandleHeartbeat(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
 				}
 			case 4: // placements
-				for _, k := range b.job.Tasks {
-					if h := b.table.Worker("vm-1"); h != nil && b.table.AcceptsTasks(h) && k.State == taskstate.StateWaiting {
-						b.table.PlaceTask(k, h)
-						k.PlacementDurable = true
-						b.table.PlacementDurable(k)
+				for _, task := range fixture.job.Tasks {
+					if worker := fixture.registry.Worker("vm-1"); worker != nil && fixture.registry.AcceptsTasks(worker) && task.State == taskstate.StateWaiting {
+						fixture.registry.PlaceTask(task, worker)
+						task.PlacementDurable = true
+						fixture.registry.PlacementDurable(task)
 					}
 				}
-				b.table.AfterBatch()
+				fixture.registry.AfterBatch()
 			case 5: // a direct order: carried out or not, answered or not, now or later
-				late = b.settleOrder(t, late)
+				late = fixture.settleDirectMessage(t, late)
 			case 6: // a late one
 				if len(late) > 0 {
-					b.deliver(late[0])
+					fixture.deliverDirect(late[0])
 					late = late[1:]
 				}
 			case 7:
-				b.table.Tick()
+				fixture.registry.Tick()
 			case 8: // another term: the records say what is placed
-				for _, k := range b.job.Tasks {
-					k.LaunchInFlight, k.LaunchInDoubt, k.GoneSession, k.GoneAfterSequence, k.Reported = false, false, 0, 0, false
+				for _, task := range fixture.job.Tasks {
+					task.LaunchInFlight, task.LaunchInDoubt, task.GoneSession, task.GoneAfterSequence, task.Reported = false, false, 0, 0, false
 				}
-				b.term()
+				fixture.beginTerm()
 			}
 		}
 	})
@@ -287,33 +289,33 @@
 // alone after a few reports, and not answered; when it answers a question it is
 // back.
 func TestDeafMachineGetsNothing(t *testing.T) {
-	b := newBench(1)
-	sent := b.now
-	_, body := b.table.HandleHeartbeat(b.report())
-	b.hear(body, 1, sent)
-	b.table.HandleHeartbeat(b.report())
-	h := b.table.Worker("vm-1")
-	if !b.table.AcceptsTasks(h) {
+	fixture := newRegistryFixture(1)
+	sent := fixture.now
+	_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	fixture.receiveAnswer(body, 1, sent)
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	worker := fixture.registry.Worker("vm-1")
+	if !fixture.registry.AcceptsTasks(worker) {
 		t.Fatal("a machine that hears is closed")
 	}
-	b.term()
-	b.calls = nil
+	fixture.beginTerm()
+	fixture.calls = nil
 	for range tuning.DeafHeartbeats + 1 {
-		b.now += 5 * time.Second
-		b.table.HandleHeartbeat(b.report())
+		fixture.now += 5 * time.Second
+		fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	}
-	if status, _ := b.table.HandleHeartbeat(b.report()); !h.Deaf || b.table.AcceptsTasks(h) || status != 503 {
-		t.Fatalf("deaf %v, open %v, answered %d", h.Deaf, b.table.AcceptsTasks(h), status)
+	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); !worker.Deaf || fixture.registry.AcceptsTasks(worker) || status != 503 {
+		t.Fatalf("deaf %v, open %v, answered %d", worker.Deaf, fixture.registry.AcceptsTasks(worker), status)
 	}
-	b.now += tuning.DeafProbeInterval
-	b.table.Tick()
-	if len(b.calls) != 1 {
-		t.Fatalf("%d questions", len(b.calls))
+	fixture.now += tuning.DeafProbeInterval
+	fixture.registry.Tick()
+	if len(fixture.calls) != 1 {
+		t.Fatalf("%d questions", len(fixture.calls))
 	}
-	b.calls[0].fn(b.deliver(b.calls[0]), nil)
-	b.table.HandleHeartbeat(b.report())
-	if h.Deaf || !b.table.AcceptsTasks(h) {
-		t.Errorf("deaf %v, open %v after an answer", h.Deaf, b.table.AcceptsTasks(h))
+	fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	if worker.Deaf || !fixture.registry.AcceptsTasks(worker) {
+		t.Errorf("deaf %v, open %v after an answer", worker.Deaf, fixture.registry.AcceptsTasks(worker))
 	}
 }
 
@@ -321,7 +323,7 @@
 // tasks that can save are told to in time before the cloud takes theirs; others
 // run on.
 func TestDrainedMachineMovesWork(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		shape     string
 		saveEvery float64
 		notice    float64
@@ -332,31 +334,31 @@
 		"a task that saves":        {"array", 30, 6, true},
 		"a task that saves, early": {"array", 30, 60, false},
 	} {
-		b := newBench(1)
-		b.job.Spec.Shape, b.job.Spec.CheckpointIntervalSeconds, b.job.Spec.CheckpointSeconds = c.shape, c.saveEvery, 4
-		b.worker.token = b.token
-		b.table.HandleHeartbeat(b.report())
-		k := b.job.Tasks[0]
-		b.table.PlaceTask(k, b.table.Worker("vm-1"))
-		k.PlacementDurable = true
-		sent := b.now
-		_, body := b.table.HandleHeartbeat(b.report())
-		b.hear(body, 1, sent)
-		b.now += time.Second
-		r := b.report()
-		r.SpotNoticeSeconds = &c.notice
-		b.table.HandleHeartbeat(r)
-		b.table.Tick()
-		b.calls = nil
-		b.table.AfterBatch()
-		if k.HaltDecided != c.moves || len(b.calls) > 0 != c.moves {
-			t.Errorf("%s: stopping %v, %d orders", name, k.HaltDecided, len(b.calls))
+		fixture := newRegistryFixture(1)
+		fixture.job.Spec.Shape, fixture.job.Spec.CheckpointIntervalSeconds, fixture.job.Spec.CheckpointSeconds = test.shape, test.saveEvery, 4
+		fixture.worker.token = fixture.token
+		fixture.registry.HandleHeartbeat(fixture.heartbeat())
+		task := fixture.job.Tasks[0]
+		fixture.registry.PlaceTask(task, fixture.registry.Worker("vm-1"))
+		task.PlacementDurable = true
+		sent := fixture.now
+		_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
+		fixture.receiveAnswer(body, 1, sent)
+		fixture.now += time.Second
+		heartbeat := fixture.heartbeat()
+		heartbeat.SpotNoticeSeconds = &test.notice
+		fixture.registry.HandleHeartbeat(heartbeat)
+		fixture.registry.Tick()
+		fixture.calls = nil
+		fixture.registry.AfterBatch()
+		if task.HaltDecided != test.moves || len(fixture.calls) > 0 != test.moves {
+			t.Errorf("%s: stopping %v, %d orders", name, task.HaltDecided, len(fixture.calls))
 			continue
 		}
-		if c.moves {
-			b.calls[0].fn(b.deliver(b.calls[0]), nil)
-			b.table.HandleHeartbeat(b.report())
-			if k.State != taskstate.StateWaiting {
+		if test.moves {
+			fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
+			fixture.registry.HandleHeartbeat(fixture.heartbeat())
+			if task.State != taskstate.StateWaiting {
 				t.Errorf("%s is not free for another machine", name)
 			}
 		}
@@ -366,60 +368,60 @@
 // TestCopyOpensNothing: a late copy of a report opens no machine for a new
 // owner, shows no task gone, and never moves the lease's end to earlier.
 func TestCopyOpensNothing(t *testing.T) {
-	b := newBench(1)
-	old := b.report()
-	b.worker.token = b.token
+	fixture := newRegistryFixture(1)
+	old := fixture.heartbeat()
+	fixture.worker.token = fixture.token
 	for range 3 {
-		b.table.HandleHeartbeat(b.report())
-	}
-	k := b.job.Tasks[0]
-	b.table.PlaceTask(k, b.table.Worker("vm-1"))
-	k.PlacementDurable, k.LaunchSent = true, true
-	b.term()
-	h := b.table.Worker("vm-1")
-	end := b.table.leaseEnd(h)
-	b.now += time.Minute / 2
-	b.table.HandleHeartbeat(old)
-	if k.State != taskstate.StatePlaced || b.table.AcceptsTasks(h) || b.table.leaseEnd(h) < end {
-		t.Errorf("task %v, open %v, lease ends %v, before %v", k.State, b.table.AcceptsTasks(h), b.table.leaseEnd(h), end)
+		fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	}
+	task := fixture.job.Tasks[0]
+	fixture.registry.PlaceTask(task, fixture.registry.Worker("vm-1"))
+	task.PlacementDurable, task.LaunchSent = true, true
+	fixture.beginTerm()
+	worker := fixture.registry.Worker("vm-1")
+	end := fixture.registry.leaseExpiresAt(worker)
+	fixture.now += time.Minute / 2
+	fixture.registry.HandleHeartbeat(old)
+	if task.State != taskstate.StatePlaced || fixture.registry.AcceptsTasks(worker) || fixture.registry.leaseExpiresAt(worker) < end {
+		t.Errorf("task %v, open %v, lease ends %v, before %v", task.State, fixture.registry.AcceptsTasks(worker), fixture.registry.leaseExpiresAt(worker), end)
 	}
 }
 
 // BenchmarkReport shows the cost of a report by the tasks on the machine.
-func BenchmarkReport(bm *testing.B) {
+func BenchmarkReport(b *testing.B) {
 	for _, tasks := range []int{2, 8, 64} {
-		bm.Run(fmt.Sprint(tasks, "tasks"), func(bm *testing.B) {
-			b := newBench(tasks)
-			b.worker.token = b.token
+		b.Run(fmt.Sprint(tasks, "tasks"), func(b *testing.B) {
+			fixture := newRegistryFixture(tasks)
+			fixture.worker.token = fixture.token
 			for i := range tasks {
-				b.worker.tasks[fmt.Sprint("wk-1/", i)] = 1
+				fixture.worker.tasks[fmt.Sprint("wk-1/", i)] = 1
 			}
-			raw, err := json.Marshal(b.report())
+			raw, err := json.Marshal(fixture.heartbeat())
 			if err != nil {
-				bm.Fatal(err)
+				b.Fatal(err)
 			}
-			for i := 0; bm.Loop(); i++ {
-				r, err := ParseHeartbeat(raw)
+			for i := 0; b.Loop(); i++ {
+				heartbeat, err := ParseHeartbeat(raw)
 				if err != nil {
-					bm.Fatal(err)
+					b.Fatal(err)
 				}
-				r.Sequence += uint64(i)
-				b.table.HandleHeartbeat(r)
+				heartbeat.Sequence += uint64(i)
+				fixture.registry.HandleHeartbeat(heartbeat)
 			}
 		})
 	}
 }
 
 // BenchmarkTick shows the cost of the look at all machines, by their number.
-func BenchmarkTick(bm *testing.B) {
+func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
-		bm.Run(fmt.Sprint(n, "machines"), func(bm *testing.B) {
-			b := newBench(1)
+		b.Run(fmt.Sprint(n, "machines"), func(b *testing.B) {
+			fixture := newRegistryFixture(1)
 			for i := range n {
-				b.table.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%06d", i), Addr: "w:1", MachineType: "g8", Zone: "a", Session: 1, Sequence: 1, Token: 1})
+				fixture.registry.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%06d", i), Addr: "w:1", MachineType: "g8", Zone: "a", Session: 1, Sequence: 1, Token: 1})
 			}
-			for bm.Loop() {
-				b.table.Tick()
+			for b.Loop() {
+				fixture.registry.Tick()
 			}
 		})
 	}
@@ -429,35 +431,35 @@
 // of machines, those heard of late are told of the new token before any that
 // have been silent, each of which is waited for in vain.
 func TestGreetsLiveMachinesFirst(t *testing.T) {
-	b := newBench(1)
+	fixture := newRegistryFixture(1)
 	const all = 900
 	for i := range all {
 		if i%3 == 0 {
-			b.table.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%d", i), Addr: fmt.Sprint("w:", i), MachineType: "g8", Zone: "a", Session: 1, Sequence: 1, Token: 1})
+			fixture.registry.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%d", i), Addr: fmt.Sprint("w:", i), MachineType: "g8", Zone: "a", Session: 1, Sequence: 1, Token: 1})
 		}
 	}
-	b.now += time.Minute
+	fixture.now += time.Minute
 	for i := range all {
 		if i%3 != 0 {
-			b.table.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%d", i), Addr: fmt.Sprint("w:", i), MachineType: "g8", Zone: "b", Session: 1, Sequence: 1, Token: 1})
+			fixture.registry.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%d", i), Addr: fmt.Sprint("w:", i), MachineType: "g8", Zone: "b", Session: 1, Sequence: 1, Token: 1})
 		}
 	}
-	b.term()
+	fixture.beginTerm()
 	for told := 0; told < all; {
-		b.table.AfterBatch()
-		if len(b.calls) == 0 || len(b.calls) > tuning.MaxConcurrentAnnouncements {
-			t.Fatalf("%d machines are told at a time after %d", len(b.calls), told)
+		fixture.registry.AfterBatch()
+		if len(fixture.calls) == 0 || len(fixture.calls) > tuning.MaxConcurrentAnnouncements {
+			t.Fatalf("%d machines are told at a time after %d", len(fixture.calls), told)
 		}
-		told += len(b.calls)
-		for i, h := range b.table.greets {
-			if h.Zone == "b" && told >= all*2/3 {
-				t.Fatalf("%s, heard of late, is number %d in line after %d", h.ID, i, told)
+		told += len(fixture.calls)
+		for i, worker := range fixture.registry.announceQueue {
+			if worker.Zone == "b" && told >= all*2/3 {
+				t.Fatalf("%s, heard of late, is number %d in line after %d", worker.ID, i, told)
 			}
 		}
-		calls := b.calls
-		b.calls = nil
-		for _, c := range calls {
-			c.fn(http1.Response{}, eventloop.ErrNoAnswer)
+		calls := fixture.calls
+		fixture.calls = nil
+		for _, direct := range calls {
+			direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 		}
 	}
 }
@@ -466,20 +468,22 @@
 // report is taken for cut off before its machines are late one by one. What was
 // placed there meanwhile waited for the end of their leases.
 func TestDarkZoneGetsNoTasks(t *testing.T) {
-	b := newBench(1)
+	fixture := newRegistryFixture(1)
 	report := func(zone string, tick int) {
 		for i := range 40 {
-			b.table.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%s%d", zone, i), Addr: "w:1", MachineType: "g8", Zone: zone, Session: 1, Sequence: uint64(tick), Token: 1})
+			fixture.registry.HandleHeartbeat(&Heartbeat{WorkerID: fmt.Sprintf("vm-%s%d", zone, i), Addr: "w:1", MachineType: "g8", Zone: zone, Session: 1, Sequence: uint64(tick), Token: 1})
 		}
-		b.table.Tick()
+		fixture.registry.Tick()
+	}
+	open := func(zone string) bool {
+		return fixture.registry.AcceptsTasks(fixture.registry.Worker("vm-" + zone + "7"))
 	}
-	open := func(zone string) bool { return b.table.AcceptsTasks(b.table.Worker("vm-" + zone + "7")) }
 	report("a", 1)
 	report("b", 1)
 	if !open("a") || !open("b") {
 		t.Fatal("machines that have just reported are not open")
 	}
-	b.now += 6 * time.Second
+	fixture.now += 6 * time.Second
 	if !open("a") {
 		t.Error("with no zone heard it is not the zone that is cut off")
 	}
@@ -487,7 +491,7 @@
 	if open("a") || !open("b") {
 		t.Errorf("cut off zone open: %v, the other: %v", open("a"), open("b"))
 	}
-	if lit := b.table.ReachableZones(); len(lit) != 1 || lit[0] != "b" {
+	if lit := fixture.registry.ReachableZones(); len(lit) != 1 || lit[0] != "b" {
 		t.Errorf("heard from %v", lit)
 	}
 	report("a", 2)
@@ -499,30 +503,30 @@
 // TestUnansweredOrderClosesMachine: a machine that has left an order unanswered
 // gets no more tasks before it reports.
 func TestUnansweredOrderClosesMachine(t *testing.T) {
-	b := newBench(2)
-	b.table.HandleHeartbeat(b.report())
-	b.worker.token = 1
-	b.table.HandleHeartbeat(b.report())
-	h := b.table.Worker("vm-1")
-	k := b.job.Tasks[0]
-	b.table.PlaceTask(k, h)
-	k.PlacementDurable = true
-	b.table.PlacementDurable(k)
-	b.table.AfterBatch()
-	if len(b.calls) != 1 || !b.table.AcceptsTasks(h) {
-		t.Fatalf("%d orders, open %v", len(b.calls), b.table.AcceptsTasks(h))
-	}
-	b.now += 2 * time.Second
-	b.calls[0].fn(http1.Response{}, eventloop.ErrNoAnswer)
-	if b.table.AcceptsTasks(h) {
+	fixture := newRegistryFixture(2)
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	fixture.worker.token = 1
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	worker := fixture.registry.Worker("vm-1")
+	task := fixture.job.Tasks[0]
+	fixture.registry.PlaceTask(task, worker)
+	task.PlacementDurable = true
+	fixture.registry.PlacementDurable(task)
+	fixture.registry.AfterBatch()
+	if len(fixture.calls) != 1 || !fixture.registry.AcceptsTasks(worker) {
+		t.Fatalf("%d orders, open %v", len(fixture.calls), fixture.registry.AcceptsTasks(worker))
+	}
+	fixture.now += 2 * time.Second
+	fixture.calls[0].fn(http1.Response{}, eventloop.ErrNoAnswer)
+	if fixture.registry.AcceptsTasks(worker) {
 		t.Error("it is given more")
 	}
-	b.now += time.Second
-	b.table.HandleHeartbeat(b.report()) // which makes the table take a new token
-	k.LaunchInDoubt = false             // which settles it: tasks are read anew
-	b.worker.token = b.token
-	b.table.HandleHeartbeat(b.report())
-	if !b.table.AcceptsTasks(h) {
+	fixture.now += time.Second
+	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // which makes the table take a new token
+	task.LaunchInDoubt = false                            // which settles it: tasks are read anew
+	fixture.worker.token = fixture.token
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	if !fixture.registry.AcceptsTasks(worker) {
 		t.Error("it has reported and gets nothing")
 	}
 }
@@ -531,22 +535,22 @@
 // state service that outlasted the hold: reports were turned away, and at its
 // end the machines counted as silent and were returned with their tasks.
 func TestOutageIsNoSilence(t *testing.T) {
-	b := newBench(1)
-	b.table.HandleHeartbeat(b.report())
-	h := b.table.Worker("vm-1")
+	fixture := newRegistryFixture(1)
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	worker := fixture.registry.Worker("vm-1")
 	for range 30 {
-		b.now += time.Second
-		b.away = true
-		b.table.Tick()
-	}
-	b.away = false
-	b.now += 3 * time.Second
-	b.table.Tick()
-	if b.table.IsSuspect(h) {
+		fixture.now += time.Second
+		fixture.turnsHeartbeatsAway = true
+		fixture.registry.Tick()
+	}
+	fixture.turnsHeartbeatsAway = false
+	fixture.now += 3 * time.Second
+	fixture.registry.Tick()
+	if fixture.registry.IsSuspect(worker) {
 		t.Error("a machine counts as silent that nobody listened to")
 	}
-	b.now += b.table.set.WorkerDeadAfter()
-	if !b.table.IsSuspect(h) {
+	fixture.now += fixture.registry.settings.WorkerDeadAfter()
+	if !fixture.registry.IsSuspect(worker) {
 		t.Error("it has not reported since, and does not count as silent")
 	}
 }
@@ -557,69 +561,69 @@
 // was told that it is cancelled.
 func TestCancelledIsGoneInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(3)
-		b.knows, b.proven = true, b.now
-		b.stuck = rapid.Bool().Draw(t, "no new token")
-		limit := time.Duration(b.table.set.Deployment.Workers.CancelS * float64(time.Second))
-		var late []call
+		fixture := newRegistryFixture(3)
+		fixture.needsVerification, fixture.verifiedAt = true, fixture.now
+		fixture.noNewToken = rapid.Bool().Draw(t, "no new token")
+		limit := time.Duration(fixture.registry.settings.Deployment.Workers.CancelS * float64(time.Second))
+		var late []sentRequest
 		var copies []*Heartbeat
 		check := func(what string) {
-			b.expire()
-			if b.off > 0 && b.now > b.off+limit && len(b.worker.tasks) > 0 {
-				t.Fatalf("%s: %v is on the machine %v after", what, b.worker.tasks, b.now-b.off)
+			fixture.expireLease()
+			if fixture.cancelledAt > 0 && fixture.now > fixture.cancelledAt+limit && len(fixture.worker.tasks) > 0 {
+				t.Fatalf("%s: %v is on the machine %v after", what, fixture.worker.tasks, fixture.now-fixture.cancelledAt)
 			}
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
-			b.now += time.Duration(rapid.SampledFrom([]int{1, 300, 1500, 4000, 9000}).Draw(t, "ms")) * time.Millisecond
+			fixture.now += time.Duration(rapid.SampledFrom([]int{1, 300, 1500, 4000, 9000}).Draw(t, "ms")) * time.Millisecond
 			check("time")
 			switch rapid.IntRange(0, 10).Draw(t, "step") {
 			case 0, 1, 2:
-				sent, r := b.now, b.report()
-				copies = append(copies, r)
-				if !b.MayAnswer() {
+				sent, heartbeat := fixture.now, fixture.heartbeat()
+				copies = append(copies, heartbeat)
+				if !fixture.MayAnswer() {
 					continue
 				}
-				status, body := b.table.HandleHeartbeat(r)
+				status, body := fixture.registry.HandleHeartbeat(heartbeat)
 				if status == 200 && rapid.IntRange(0, 3).Draw(t, "answer lost") > 0 {
-					b.hear(body, r.Session, sent)
+					fixture.receiveAnswer(body, heartbeat.Session, sent)
 				}
 			case 3:
-				if len(copies) > 0 && b.MayAnswer() {
-					b.table.HandleHeartbeat(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
+				if len(copies) > 0 && fixture.MayAnswer() {
+					fixture.registry.HandleHeartbeat(copies[rapid.IntRange(0, len(copies)-1).Draw(t, "copy")])
 				}
 			case 4:
-				for _, k := range b.job.Tasks {
-					if h := b.table.Worker("vm-1"); h != nil && b.table.AcceptsTasks(h) && k.State == taskstate.StateWaiting && !k.Job.Cancelled {
-						b.table.PlaceTask(k, h)
-						k.PlacementDurable = true
-						b.table.PlacementDurable(k)
+				for _, task := range fixture.job.Tasks {
+					if worker := fixture.registry.Worker("vm-1"); worker != nil && fixture.registry.AcceptsTasks(worker) && task.State == taskstate.StateWaiting && !task.Job.Cancelled {
+						fixture.registry.PlaceTask(task, worker)
+						task.PlacementDurable = true
+						fixture.registry.PlacementDurable(task)
 					}
 				}
-				b.table.AfterBatch()
+				fixture.registry.AfterBatch()
 			case 5, 6:
-				late = b.settleOrder(t, late)
+				late = fixture.settleDirectMessage(t, late)
 			case 7:
 				if len(late) > 0 {
-					b.deliver(late[0])
+					fixture.deliverDirect(late[0])
 					late = late[1:]
 				}
 			case 8:
-				b.table.Tick()
+				fixture.registry.Tick()
 			case 9: // the user cancels, at any node
-				if b.off == 0 && len(b.worker.tasks)+len(late)+len(b.calls) > 0 {
-					b.off = b.now
+				if fixture.cancelledAt == 0 && len(fixture.worker.tasks)+len(late)+len(fixture.calls) > 0 {
+					fixture.cancelledAt = fixture.now
 				}
 			case 10: // the owner has its knowledge proven; perhaps it is another one
-				b.proven = b.now
-				if b.off > 0 && !b.job.Cancelled {
-					b.job.Cancelled = true
-					b.table.CancelJob(b.job)
+				fixture.verifiedAt = fixture.now
+				if fixture.cancelledAt > 0 && !fixture.job.Cancelled {
+					fixture.job.Cancelled = true
+					fixture.registry.CancelJob(fixture.job)
 				}
-				if !b.stuck && rapid.IntRange(0, 4).Draw(t, "another term") == 0 {
-					for _, k := range b.job.Tasks {
-						k.LaunchInFlight, k.LaunchInDoubt, k.GoneSession, k.GoneAfterSequence, k.Reported = false, false, 0, 0, false
+				if !fixture.noNewToken && rapid.IntRange(0, 4).Draw(t, "another term") == 0 {
+					for _, task := range fixture.job.Tasks {
+						task.LaunchInFlight, task.LaunchInDoubt, task.GoneSession, task.GoneAfterSequence, task.Reported = false, false, 0, 0, false
 					}
-					b.term()
+					fixture.beginTerm()
 				}
 			}
 			check("step")
@@ -633,20 +637,20 @@
 // copy, the lease had run out by reckoning while the worker ran on, and its tasks were
 // started elsewhere besides.
 func TestOldCopyDoesNotShortenTheLease(t *testing.T) {
-	b := newBench(1)
-	b.earlier = b.now + 12*time.Second
-	k := b.job.Tasks[0]
-	k.State, k.WorkerID, k.Attempt, k.LaunchSent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
-	b.worker.tasks[k.Name()] = 1
-	b.table.BeginTerm()
-	copied := b.report()
+	fixture := newRegistryFixture(1)
+	fixture.previousOwnerAnswersUntil = fixture.now + 12*time.Second
+	task := fixture.job.Tasks[0]
+	task.State, task.WorkerID, task.Attempt, task.LaunchSent, task.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
+	fixture.worker.tasks[task.Name()] = 1
+	fixture.registry.BeginTerm()
+	copied := fixture.heartbeat()
 	goneAt := time.Duration(0)
-	b.gone = func(*taskstate.Task) { goneAt = b.now }
-	b.now += time.Second
-	b.table.HandleHeartbeat(copied)
-	last := b.earlier + b.table.set.WorkerLease() // the worker may run until then
-	for ; b.now < last+time.Minute && goneAt == 0; b.now += 100 * time.Millisecond {
-		b.table.Tick()
+	fixture.onTaskWaiting = func(*taskstate.Task) { goneAt = fixture.now }
+	fixture.now += time.Second
+	fixture.registry.HandleHeartbeat(copied)
+	last := fixture.previousOwnerAnswersUntil + fixture.registry.settings.WorkerLease() // the worker may run until then
+	for ; fixture.now < last+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
+		fixture.registry.Tick()
 	}
 	if goneAt < last {
 		t.Errorf("called gone %v before the worker's lease may end", last-goneAt)
@@ -657,22 +661,22 @@
 // owner's token yet renews its lease by each answer all the same. Counted from an
 // earlier moment, its tasks were called gone while they ran on.
 func TestAnsweredHeartbeatBelowTheTokenExtendsTheLease(t *testing.T) {
-	b := newBench(1)
-	b.table.HandleHeartbeat(b.report())
-	b.worker.token = b.token
-	k := b.job.Tasks[0]
-	k.State, k.WorkerID, k.Attempt, k.LaunchSent, k.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
-	b.worker.tasks[k.Name()] = 1
-	b.term()
-	b.now += 20 * time.Second
-	if status, _ := b.table.HandleHeartbeat(b.report()); status != 200 {
+	fixture := newRegistryFixture(1)
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	fixture.worker.token = fixture.token
+	task := fixture.job.Tasks[0]
+	task.State, task.WorkerID, task.Attempt, task.LaunchSent, task.PlacementDurable = taskstate.StatePlaced, "vm-1", 1, true, true
+	fixture.worker.tasks[task.Name()] = 1
+	fixture.beginTerm()
+	fixture.now += 20 * time.Second
+	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
-	last := b.now + b.table.set.WorkerLease() // the worker may run until then
+	last := fixture.now + fixture.registry.settings.WorkerLease() // the worker may run until then
 	goneAt := time.Duration(0)
-	b.gone = func(*taskstate.Task) { goneAt = b.now }
-	for ; b.now < last+time.Minute && goneAt == 0; b.now += 100 * time.Millisecond {
-		b.table.Tick()
+	fixture.onTaskWaiting = func(*taskstate.Task) { goneAt = fixture.now }
+	for ; fixture.now < last+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
+		fixture.registry.Tick()
 	}
 	if goneAt < last {
 		t.Errorf("called gone %v before the worker's lease may end", last-goneAt)
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -9,52 +9,52 @@
 
 // MachineReleased notes that the cloud has taken a machine back at our request: it
 // and all that was on it are gone.
-func (t *Registry) MachineReleased(id string) {
-	t.gone[id] = true
-	h := t.hosts[id]
-	if h == nil {
+func (r *Registry) MachineReleased(id string) {
+	r.released[id] = true
+	worker := r.workers[id]
+	if worker == nil {
 		return
 	}
-	t.clear(h)
-	delete(t.hosts, id)
-	t.list = slices.DeleteFunc(t.list, func(o *Worker) bool { return o == h })
-	delete(t.ready, h)
-	delete(t.held, h)
+	r.endAllPlacements(worker)
+	delete(r.workers, id)
+	r.sortedWorkers = slices.DeleteFunc(r.sortedWorkers, func(other *Worker) bool { return other == worker })
+	delete(r.commandsDue, worker)
+	delete(r.awaitingVerification, worker)
 }
 
 // StopPlacements stops new tasks on a machine.
-func (t *Registry) StopPlacements(id, why string) {
-	if h := t.hosts[id]; h != nil && h.DrainReason == "" {
-		h.DrainReason = why
-		t.log.Info("draining machine", "host", id, "why", why)
+func (r *Registry) StopPlacements(id, reason string) {
+	if worker := r.workers[id]; worker != nil && worker.DrainReason == "" {
+		worker.DrainReason = reason
+		r.log.Info("draining machine", "host", id, "why", reason)
 	}
 }
 
 // ReleaseReason tells whether, and why, the owner wants a machine returned now:
 // nothing on it is lost by that, or it is lost already.
-func (t *Registry) ReleaseReason(h *Worker, silent, up int) string {
-	now := t.rt.Now()
+func (r *Registry) ReleaseReason(worker *Worker, silent, reporting int) string {
+	now := r.runtime.Now()
 	switch {
-	case !h.HasReported:
+	case !worker.HasReported:
 		return ""
-	case h.TerminationAt > 0 && (now > h.TerminationAt-tuning.SpotNoticeReserve || (len(h.Tasks) == 0 && h.UnknownTasks == 0)):
+	case worker.TerminationAt > 0 && (now > worker.TerminationAt-tuning.SpotNoticeReserve || (len(worker.Tasks) == 0 && worker.UnknownTasks == 0)):
 		return "taken by the cloud"
-	case t.IsSuspect(h) && silent*2 <= up:
-		for k := range h.Tasks {
-			if k.Job.Spec.Priority() >= jobs.PriorityUrgent {
+	case r.IsSuspect(worker) && silent*2 <= reporting:
+		for task := range worker.Tasks {
+			if task.Job.Spec.Priority() >= jobs.PriorityUrgent {
 				return ReleaseSilentUrgent
 			}
 		}
 		return ReleaseSilent
-	case h.DrainReason != "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && (h.UnknownTasks == 0 || h.DrainReason == deafDrain):
-		return h.DrainReason
-	case h.DrainReason == "" && h.TerminationAt == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.scheduler.IsClosedByDrain(h.ID):
+	case worker.DrainReason != "" && worker.TerminationAt == 0 && len(worker.Tasks) == 0 && (worker.UnknownTasks == 0 || worker.DrainReason == drainReasonDeaf):
+		return worker.DrainReason
+	case worker.DrainReason == "" && worker.TerminationAt == 0 && len(worker.Tasks) == 0 && worker.UnknownTasks == 0 && worker.Token >= r.lease.Token() && r.scheduler.IsClosedByDrain(worker.ID):
 		return OperatorDrain
 	}
 	return ""
 }
 
 // IsSuspect tells whether a machine has not reported for suspiciously long.
-func (t *Registry) IsSuspect(h *Worker) bool {
-	return h.HasReported && t.rt.Now()-max(h.LastHeartbeatAt, t.since) > t.set.WorkerDeadAfter()
+func (r *Registry) IsSuspect(worker *Worker) bool {
+	return worker.HasReported && r.runtime.Now()-max(worker.LastHeartbeatAt, r.listeningSince) > r.settings.WorkerDeadAfter()
 }
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -13,313 +13,313 @@
 var NotOwnerBody = http1.ErrorBody("not the owner of this machine")
 
 // HandleHeartbeat takes a worker's report and gives its answer.
-func (t *Registry) HandleHeartbeat(r *Heartbeat) (status int, body []byte) {
-	token := t.lease.Token()
-	if token == 0 || r.Token > token || t.gone[r.WorkerID] {
+func (r *Registry) HandleHeartbeat(heartbeat *Heartbeat) (status int, body []byte) {
+	token := r.lease.Token()
+	if token == 0 || heartbeat.Token > token || r.released[heartbeat.WorkerID] {
 		return 503, NotOwnerBody
 	}
-	now := t.rt.Now()
-	h := t.host(r.WorkerID)
-	if r.Session < h.Session || (r.Session == h.Session && r.Sequence <= h.Sequence && h.HasReported) {
+	now := r.runtime.Now()
+	worker := r.ensureWorker(heartbeat.WorkerID)
+	if heartbeat.Session < worker.Session || (heartbeat.Session == worker.Session && heartbeat.Sequence <= worker.Sequence && worker.HasReported) {
 		// A report that was held back: its list is old, and nobody waits
 		// for its answer.
 		return 503, NotOwnerBody
 	}
-	h.LastHeartbeatAt = now
-	t.zone(r.Zone).heard = now
-	if !h.HasReported || h.MachineTypeName != r.MachineType || h.Addr != r.Addr {
-		h.HasReported, h.Addr, h.MachineTypeName, h.Zone, h.Spot = true, r.Addr, r.MachineType, r.Zone, r.Spot
-		h.MachineType = t.scheduler.MachineType(r.MachineType)
+	worker.LastHeartbeatAt = now
+	r.ensureZone(heartbeat.Zone).lastHeartbeatAt = now
+	if !worker.HasReported || worker.MachineTypeName != heartbeat.MachineType || worker.Addr != heartbeat.Addr {
+		worker.HasReported, worker.Addr, worker.MachineTypeName, worker.Zone, worker.Spot = true, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot
+		worker.MachineType = r.scheduler.MachineType(heartbeat.MachineType)
 	}
-	if h.MachineType == nil {
-		h.MachineType = t.scheduler.MachineType(r.MachineType)
+	if worker.MachineType == nil {
+		worker.MachineType = r.scheduler.MachineType(heartbeat.MachineType)
 	}
-	if r.Token >= token || r.Token > h.Token {
-		h.UnacknowledgedHeartbeats = 0
+	if heartbeat.Token >= token || heartbeat.Token > worker.Token {
+		worker.UnacknowledgedHeartbeats = 0
 	} else {
-		h.UnacknowledgedHeartbeats++
+		worker.UnacknowledgedHeartbeats++
 	}
-	if !t.tasks.IsLoaded() {
-		h.Session, h.Sequence, h.Token = r.Session, r.Sequence, r.Token
-		if t.outlives(h, r) {
+	if !r.tasks.IsLoaded() {
+		worker.Session, worker.Sequence, worker.Token = heartbeat.Session, heartbeat.Sequence, heartbeat.Token
+		if r.mayOutliveCancellation(worker, heartbeat) {
 			return 503, NotOwnerBody
 		}
-		t.leaseRuns(h, r)
-		return t.answer(token, t.cancelled(r))
-	}
-	orders := t.read(h, r, true)
-	t.listen(h)
-	h.commands.pendingHalts = nil
-	outlives := t.outlives(h, r)
-	if outlives {
-		h.commands.pendingHalts = t.cancelled(r) // they go directly, tasks that the records do not have too
-		t.ready[h] = true
-	}
-	if h.Deaf || outlives {
+		r.renewLease(worker, heartbeat)
+		return r.encodeAnswer(token, r.haltsOfCancelledTasks(heartbeat))
+	}
+	commands := r.reconcile(worker, heartbeat, true)
+	r.detectDeafness(worker)
+	worker.commands.pendingHalts = nil
+	outlivesCancellation := r.mayOutliveCancellation(worker, heartbeat)
+	if outlivesCancellation {
+		worker.commands.pendingHalts = r.haltsOfCancelledTasks(heartbeat) // they go directly, tasks that the records do not have too
+		r.commandsDue[worker] = true
+	}
+	if worker.Deaf || outlivesCancellation {
 		// Not answered, so that its lease surely runs from the last answer
 		// that it can have heard, and its tasks are settled by that.
 		return 503, NotOwnerBody
 	}
-	t.leaseRuns(h, r)
-	return t.answer(token, orders)
+	r.renewLease(worker, heartbeat)
+	return r.encodeAnswer(token, commands)
 }
 
-// leaseRuns notes that a report is answered, so that the worker's lease may run from now.
+// renewLease notes that a report is answered, so that the worker's lease may run from now.
 // Until the worker shows our token an earlier owner may renew it as well, as late as that
 // one answers at all: a copy of an old report, kept back until this owner began, moved
 // the time back to now, and tasks were taken for gone that ran on for seconds.
-func (t *Registry) leaseRuns(h *Worker, r *Heartbeat) {
-	h.LeaseExpired = false
-	if now := t.rt.Now(); r.Token >= t.lease.Token() {
-		h.LeaseRenewedAt = now
+func (r *Registry) renewLease(worker *Worker, heartbeat *Heartbeat) {
+	worker.LeaseExpired = false
+	if now := r.runtime.Now(); heartbeat.Token >= r.lease.Token() {
+		worker.LeaseRenewedAt = now
 	} else {
-		h.LeaseRenewedAt = max(h.LeaseRenewedAt, now)
+		worker.LeaseRenewedAt = max(worker.LeaseRenewedAt, now)
 	}
 }
 
-func (t *Registry) answer(token uint64, orders []Command) (int, []byte) {
-	if orders == nil {
-		orders = []Command{}
+func (r *Registry) encodeAnswer(token uint64, commands []Command) (int, []byte) {
+	if commands == nil {
+		commands = []Command{}
 	}
-	body, err := json.Marshal(CommandMessage{Token: token, Commands: orders})
+	body, err := json.Marshal(CommandMessage{Token: token, Commands: commands})
 	if err != nil {
 		return 503, NotOwnerBody
 	}
 	return 200, body
 }
 
-// read compares a report with the records and returns the orders that follow.
+// reconcile compares a report with the records and returns the orders that follow.
 // beat: it is a report of the worker's own, not the answer to an order; only
 // those prove tasks gone and carry launches, since an order's answer may be
 // older than the worker's reading of our last answer.
-func (t *Registry) read(h *Worker, r *Heartbeat, beat bool) []Command {
-	later := r.Session > h.Session && h.HasReported && h.Session > 0
-	h.Token = max(h.Token, r.Token)
-	if beat {
+func (r *Registry) reconcile(worker *Worker, heartbeat *Heartbeat, isHeartbeat bool) []Command {
+	laterSession := heartbeat.Session > worker.Session && worker.HasReported && worker.Session > 0
+	worker.Token = max(worker.Token, heartbeat.Token)
+	if isHeartbeat {
 		// Answers to orders do not count here: a report that left before
 		// such an answer may arrive after it, and is not a late one.
-		h.Session, h.Sequence = r.Session, r.Sequence
+		worker.Session, worker.Sequence = heartbeat.Session, heartbeat.Sequence
 	}
-	if r.SpotNoticeSeconds != nil {
-		h.TerminationAt = t.rt.Now() + time.Duration(*r.SpotNoticeSeconds*float64(time.Second))
-		if h.DrainReason == "" {
-			h.DrainReason = "spot notice"
-			t.log.Info("spot notice", "host", h.ID, "seconds", *r.SpotNoticeSeconds)
+	if heartbeat.SpotNoticeSeconds != nil {
+		worker.TerminationAt = r.runtime.Now() + time.Duration(*heartbeat.SpotNoticeSeconds*float64(time.Second))
+		if worker.DrainReason == "" {
+			worker.DrainReason = "spot notice"
+			r.log.Info("spot notice", "host", worker.ID, "seconds", *heartbeat.SpotNoticeSeconds)
 		}
 	}
-	acked := r.Token >= t.lease.Token()
-	listed := make(map[*taskstate.Task]bool, len(r.Tasks))
-	var orders []Command
-	h.UnknownTasks = 0
-	for i := range r.Tasks {
-		orders = t.reported(h, &r.Tasks[i], listed, acked, orders)
+	tokenShown := heartbeat.Token >= r.lease.Token()
+	listed := make(map[*taskstate.Task]bool, len(heartbeat.Tasks))
+	var commands []Command
+	worker.UnknownTasks = 0
+	for i := range heartbeat.Tasks {
+		commands = r.reconcileReported(worker, &heartbeat.Tasks[i], listed, tokenShown, commands)
 	}
-	if beat {
-		t.unlisted(h, r, listed, later, acked)
+	if isHeartbeat {
+		r.reconcileUnlisted(worker, heartbeat, listed, laterSession, tokenShown)
 	}
-	if !acked {
+	if !tokenShown {
 		// The worker has not seen the token yet, so its list decides little; what
 		// is cancelled ends all the same.
-		return t.cancelled(r)
+		return r.haltsOfCancelledTasks(heartbeat)
 	}
-	for k := range h.Tasks {
-		if !listed[k] {
+	for task := range worker.Tasks {
+		if !listed[task] {
 			continue
 		}
 		switch {
-		case k.Job.Cancelled:
-			orders = append(orders, halt(k.Name(), k.WireAttempt(), 0))
-		case k.HaltDecided:
-			orders = append(orders, halt(k.Name(), k.WireAttempt(), k.WindDownSeconds))
+		case task.Job.Cancelled:
+			commands = append(commands, haltCommand(task.Name(), task.WireAttempt(), 0))
+		case task.HaltDecided:
+			commands = append(commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
 		}
 	}
-	if beat && t.lease.LeaseValid() && t.accepts(h) && !h.Deaf {
-		for k := range h.Tasks {
-			if len(orders) < tuning.MaxCommandsPerMessage && k.Launchable() && t.lease.CancellationsVerifiedSince(k.PlacedAt) {
-				k.LaunchSent, k.GoneSession, k.GoneAfterSequence = true, r.Session, r.Sequence
-				orders = append(orders, Command{Verb: "launch", TaskName: k.Name(), Attempt: k.WireAttempt()})
+	if isHeartbeat && r.lease.LeaseValid() && r.accepts(worker) && !worker.Deaf {
+		for task := range worker.Tasks {
+			if len(commands) < tuning.MaxCommandsPerMessage && task.Launchable() && r.lease.CancellationsVerifiedSince(task.PlacedAt) {
+				task.LaunchSent, task.GoneSession, task.GoneAfterSequence = true, heartbeat.Session, heartbeat.Sequence
+				commands = append(commands, Command{Verb: "launch", TaskName: task.Name(), Attempt: task.WireAttempt()})
 			}
 		}
 	}
-	if len(orders) > tuning.MaxCommandsPerMessage {
-		orders = orders[:tuning.MaxCommandsPerMessage]
+	if len(commands) > tuning.MaxCommandsPerMessage {
+		commands = commands[:tuning.MaxCommandsPerMessage]
 	}
-	return orders
+	return commands
 }
 
-// unlisted looks at the tasks that a report of the worker's own does not list: whether
+// reconcileUnlisted looks at the tasks that a report of the worker's own does not list: whether
 // that proves them gone.
-func (t *Registry) unlisted(h *Worker, r *Heartbeat, listed map[*taskstate.Task]bool, later, acked bool) {
-	lost := false
-	for k := range h.Tasks {
-		if listed[k] || !k.LaunchSent || k.LaunchInFlight {
+func (r *Registry) reconcileUnlisted(worker *Worker, heartbeat *Heartbeat, listed map[*taskstate.Task]bool, laterSession, tokenShown bool) {
+	launchLost := false
+	for task := range worker.Tasks {
+		if listed[task] || !task.LaunchSent || task.LaunchInFlight {
 			continue
 		}
 		switch {
-		case k.GoneSession > 0 && r.Session > k.GoneSession, later && k.Reported:
+		case task.GoneSession > 0 && heartbeat.Session > task.GoneSession, laterSession && task.Reported:
 			// A later session: the worker killed all of the earlier one.
-			t.proveGone(h, k, taskstate.LossVanished)
-		case r.Token >= k.GoneMinToken && acked && !k.LaunchInDoubt && (k.GoneSession == 0 || (r.Session == k.GoneSession && r.Sequence > k.GoneAfterSequence)):
-			lost = lost || (k.GoneSession > 0 && !k.Reported)
-			t.proveGone(h, k, taskstate.LossVanished)
-		case k.LaunchInDoubt:
+			r.endPlacement(worker, task, taskstate.LossVanished)
+		case heartbeat.Token >= task.GoneMinToken && tokenShown && !task.LaunchInDoubt && (task.GoneSession == 0 || (heartbeat.Session == task.GoneSession && heartbeat.Sequence > task.GoneAfterSequence)):
+			launchLost = launchLost || (task.GoneSession > 0 && !task.Reported)
+			r.endPlacement(worker, task, taskstate.LossVanished)
+		case task.LaunchInDoubt:
 			// The order may still be under way; a new token settles it.
-			t.log.Info("order in doubt, renewing the token", "host", h.ID, "task", k.Name())
-			t.lease.RenewToken()
+			r.log.Info("order in doubt, renewing the token", "host", worker.ID, "task", task.Name())
+			r.lease.RenewToken()
 		}
 	}
-	if lost {
-		h.LostLaunches++
+	if launchLost {
+		worker.LostLaunches++
 	}
 }
 
-func halt(ref string, attempt uint64, windDown float64) Command {
-	return Command{Verb: "halt", TaskName: ref, Attempt: attempt, WindDownSeconds: &windDown}
+func haltCommand(taskName string, attempt uint64, windDown float64) Command {
+	return Command{Verb: "halt", TaskName: taskName, Attempt: attempt, WindDownSeconds: &windDown}
 }
 
-// reported takes one task of a report.
-func (t *Registry) reported(h *Worker, l *ReportedTask, seen map[*taskstate.Task]bool, acked bool, orders []Command) []Command {
-	var k *taskstate.Task
-	if id, index, ok := splitRef(l.Name); ok {
-		if j := t.tasks.Job(id); j != nil {
-			k = j.Tasks[index]
+// reconcileReported takes one task of a report.
+func (r *Registry) reconcileReported(worker *Worker, reported *ReportedTask, listed map[*taskstate.Task]bool, tokenShown bool, commands []Command) []Command {
+	var task *taskstate.Task
+	if id, index, ok := parseTaskName(reported.Name); ok {
+		if job := r.tasks.Job(id); job != nil {
+			task = job.Tasks[index]
 		}
 	}
-	if k == nil || k.State != taskstate.StatePlaced || k.WorkerID != h.ID || k.WireAttempt() != l.Attempt {
-		return t.unrecorded(h, k, l, acked, orders)
+	if task == nil || task.State != taskstate.StatePlaced || task.WorkerID != worker.ID || task.WireAttempt() != reported.Attempt {
+		return r.handleUnrecorded(worker, task, reported, tokenShown, commands)
 	}
-	seen[k] = true
-	if k.GoneSession > 0 && !k.Reported {
-		h.LostLaunches = 0 // it has heard of this one
+	listed[task] = true
+	if task.GoneSession > 0 && !task.Reported {
+		worker.LostLaunches = 0 // it has heard of this one
 	}
-	k.Reported, k.LaunchSent = true, true
-	if k.LaunchInFlight {
+	task.Reported, task.LaunchSent = true, true
+	if task.LaunchInFlight {
 		// The order's own answer is still to come and tells the rest.
-		return orders
+		return commands
 	}
-	k.LaunchInDoubt = false
-	switch l.Phase {
+	task.LaunchInDoubt = false
+	switch reported.Phase {
 	case "running", "saving", "waiting":
-		if !k.HasImage {
-			k.HasImage = true
-			h.FetchingTasks--
+		if !task.HasImage {
+			task.HasImage = true
+			worker.FetchingTasks--
 		}
-		if l.Phase == "running" && !k.Running {
-			k.Running, k.RunningSince = true, t.rt.Now()
+		if reported.Phase == "running" && !task.Running {
+			task.Running, task.RunningSince = true, r.runtime.Now()
 		}
-		t.mate(k, l.Phase)
-		return orders
+		r.gangTaskReported(task, reported.Phase)
+		return commands
 	case "ended":
-		return t.ended(h, k, l, acked, orders)
+		return r.handleEnded(worker, task, reported, tokenShown, commands)
 	default: // fetching, or a state not known here: it is on the machine
-		t.mate(k, l.Phase)
-		return orders
+		r.gangTaskReported(task, reported.Phase)
+		return commands
 	}
 }
 
-// unrecorded takes a reported task that the records do not have there: an attempt that is
+// handleUnrecorded takes a reported task that the records do not have there: an attempt that is
 // over, or never was.
-func (t *Registry) unrecorded(h *Worker, k *taskstate.Task, l *ReportedTask, acked bool, orders []Command) []Command {
-	if l.Phase != "ended" {
-		h.UnknownTasks++
-		return append(orders, halt(l.Name, l.Attempt, 0))
+func (r *Registry) handleUnrecorded(worker *Worker, task *taskstate.Task, reported *ReportedTask, tokenShown bool, commands []Command) []Command {
+	if reported.Phase != "ended" {
+		worker.UnknownTasks++
+		return append(commands, haltCommand(reported.Name, reported.Attempt, 0))
 	}
-	if k != nil && l.Cause == "done" && k.Job.Gang != nil {
-		t.GangDone(k.Job) // late, or of an earlier attempt: it is done all the same
+	if task != nil && reported.Cause == "done" && task.Job.Gang != nil {
+		r.GangDone(task.Job) // late, or of an earlier attempt: it is done all the same
 	}
-	if k != nil && k.State == taskstate.StateDone && !k.DoneDurable {
-		return orders // done goes into the record before the worker forgets
+	if task != nil && task.State == taskstate.StateDone && !task.DoneDurable {
+		return commands // done goes into the record before the worker forgets
 	}
-	if !acked {
-		return orders
+	if !tokenShown {
+		return commands
 	}
-	return append(orders, forget(l))
+	return append(commands, forgetCommand(reported))
 }
 
-func forget(l *ReportedTask) Command {
-	return Command{Verb: "forget", TaskName: l.Name, Attempt: l.Attempt}
+func forgetCommand(reported *ReportedTask) Command {
+	return Command{Verb: "forget", TaskName: reported.Name, Attempt: reported.Attempt}
 }
 
-// ended takes a task that has exited.
-func (t *Registry) ended(h *Worker, k *taskstate.Task, l *ReportedTask, acked bool, orders []Command) []Command {
-	how := taskstate.LossExited
-	switch l.Cause {
+// handleEnded takes a task that has exited.
+func (r *Registry) handleEnded(worker *Worker, task *taskstate.Task, reported *ReportedTask, tokenShown bool, commands []Command) []Command {
+	loss := taskstate.LossExited
+	switch reported.Cause {
 	case "done":
-		return t.completed(h, k, l, orders)
+		return r.handleCompleted(worker, task, reported, commands)
 	case "error":
 		// Whether the others had started shows in their reports.
-		how = taskstate.LossVanished
-		t.failed(h, k)
+		loss = taskstate.LossVanished
+		r.recordFailure(worker, task)
 	case "full":
-		how = taskstate.LossBeforeWaiting
-		h.RefusesUntil = t.rt.Now() + tuning.RefusedTaskPause
-		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause/4
+		loss = taskstate.LossBeforeWaiting
+		worker.RefusesUntil = r.runtime.Now() + tuning.RefusedTaskPause
+		task.NotBefore = r.runtime.Now() + tuning.RefusedTaskPause/4
 	case "busy", "unknown":
-		how = taskstate.LossBeforeWaiting
-		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause
+		loss = taskstate.LossBeforeWaiting
+		task.NotBefore = r.runtime.Now() + tuning.RefusedTaskPause
 	case "halted":
-		if g := k.Job.Gang; g != nil && !g.AttemptOver && k.HaltDecided {
-			how = taskstate.LossVanished // one that waited was told to leave its machine
+		if gang := task.Job.Gang; gang != nil && !gang.AttemptOver && task.HaltDecided {
+			loss = taskstate.LossVanished // one that waited was told to leave its machine
 		}
 	case "alone", "mates_gone":
 		// Nothing against the machine or the job.
-		if k.Job.Gang != nil && l.Cause == "mates_gone" {
-			k.Job.Gang.Started = true
+		if task.Job.Gang != nil && reported.Cause == "mates_gone" {
+			task.Job.Gang.Started = true
 		}
 	default:
 		// A reason not known here proves nothing gone. Forgotten by the worker,
 		// it is off the list, and that does.
-		if !acked {
-			return orders
+		if !tokenShown {
+			return commands
 		}
-		return append(orders, forget(l))
+		return append(commands, forgetCommand(reported))
 	}
-	t.proveGone(h, k, how)
-	if !acked {
-		return orders
+	r.endPlacement(worker, task, loss)
+	if !tokenShown {
+		return commands
 	}
-	return append(orders, forget(l))
+	return append(commands, forgetCommand(reported))
 }
 
-// completed takes a task that is done.
-func (t *Registry) completed(h *Worker, k *taskstate.Task, l *ReportedTask, orders []Command) []Command {
-	h.ConsecutiveFailures = 0
-	clear(h.FailedJobs)
-	k.Job.ConsecutiveFailures = 0
-	if k.Job.Gang != nil && !k.Job.Cancelled {
-		t.vacate(h, k)
-		t.tasks.TaskDone(k)
-		t.GangDone(k.Job)
-		return orders
-	}
-	if k.Job.Spec.IsService() {
-		t.proveGone(h, k, taskstate.LossExited)
-		return append(orders, forget(l))
-	}
-	t.vacate(h, k)
-	if k.Job.Cancelled {
-		k.State, k.WorkerID = taskstate.StateWaiting, ""
-		t.tasks.DropTask(k)
-		return append(orders, forget(l))
-	}
-	t.tasks.TaskDone(k)
-	return orders
+// handleCompleted takes a task that is done.
+func (r *Registry) handleCompleted(worker *Worker, task *taskstate.Task, reported *ReportedTask, commands []Command) []Command {
+	worker.ConsecutiveFailures = 0
+	clear(worker.FailedJobs)
+	task.Job.ConsecutiveFailures = 0
+	if task.Job.Gang != nil && !task.Job.Cancelled {
+		r.removeTask(worker, task)
+		r.tasks.TaskDone(task)
+		r.GangDone(task.Job)
+		return commands
+	}
+	if task.Job.Spec.IsService() {
+		r.endPlacement(worker, task, taskstate.LossExited)
+		return append(commands, forgetCommand(reported))
+	}
+	r.removeTask(worker, task)
+	if task.Job.Cancelled {
+		task.State, task.WorkerID = taskstate.StateWaiting, ""
+		r.tasks.DropTask(task)
+		return append(commands, forgetCommand(reported))
+	}
+	r.tasks.TaskDone(task)
+	return commands
 }
 
-// failed takes note of a failure: machines that fail whatever they start get
+// recordFailure takes note of a failure: machines that fail whatever they start get
 // no more tasks, and jobs that fail everywhere are slowed down.
-func (t *Registry) failed(h *Worker, k *taskstate.Task) {
-	h.ConsecutiveFailures++
-	h.FailedJobs[k.Job.Spec.ID] = true
-	k.AvoidWorker = h.ID
-	t.log.Info("task failed", "host", h.ID, "task", k.Name(), "in a row", h.ConsecutiveFailures)
-	k.Job.ConsecutiveFailures++
-	if k.Job.ConsecutiveFailures >= 3 {
-		pause := min(tuning.MinFailurePause<<min(k.Job.ConsecutiveFailures-3, 6), tuning.MaxFailurePause)
-		k.Job.NotBefore = t.rt.Now() + pause
-	}
-	if h.ConsecutiveFailures >= tuning.FaultyWorkerFailures && (len(h.FailedJobs) > 1 || k.Job.ConsecutiveFailures < 2*h.ConsecutiveFailures) && h.DrainReason == "" {
-		h.DrainReason = "fails its tasks"
-		t.log.Warn("machine quarantined", "host", h.ID, "failures", h.ConsecutiveFailures)
+func (r *Registry) recordFailure(worker *Worker, task *taskstate.Task) {
+	worker.ConsecutiveFailures++
+	worker.FailedJobs[task.Job.Spec.ID] = true
+	task.AvoidWorker = worker.ID
+	r.log.Info("task failed", "host", worker.ID, "task", task.Name(), "in a row", worker.ConsecutiveFailures)
+	task.Job.ConsecutiveFailures++
+	if task.Job.ConsecutiveFailures >= 3 {
+		pause := min(tuning.MinFailurePause<<min(task.Job.ConsecutiveFailures-3, 6), tuning.MaxFailurePause)
+		task.Job.NotBefore = r.runtime.Now() + pause
+	}
+	if worker.ConsecutiveFailures >= tuning.FaultyWorkerFailures && (len(worker.FailedJobs) > 1 || task.Job.ConsecutiveFailures < 2*worker.ConsecutiveFailures) && worker.DrainReason == "" {
+		worker.DrainReason = "fails its tasks"
+		r.log.Warn("machine quarantined", "host", worker.ID, "failures", worker.ConsecutiveFailures)
 	}
 }
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -52,23 +52,23 @@
 
 // ParseHeartbeat reads a report.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil {
+	var heartbeat Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if r.WorkerID == "" || r.Session == 0 {
+	if heartbeat.WorkerID == "" || heartbeat.Session == 0 {
 		return nil, errors.New(`report: "host" or "shift" missing`)
 	}
-	return &r, nil
+	return &heartbeat, nil
 }
 
-// splitRef reads a task's name.
-func splitRef(ref string) (job string, index int, ok bool) {
-	job, num, ok := strings.Cut(ref, "/")
+// parseTaskName reads a task's name.
+func parseTaskName(name string) (job string, index int, ok bool) {
+	job, number, ok := strings.Cut(name, "/")
 	if !ok || !jobs.ValidID(job) {
 		return "", 0, false
 	}
-	index, err := strconv.Atoi(num)
+	index, err := strconv.Atoi(number)
 	if err != nil || index < 0 || index >= jobs.MaxTasks {
 		return "", 0, false
 	}
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -9,27 +9,27 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// addressed is a bench that keeps where calls go to.
-type addressed struct {
-	*bench
+// recordingFixture is a bench that keeps where calls go to.
+type recordingFixture struct {
+	*registryFixture
 	sent []string
 }
 
-func (a *addressed) CallHTTP(addr string, c http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
-	a.sent = append(a.sent, addr+" "+c.Method+" "+c.Target+" "+string(c.Body))
-	a.bench.CallHTTP(addr, c, timeout, fn)
+func (f *recordingFixture) CallHTTP(addr string, request http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
+	f.sent = append(f.sent, addr+" "+request.Method+" "+request.Target+" "+string(request.Body))
+	f.registryFixture.CallHTTP(addr, request, timeout, fn)
 }
 
 // TestWireAnnouncement: how a machine is told directly who its owner is.
 func TestWireAnnouncement(t *testing.T) {
-	b := newBench(1)
-	b.token = 9
-	a := &addressed{bench: b}
-	b.table.rt = a
-	b.table.Announce("vm-7", "10.0.0.7:7")
-	b.table.AfterBatch()
-	if len(a.sent) != 1 || a.sent[0] != `10.0.0.7:7 POST /orders {"baton":9,"shift":1,"orders":[]}` {
-		t.Errorf("sent %q", a.sent)
+	fixture := newRegistryFixture(1)
+	fixture.token = 9
+	recorder := &recordingFixture{registryFixture: fixture}
+	fixture.registry.runtime = recorder
+	fixture.registry.Announce("vm-7", "10.0.0.7:7")
+	fixture.registry.AfterBatch()
+	if len(recorder.sent) != 1 || recorder.sent[0] != `10.0.0.7:7 POST /orders {"baton":9,"shift":1,"orders":[]}` {
+		t.Errorf("sent %q", recorder.sent)
 	}
 }
 
@@ -55,9 +55,9 @@
 	wiretest.Same(t, `{"baton":1,"shift":2,"orders":[{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5},`+
 		`{"verb":"launch","piece":"wk-000001/3","try":5},{"verb":"forget","piece":"wk-000001/4","try":6}]}`, &CommandMessage{})
 	wiretest.Written(t, CommandMessage{Token: 1, Commands: []Command{}}, `{"baton":1,"orders":[]}`)
-	wiretest.Written(t, halt("wk-000001/2", 3, 0), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":0}`)
-	wiretest.Written(t, halt("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
-	wiretest.Written(t, forget(&ReportedTask{Name: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
+	wiretest.Written(t, haltCommand("wk-000001/2", 3, 0), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":0}`)
+	wiretest.Written(t, haltCommand("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
+	wiretest.Written(t, forgetCommand(&ReportedTask{Name: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
 	if string(NotOwnerBody) != `{"error":"not the owner of this machine"}` {
 		t.Errorf("%s", NotOwnerBody)
 	}
@@ -65,12 +65,12 @@
 
 // TestWireTaskNames: the form of tasks' names.
 func TestWireTaskNames(t *testing.T) {
-	job, index, ok := splitRef("wk-000412/7")
+	job, index, ok := parseTaskName("wk-000412/7")
 	if !ok || job != "wk-000412" || index != 7 {
 		t.Error(job, index, ok)
 	}
 	for _, name := range []string{"wk-000412", "wk-000412/", "wk-000412/-1", "wk-000412/100000", "job-1/2", "wk-1/2/3"} {
-		if _, _, ok := splitRef(name); ok {
+		if _, _, ok := parseTaskName(name); ok {
 			t.Errorf("%s is taken for a task", name)
 		}
 	}
@@ -78,44 +78,44 @@
 
 // TestWireDirectLaunch: launches in a direct message, and in the answer to a report.
 func TestWireDirectLaunch(t *testing.T) {
-	b := newBench(1)
-	a := &addressed{bench: b}
-	b.table.rt = a
-	b.table.HandleHeartbeat(b.report())
-	b.worker.token = 1
-	b.table.HandleHeartbeat(b.report())
-	task := b.job.Tasks[0]
-	b.table.PlaceTask(task, b.table.Worker("vm-1"))
+	fixture := newRegistryFixture(1)
+	recorder := &recordingFixture{registryFixture: fixture}
+	fixture.registry.runtime = recorder
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	fixture.worker.token = 1
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	task := fixture.job.Tasks[0]
+	fixture.registry.PlaceTask(task, fixture.registry.Worker("vm-1"))
 	task.PlacementDurable = true
-	b.table.PlacementDurable(task)
-	b.table.AfterBatch()
-	if want := `w:1 POST /orders {"baton":1,"shift":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}`; len(a.sent) != 1 || a.sent[0] != want {
-		t.Errorf("sent %q", a.sent)
+	fixture.registry.PlacementDurable(task)
+	fixture.registry.AfterBatch()
+	if want := `w:1 POST /orders {"baton":1,"shift":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}`; len(recorder.sent) != 1 || recorder.sent[0] != want {
+		t.Errorf("sent %q", recorder.sent)
 	}
 
-	b = newBench(1)
-	b.table.HandleHeartbeat(b.report())
-	b.worker.token = 1
-	b.table.HandleHeartbeat(b.report())
-	task = b.job.Tasks[0]
-	b.table.PlaceTask(task, b.table.Worker("vm-1"))
+	fixture = newRegistryFixture(1)
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	fixture.worker.token = 1
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	task = fixture.job.Tasks[0]
+	fixture.registry.PlaceTask(task, fixture.registry.Worker("vm-1"))
 	task.PlacementDurable = true
-	b.table.PlacementDurable(task)
-	if status, body := b.table.HandleHeartbeat(b.report()); status != 200 || string(body) != `{"baton":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}` {
+	fixture.registry.PlacementDurable(task)
+	if status, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 || string(body) != `{"baton":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}` {
 		t.Errorf("%d %s", status, body)
 	}
 }
 
 // TestWireProbe: how a machine that does not hear is asked whether it hears again.
 func TestWireProbe(t *testing.T) {
-	b := newBench(1)
-	a := &addressed{bench: b}
-	b.table.rt = a
-	b.table.HandleHeartbeat(b.report())
-	b.now += time.Hour
-	b.table.probe(b.table.Worker("vm-1"))
-	if len(a.sent) != 1 || a.sent[0] != `w:1 POST /orders {"baton":1,"shift":1,"orders":[]}` {
-		t.Errorf("sent %q", a.sent)
+	fixture := newRegistryFixture(1)
+	recorder := &recordingFixture{registryFixture: fixture}
+	fixture.registry.runtime = recorder
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	fixture.now += time.Hour
+	fixture.registry.probeDeafWorker(fixture.registry.Worker("vm-1"))
+	if len(recorder.sent) != 1 || recorder.sent[0] != `w:1 POST /orders {"baton":1,"shift":1,"orders":[]}` {
+		t.Errorf("sent %q", recorder.sent)
 	}
 }
 
@@ -124,13 +124,13 @@
 	for phase, want := range map[string]struct{ runs, hasImage bool }{
 		"running": {true, true}, "saving": {false, true}, "waiting": {false, true}, "fetching": {false, false}, "novel": {false, false},
 	} {
-		b := newBench(1)
-		b.phase = "fetching"
-		b.placeAll(t)
-		if orders := b.say(t, phase, ""); len(orders) > 0 {
+		fixture := newRegistryFixture(1)
+		fixture.phase = "fetching"
+		fixture.placeAndLaunchAll(t)
+		if orders := fixture.reportAll(t, phase, ""); len(orders) > 0 {
 			t.Errorf("%s: answered by %+v", phase, orders)
 		}
-		if task := b.job.Tasks[0]; task.Running != want.runs || task.HasImage != want.hasImage {
+		if task := fixture.job.Tasks[0]; task.Running != want.runs || task.HasImage != want.hasImage {
 			t.Errorf("%s: running %v, image there %v", phase, task.Running, task.HasImage)
 		}
 	}
@@ -142,24 +142,24 @@
 	for phase, want := range map[string]struct{ started, waits bool }{
 		"running": {started: true}, "saving": {started: true}, "waiting": {waits: true}, "fetching": {waits: true}, "novel": {},
 	} {
-		b := newGangBench(2)
-		b.phase = "novel"
-		b.placeAll(t)
-		b.job.Gang.StartInDoubtSince = b.now // something is lost, before the next report
-		b.say(t, phase, "")
-		if started, waits := b.job.Gang.Started, b.job.Gang.StartInDoubtSince == 0 && !b.job.Gang.AttemptOver; started != want.started || waits != want.waits {
+		fixture := newGangFixture(2)
+		fixture.phase = "novel"
+		fixture.placeAndLaunchAll(t)
+		fixture.job.Gang.StartInDoubtSince = fixture.now // something is lost, before the next report
+		fixture.reportAll(t, phase, "")
+		if started, waits := fixture.job.Gang.Started, fixture.job.Gang.StartInDoubtSince == 0 && !fixture.job.Gang.AttemptOver; started != want.started || waits != want.waits {
 			t.Errorf("%s: started %v, waits %v", phase, started, waits)
 		}
 	}
 	for cause, started := range map[string]bool{"mates_gone": true, "alone": false} {
-		b := newGangBench(2)
-		b.phase = "fetching"
-		b.placeAll(t)
-		b.now += time.Second
-		r := b.report() // the other task has not noticed yet
-		r.Tasks[0].Phase, r.Tasks[0].Cause = "ended", cause
-		b.table.HandleHeartbeat(r)
-		if b.job.Gang.Started != started {
+		fixture := newGangFixture(2)
+		fixture.phase = "fetching"
+		fixture.placeAndLaunchAll(t)
+		fixture.now += time.Second
+		heartbeat := fixture.heartbeat() // the other task has not noticed yet
+		heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = "ended", cause
+		fixture.registry.HandleHeartbeat(heartbeat)
+		if fixture.job.Gang.Started != started {
 			t.Errorf("%s: started %v", cause, !started)
 		}
 	}
@@ -182,13 +182,13 @@
 		"mates_gone": {orders: forgotten, gone: true},
 		"novel":      {orders: forgotten},
 	} {
-		b := newBench(1)
-		machine := b.placeAll(t)
+		fixture := newRegistryFixture(1)
+		machine := fixture.placeAndLaunchAll(t)
 		gone := false
-		b.gone = func(*taskstate.Task) { gone = true }
-		orders := b.say(t, "ended", cause)
+		fixture.onTaskWaiting = func(*taskstate.Task) { gone = true }
+		orders := fixture.reportAll(t, "ended", cause)
 		wiretest.Written(t, orders, want.orders)
-		task := b.job.Tasks[0]
+		task := fixture.job.Tasks[0]
 		if done := task.State == taskstate.StateDone; gone != want.gone || done != want.done || (machine.ConsecutiveFailures > 0) != want.failed ||
 			(machine.RefusesUntil > 0) != want.full || (task.NotBefore > 0) != want.delay {
 			t.Errorf("%s: gone %v, done %v, failed %d, refused %v, not before %v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.NotBefore)
@@ -204,21 +204,21 @@
 		"running": `{"baton":1,"orders":[{"verb":"halt","piece":"wk-1/0","try":9,"windDownS":0}]}`,
 		"novel":   `{"baton":1,"orders":[{"verb":"halt","piece":"wk-1/0","try":9,"windDownS":0}]}`,
 	} {
-		b := newBench(1)
-		b.worker.token = 1
-		r := b.report()
-		r.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
-		if status, body := b.table.HandleHeartbeat(r); status != 200 || string(body) != want {
+		fixture := newRegistryFixture(1)
+		fixture.worker.token = 1
+		heartbeat := fixture.heartbeat()
+		heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
+		if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
 			t.Errorf("%s: %d %s", phase, status, body)
 		}
 	}
 	for cause, done := range map[string]bool{"done": true, "error": false} {
-		b := newGangBench(2)
-		b.worker.token = 1
-		r := b.report()
-		r.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: "ended", Cause: cause}}
-		b.table.HandleHeartbeat(r)
-		if b.job.Gang.Done != done {
+		fixture := newGangFixture(2)
+		fixture.worker.token = 1
+		heartbeat := fixture.heartbeat()
+		heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: "ended", Cause: cause}}
+		fixture.registry.HandleHeartbeat(heartbeat)
+		if fixture.job.Gang.Done != done {
 			t.Errorf("%s: done %v", cause, !done)
 		}
 	}
@@ -231,13 +231,13 @@
 		"running": `{"baton":2,"orders":[{"verb":"halt","piece":"wk-1/0","try":1,"windDownS":0}]}`,
 		"ended":   `{"baton":2,"orders":[]}`,
 	} {
-		b := newBench(1)
-		b.placeAll(t)
-		b.term()
-		b.job.Cancelled, b.off = true, b.now
-		r := b.report()
-		r.Tasks[0].Phase, r.Tasks[0].Cause = phase, "novel"
-		if status, body := b.table.HandleHeartbeat(r); status != 200 || string(body) != want {
+		fixture := newRegistryFixture(1)
+		fixture.placeAndLaunchAll(t)
+		fixture.beginTerm()
+		fixture.job.Cancelled, fixture.cancelledAt = true, fixture.now
+		heartbeat := fixture.heartbeat()
+		heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = phase, "novel"
+		if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
 			t.Errorf("%s: %d %s", phase, status, body)
 		}
 	}
@@ -247,12 +247,12 @@
 // answered; one where it has ended is.
 func TestWireCancelledLongAgo(t *testing.T) {
 	for phase, want := range map[string]int{"running": 503, "ended": 200} {
-		b := newBench(1)
-		b.worker.token = 1
-		b.job.Cancelled, b.off = true, 0
-		r := b.report()
-		r.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
-		if status, body := b.table.HandleHeartbeat(r); status != want {
+		fixture := newRegistryFixture(1)
+		fixture.worker.token = 1
+		fixture.job.Cancelled, fixture.cancelledAt = true, 0
+		heartbeat := fixture.heartbeat()
+		heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
+		if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != want {
 			t.Errorf("%s: %d %s", phase, status, body)
 		}
 	}
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -73,59 +73,59 @@
 
 // commandDelivery is what is to be told to a worker directly, and what came of it.
 type commandDelivery struct {
-	inFlight      bool          // a direct message is under way
-	unansweredAt  time.Duration // when a direct message last went unanswered
-	pendingHalts  []Command     // that an answer may not carry, see Registry.outlives
-	probeTasks    bool          // how its tasks are is to be asked directly
-	announcePends bool          // to be told of the token
+	inFlight           bool          // a direct message is under way
+	unansweredAt       time.Duration // when a direct message last went unanswered
+	pendingHalts       []Command     // that an answer may not carry, see Registry.outlives
+	probeTasks         bool          // how its tasks are is to be asked directly
+	announcementQueued bool          // to be told of the token
 }
 
 // Free is what new tasks may take.
-func (h *Worker) Free() resource.Vector {
-	if h.MachineType == nil || h.UnknownTasks > 0 {
+func (w *Worker) Free() resource.Vector {
+	if w.MachineType == nil || w.UnknownTasks > 0 {
 		return resource.Vector{}
 	}
-	return h.MachineType.Resources().Minus(h.Used)
+	return w.MachineType.Resources().Minus(w.Used)
 }
 
 // AddTask notes that a task takes room on the machine.
-func (h *Worker) AddTask(k *taskstate.Task) {
-	spec := k.Job.Spec
-	h.Tasks[k] = true
-	h.Used = h.Used.Plus(spec.Resources())
+func (w *Worker) AddTask(task *taskstate.Task) {
+	spec := task.Job.Spec
+	w.Tasks[task] = true
+	w.Used = w.Used.Plus(spec.Resources())
 	if spec.IsService() {
-		h.ServiceCPUs += spec.CPUs
+		w.ServiceCPUs += spec.CPUs
 	}
-	h.UseImage(spec.Image, spec.ImageGB)
+	w.UseImage(spec.Image, spec.ImageGB)
 }
 
 // RemoveTask notes that a task has left its room on the machine.
-func (h *Worker) RemoveTask(k *taskstate.Task) {
-	spec := k.Job.Spec
-	delete(h.Tasks, k)
-	h.Used = h.Used.Minus(spec.Resources())
+func (w *Worker) RemoveTask(task *taskstate.Task) {
+	spec := task.Job.Spec
+	delete(w.Tasks, task)
+	w.Used = w.Used.Minus(spec.Resources())
 	if spec.IsService() {
-		h.ServiceCPUs -= spec.CPUs
+		w.ServiceCPUs -= spec.CPUs
 	}
-	if len(h.Tasks) == 0 { // sums of decimal amounts are not exact
-		h.Used, h.ServiceCPUs = resource.Vector{}, 0
+	if len(w.Tasks) == 0 { // sums of decimal amounts are not exact
+		w.Used, w.ServiceCPUs = resource.Vector{}, 0
 	}
 }
 
 // HasImage tells whether the machine has, or is fetching, an image.
-func (h *Worker) HasImage(image string) bool { return h.images.Contains(image) }
+func (w *Worker) HasImage(image string) bool { return w.images.Contains(image) }
 
 // Images lists the images that the machine has.
-func (h *Worker) Images() []string {
-	names := make([]string, len(h.images))
-	for i, c := range h.images {
-		names[i] = c.name
+func (w *Worker) Images() []string {
+	names := make([]string, len(w.images))
+	for i, image := range w.images {
+		names[i] = image.name
 	}
 	return names
 }
 
 // UseImage notes that a task with an image starts on the machine.
-func (h *Worker) UseImage(image string, gb float64) { h.images.Use(image, gb, h.MachineType) }
+func (w *Worker) UseImage(image string, sizeGB float64) { w.images.Use(image, sizeGB, w.MachineType) }
 
 // clear forgets the tasks of an earlier term. ServiceCPUs is left: it only steers
 // where placement puts services, and starts anew when the machine runs empty.
