--- a/internal/workers/cancel.go
+++ b/internal/workers/cancellations.go
@@ -5,6 +5,17 @@
 	"lemonmoor/internal/tuning"
 )
 
+// CancelJob has the tasks of a cancelled job halted at once: with the next report the
+// order would leave seconds later, and a machine whose reports are lost can still
+// be reached.
+func (r *Registry) CancelJob(job *taskstate.Job) {
+	for _, task := range job.Tasks {
+		if worker := r.workers[task.WorkerID]; worker != nil && task.State == taskstate.StatePlaced {
+			r.commandsDue[worker] = true
+		}
+	}
+}
+
 // appendCancellationHalts adds the orders that end what a machine may have of cancelled jobs. They are
 // repeated until each task is proven gone, by whichever message there is: a halt
 // names the attempt, so that repeated or late it does no harm.
@@ -19,15 +30,20 @@
 	return commands
 }
 
-// CancelJob has the tasks of a cancelled job halted at once: with the next report the
-// order would leave seconds later, and a machine whose reports are lost can still
-// be reached.
-func (r *Registry) CancelJob(job *taskstate.Job) {
-	for _, task := range job.Tasks {
-		if worker := r.workers[task.WorkerID]; worker != nil && task.State == taskstate.StatePlaced {
-			r.commandsDue[worker] = true
+// haltsOfCancelledTasks gives the orders that end the tasks of cancelled jobs in a report.
+func (r *Registry) haltsOfCancelledTasks(heartbeat *Heartbeat) []Command {
+	var commands []Command
+	for i := range heartbeat.Tasks {
+		reported := &heartbeat.Tasks[i]
+		job, _, ok := parseTaskName(reported.Name)
+		if !ok || reported.Phase == "ended" || len(commands) >= tuning.MaxCommandsPerMessage {
+			continue
+		}
+		if _, cancelled := r.tasks.CancellationAge(job); cancelled {
+			commands = append(commands, haltCommand(reported.Name, reported.Attempt, 0))
 		}
 	}
+	return commands
 }
 
 // mayOutliveCancellation tells whether a machine may have a task of a job that was cancelled so
@@ -52,19 +68,3 @@
 	}
 	return false
 }
-
-// haltsOfCancelledTasks gives the orders that end the tasks of cancelled jobs in a report.
-func (r *Registry) haltsOfCancelledTasks(heartbeat *Heartbeat) []Command {
-	var commands []Command
-	for i := range heartbeat.Tasks {
-		reported := &heartbeat.Tasks[i]
-		job, _, ok := parseTaskName(reported.Name)
-		if !ok || reported.Phase == "ended" || len(commands) >= tuning.MaxCommandsPerMessage {
-			continue
-		}
-		if _, cancelled := r.tasks.CancellationAge(job); cancelled {
-			commands = append(commands, haltCommand(reported.Name, reported.Attempt, 0))
-		}
-	}
-	return commands
-}
--- a/internal/workers/deaf.go
+++ b/internal/workers/deaf_workers.go
@@ -7,6 +7,8 @@
 	"lemonmoor/internal/tuning"
 )
 
+const drainReasonDeaf = "does not hear"
+
 // detectDeafness decides whether a machine that reports hears us too. To have been heard
 // is no proof of that: seen as alive, it swallowed task after task.
 func (r *Registry) detectDeafness(worker *Worker) {
--- a/internal/workers/drain.go
+++ b/internal/workers/drains.go
@@ -1,7 +1,10 @@
 package workers
 
 import (
+	"time"
+
 	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/tuning"
 )
 
 // OperatorDrain is why a machine is given back that operators have drained.
@@ -13,10 +16,27 @@
 	return worker.DrainReason == "" && !r.scheduler.IsClosedByDrain(worker.ID)
 }
 
-// IsCurrent tells whether a machine is heard under the present token, so that what its
-// reports list is so.
-func (r *Registry) IsCurrent(worker *Worker) bool {
-	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
+// StopPlacements stops new tasks on a machine.
+func (r *Registry) StopPlacements(id, reason string) {
+	if worker := r.workers[id]; worker != nil && worker.DrainReason == "" {
+		worker.DrainReason = reason
+		r.log.Info("draining machine", "host", id, "why", reason)
+	}
+}
+
+// haltIfMustMove stops a running task that has to go on elsewhere: a replica on a machine
+// that is drained, or one that can save, in time before the cloud takes its
+// machine. The machine is told at once, and with each report until it is gone.
+func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
+	spec := task.Job.Spec
+	mustSave := spec.CheckpointIntervalSeconds > 0 && worker.TerminationAt > 0 &&
+		now > worker.TerminationAt-time.Duration(spec.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
+	if worker.DrainReason == "" || task.HaltDecided || !task.Running || task.Job.Gang != nil || (!spec.IsService() && !mustSave) {
+		return
+	}
+	task.Halt(spec.CheckpointSeconds)
+	r.commandsDue[worker] = true
+	r.log.Info("moving task", "host", worker.ID, "task", task.Name(), "why", worker.DrainReason)
 }
 
 // HaltTask has a task halted that an operators' drain moves, with the time that it needs to
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -82,13 +82,6 @@
 	zones                  map[string]*zoneState
 }
 
-// zoneState is what the table knows of a zone as a whole: one that is cut off falls
-// silent at once, long before each of its machines is late.
-type zoneState struct {
-	lastHeartbeatAt  time.Duration // the newest report from it
-	reportingWorkers int           // machines there that have reported, as of the last Tick
-}
-
 // NewRegistry returns an empty registry.
 func NewRegistry(dependencies Dependencies) *Registry {
 	return &Registry{
@@ -97,43 +90,6 @@
 	}
 }
 
-// ensureZone finds or makes a zone's entry.
-func (r *Registry) ensureZone(name string) *zoneState {
-	zone := r.zones[name]
-	if zone == nil {
-		zone = &zoneState{}
-		r.zones[name] = zone
-	}
-	return zone
-}
-
-// ReachableZones lists the zones from which something has been heard of late.
-func (r *Registry) ReachableZones() []string {
-	var list []string
-	for name, zone := range r.zones {
-		if zone.lastHeartbeatAt > 0 && r.runtime.Now()-zone.lastHeartbeatAt <= tuning.ZonePartitionAfter {
-			list = append(list, name)
-		}
-	}
-	slices.Sort(list)
-	return list
-}
-
-// isZonePartitioned tells whether a zone seems to be cut off: many machines report from it,
-// and none has for a while, though others are heard.
-func (r *Registry) isZonePartitioned(name string) bool {
-	zone := r.zones[name]
-	if zone == nil || !r.settings.IsZonePartitioned(zone.reportingWorkers, r.runtime.Now()-max(zone.lastHeartbeatAt, r.listeningSince)) {
-		return false
-	}
-	for _, other := range r.zones {
-		if other.lastHeartbeatAt > zone.lastHeartbeatAt+tuning.ZonePartitionAfter/2 {
-			return true
-		}
-	}
-	return false
-}
-
 // BeginTerm starts a term: whatever the records place may be on its machine under
 // an earlier token, and any earlier owner may have answered reports until now
 // plus the hold.
@@ -211,98 +167,6 @@
 // own.
 func (r *Registry) Workers() []*Worker { return r.sortedWorkers }
 
-// AcceptsTasks tells whether a machine may be given tasks now. One that has left an
-// order unanswered gets none before its next report: what is placed on a machine
-// that is cut off or dead waits there until its lease has run out.
-func (r *Registry) AcceptsTasks(worker *Worker) bool {
-	now := r.runtime.Now()
-	suspectAfter := time.Duration(float64(r.settings.HeartbeatInterval()) * tuning.SuspectHeartbeats)
-	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && r.accepts(worker) && worker.MachineType != nil && worker.UnknownTasks == 0 &&
-		worker.Token >= r.lease.Token() && now-worker.LastHeartbeatAt < suspectAfter && now >= worker.RefusesUntil &&
-		worker.commands.unansweredAt <= worker.LastHeartbeatAt && !r.isZonePartitioned(worker.Zone)
-}
-
-func (r *Registry) addTask(worker *Worker, task *taskstate.Task) {
-	if !task.HasImage {
-		worker.FetchingTasks++
-	}
-	worker.AddTask(task)
-}
-
-func (r *Registry) removeTask(worker *Worker, task *taskstate.Task) {
-	if !worker.Tasks[task] {
-		return
-	}
-	worker.RemoveTask(task)
-	if len(worker.Tasks) == 0 {
-		worker.IdleSince = r.runtime.Now()
-	}
-	if !task.HasImage {
-		worker.FetchingTasks--
-	}
-	task.Running, task.HasImage = false, false
-}
-
-// PlaceTask gives a waiting task to a machine. The launch leaves once the
-// placement is durable.
-func (r *Registry) PlaceTask(task *taskstate.Task, worker *Worker) {
-	if gang := task.Job.Gang; gang != nil && !worker.HasImage(task.Job.Spec.Image) {
-		gang.UncachedPlacements++
-	}
-	task.PlaceOn(worker.ID)
-	task.PlacedAt = r.runtime.Now()
-	r.lease.CancellationsVerifiedSince(task.PlacedAt) // the proof comes while the placement is committed
-	task.GoneMinToken, task.GoneSession, task.GoneAfterSequence = r.lease.Token(), 0, 0
-	r.addTask(worker, task)
-	r.tasks.TaskChanged(task, true)
-}
-
-// PlacementDurable notes that a placement is durable.
-func (r *Registry) PlacementDurable(task *taskstate.Task) {
-	if task.Job.Gang != nil {
-		if task.Launchable() { // with the last of a gang, all of it
-			r.log.Debug("gang placed", "job", task.Job.Spec.ID, "attempt", task.WireAttempt(), "tasks", len(task.Job.Tasks), "fetching", task.Job.Gang.UncachedPlacements,
-				"age_s", float64(r.runtime.WallClock().UnixMilli()-task.Job.SubmittedMS)/1000)
-			for _, member := range task.Job.Tasks {
-				if worker := r.workers[member.WorkerID]; worker != nil {
-					r.commandsDue[worker] = true
-				}
-			}
-		}
-		return
-	}
-	if worker := r.workers[task.WorkerID]; worker != nil {
-		r.commandsDue[worker] = true
-	}
-}
-
-// endPlacement ends a placement: the task is surely not on its machine. how only
-// matters for a gang.
-func (r *Registry) endPlacement(worker *Worker, task *taskstate.Task, loss taskstate.Loss) {
-	r.removeTask(worker, task)
-	task.State, task.WorkerID = taskstate.StateWaiting, ""
-	task.PlacementDurable, task.LaunchSent, task.LaunchInFlight, task.LaunchInDoubt, task.Reported, task.HaltDecided, task.HaltSent, task.HasRun = false, false, false, false, false, false, false, false
-	if task.Job.Cancelled {
-		r.tasks.DropTask(task)
-		return
-	}
-	if gang := task.Job.Gang; gang != nil {
-		if gang.Done {
-			r.tasks.TaskDone(task)
-			return
-		}
-		r.gangTaskLost(task, loss)
-	}
-	r.tasks.TaskChanged(task, false)
-	r.scheduler.TaskWaiting(task)
-}
-
-// leaseExpiresAt is when all tasks of a machine that stays silent are surely gone.
-func (r *Registry) leaseExpiresAt(worker *Worker) time.Duration {
-	lease := r.settings.WorkerLease()
-	return worker.LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
-}
-
 // Tick looks for machines whose lease has run out and for placements that can
 // no longer be launched.
 func (r *Registry) Tick() {
@@ -355,43 +219,3 @@
 		}
 	})
 }
-
-// haltIfMustMove stops a running task that has to go on elsewhere: a replica on a machine
-// that is drained, or one that can save, in time before the cloud takes its
-// machine. The machine is told at once, and with each report until it is gone.
-func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
-	spec := task.Job.Spec
-	mustSave := spec.CheckpointIntervalSeconds > 0 && worker.TerminationAt > 0 &&
-		now > worker.TerminationAt-time.Duration(spec.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
-	if worker.DrainReason == "" || task.HaltDecided || !task.Running || task.Job.Gang != nil || (!spec.IsService() && !mustSave) {
-		return
-	}
-	task.Halt(spec.CheckpointSeconds)
-	r.commandsDue[worker] = true
-	r.log.Info("moving task", "host", worker.ID, "task", task.Name(), "why", worker.DrainReason)
-}
-
-// DiscardTask takes a task that was never launched off its machine; its record is
-// gone.
-func (r *Registry) DiscardTask(task *taskstate.Task) {
-	if worker := r.workers[task.WorkerID]; worker != nil {
-		r.removeTask(worker, task)
-	}
-}
-
-// endAllPlacements proves all tasks of a machine gone.
-func (r *Registry) endAllPlacements(worker *Worker) {
-	for task := range worker.Tasks {
-		r.endPlacement(worker, task, taskstate.LossVanished)
-	}
-}
-
-// ReleaseSilent is why a machine is given back that no longer reports; ReleaseSilentUrgent is
-// why one that may have urgent tasks on it: returned, they are surely gone, and
-// can run elsewhere before its lease would have run out.
-const (
-	ReleaseSilent       = "silent"
-	ReleaseSilentUrgent = "silent with urgent tasks"
-)
-
-const drainReasonDeaf = "does not hear"
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -7,6 +7,14 @@
 	"lemonmoor/internal/tuning"
 )
 
+// ReleaseSilent is why a machine is given back that no longer reports; ReleaseSilentUrgent is
+// why one that may have urgent tasks on it: returned, they are surely gone, and
+// can run elsewhere before its lease would have run out.
+const (
+	ReleaseSilent       = "silent"
+	ReleaseSilentUrgent = "silent with urgent tasks"
+)
+
 // MachineReleased notes that the cloud has taken a machine back at our request: it
 // and all that was on it are gone.
 func (r *Registry) MachineReleased(id string) {
@@ -22,14 +30,6 @@
 	delete(r.awaitingVerification, worker)
 }
 
-// StopPlacements stops new tasks on a machine.
-func (r *Registry) StopPlacements(id, reason string) {
-	if worker := r.workers[id]; worker != nil && worker.DrainReason == "" {
-		worker.DrainReason = reason
-		r.log.Info("draining machine", "host", id, "why", reason)
-	}
-}
-
 // ReleaseReason tells whether, and why, the owner wants a machine returned now:
 // nothing on it is lost by that, or it is lost already.
 func (r *Registry) ReleaseReason(worker *Worker, silent, reporting int) string {
@@ -58,3 +58,9 @@
 func (r *Registry) IsSuspect(worker *Worker) bool {
 	return worker.HasReported && r.runtime.Now()-max(worker.LastHeartbeatAt, r.listeningSince) > r.settings.WorkerDeadAfter()
 }
+
+// IsCurrent tells whether a machine is heard under the present token, so that what its
+// reports list is so.
+func (r *Registry) IsCurrent(worker *Worker) bool {
+	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
+}
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -9,9 +9,13 @@
 	"strconv"
 	"strings"
 
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/jobs"
 )
 
+// NotOwnerBody answers for a node that may not act for the controllers.
+var NotOwnerBody = http1.ErrorBody("not the owner of this machine")
+
 // Heartbeat is what a worker says of its machine.
 type Heartbeat struct {
 	WorkerID          string         `json:"host"`
@@ -74,3 +78,11 @@
 	}
 	return job, index, true
 }
+
+func haltCommand(taskName string, attempt uint64, windDown float64) Command {
+	return Command{Verb: "halt", TaskName: taskName, Attempt: attempt, WindDownSeconds: &windDown}
+}
+
+func forgetCommand(reported *ReportedTask) Command {
+	return Command{Verb: "forget", TaskName: reported.Name, Attempt: reported.Attempt}
+}
