--- /dev/null
+++ b/internal/workers/drains_test.go
@@ -0,0 +1,54 @@
+package workers
+
+import (
+	"testing"
+	"time"
+
+	"lemonmoor/internal/taskstate"
+)
+
+// TestDrainedMachineMovesWork: replicas leave a machine that is drained, and
+// tasks that can save are told to in time before the cloud takes theirs; others
+// run on.
+func TestDrainedMachineMovesWork(t *testing.T) {
+	for name, test := range map[string]struct {
+		shape     string
+		saveEvery float64
+		notice    float64
+		moves     bool
+	}{
+		"a replica":                {"daemon", 0, 60, true},
+		"a task without saves":     {"array", 0, 6, false},
+		"a task that saves":        {"array", 30, 6, true},
+		"a task that saves, early": {"array", 30, 60, false},
+	} {
+		fixture := newRegistryFixture(1)
+		fixture.job.Spec.Shape, fixture.job.Spec.CheckpointIntervalSeconds, fixture.job.Spec.CheckpointSeconds = test.shape, test.saveEvery, 4
+		fixture.worker.token = fixture.token
+		fixture.registry.HandleHeartbeat(fixture.heartbeat())
+		task := fixture.job.Tasks[0]
+		fixture.registry.PlaceTask(task, fixture.registry.Worker("vm-1"))
+		task.PlacementDurable = true
+		sent := fixture.now
+		_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
+		fixture.receiveAnswer(body, 1, sent)
+		fixture.now += time.Second
+		heartbeat := fixture.heartbeat()
+		heartbeat.SpotNoticeSeconds = &test.notice
+		fixture.registry.HandleHeartbeat(heartbeat)
+		fixture.registry.Tick()
+		fixture.calls = nil
+		fixture.registry.AfterBatch()
+		if task.HaltDecided != test.moves || len(fixture.calls) > 0 != test.moves {
+			t.Errorf("%s: stopping %v, %d orders", name, task.HaltDecided, len(fixture.calls))
+			continue
+		}
+		if test.moves {
+			fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
+			fixture.registry.HandleHeartbeat(fixture.heartbeat())
+			if task.State != taskstate.StateWaiting {
+				t.Errorf("%s is not free for another machine", name)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/workers/fixture_test.go
@@ -0,0 +1,294 @@
+package workers
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/settings"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/tuning"
+)
+
+// registryFixture is a registry with one machine: its runtime, lease, task store and worker. The
+// worker keeps the protocol: sessions, leases, tokens, attempts.
+type registryFixture struct {
+	now                 time.Duration
+	token               uint64
+	registry            *Registry
+	job                 *taskstate.Job
+	calls               []sentRequest // direct orders on their way
+	onTaskWaiting       func(*taskstate.Task)
+	turnsHeartbeatsAway bool   // reports are turned away
+	phase               string // of the tasks in reports, "" for running
+	// Of cancellations: when the user was told, 0 for never, and up to when the owner
+	// knows of them; knows: it rests on that.
+	cancelledAt, verifiedAt   time.Duration
+	needsVerification         bool
+	noNewToken                bool          // there is no new token to be had
+	leaseInvalid              bool          // the lease is not surely valid
+	closedByDrain             bool          // operators' drains keep new tasks off the machine
+	previousOwnerAnswersUntil time.Duration // until then an earlier owner may answer
+	worker                    struct {
+		session, sequence, token uint64
+		leaseRenewedAt           time.Duration
+		tasks                    map[string]uint64 // attempts of running tasks
+		everLaunched             map[string]bool   // task@attempt, ever launched in this session
+	}
+}
+
+type sentRequest struct {
+	body []byte
+	fn   func(http1.Response, error)
+}
+
+func (f *registryFixture) Now() time.Duration          { return f.now }
+func (f *registryFixture) WallClock() time.Time        { return time.UnixMilli(0).Add(f.now) }
+func (f *registryFixture) Rand() float64               { return 0.5 }
+func (f *registryFixture) After(time.Duration, func()) {}
+func (f *registryFixture) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {
+}
+
+func (f *registryFixture) CallHTTP(_ string, request http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
+	f.calls = append(f.calls, sentRequest{request.Body, fn})
+}
+
+func (f *registryFixture) Token() uint64    { return f.token }
+func (f *registryFixture) LeaseValid() bool { return !f.leaseInvalid }
+func (f *registryFixture) MayAnswer() bool {
+	return !f.turnsHeartbeatsAway && (!f.needsVerification || f.now < f.verifiedAt+f.registry.settings.MaxKnowledgeAge())
+}
+
+func (f *registryFixture) RenewToken() {
+	if !f.noNewToken {
+		f.beginTerm()
+	}
+}
+
+func (f *registryFixture) CancellationsVerifiedSince(since time.Duration) bool {
+	return !f.needsVerification || (f.verifiedAt >= since && f.now-f.verifiedAt <= tuning.MaxLaunchKnowledgeAge)
+}
+func (f *registryFixture) PreviousOwnerAnswersUntil() time.Duration {
+	return f.previousOwnerAnswersUntil
+}
+func (f *registryFixture) CancellationAge(string) (time.Duration, bool) {
+	return f.now - f.cancelledAt, f.job.Cancelled
+}
+func (f *registryFixture) IsLoaded() bool                    { return true }
+func (f *registryFixture) Job(string) *taskstate.Job         { return f.job }
+func (f *registryFixture) EachJob(fn func(*taskstate.Job))   { fn(f.job) }
+func (f *registryFixture) TaskChanged(*taskstate.Task, bool) {}
+func (f *registryFixture) TaskDone(task *taskstate.Task)     { task.State = taskstate.StateDone }
+func (f *registryFixture) DropTask(task *taskstate.Task)     { task.State = taskstate.StateDropped }
+func (f *registryFixture) TaskWaiting(task *taskstate.Task) {
+	if f.onTaskWaiting != nil {
+		f.onTaskWaiting(task)
+	}
+}
+
+func (f *registryFixture) MachineType(string) *jobs.MachineType {
+	return &jobs.MachineType{Name: "g8", CPUs: 64, MemoryGB: 64}
+}
+func (f *registryFixture) IsClosedByDrain(string) bool { return f.closedByDrain }
+
+func (f *registryFixture) beginTerm() {
+	f.token++
+	f.registry.EndTerm()
+	f.registry.BeginTerm()
+}
+
+func newRegistryFixture(tasks int) *registryFixture {
+	fixture := &registryFixture{token: 1, now: time.Hour}
+	set := &settings.Settings{}
+	set.Deployment.Workers.ReportS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 36, 66
+	fixture.registry = NewRegistry(Dependencies{Runtime: fixture, Lease: fixture, Tasks: fixture, Scheduler: fixture, Settings: set, Log: slog.New(slog.DiscardHandler)})
+	index := make([]int, tasks)
+	for i := range index {
+		index[i] = i
+	}
+	fixture.job = &taskstate.Job{Spec: &jobs.Spec{ID: "wk-1", CPUs: 1, Shape: "array"}, Tasks: map[int]*taskstate.Task{}, Groups: map[string]*taskstate.TaskGroup{}}
+	taskstate.LoadRecord(fixture.job, taskstate.NewRecord(0, "wk-1", 0, index, nil, nil))
+	fixture.worker.session, fixture.worker.leaseRenewedAt = 1, fixture.now
+	fixture.worker.tasks, fixture.worker.everLaunched = map[string]uint64{}, map[string]bool{}
+	fixture.registry.BeginTerm()
+	return fixture
+}
+
+func newGangFixture(tasks int) *registryFixture {
+	fixture := newRegistryFixture(tasks)
+	fixture.job.Spec.Shape, fixture.job.Spec.Tasks, fixture.job.Gang = "gang", tasks, &taskstate.Gang{}
+	return fixture
+}
+
+// expireLease ends the worker's session when its lease has run out.
+func (f *registryFixture) expireLease() {
+	if worker := &f.worker; f.now-worker.leaseRenewedAt > f.registry.settings.WorkerLease() {
+		worker.session++
+		worker.leaseRenewedAt = f.now
+		clear(worker.tasks)
+		clear(worker.everLaunched)
+	}
+}
+
+func (f *registryFixture) heartbeat() *Heartbeat {
+	f.expireLease()
+	worker := &f.worker
+	worker.sequence++
+	heartbeat := &Heartbeat{WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: worker.session, Sequence: worker.sequence, Token: worker.token}
+	for ref, attempt := range worker.tasks {
+		phase := f.phase
+		if phase == "" {
+			phase = "running"
+		}
+		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: ref, Attempt: attempt, Phase: phase})
+	}
+	return heartbeat
+}
+
+// executeCommands carries orders out.
+func (f *registryFixture) executeCommands(token uint64, orders []Command) {
+	worker := &f.worker
+	worker.token = token
+	for _, command := range orders {
+		switch command.Verb {
+		case "launch":
+			if key := fmt.Sprint(command.TaskName, "@", command.Attempt); !worker.everLaunched[key] {
+				worker.everLaunched[key] = true
+				worker.tasks[command.TaskName] = command.Attempt
+			}
+		case "halt":
+			if worker.tasks[command.TaskName] == command.Attempt {
+				delete(worker.tasks, command.TaskName)
+			}
+		}
+	}
+}
+
+// receiveAnswer takes the answer to a report that was sent at a time.
+func (f *registryFixture) receiveAnswer(body []byte, shift uint64, sent time.Duration) {
+	f.expireLease()
+	var message CommandMessage
+	if json.Unmarshal(body, &message) != nil || message.Token < f.worker.token || shift != f.worker.session {
+		return
+	}
+	f.worker.leaseRenewedAt = max(f.worker.leaseRenewedAt, sent)
+	f.executeCommands(message.Token, message.Commands)
+}
+
+// deliverDirect carries a direct order out, perhaps late.
+func (f *registryFixture) deliverDirect(direct sentRequest) http1.Response {
+	f.expireLease()
+	var message CommandMessage
+	if json.Unmarshal(direct.body, &message) != nil || message.Token < f.worker.token || message.Session != f.worker.session {
+		raw, _ := json.Marshal(f.heartbeat())
+		return http1.Response{Status: 409, Body: raw}
+	}
+	f.executeCommands(message.Token, message.Commands)
+	raw, _ := json.Marshal(f.heartbeat())
+	return http1.Response{Status: 200, Body: raw}
+}
+
+// placeAndLaunchAll places all tasks of the bench's job on its machine and lets the worker
+// launch them.
+func (f *registryFixture) placeAndLaunchAll(t *testing.T) *Worker {
+	t.Helper()
+	status, body := f.registry.HandleHeartbeat(f.heartbeat())
+	if status != 200 {
+		t.Fatal(status)
+	}
+	f.receiveAnswer(body, f.worker.session, f.now)
+	f.now += time.Second
+	f.registry.HandleHeartbeat(f.heartbeat())
+	worker := f.registry.Worker("vm-1")
+	for _, task := range f.job.Tasks {
+		f.registry.PlaceTask(task, worker)
+	}
+	n := 0
+	for _, task := range f.job.Tasks {
+		task.PlacementDurable = true
+		f.registry.PlacementDurable(task)
+		if n++; f.job.Gang != nil && n < len(f.job.Tasks) {
+			if f.registry.AfterBatch(); len(f.calls) > 0 {
+				t.Fatal("launched before the last placement was durable")
+			}
+		}
+	}
+	f.registry.AfterBatch()
+	for len(f.calls) > 0 {
+		direct := f.calls[0]
+		f.calls = f.calls[1:]
+		direct.fn(f.deliverDirect(direct), nil)
+	}
+	return worker
+}
+
+// reportAll reports the tasks in a state, and returns the orders of the answer.
+func (f *registryFixture) reportAll(t *testing.T, phase, cause string) []Command {
+	t.Helper()
+	f.now += time.Second
+	heartbeat := f.heartbeat()
+	for i := range heartbeat.Tasks {
+		heartbeat.Tasks[i].Phase, heartbeat.Tasks[i].Cause = phase, cause
+	}
+	status, body := f.registry.HandleHeartbeat(heartbeat)
+	var message CommandMessage
+	if status != 200 || json.Unmarshal(body, &message) != nil {
+		t.Fatal(status, string(body))
+	}
+	return message.Commands
+}
+
+// exchangeHeartbeats has the worker report and hear the answer, and then show the token.
+func (f *registryFixture) exchangeHeartbeats(t *testing.T) *Worker {
+	t.Helper()
+	for range 2 {
+		f.now += time.Second
+		sent, heartbeat := f.now, f.heartbeat()
+		status, body := f.registry.HandleHeartbeat(heartbeat)
+		if status != 200 {
+			t.Fatalf("answered %d", status)
+		}
+		f.receiveAnswer(body, heartbeat.Session, sent)
+	}
+	return f.registry.Worker("vm-1")
+}
+
+// placeTask gives a task to the machine; the placement is durable at once.
+func (f *registryFixture) placeTask(index int) *taskstate.Task {
+	task := f.job.Tasks[index]
+	f.registry.PlaceTask(task, f.registry.Worker("vm-1"))
+	task.PlacementDurable = true
+	f.registry.PlacementDurable(task)
+	return task
+}
+
+// takeDirectMessage lets the next direct order leave.
+func (f *registryFixture) takeDirectMessage(t *testing.T) sentRequest {
+	t.Helper()
+	f.registry.AfterBatch()
+	if len(f.calls) != 1 {
+		t.Fatalf("%d direct orders", len(f.calls))
+	}
+	direct := f.calls[0]
+	f.calls = nil
+	return direct
+}
+
+// commandsOf are those of an answer to a heartbeat.
+func commandsOf(t *testing.T, body []byte) []Command {
+	t.Helper()
+	var message CommandMessage
+	if err := json.Unmarshal(body, &message); err != nil {
+		t.Fatal(err)
+	}
+	return message.Commands
+}
+
+func hasVerb(list []Command, verb string) bool {
+	return slices.ContainsFunc(list, func(command Command) bool { return command.Verb == verb })
+}
--- /dev/null
+++ b/internal/workers/reconcile_test.go
@@ -0,0 +1,130 @@
+package workers
+
+import (
+	"testing"
+	"time"
+
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/taskstate"
+)
+
+// TestCompletedTaskIsForgottenWhenDurable: the worker keeps a completed task until its
+// completion is in the records.
+func TestCompletedTaskIsForgottenWhenDurable(t *testing.T) {
+	fixture := newRegistryFixture(1)
+	fixture.placeAndLaunchAll(t)
+	task := fixture.job.Tasks[0]
+	for range 2 {
+		if commands := fixture.reportAll(t, "ended", "done"); hasVerb(commands, "forget") {
+			t.Fatalf("told %v before the completion is durable", commands)
+		}
+	}
+	task.DoneDurable = true
+	if commands := fixture.reportAll(t, "ended", "done"); task.State != taskstate.StateDone || !hasVerb(commands, "forget") {
+		t.Errorf("state %v, told %v when it is", task.State, commands)
+	}
+}
+
+// TestUnansweredLaunchStaysInDoubt: a launch without an answer may be carried out at any
+// time until the worker has seen a higher token. A heartbeat that does not list the task
+// proves nothing before.
+func TestUnansweredLaunchStaysInDoubt(t *testing.T) {
+	fixture := newRegistryFixture(1)
+	fixture.noNewToken = true // no new token yet
+	fixture.exchangeHeartbeats(t)
+	task := fixture.placeTask(0)
+	direct := fixture.takeDirectMessage(t)
+	direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
+	fixture.now += time.Second
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	if task.State != taskstate.StatePlaced || !task.LaunchInDoubt {
+		t.Fatalf("state %v, in doubt %v", task.State, task.LaunchInDoubt)
+	}
+	fixture.deliverDirect(direct) // late
+	fixture.now += time.Second
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	if task.State != taskstate.StatePlaced || !task.Reported {
+		t.Errorf("state %v, seen %v when it runs", task.State, task.Reported)
+	}
+}
+
+// TestHeartbeatOlderThanTheLaunchProvesNothing: one that left before the launch was
+// carried out, and arrives after the answer, does not list the task.
+func TestHeartbeatOlderThanTheLaunchProvesNothing(t *testing.T) {
+	fixture := newRegistryFixture(1)
+	fixture.exchangeHeartbeats(t)
+	task := fixture.placeTask(0)
+	direct := fixture.takeDirectMessage(t)
+	early := fixture.heartbeat()
+	direct.fn(fixture.deliverDirect(direct), nil)
+	if status, _ := fixture.registry.HandleHeartbeat(early); status != 200 || task.State != taskstate.StatePlaced {
+		t.Errorf("answered %d, state %v", status, task.State)
+	}
+}
+
+// TestOrderAnswerProvesNothingGone: the answer to an order may be newer than a heartbeat and
+// yet older than the worker's reading of our reply to it, which carried a launch.
+func TestOrderAnswerProvesNothingGone(t *testing.T) {
+	fixture := newRegistryFixture(2)
+	fixture.exchangeHeartbeats(t)
+	first := fixture.job.Tasks[0]
+	fixture.registry.PlaceTask(first, fixture.registry.Worker("vm-1"))
+	first.PlacementDurable = true
+	fixture.now += time.Second
+	sent, heartbeat := fixture.now, fixture.heartbeat()
+	status, body := fixture.registry.HandleHeartbeat(heartbeat)
+	if status != 200 || !hasVerb(commandsOf(t, body), "launch") {
+		t.Fatalf("answered %d: %s", status, body)
+	}
+	fixture.placeTask(1)
+	direct := fixture.takeDirectMessage(t)
+	direct.fn(fixture.deliverDirect(direct), nil) // does not list the first
+	if first.State != taskstate.StatePlaced {
+		t.Fatalf("state %v", first.State)
+	}
+	fixture.receiveAnswer(body, heartbeat.Session, sent)
+	if len(fixture.worker.tasks) != 2 {
+		t.Errorf("%d tasks run", len(fixture.worker.tasks))
+	}
+}
+
+// TestReportedTaskCountsWithItsAttempt: another attempt than the one on record is ended, and
+// keeps the machine from other work until it is.
+func TestReportedTaskCountsWithItsAttempt(t *testing.T) {
+	fixture := newRegistryFixture(1)
+	worker := fixture.exchangeHeartbeats(t)
+	task := fixture.job.Tasks[0]
+	task.State, task.WorkerID, task.Attempt, task.LaunchSent, task.PlacementDurable = taskstate.StatePlaced, "vm-1", 2, true, true
+	fixture.registry.addTask(worker, task)
+	fixture.worker.tasks[task.Name()] = 1
+	fixture.now += time.Second
+	_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	want := haltCommand(task.Name(), 1, 0)
+	commands := commandsOf(t, body)
+	if task.Reported || len(commands) != 1 || commands[0].Verb != want.Verb || commands[0].Attempt != 1 {
+		t.Errorf("seen %v, told %+v", task.Reported, commands)
+	}
+	if fixture.registry.AcceptsTasks(worker) {
+		t.Error("gets tasks beside one that is not on record")
+	}
+}
+
+// TestUnknownWordsOccupy: a state or a reason that this version does not know
+// never proves a task gone, nor does it keep the task for ever: one with an unknown
+// reason is forgotten, and gone when it is off the list.
+func TestUnknownWordsOccupy(t *testing.T) {
+	fixture := newRegistryFixture(2)
+	worker := fixture.placeAndLaunchAll(t)
+	if fixture.reportAll(t, "pondering", ""); len(worker.Tasks) != 2 {
+		t.Errorf("%d of 2 tasks occupy the machine in an unknown state", len(worker.Tasks))
+	}
+	orders := fixture.reportAll(t, "ended", "moonshine")
+	if len(worker.Tasks) != 2 || len(orders) != 2 || orders[0].Verb != "forget" {
+		t.Errorf("%d tasks, orders %+v", len(worker.Tasks), orders)
+	}
+	clear(fixture.worker.tasks)
+	if fixture.reportAll(t, "", ""); len(worker.Tasks) != 0 {
+		t.Error("off the list, they still occupy the machine")
+	}
+}
