--- a/internal/shard/commit_test.go
+++ b/internal/shard/commit_test.go
@@ -18,7 +18,7 @@
 // own revision is as it was.
 func TestLateCommitOfAnEarlierOwnerFails(t *testing.T) {
 	s, o := owned(t, 1)
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	o.place(0, "vm-1")
 	if len(s.Held) != 1 {
 		t.Fatalf("%d commits of log pages", len(s.Held))
@@ -39,7 +39,7 @@
 	s, o := owned(t, 1)
 	var first *statetest.Commit
 	s.Hold = func(c *statetest.Commit) bool {
-		if logPage(c) && first == nil {
+		if writesLogPage(c) && first == nil {
 			first = c
 		}
 		return false
@@ -59,7 +59,7 @@
 	token := o.token
 	var launched []*taskstate.Task
 	o.tasks.PlacementDurable = func(k *taskstate.Task) { launched = append(launched, k) }
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	o.place(0, "vm-1")
 	s.Held[0].Answer(http1.Response{}, eventloop.ErrNoAnswer)
 	s.Run(5 * time.Second)
@@ -80,7 +80,7 @@
 	s, o := owned(t, 1)
 	launchable := 0
 	o.tasks.PlacementDurable = func(*taskstate.Task) { launchable++ }
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	k := o.place(0, "vm-1")
 	s.Run(time.Second)
 	if launchable > 0 || k.PlacementDurable || k.Launchable() {
@@ -96,7 +96,7 @@
 // nothing.
 func TestNoCommitWithoutAValidLease(t *testing.T) {
 	s, o := owned(t, 1)
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	s.Skip(time.Minute) // no renewal has been answered
 	o.place(0, "vm-1")
 	if len(s.Held) > 0 {
@@ -108,18 +108,18 @@
 // that comes late says nothing of the tasks that they hold now.
 func TestAnswersOfAnEarlierTokenAreDropped(t *testing.T) {
 	s, o := owned(t, 1)
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	o.place(0, "vm-1")
 	o.leases.RenewToken(0)
 	s.Run(time.Second)
 	if o.begun != 2 || !o.tasks.IsLoaded() {
 		t.Fatalf("%d tokens, records read %v", o.begun, o.tasks.IsLoaded())
 	}
-	before := o.tasks.flights
+	before := o.tasks.inFlight
 	s.Held[0].Answer(statetest.Reply(503, nil), nil)
 	s.Run(5 * time.Second)
-	if o.tasks.flights != before || len(s.Held) > 1 {
-		t.Errorf("%d commits are under way, before the late answer %d; %d were sent", o.tasks.flights, before, len(s.Held))
+	if o.tasks.inFlight != before || len(s.Held) > 1 {
+		t.Errorf("%d commits are under way, before the late answer %d; %d were sent", o.tasks.inFlight, before, len(s.Held))
 	}
 }
 
@@ -127,7 +127,7 @@
 // comes when the task has been placed once more.
 func TestOnlyItsOwnCommitMakesAnAttemptLaunchable(t *testing.T) {
 	s, o := owned(t, 1)
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	k := o.place(0, "vm-1")
 	k.State, k.WorkerID = taskstate.StateWaiting, "" // its machine takes no tasks any more
 	s.Run(time.Second)
@@ -149,7 +149,7 @@
 // the later one is still the newest on the task, so it is not written over.
 func TestNewerPageStaysTheNewestWord(t *testing.T) {
 	s, o := owned(t, 1)
-	s.Hold = logPage
+	s.Hold = writesLogPage
 	k := o.place(0, "vm-1")
 	k.State, k.WorkerID = taskstate.StateWaiting, ""
 	s.Run(time.Second)
--- a/internal/shard/pages_test.go
+++ b/internal/shard/pages_test.go
@@ -14,7 +14,7 @@
 // the log stays short.
 func TestPagesKeepTheNewestWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := pages{stamp: func(int) uint64 { return 0 }}
+		p := logPages{revisionOf: func(int) uint64 { return 0 }}
 		tasks := make([]*taskstate.Task, rapid.IntRange(1, 40).Draw(t, "tasks"))
 		for i := range tasks {
 			tasks[i] = &taskstate.Task{Index: i, Log: taskstate.LogPosition{Page: -1}}
@@ -40,7 +40,7 @@
 					word[k]++
 					list = append(list, k)
 				}
-				f.page = p.free(1)
+				f.page = p.reserve(1)
 				on := map[*taskstate.Task]int{}
 				for _, k := range list {
 					if _, twice := on[k]; !twice {
@@ -58,15 +58,15 @@
 				i := rapid.IntRange(0, len(flights)-1).Draw(t, "answered")
 				f := flights[i]
 				flights = append(flights[:i:i], flights[i+1:]...)
-				p.written(f.page, f.seq)
+				p.release(f.page, f.seq)
 				for _, k := range f.tasks {
 					if f.seq < k.Log.Commit {
 						continue
 					}
 					k.Log.Commit = f.seq
-					p.take(k.Log.Page)
+					p.removeTask(k.Log.Page)
 					k.Log.Page = f.page[0]
-					p.put(k.Log.Page, k)
+					p.addTask(k.Log.Page, k)
 				}
 			}
 			for _, k := range tasks {
@@ -78,16 +78,16 @@
 					t.Fatalf("task %d: word %d was told, the log says %d", k.Index, told[k], best)
 				}
 			}
-			if len(p.list) > 2*tuning.LogCompactionPages {
-				t.Fatalf("%d pages for %d tasks", len(p.list), len(tasks))
+			if len(p.pages) > 2*tuning.LogCompactionPages {
+				t.Fatalf("%d pages for %d tasks", len(p.pages), len(tasks))
 			}
 		}
 	})
 }
 
-func (p *pages) oldestIf(alone bool) []*taskstate.Task {
+func (p *logPages) oldestIf(alone bool) []*taskstate.Task {
 	if !alone {
 		return nil
 	}
-	return p.oldest()
+	return p.compactionTasks()
 }
--- a/internal/shard/state_test.go
+++ b/internal/shard/state_test.go
@@ -100,7 +100,7 @@
 	return k
 }
 
-// logPage tells whether a commit writes the block's log.
-func logPage(c *statetest.Commit) bool {
+// writesLogPage tells whether a commit writes the block's log.
+func writesLogPage(c *statetest.Commit) bool {
 	return len(c.Apply) > 0 && strings.HasPrefix(c.Apply[0].PutKey, "work/0/log/")
 }
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -29,39 +29,39 @@
 	// CancelJob is told that a job is cancelled that may have tasks on machines.
 	CancelJob func(*taskstate.Job)
 
-	rt     eventloop.Runtime
+	runtime     eventloop.Runtime
 	state  *statestore.Client
 	leases *statestore.LeaseManager
-	cat    *userapi.Catalog
-	store  *taskstate.Store
-	set    *settings.Settings
+	catalog    *userapi.Catalog
+	records  *taskstate.Store
+	settings    *settings.Settings
 	log    *slog.Logger
-	block  int
+	shardIndex  int
 
 	term    int // grows with every token; late answers of old ones are dropped
 	token   uint64
 	loaded  bool
 	jobs    map[string]*taskstate.Job
-	chunks  map[string]*taskstate.TaskGroup
+	groups  map[string]*taskstate.TaskGroup
 	dirty   []*taskstate.Task
-	urgent  bool          // something waits for a commit of those
-	since   time.Duration // when the first of them changed
-	pages   pages
-	flights int  // commits under way
-	resting bool // after a refused one
-	seq     uint64
-	began   time.Duration // the newest of those
-	tries   int
-	planned bool
+	urgentChange  bool          // something waits for a commit of those
+	changedSince   time.Duration // when the first of them changed
+	pages   logPages
+	inFlight int  // commits under way
+	backingOff bool // after a refused one
+	commitSequence     uint64
+	newestCommitAt   time.Duration // the newest of those
+	refusals   int
+	flushScheduled bool
 	budget  float64 // of changes
-	filled  time.Duration
+	budgetRefilledAt  time.Duration
 }
 
 // NewTaskStore returns an empty task store.
 func NewTaskStore(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
 	set *settings.Settings, log *slog.Logger, block int,
 ) *TaskStore {
-	s := &TaskStore{rt: rt, state: state, leases: leases, cat: cat, store: store, set: set, log: log, block: block}
+	s := &TaskStore{runtime: rt, state: state, leases: leases, catalog: cat, records: store, settings: set, log: log, shardIndex: block}
 	s.EndTerm()
 	return s
 }
@@ -69,9 +69,9 @@
 // EndTerm forgets everything: the block is lost.
 func (s *TaskStore) EndTerm() {
 	s.term++
-	s.token, s.loaded, s.flights, s.resting, s.planned = 0, false, 0, false, false
-	s.jobs, s.chunks, s.dirty = map[string]*taskstate.Job{}, map[string]*taskstate.TaskGroup{}, nil
-	s.pages = pages{stamp: func(n int) uint64 { return s.store.PageRevision(s.block, n) }}
+	s.token, s.loaded, s.inFlight, s.backingOff, s.flushScheduled = 0, false, 0, false, false
+	s.jobs, s.groups, s.dirty = map[string]*taskstate.Job{}, map[string]*taskstate.TaskGroup{}, nil
+	s.pages = logPages{revisionOf: func(n int) uint64 { return s.records.PageRevision(s.shardIndex, n) }}
 }
 
 // IsLoaded tells whether the records have been read under the present token.
@@ -82,18 +82,18 @@
 func (s *TaskStore) BeginTerm(token uint64) {
 	s.EndTerm()
 	s.token = token
-	s.read(s.term, 0)
+	s.loadRecords(s.term, 0)
 }
 
-func (s *TaskStore) read(term, try int) {
+func (s *TaskStore) loadRecords(term, try int) {
 	retry := func() {
-		s.rt.After(s.state.Backoff(try), func() {
+		s.runtime.After(s.state.Backoff(try), func() {
 			if term == s.term {
-				s.read(term, try+1)
+				s.loadRecords(term, try+1)
 			}
 		})
 	}
-	s.store.Verify(func(err error) {
+	s.records.Verify(func(err error) {
 		if term != s.term {
 			return
 		}
@@ -102,62 +102,62 @@
 			return
 		}
 		// Then the catalog: it must hold every job that has work.
-		s.cat.Verify(func(err error) {
+		s.catalog.Verify(func(err error) {
 			switch {
 			case term != s.term:
 			case err != nil:
 				retry()
 			default:
-				s.build()
+				s.buildFromRecords()
 			}
 		})
 	})
 }
 
-func (s *TaskStore) build() {
-	s.store.EachRecord(func(r *taskstate.Record) {
-		if r.Shard == s.block {
-			s.add(r)
+func (s *TaskStore) buildFromRecords() {
+	s.records.EachRecord(func(r *taskstate.Record) {
+		if r.Shard == s.shardIndex {
+			s.addRecord(r)
 		}
 	})
 	s.loaded = true
-	s.log.Info("block read", "block", s.block, "token", s.token, "jobs", len(s.jobs), "records", len(s.chunks))
+	s.log.Info("block read", "block", s.shardIndex, "token", s.token, "jobs", len(s.jobs), "records", len(s.groups))
 	s.RecordsLoaded()
-	for _, c := range s.chunks {
-		s.offer(c)
+	for _, c := range s.groups {
+		s.announceWaiting(c)
 	}
 }
 
-// add takes a record in.
-func (s *TaskStore) add(r *taskstate.Record) *taskstate.TaskGroup {
-	e := s.cat.Get(r.Job)
+// addRecord takes a record in.
+func (s *TaskStore) addRecord(r *taskstate.Record) *taskstate.TaskGroup {
+	e := s.catalog.Get(r.Job)
 	if e == nil || e.Spec == nil {
 		return nil // its job is done; the leader removes what is left
 	}
 	j := s.jobs[r.Job]
 	if j == nil {
-		j = taskstate.NewJob(e.Spec, e.SubmittedMS, s.cat.WithinQuota(e))
+		j = taskstate.NewJob(e.Spec, e.SubmittedMS, s.catalog.WithinQuota(e))
 		j.Cancelled = e.Phase == userapi.PhaseCancelled
 		if e.Spec.IsGang() {
 			j.Gang = &taskstate.Gang{}
-			for _, o := range s.store.JobRecords(r.Job) {
+			for _, o := range s.records.JobRecords(r.Job) {
 				for _, m := range o.Statuses {
-					j.PartDoneElsewhere = j.PartDoneElsewhere || (o.Shard != s.block && m.State == taskstate.StateDone)
+					j.PartDoneElsewhere = j.PartDoneElsewhere || (o.Shard != s.shardIndex && m.State == taskstate.StateDone)
 				}
 			}
 		}
 		s.jobs[r.Job] = j
 	}
 	c := taskstate.LoadRecord(j, r)
-	s.chunks[c.Key] = c
+	s.groups[c.Key] = c
 	for _, t := range c.Tasks {
-		s.pages.put(t.Log.Page, t)
+		s.pages.addTask(t.Log.Page, t)
 	}
 	return c
 }
 
-// offer makes a chunk's waiting tasks known to the queues.
-func (s *TaskStore) offer(c *taskstate.TaskGroup) {
+// announceWaiting makes a chunk's waiting tasks known to the queues.
+func (s *TaskStore) announceWaiting(c *taskstate.TaskGroup) {
 	for _, t := range c.Tasks {
 		if t.State != taskstate.StateWaiting {
 			continue
@@ -174,22 +174,22 @@
 // is behind that of the records, the job is not known yet; JobChanged comes back
 // to the record then.
 func (s *TaskStore) RecordAdded(r *taskstate.Record) {
-	if !s.loaded || r.Shard != s.block || s.chunks[r.Key] != nil {
+	if !s.loaded || r.Shard != s.shardIndex || s.groups[r.Key] != nil {
 		return
 	}
-	if c := s.add(r); c != nil {
-		s.offer(c)
+	if c := s.addRecord(r); c != nil {
+		s.announceWaiting(c)
 	}
 }
 
 // RecordRemoved forgets a record that the leader has removed: its tasks are
 // done, or given back.
 func (s *TaskStore) RecordRemoved(r *taskstate.Record) {
-	c := s.chunks[r.Key]
+	c := s.groups[r.Key]
 	if !s.loaded || c == nil {
 		return
 	}
-	delete(s.chunks, c.Key)
+	delete(s.groups, c.Key)
 	delete(c.Job.Groups, c.Key)
 	for _, t := range c.Tasks {
 		if t.State == taskstate.StatePlaced {
@@ -199,7 +199,7 @@
 		if t.State != taskstate.StateDone {
 			t.State = taskstate.StateDropped
 		}
-		s.pages.take(t.Log.Page)
+		s.pages.removeTask(t.Log.Page)
 		if c.Job.Tasks[t.Index] == t {
 			delete(c.Job.Tasks, t.Index)
 		}
@@ -215,10 +215,10 @@
 	if !s.loaded {
 		return
 	}
-	for key, r := range s.store.JobRecords(e.ID) {
-		if r.Shard == s.block && s.chunks[key] == nil {
-			if c := s.add(r); c != nil {
-				s.offer(c)
+	for key, r := range s.records.JobRecords(e.ID) {
+		if r.Shard == s.shardIndex && s.groups[key] == nil {
+			if c := s.addRecord(r); c != nil {
+				s.announceWaiting(c)
 			}
 		}
 	}
@@ -238,13 +238,13 @@
 // CancellationAge is how long ago a job's user can have been told that it is
 // cancelled, at most, if it is.
 func (s *TaskStore) CancellationAge(id string) (time.Duration, bool) {
-	return s.cat.CancellationAge(id, s.set.ClockSkew())
+	return s.catalog.CancellationAge(id, s.settings.ClockSkew())
 }
 
 // TaskStatusChanged takes note of a task of another block: one of a divided gang that is
 // done means that all are.
 func (s *TaskStore) TaskStatusChanged(r *taskstate.Record, k int, _ taskstate.TaskStatus) {
-	if !s.loaded || r.Shard == s.block || r.Statuses[k].State != taskstate.StateDone {
+	if !s.loaded || r.Shard == s.shardIndex || r.Statuses[k].State != taskstate.StateDone {
 		return
 	}
 	if j := s.jobs[r.Job]; j != nil && j.Gang != nil && !j.PartDoneElsewhere {
@@ -299,17 +299,17 @@
 
 // TaskChanged marks a task for a commit; urgent if something waits for it.
 func (s *TaskStore) TaskChanged(t *taskstate.Task, urgent bool) {
-	if s.chunks[t.Group.Key] != t.Group {
+	if s.groups[t.Group.Key] != t.Group {
 		return
 	}
 	if len(s.dirty) == 0 {
-		s.since = s.rt.Now()
+		s.changedSince = s.runtime.Now()
 	}
 	if !t.Log.Dirty {
 		t.Log.Dirty = true
 		s.dirty = append(s.dirty, t)
 	}
-	s.urgent = s.urgent || urgent
+	s.urgentChange = s.urgentChange || urgent
 }
 
 // TaskDone notes a completed task. When nothing else of its record is open, the
