--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -55,21 +55,32 @@
 
 func newOwner(n *Node, number int) *owner {
 	o := &owner{node: n, block: number, told: map[string]fleet.MachineStatus{}}
-	o.tasks = shard.NewTaskStore(n.rt, n.state, n.leases, n.cat, n.store, n.set, n.log, number)
+	o.tasks = shard.NewTaskStore(number, shard.Dependencies{
+		Runtime: n.rt, State: n.state, Leases: n.leases, Catalog: n.cat, Records: n.store, Settings: n.set, Handler: o, Log: n.log,
+	})
 	o.workers = workers.NewRegistry(workers.Dependencies{Runtime: n.rt, Lease: o, Tasks: o.tasks, Scheduler: o, Settings: n.set, Log: n.log})
 	o.planner = placement.New(o.workers, o, n.set.WaitBound())
-	o.tasks.TaskWaiting = o.arrive
-	o.tasks.PlacementDurable = o.workers.PlacementDurable
-	o.tasks.DiscardTask = o.workers.DiscardTask
-	o.tasks.GangDone = o.workers.GangDone
-	o.tasks.CancelJob = o.workers.CancelJob
-	o.tasks.RecordsLoaded = o.workers.BeginTerm
 	return o
 }
 
 // TaskWaiting has a task placed that has become free for another machine.
 func (o *owner) TaskWaiting(t *taskstate.Task) { o.arrive(t) }
 
+// PlacementDurable has a task launched whose placement is durable.
+func (o *owner) PlacementDurable(t *taskstate.Task) { o.workers.PlacementDurable(t) }
+
+// RecordsLoaded begins the workers' term when the records have been read.
+func (o *owner) RecordsLoaded() { o.workers.BeginTerm() }
+
+// GangDone ends a gang that is done, as another shard has found.
+func (o *owner) GangDone(j *taskstate.Job) { o.workers.GangDone(j) }
+
+// DiscardTask takes a task off its worker whose record is gone.
+func (o *owner) DiscardTask(t *taskstate.Task) { o.workers.DiscardTask(t) }
+
+// CancelJob ends the tasks of a cancelled job.
+func (o *owner) CancelJob(j *taskstate.Job) { o.workers.CancelJob(j) }
+
 // MachineType finds a machine type by its name, nil if it is not known.
 func (o *owner) MachineType(name string) *jobs.MachineType { return o.node.fleet.MachineType(name) }
 
--- /dev/null
+++ b/internal/shard/node_test.go
@@ -0,0 +1,129 @@
+package shard
+
+import (
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/settings"
+	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/statetest"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/userapi"
+)
+
+// testNode is a node that may own shard 0. It counts what its task store tells it.
+type testNode struct {
+	leases *statestore.LeaseManager
+	store  *taskstate.Store
+	tasks  *TaskStore
+	token  uint64
+	terms  int // tokens acquired
+
+	durable []*taskstate.Task // in the order in which their placements became durable
+}
+
+// newTestNode returns a node that campaigns for leadership and is then given the shard.
+func newTestNode(service *statetest.Service) *testNode {
+	log := slog.New(slog.DiscardHandler)
+	nodeSettings := &settings.Settings{}
+	nodeSettings.Deployment.State.WriteRPS = 1000
+	state := statestore.New(service, statetest.Address, log)
+	state.FreshnessCheckInterval = 0
+	state.SetLimits(statestore.Limits{MaxOperations: 10, MaxValueBytes: 1 << 16, FutureWriteShare: 1})
+	node := &testNode{}
+	node.leases = statestore.NewLeaseManager(service, state, log, statestore.LeaseConfig{Node: "node-0", Nonce: 1, ShardCount: 1, Observer: node})
+	catalog := userapi.NewCatalog(service, state, nil, log)
+	node.store = taskstate.NewStore(service, state, log)
+	node.tasks = NewTaskStore(0, Dependencies{
+		Runtime: service, State: state, Leases: node.leases, Catalog: catalog, Records: node.store,
+		Settings: nodeSettings, Handler: node, Log: log,
+	})
+	catalog.JobChanged = node.tasks.JobChanged
+	node.store.Observe(node.tasks)
+	catalog.Start()
+	node.store.Start()
+	node.leases.Start()
+	return node
+}
+
+// LeadershipAcquired is of no interest here.
+func (n *testNode) LeadershipAcquired(uint64) {}
+
+// LeadershipLost is of no interest here.
+func (n *testNode) LeadershipLost() {}
+
+// ShardAcquired begins a term.
+func (n *testNode) ShardAcquired(_ int, token uint64) {
+	n.token = token
+	n.terms++
+	n.tasks.BeginTerm(token)
+}
+
+// ShardLost ends the term.
+func (n *testNode) ShardLost(int) {
+	n.token = 0
+	n.tasks.EndTerm()
+}
+
+// TaskWaiting is of no interest here: the tests place tasks themselves.
+func (n *testNode) TaskWaiting(*taskstate.Task) {}
+
+// PlacementDurable remembers the task.
+func (n *testNode) PlacementDurable(task *taskstate.Task) { n.durable = append(n.durable, task) }
+
+// RecordsLoaded is of no interest here.
+func (n *testNode) RecordsLoaded() {}
+
+// GangDone is of no interest here.
+func (n *testNode) GangDone(*taskstate.Job) {}
+
+// DiscardTask is of no interest here.
+func (n *testNode) DiscardTask(*taskstate.Task) {}
+
+// CancelJob is of no interest here.
+func (n *testNode) CancelJob(*taskstate.Job) {}
+
+// jobID is the job whose tasks the shard has.
+const jobID = "wk-1"
+
+// newShardOwner returns a state service with one job of so many tasks dispatched to shard 0,
+// and the shard's owner, which has read it.
+func newShardOwner(t *testing.T, taskCount int) (*statetest.Service, *testNode) {
+	t.Helper()
+	service := statetest.New()
+	job := &jobs.Spec{ID: jobID, Shape: "array", Tasks: taskCount, CPUs: 1}
+	service.Set(t, userapi.KeyPrefix+job.ID, userapi.Record{SubmittedMS: 1, Spec: job})
+	indexes := make([]int, taskCount)
+	for i := range indexes {
+		indexes[i] = i
+	}
+	record := taskstate.NewRecord(0, job.ID, 0, indexes, nil, nil)
+	value, err := record.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	service.Set(t, record.Key, value)
+	node := newTestNode(service)
+	service.Run(5 * time.Second)
+	if !node.tasks.IsLoaded() || node.tasks.Job(job.ID) == nil {
+		t.Fatal("the shard's records are not loaded")
+	}
+	return service, node
+}
+
+// place places task 0 of the job on a worker and has that committed.
+func (n *testNode) place(workerID string) *taskstate.Task {
+	task := n.tasks.Job(jobID).Tasks[0]
+	task.PlaceOn(workerID)
+	n.tasks.TaskChanged(task, true)
+	n.tasks.Flush()
+	return task
+}
+
+// writesLogPage reports whether a commit writes the shard's log.
+func writesLogPage(commit *statetest.Commit) bool {
+	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, "work/0/log/")
+}
