--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -188,20 +188,20 @@
 			t.Tried.Workers = []string{t.WorkerID}
 			t.Tried.Incomplete = t.Attempt%tuning.GangAttemptStride > 0
 			if t.WireAttempt() != g.Attempt {
-				g.end(now) // of a version that took gangs for arrays
+				g.endAttempt(now) // of a version that took gangs for arrays
 			}
 		case t.State == StateWaiting && t.WireAttempt() == g.Attempt:
-			g.end(now) // lost, and it is not known from which machines
+			g.endAttempt(now) // lost, and it is not known from which machines
 		case t.State == StateWaiting:
 			g.StartInDoubtSince = now // the hand-out was not finished
 		}
 	}
 	if g.Started && g.StartInDoubtSince > 0 {
-		g.end(now)
+		g.endAttempt(now)
 	}
 }
 
-func (g *Gang) end(now time.Duration) {
+func (g *Gang) endAttempt(now time.Duration) {
 	if !g.AttemptOver {
 		g.AttemptOver, g.AttemptOverSince = true, now
 	}
@@ -240,7 +240,7 @@
 	switch {
 	case g.AttemptOver:
 	case g.Started || how == LossExited || !t.Replaceable():
-		g.end(now)
+		g.endAttempt(now)
 	case how == LossVanished && g.StartInDoubtSince == 0:
 		g.StartInDoubtSince = now
 	}
@@ -251,7 +251,7 @@
 	g := j.Gang
 	g.Started = true
 	if g.StartInDoubtSince > 0 {
-		g.end(now)
+		g.endAttempt(now)
 	}
 }
 
@@ -265,7 +265,7 @@
 	g.StartInDoubtSince = 0
 	for _, t := range j.Tasks {
 		if t.State == StateWaiting && !t.Replaceable() {
-			g.end(now)
+			g.endAttempt(now)
 		}
 	}
 }
@@ -288,4 +288,4 @@
 }
 
 // EndAttempt winds the present attempt up.
-func (j *Job) EndAttempt(now time.Duration) { j.Gang.end(now) }
+func (j *Job) EndAttempt(now time.Duration) { j.Gang.endAttempt(now) }
--- a/internal/taskstate/page.go
+++ b/internal/taskstate/page.go
@@ -16,8 +16,8 @@
 // many tasks as there are to tell of, so the changes a second do not grow with
 // the tasks a second. A page all of whose marks are superseded is written over.
 
-// entry is what a page says of the tasks of one record.
-type entry struct {
+// pageEntry is what a page says of the tasks of one record.
+type pageEntry struct {
 	Record   string            `json:"c"` // JOB/NUMBER
 	Placed   map[string]string `json:"p,omitempty"`
 	Running  map[string]string `json:"b,omitempty"` // of those, tasks of a gang that have run
@@ -27,15 +27,15 @@
 }
 
 type storedPage struct {
-	Entries []entry `json:"e"`
+	Entries []pageEntry `json:"e"`
 }
 
-// overhead is how many bytes JSON adds to an entry's parts; runBytes is the
+// pageOverheadBytes is how many bytes JSON adds to an entry's parts; rangeBytes is the
 // most that one run takes, with a task's and an attempt's usual length twice
 // allowed for.
 const (
-	overhead = 48
-	runBytes = 24
+	pageOverheadBytes = 48
+	rangeBytes = 24
 )
 
 // PackPages writes tasks on pages of at most limit bytes, at most most of them. It
@@ -52,11 +52,11 @@
 			return pages, on, tasks[start:], nil
 		}
 		var p storedPage
-		size, end := overhead, start
+		size, end := pageOverheadBytes, start
 		for end < len(tasks) && size < limit {
-			var e entry
+			var e pageEntry
 			var n int
-			e, n, size = entryOf(tasks[end:], size, limit)
+			e, n, size = fillEntry(tasks[end:], size, limit)
 			if n == 0 {
 				break
 			}
@@ -73,13 +73,13 @@
 	return pages, on, nil, nil
 }
 
-// entryOf takes the first tasks of one record, as many as fit.
-func entryOf(tasks []*Task, size, limit int) (e entry, n, total int) {
+// fillEntry takes the first tasks of one record, as many as fit.
+func fillEntry(tasks []*Task, size, limit int) (e pageEntry, n, total int) {
 	c := tasks[0].Group
 	e.Record = c.Job.Spec.ID + "/" + strconv.Itoa(c.Number)
-	size += overhead + len(e.Record)
-	var waiting, returned, done runsOf
-	placed, running := map[string]*runsOf{}, map[string]*runsOf{}
+	size += pageOverheadBytes + len(e.Record)
+	var waiting, returned, done rangeList
+	placed, running := map[string]*rangeList{}, map[string]*rangeList{}
 	for _, t := range tasks {
 		if t.Group != c {
 			break
@@ -88,19 +88,19 @@
 		switch t.State {
 		case StatePlaced:
 			if to = placed[t.WorkerID]; to == nil {
-				to = &runsOf{}
+				to = &rangeList{}
 				cost = len(t.WorkerID) + 8
 			}
 			if t.Observed.HasRun {
-				cost += len(t.WorkerID) + 8 + runBytes
+				cost += len(t.WorkerID) + 8 + rangeBytes
 			}
 		case StateReturned, StateDropped:
 			to = &returned
 		case StateDone:
-			to, attempt = &done, usual
+			to, attempt = &done, usualAttempt
 		}
 		if !to.extends(t.Index, attempt) {
-			cost += runBytes
+			cost += rangeBytes
 		}
 		if size+cost > limit {
 			break
@@ -109,7 +109,7 @@
 			placed[t.WorkerID] = to
 			if t.Observed.HasRun {
 				if running[t.WorkerID] == nil {
-					running[t.WorkerID] = &runsOf{}
+					running[t.WorkerID] = &rangeList{}
 				}
 				running[t.WorkerID].add(t.Index, attempt)
 			}
@@ -118,13 +118,13 @@
 		size += cost
 		n++
 	}
-	e.Placed, e.Running = texts(placed), texts(running)
+	e.Placed, e.Running = formatRanges(placed), formatRanges(running)
 	e.Waiting, e.Returned, e.Done = waiting.String(), returned.String(), done.String()
 	return e, n, size
 }
 
-// texts writes the runs of each machine.
-func texts(of map[string]*runsOf) map[string]string {
+// formatRanges writes the runs of each machine.
+func formatRanges(of map[string]*rangeList) map[string]string {
 	if len(of) == 0 {
 		return nil
 	}
@@ -135,8 +135,8 @@
 	return list
 }
 
-// readPage calls fn for each task that a page tells of.
-func readPage(value json.RawMessage, fn func(job string, number, task int, m TaskStatus)) error {
+// decodePage calls fn for each task that a page tells of.
+func decodePage(value json.RawMessage, fn func(job string, number, task int, m TaskStatus)) error {
 	var p storedPage
 	if err := json.Unmarshal(value, &p); err != nil {
 		return fmt.Errorf("log page: %w", err)
@@ -155,7 +155,7 @@
 		}
 		runs := func(text string, m TaskStatus) {
 			if err == nil {
-				err = parseRuns(text, jobs.MaxTasks, func(r run) error {
+				err = parseRanges(text, jobs.MaxTasks, func(r indexRange) error {
 					m.Attempt = r.attempt
 					for i := r.first; i <= r.last; i++ {
 						words = append(words, word{job, number, i, m})
--- a/internal/taskstate/production_test.go
+++ b/internal/taskstate/production_test.go
@@ -89,7 +89,7 @@
 	jobs := map[string]*Job{}
 	chunks := map[string]*TaskGroup{}
 	var tasks []*Task
-	err := readPage(value, func(job string, n, task int, m TaskStatus) {
+	err := decodePage(value, func(job string, n, task int, m TaskStatus) {
 		r := s.Get(RecordKey(block, job, n))
 		if r == nil {
 			return // over
@@ -115,14 +115,14 @@
 	if err := json.Unmarshal(value, &was); err != nil {
 		t.Fatal(err)
 	}
-	was.Entries = slices.DeleteFunc(was.Entries, func(e entry) bool {
+	was.Entries = slices.DeleteFunc(was.Entries, func(e pageEntry) bool {
 		job, _, _ := strings.Cut(e.Record, "/")
 		return jobs[job] == nil || !slices.ContainsFunc(tasks, func(k *Task) bool { return strings.HasSuffix(k.Group.Key, "/"+e.Record) })
 	})
 	if len(was.Entries) == 0 {
 		return
 	}
-	slices.SortFunc(was.Entries, func(a, b entry) int { return strings.Compare(a.Record, b.Record) })
+	slices.SortFunc(was.Entries, func(a, b pageEntry) int { return strings.Compare(a.Record, b.Record) })
 	want, err := json.Marshal(was)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/taskstate/record.go
+++ b/internal/taskstate/record.go
@@ -91,10 +91,10 @@
 	case m.State == StatePlaced && o.State == StatePlaced:
 		return m.Running && !o.Running
 	}
-	return rank[m.State] > rank[o.State]
+	return stateOrder[m.State] > stateOrder[o.State]
 }
 
-var rank = [...]int{StatePlaced: 0, StateWaiting: 1, StateReturned: 2, StateDropped: 2, StateDone: 3}
+var stateOrder = [...]int{StatePlaced: 0, StateWaiting: 1, StateReturned: 2, StateDropped: 2, StateDone: 3}
 
 // Record is tasks of a job handed to one block: written once by the leader,
 // removed by it when they are over. What becomes of the tasks stands on the
@@ -120,7 +120,7 @@
 // that have had any.
 func NewRecord(block int, job string, number int, index []int, zones []string, attempts map[int]uint64) *Record {
 	r := &Record{Key: RecordKey(block, job, number), Shard: block, Job: job, Number: number, TaskIndexes: index, Zones: zones}
-	r.blank()
+	r.clearStatuses()
 	for i, n := range index {
 		r.Statuses[i].Attempt = attempts[n]
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-func (r *Record) blank() {
+func (r *Record) clearStatuses() {
 	r.Statuses, r.LogPages = make([]TaskStatus, len(r.TaskIndexes)), make([]int32, len(r.TaskIndexes))
 	for i := range r.LogPages {
 		r.LogPages[i] = -1
@@ -157,11 +157,11 @@
 // first version only, which kept the tasks' states here; Done is also written
 // for gangs.
 type storedRecord struct {
-	Index    string   `json:"i"`
-	Last     string   `json:"w,omitempty"` // last attempts
+	Indexes    string   `json:"i"`
+	LastAttempts     string   `json:"w,omitempty"` // last attempts
 	Zones    []string `json:"z,omitempty"`
-	Try      uint64   `json:"g,omitempty"`
-	Part     int      `json:"n,omitempty"`
+	GangAttempt      uint64   `json:"g,omitempty"`
+	PartSize     int      `json:"n,omitempty"`
 	Done     string   `json:"d,omitempty"`
 	Returned string   `json:"r,omitempty"`
 	Placed   map[string]struct {
@@ -173,18 +173,18 @@
 
 // Encode writes the value of a record that has just been handed out.
 func (r *Record) Encode() (json.RawMessage, error) {
-	s := storedRecord{Zones: r.Zones, Try: r.GangAttempt, Part: r.PartSize}
-	var index, last, done runsOf
+	s := storedRecord{Zones: r.Zones, GangAttempt: r.GangAttempt, PartSize: r.PartSize}
+	var index, last, done rangeList
 	for k, i := range r.TaskIndexes {
-		index.add(i, usual)
+		index.add(i, usualAttempt)
 		if r.Statuses[k].State == StateDone {
-			done.add(i, usual)
+			done.add(i, usualAttempt)
 		}
 		if a := r.Statuses[k].Attempt; a > 0 {
 			last.add(i, a)
 		}
 	}
-	s.Index, s.Last, s.Done = index.String(), last.String(), done.String()
+	s.Indexes, s.LastAttempts, s.Done = index.String(), last.String(), done.String()
 	return json.Marshal(s)
 }
 
@@ -201,8 +201,8 @@
 	if err := json.Unmarshal(value, &s); err != nil {
 		return nil, fmt.Errorf("work record %s: %w", key, err)
 	}
-	r := &Record{Key: key, Shard: block, Job: job, Number: number, Revision: stamp, Zones: s.Zones, GangAttempt: s.Try, PartSize: s.Part}
-	err = parseRuns(s.Index, jobs.MaxTasks, func(n run) error {
+	r := &Record{Key: key, Shard: block, Job: job, Number: number, Revision: stamp, Zones: s.Zones, GangAttempt: s.GangAttempt, PartSize: s.PartSize}
+	err = parseRanges(s.Indexes, jobs.MaxTasks, func(n indexRange) error {
 		if len(r.TaskIndexes)+n.last-n.first >= tuning.MaxRecordTasks {
 			return fmt.Errorf("more than %d tasks", tuning.MaxRecordTasks)
 		}
@@ -212,48 +212,48 @@
 		return nil
 	})
 	if err != nil || len(r.TaskIndexes) == 0 {
-		return nil, fmt.Errorf("work record %s: bad tasks %q (%v)", key, s.Index, err)
+		return nil, fmt.Errorf("work record %s: bad tasks %q (%v)", key, s.Indexes, err)
 	}
-	r.blank()
-	if err := r.decodeMarks(&s); err != nil {
+	r.clearStatuses()
+	if err := r.decodeStatuses(&s); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// decodeMarks reads what a record itself says of its tasks; the first version kept all
+// decodeStatuses reads what a record itself says of its tasks; the first version kept all
 // of it there.
-func (r *Record) decodeMarks(s *storedRecord) error {
+func (r *Record) decodeStatuses(s *storedRecord) error {
 	for _, part := range []struct {
 		text string
 		fn   func(*TaskStatus, uint64)
 	}{
-		{s.Last, func(m *TaskStatus, a uint64) { m.Attempt = a }},
+		{s.LastAttempts, func(m *TaskStatus, a uint64) { m.Attempt = a }},
 		{s.Done, func(m *TaskStatus, _ uint64) { m.State = StateDone }},
 		{s.Returned, func(m *TaskStatus, _ uint64) { m.State = StateReturned }},
 	} {
-		if err := r.markRuns(part.text, part.fn); err != nil {
+		if err := r.updateRanges(part.text, part.fn); err != nil {
 			return err
 		}
 	}
 	for text, p := range s.Placed {
-		if err := r.markTask(text, func(m *TaskStatus) { m.State, m.Attempt, m.WorkerID = StatePlaced, p.Attempt, p.Host }); err != nil {
+		if err := r.updateNamedTask(text, func(m *TaskStatus) { m.State, m.Attempt, m.WorkerID = StatePlaced, p.Attempt, p.Host }); err != nil {
 			return err
 		}
 	}
 	for text, a := range s.Attempts {
-		if err := r.markTask(text, func(m *TaskStatus) { m.Attempt = a }); err != nil {
+		if err := r.updateNamedTask(text, func(m *TaskStatus) { m.Attempt = a }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// markRuns calls fn for the marks of runs of tasks, with their attempt.
-func (r *Record) markRuns(text string, fn func(*TaskStatus, uint64)) error {
-	return parseRuns(text, jobs.MaxTasks, func(n run) error {
+// updateRanges calls fn for the marks of runs of tasks, with their attempt.
+func (r *Record) updateRanges(text string, fn func(*TaskStatus, uint64)) error {
+	return parseRanges(text, jobs.MaxTasks, func(n indexRange) error {
 		for i := n.first; i <= n.last; i++ {
-			if err := r.markIndex(i, func(m *TaskStatus) { fn(m, n.attempt) }); err != nil {
+			if err := r.updateTask(i, func(m *TaskStatus) { fn(m, n.attempt) }); err != nil {
 				return err
 			}
 		}
@@ -261,16 +261,16 @@
 	})
 }
 
-// markTask calls fn for the mark of a task named in a text.
-func (r *Record) markTask(text string, fn func(*TaskStatus)) error {
+// updateNamedTask calls fn for the mark of a task named in a text.
+func (r *Record) updateNamedTask(text string, fn func(*TaskStatus)) error {
 	task, err := strconv.Atoi(text)
 	if err != nil {
 		return fmt.Errorf("work record %s: no task %q", r.Key, text)
 	}
-	return r.markIndex(task, fn)
+	return r.updateTask(task, fn)
 }
 
-func (r *Record) markIndex(task int, fn func(*TaskStatus)) error {
+func (r *Record) updateTask(task int, fn func(*TaskStatus)) error {
 	k := r.position(task)
 	if k < 0 {
 		return fmt.Errorf("work record %s: no task %d", r.Key, task)
--- a/internal/taskstate/runs.go
+++ b/internal/taskstate/runs.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// run is a stretch of tasks with the same last attempt.
-type run struct {
+// indexRange is a stretch of tasks with the same last attempt.
+type indexRange struct {
 	first, last int
 	attempt     uint64
 }
 
-// usual is the attempt that runs leave out: most tasks run once.
-const usual = 1
+// usualAttempt is the attempt that runs leave out: most tasks run once.
+const usualAttempt = 1
 
-// appendRun adds a run to a list like "0-3,7@2".
-func appendRun(s []byte, r run) []byte {
+// appendRange adds a run to a list like "0-3,7@2".
+func appendRange(s []byte, r indexRange) []byte {
 	if len(s) > 0 {
 		s = append(s, ',')
 	}
@@ -25,51 +25,51 @@
 		s = append(s, '-')
 		s = strconv.AppendInt(s, int64(r.last), 10)
 	}
-	if r.attempt != usual {
+	if r.attempt != usualAttempt {
 		s = append(s, '@')
 		s = strconv.AppendUint(s, r.attempt, 10)
 	}
 	return s
 }
 
-// runsOf joins single tasks, in ascending order, into runs.
-type runsOf struct {
+// rangeList joins single tasks, in ascending order, into runs.
+type rangeList struct {
 	text []byte
-	open run
-	any  bool
+	last indexRange
+	hasLast  bool
 }
 
 // extends tells whether a task makes the last run longer.
-func (r *runsOf) extends(i int, attempt uint64) bool {
-	return r.any && r.open.last+1 == i && r.open.attempt == attempt
+func (r *rangeList) extends(i int, attempt uint64) bool {
+	return r.hasLast && r.last.last+1 == i && r.last.attempt == attempt
 }
 
-func (r *runsOf) add(i int, attempt uint64) {
+func (r *rangeList) add(i int, attempt uint64) {
 	if r.extends(i, attempt) {
-		r.open.last = i
+		r.last.last = i
 		return
 	}
-	if r.any {
-		r.text = appendRun(r.text, r.open)
+	if r.hasLast {
+		r.text = appendRange(r.text, r.last)
 	}
-	r.open, r.any = run{i, i, attempt}, true
+	r.last, r.hasLast = indexRange{i, i, attempt}, true
 }
 
-func (r *runsOf) String() string {
-	if r.any {
-		r.text, r.any = appendRun(r.text, r.open), false
+func (r *rangeList) String() string {
+	if r.hasLast {
+		r.text, r.hasLast = appendRange(r.text, r.last), false
 	}
 	return string(r.text)
 }
 
-// parseRuns reads a list of runs; numbers must ascend and stay below limit.
-func parseRuns(s string, limit int, fn func(run) error) error {
+// parseRanges reads a list of runs; numbers must ascend and stay below limit.
+func parseRanges(s string, limit int, fn func(indexRange) error) error {
 	if s == "" {
 		return nil
 	}
 	before := -1
 	for part := range strings.SplitSeq(s, ",") {
-		r := run{attempt: usual}
+		r := indexRange{attempt: usualAttempt}
 		span, at, marked := strings.Cut(part, "@")
 		lo, hi, ranged := strings.Cut(span, "-")
 		var err error
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -28,20 +28,20 @@
 
 	mirror  *statestore.Mirror
 	records map[string]*Record
-	byJob   map[string]map[string]*Record
-	sums    map[string]*sum
-	pages   map[string]uint64 // stamps of the pages
+	recordsByJob   map[string]map[string]*Record
+	progress    map[string]*jobProgress
+	pageRevisions   map[string]uint64 // stamps of the pages
 	log     *slog.Logger
 }
 
-// sum is what users are shown of a job.
-type sum struct{ done, placed, running int }
+// jobProgress is what users are shown of a job.
+type jobProgress struct{ done, placed, running int }
 
 // NewStore returns an empty store.
 func NewStore(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Store {
 	s := &Store{
-		records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{},
-		pages: map[string]uint64{}, log: log,
+		records: map[string]*Record{}, recordsByJob: map[string]map[string]*Record{}, progress: map[string]*jobProgress{},
+		pageRevisions: map[string]uint64{}, log: log,
 	}
 	s.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{Apply: s.apply, Reset: s.reset})
 	return s
@@ -81,8 +81,8 @@
 	}
 	if job == logName {
 		if value != nil {
-			s.pages[key] = stamp
-			s.read(block, number, value)
+			s.pageRevisions[key] = stamp
+			s.applyPage(block, number, value)
 		}
 		return
 	}
@@ -90,13 +90,13 @@
 	if value == nil {
 		if old != nil {
 			delete(s.records, key)
-			delete(s.byJob[old.Job], key)
+			delete(s.recordsByJob[old.Job], key)
 			for _, m := range old.Statuses {
 				s.count(job, m, -1)
 			}
-			if len(s.byJob[old.Job]) == 0 {
-				delete(s.byJob, old.Job)
-				delete(s.sums, old.Job)
+			if len(s.recordsByJob[old.Job]) == 0 {
+				delete(s.recordsByJob, old.Job)
+				delete(s.progress, old.Job)
 			}
 			for _, observer := range s.observers {
 				observer.RecordRemoved(old)
@@ -113,10 +113,10 @@
 		return
 	}
 	s.records[key] = r
-	if s.byJob[r.Job] == nil {
-		s.byJob[r.Job] = map[string]*Record{}
+	if s.recordsByJob[r.Job] == nil {
+		s.recordsByJob[r.Job] = map[string]*Record{}
 	}
-	s.byJob[r.Job][key] = r
+	s.recordsByJob[r.Job][key] = r
 	for _, m := range r.Statuses {
 		s.count(job, m, 1)
 	}
@@ -125,10 +125,10 @@
 	}
 }
 
-// read takes a page in. Words on records that are gone mean nothing any more.
-func (s *Store) read(block, page int, value json.RawMessage) {
+// applyPage takes a page in. Words on records that are gone mean nothing any more.
+func (s *Store) applyPage(block, page int, value json.RawMessage) {
 	var r *Record
-	err := readPage(value, func(job string, number, task int, m TaskStatus) {
+	err := decodePage(value, func(job string, number, task int, m TaskStatus) {
 		if r == nil || r.Job != job || r.Number != number {
 			r = s.records[RecordKey(block, job, number)]
 		}
@@ -159,10 +159,10 @@
 }
 
 func (s *Store) count(job string, m TaskStatus, sign int) {
-	n := s.sums[job]
+	n := s.progress[job]
 	if n == nil {
-		n = &sum{}
-		s.sums[job] = n
+		n = &jobProgress{}
+		s.progress[job] = n
 	}
 	switch m.State {
 	case StateDone:
@@ -178,7 +178,7 @@
 // RunningTasks tells how many tasks of a gang run: placed ones may still wait for
 // each other.
 func (s *Store) RunningGangTasks(job string) int {
-	if n := s.sums[job]; n != nil {
+	if n := s.progress[job]; n != nil {
 		return n.running
 	}
 	return 0
@@ -186,14 +186,14 @@
 
 // Progress tells how many tasks of a job are done and on machines.
 func (s *Store) Progress(job string) (done, placed int) {
-	if n := s.sums[job]; n != nil {
+	if n := s.progress[job]; n != nil {
 		return n.done, n.placed
 	}
 	return 0, 0
 }
 
 // PageRevision is the stamp of a page, 0 if it was never written.
-func (s *Store) PageRevision(block, page int) uint64 { return s.pages[PageKey(block, page)] }
+func (s *Store) PageRevision(block, page int) uint64 { return s.pageRevisions[PageKey(block, page)] }
 
 // Get finds a record.
 func (s *Store) Get(key string) *Record { return s.records[key] }
@@ -206,4 +206,4 @@
 }
 
 // JobRecords returns the records of a job.
-func (s *Store) JobRecords(job string) map[string]*Record { return s.byJob[job] }
+func (s *Store) JobRecords(job string) map[string]*Record { return s.recordsByJob[job] }
--- a/internal/taskstate/wire_test.go
+++ b/internal/taskstate/wire_test.go
@@ -60,11 +60,11 @@
 func TestWirePage(t *testing.T) {
 	const text = `{"e":[{"c":"wk-000412/6","p":{"vm-1":"0-1","vm-2":"2@3"},"b":{"vm-2":"2@3"},"w":"3@4","r":"4@5","d":"5-6"}]}`
 	wiretest.Same(t, text, &storedPage{})
-	wiretest.Written(t, storedPage{Entries: []entry{{}}}, `{"e":[{"c":""}]}`)
+	wiretest.Written(t, storedPage{Entries: []pageEntry{{}}}, `{"e":[{"c":""}]}`)
 
 	read := map[int]TaskStatus{}
 	seenRunning := map[int]bool{}
-	if err := readPage([]byte(text), func(job string, number, task int, m TaskStatus) {
+	if err := decodePage([]byte(text), func(job string, number, task int, m TaskStatus) {
 		if job != "wk-000412" || number != 6 {
 			t.Errorf("of %s/%d", job, number)
 		}
--- a/internal/taskstate/work_test.go
+++ b/internal/taskstate/work_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, bad := range []string{`{`, `{"e":[{"c":"wk-1"}]}`, `{"e":[{"c":"x/0","d":"1"}]}`, `{"e":[{"c":"wk-1/0","d":"0"},{"c":"wk-1/0","w":"2-1"}]}`} {
-		err := readPage(json.RawMessage(bad), func(string, int, int, TaskStatus) { t.Errorf("%s was half taken in", bad) })
+		err := decodePage(json.RawMessage(bad), func(string, int, int, TaskStatus) { t.Errorf("%s was half taken in", bad) })
 		if err == nil {
 			t.Errorf("page %s was taken", bad)
 		}
@@ -86,7 +86,7 @@
 func TestLogTellsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &Store{
-			records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{}, pages: map[string]uint64{}, log: slog.New(slog.DiscardHandler),
+			records: map[string]*Record{}, recordsByJob: map[string]map[string]*Record{}, progress: map[string]*jobProgress{}, pageRevisions: map[string]uint64{}, log: slog.New(slog.DiscardHandler),
 		}
 		var tasks []*Task
 		for n := range rapid.IntRange(1, 4).Draw(t, "records") {
@@ -141,7 +141,7 @@
 		}
 		order := rapid.Permutation(append(all, all...)).Draw(t, "order")
 		for i, p := range order {
-			store.read(0, i, p)
+			store.applyPage(0, i, p)
 		}
 		want := map[string][2]int{}
 		for _, k := range tasks {
