--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -126,11 +126,11 @@
 	for _, k := range c.Tasks {
 		change(k)
 	}
-	pages, _, _, err := taskstate.PackPages(c.Tasks, 1<<16, 1)
+	pages, _, err := taskstate.PackPages(c.Tasks, 1<<16, 1)
 	if err != nil || len(pages) != 1 {
 		t.Fatalf("%d pages, %v", len(pages), err)
 	}
-	s.Set(t, taskstate.PageKey(r.Shard, page), pages[0])
+	s.Set(t, taskstate.PageKey(r.Shard, page), pages[0].Value)
 }
 
 // record makes one of the job's tasks, as an earlier leader has.
--- a/internal/shard/log_writer.go
+++ b/internal/shard/log_writer.go
@@ -116,28 +116,28 @@
 
 // commit writes changed tasks to at most maxPages pages.
 func (w *logWriter) commit(maxPages int) {
-	values, tasksOnPages, rest, err := taskstate.PackPages(w.tasksToWrite(), w.pageBytes(), maxPages)
+	pages, rest, err := taskstate.PackPages(w.tasksToWrite(), w.pageBytes(), maxPages)
 	if err != nil {
 		w.deps.Log.Error("log pages not encoded", "shard", w.shardIndex, "err", err)
 		return
 	}
 	w.changes.keep(rest)
-	if len(values) == 0 {
+	if len(pages) == 0 {
 		return
 	}
-	commit := &pageCommit{pages: w.pages.reserve(len(values))}
+	commit := &pageCommit{pages: w.pages.reserve(len(pages))}
 	var operations []statestore.Operation
 	conditions := []statestore.Condition{{Key: statestore.ShardKey(w.shardIndex), Revision: w.token}}
-	for i, value := range values {
+	for i, packed := range pages {
 		// The condition on the page's revision makes a commit fail that is carried out
 		// once more, later: it must not bring back what the page held earlier.
-		page := commit.pages[i]
-		key := taskstate.PageKey(w.shardIndex, page)
-		conditions = append(conditions, statestore.Condition{Key: key, Revision: w.pages.page(page).revision})
-		operations = append(operations, statestore.Operation{PutKey: key, Value: value})
-		for _, task := range tasksOnPages[i] {
+		number := commit.pages[i]
+		key := taskstate.PageKey(w.shardIndex, number)
+		conditions = append(conditions, statestore.Condition{Key: key, Revision: w.pages.page(number).revision})
+		operations = append(operations, statestore.Operation{PutKey: key, Value: packed.Value})
+		for _, task := range packed.Tasks {
 			task.Log.Dirty = false
-			commit.statuses = append(commit.statuses, writtenStatus{task, task.State, task.Attempt, page})
+			commit.statuses = append(commit.statuses, writtenStatus{task, task.State, task.Attempt, number})
 		}
 	}
 	w.commitSequence++
--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -1,291 +1,269 @@
 package taskstate
 
 import (
+	"strconv"
 	"time"
 
 	"lemonmoor/internal/tuning"
 )
 
-// Gang is what an owner knows of the present attempt of a job whose tasks run at
-// the same time or not at all. The tasks of an attempt share its number, by which
-// they find each other.
+// Gang is what a shard's owner knows of the present attempt of a job whose tasks run at the
+// same time or not at all. The tasks of an attempt share its number, by which their workers
+// let them find each other.
+//
+// An attempt goes through the phases of GangPhase:
+//
+//	idle -> assembling            the first task is placed (Task.PlaceOn)
+//	assembling -> assembling      a task is lost before it waited for the others: replaced
+//	assembling -> start in doubt  a task vanishes (TaskGone): the gang may have started
+//	start in doubt -> assembling  a later heartbeat shows a task waiting (ReportedWaiting)
+//	assembling -> running         a heartbeat shows a task running (ReportedRunning)
+//	any of these -> ended         a task is lost for good, the gang is stopped (EndAttempt)
+//	any of these -> idle          the last task is proven gone from its worker (TaskGone)
+//	any -> done                   a task is known to be done
 type Gang struct {
-	// Attempt is that number; 0: no task of the gang can be on a machine.
+	// Attempt is the attempt's number; 0 means that no task of the gang can be on a worker.
 	Attempt uint64
-	// Started: all its tasks have run, as a report has shown.
+	// Started is set once all tasks have run, as a heartbeat has shown.
 	Started bool
-	// AttemptOver: the attempt comes to nothing; nothing of it is launched any more, and
-	// the next one waits until each of its tasks is proven gone. Since: from then.
+	// AttemptOver is set when the attempt comes to nothing, at AttemptOverSince: nothing of
+	// it is launched any more, and the next attempt waits until each of its tasks is proven
+	// gone.
 	AttemptOver      bool
 	AttemptOverSince time.Duration
-	// Checkpointing: it is over because it was told to save.
+	// Checkpointing is set when the attempt is over because the gang was told to save its
+	// progress.
 	Checkpointing bool
-	// StartInDoubtSince is since when a task is gone without it being known whether the gang
-	// had started by then, 0 if there is none. Only a later report of one that
-	// waits proves that it had not.
+	// StartInDoubtSince is when a task vanished without it being known whether the gang had
+	// started by then, 0 if none did. Only a heartbeat received later that shows a task
+	// waiting proves that the gang had not started.
 	StartInDoubtSince time.Duration
-	// Done: one task is proven done, so all are.
+	// Done is set once a task is known to be done, since then all are.
 	Done bool
-	// IncompleteAttempts counts the attempts in a row that were never complete.
+	// IncompleteAttempts counts the attempts in a row that never ran.
 	IncompleteAttempts int
-	// UncachedPlacements counts the placements on machines without the image.
+	// UncachedPlacements counts the attempt's placements on workers without the image.
 	UncachedPlacements int
-	// EnqueuedAt is since when it has waited for machines.
+	// EnqueuedAt is when the gang began to wait for workers.
 	EnqueuedAt time.Duration
 }
 
-// WireAttempt is the task's attempt as its worker knows it. For a gang it is the
-// gang's; the stored number also counts the replacements within it, so that it
-// grows with each placement. Numbers below the step are of a version that took
-// gangs for arrays.
-func (t *Task) WireAttempt() uint64 {
-	if t.Job.Gang == nil || t.Attempt < tuning.GangAttemptStride {
-		return t.Attempt
-	}
-	return t.Attempt / tuning.GangAttemptStride
-}
-
-// beginAttempt gives a task that is to be placed its next attempt.
-func (t *Task) beginAttempt() {
-	g := t.Job.Gang
-	if g == nil {
-		t.Attempt++
-		return
-	}
-	if g.Attempt == 0 {
-		g.Attempt = t.Job.nextAttempt()
-	}
-	if first := g.Attempt * tuning.GangAttemptStride; t.Attempt < first {
-		t.Attempt, t.Tried.Workers, t.Tried.Incomplete = first, nil, false
-	} else {
-		t.Attempt++
-	}
-}
+// GangPhase is the phase of a gang's present attempt.
+type GangPhase int
 
-// nextTry is a number that no attempt of the gang has had: the one that the
-// leader has chosen for the parts of a divided gang, or the next.
-func (j *Job) nextAttempt() uint64 {
-	var next uint64
-	for _, c := range j.Groups {
-		if c.GangAttempt > 0 && c.OpenTasks > 0 {
-			return c.GangAttempt
-		}
-	}
-	for _, c := range j.Groups {
-		for _, t := range c.Tasks { // those given back count too
-			next = max(next, t.WireAttempt())
-		}
-	}
-	return next + 1
-}
-
-// Replaceable tells whether a lost task may be placed once more within the
-// present attempt. It may not if machines that have had it are not known: on one
-// of them it would be taken for the lost one.
-func (t *Task) Replaceable() bool {
-	first := t.Job.Gang.Attempt * tuning.GangAttemptStride
-	return t.Attempt < first || (!t.Tried.Incomplete && t.Attempt+1 < first+tuning.GangAttemptStride)
-}
-
-// IsComplete tells whether the block has all of the gang's tasks, or of the part of
-// a divided gang that the leader has given to it.
-func (j *Job) IsComplete() bool {
-	if len(j.Tasks) == j.Spec.Tasks {
-		return true
-	}
-	n := 0
-	for _, c := range j.Groups {
-		if c.OpenTasks > 0 && c.GangAttempt == 0 {
-			return false
-		}
-		if c.OpenTasks > 0 {
-			n = max(n, c.PartSize)
-		}
-	}
-	return n > 0 && len(j.Tasks) == n
-}
+const (
+	// GangIdle is the phase before an attempt: no task can be on a worker.
+	GangIdle GangPhase = iota
+	// GangAssembling is the phase in which tasks are placed and launched, and wait on their
+	// workers for the others.
+	GangAssembling
+	// GangStartInDoubt is the phase in which a task is gone and nobody knows whether the
+	// gang had started: nothing is placed or launched.
+	GangStartInDoubt
+	// GangRunning is the phase after the start: no task can be replaced.
+	GangRunning
+	// GangEnded is the phase in which the tasks of an attempt that is over are still to be
+	// proven gone.
+	GangEnded
+	// GangDone is the final phase.
+	GangDone
+)
 
-// ChosenAttemptOver tells whether the attempt that the leader has chosen for a part of a
-// divided gang is over: the part goes back to the leader.
-func (j *Job) ChosenAttemptOver() bool {
-	g := j.Gang
-	if g == nil || g.Attempt != 0 || g.Done || j.Cancelled {
-		return false
+// String returns the phase's name for logs and tests.
+func (p GangPhase) String() string {
+	switch p {
+	case GangIdle:
+		return "idle"
+	case GangAssembling:
+		return "assembling"
+	case GangStartInDoubt:
+		return "start in doubt"
+	case GangRunning:
+		return "running"
+	case GangEnded:
+		return "ended"
+	case GangDone:
+		return "done"
 	}
-	spent := false
-	for _, c := range j.Groups {
-		for _, t := range c.Tasks {
-			if t.State == StateWaiting && c.GangAttempt > 0 && t.Attempt >= c.GangAttempt*tuning.GangAttemptStride {
-				spent = true
-			}
-		}
-	}
-	return spent
+	return "phase " + strconv.Itoa(int(p))
 }
 
-// TasksToPlace lists the tasks that want machines, all of them at once; none if the
-// gang must not be given any now.
-func (j *Job) TasksToPlace() []*Task {
-	g := j.Gang
-	if j.Cancelled || g.Done || g.AttemptOver || g.StartInDoubtSince > 0 || g.Started || !j.IsComplete() || j.ChosenAttemptOver() {
-		return nil
-	}
-	var list []*Task
-	for _, t := range j.Tasks {
-		if t.State == StateWaiting {
-			if g.Attempt > 0 && !t.Replaceable() {
-				return nil
-			}
-			list = append(list, t)
-		}
-	}
-	if g.Attempt == 0 && len(list) < len(j.Tasks) {
-		return nil
+// Phase returns the phase of the gang's present attempt.
+func (g *Gang) Phase() GangPhase {
+	switch {
+	case g.Done:
+		return GangDone
+	case g.AttemptOver:
+		return GangEnded
+	case g.StartInDoubtSince > 0:
+		return GangStartInDoubt
+	case g.Started:
+		return GangRunning
+	case g.Attempt > 0:
+		return GangAssembling
 	}
-	return list
+	return GangIdle
 }
 
-// Launchable tells whether a placed task may be launched: of a gang only when
-// the placements of all are durable, so that none is on a machine without it
-// being known where the others go.
-func (t *Task) Launchable() bool {
-	if !t.PlacementDurable || t.Launch.Sent || t.Job.Cancelled {
-		return false
-	}
-	g := t.Job.Gang
-	if g == nil {
-		return true
-	}
-	if g.Done || g.AttemptOver || g.StartInDoubtSince > 0 || t.WireAttempt() != g.Attempt || !t.Job.IsComplete() {
-		return false
-	}
-	for _, o := range t.Job.Tasks {
-		if o.State != StatePlaced || !o.PlacementDurable {
-			return false
-		}
+// endAttempt makes the attempt come to nothing, if it has not yet.
+func (g *Gang) endAttempt(now time.Duration) {
+	if !g.AttemptOver {
+		g.AttemptOver, g.AttemptOverSince = true, now
 	}
-	return true
 }
 
-// RecoverGang works out what an earlier owner, or an earlier token, has left of the
-// gang. now is the time from which reports count.
-func (j *Job) RecoverGang(now time.Duration) {
-	g := j.Gang
-	*g = Gang{EnqueuedAt: now, Done: j.PartDoneElsewhere}
-	for _, t := range j.Tasks {
-		g.Done = g.Done || t.State == StateDone
-		if t.State == StatePlaced {
-			g.Attempt = max(g.Attempt, t.WireAttempt())
-		}
-	}
-	if g.Attempt == 0 {
-		return
-	}
-	for _, t := range j.Tasks {
-		switch {
-		case t.State == StatePlaced:
-			g.Started = g.Started || t.Observed.HasRun
-			t.Tried.Workers = []string{t.WorkerID}
-			t.Tried.Incomplete = t.Attempt%tuning.GangAttemptStride > 0
-			if t.WireAttempt() != g.Attempt {
-				g.endAttempt(now) // of a version that took gangs for arrays
-			}
-		case t.State == StateWaiting && t.WireAttempt() == g.Attempt:
-			g.endAttempt(now) // lost, and it is not known from which machines
-		case t.State == StateWaiting:
-			g.StartInDoubtSince = now // the hand-out was not finished
-		}
-	}
-	if g.Started && g.StartInDoubtSince > 0 {
-		g.endAttempt(now)
+// nextAttempt makes the gang idle after an attempt whose tasks are all gone, and returns how
+// long to pause before the next one: longer the more attempts in a row never ran.
+func (g *Gang) nextAttempt(now time.Duration) (pause time.Duration) {
+	incomplete := 0
+	if !g.Started {
+		pause = min(tuning.MinGangPause<<min(g.IncompleteAttempts, maxGangPauseDoublings), tuning.MaxGangPause)
+		incomplete = g.IncompleteAttempts + 1
 	}
+	*g = Gang{IncompleteAttempts: incomplete, Done: g.Done, EnqueuedAt: now}
+	return pause
 }
 
-func (g *Gang) endAttempt(now time.Duration) {
-	if !g.AttemptOver {
-		g.AttemptOver, g.AttemptOverSince = true, now
-	}
-}
+// maxGangPauseDoublings bounds the shift in nextAttempt; tuning.MaxGangPause is reached
+// earlier.
+const maxGangPauseDoublings = 10
 
-// Loss is how a task of a gang came off its machine.
+// Loss is how a task of a gang came off its worker.
 type Loss int
 
 const (
-	// LossBeforeWaiting: it has never waited for the others, so they cannot have started.
+	// LossBeforeWaiting means that the task has never waited for the others, so that the
+	// gang cannot have started.
 	LossBeforeWaiting Loss = iota
-	// LossVanished: it is gone, whatever it did before.
+	// LossVanished means that the task is gone, whatever it did before.
 	LossVanished
-	// LossExited: it has exited, and so will the others.
+	// LossExited means that the task has exited, as the others will.
 	LossExited
 )
 
-// TaskGone takes note that a task is surely off its machine.
-func (j *Job) TaskGone(t *Task, how Loss, now time.Duration) {
-	g := j.Gang
-	placed := false
-	for _, o := range j.Tasks {
-		placed = placed || o.State == StatePlaced
+// String returns the loss's name for logs and tests.
+func (l Loss) String() string {
+	switch l {
+	case LossBeforeWaiting:
+		return "before waiting"
+	case LossVanished:
+		return "vanished"
+	case LossExited:
+		return "exited"
 	}
-	if !placed {
-		// The attempt is through: the next one may begin.
-		if g.Started {
-			g.IncompleteAttempts = 0
-		} else {
-			j.NotBefore = max(j.NotBefore, now+min(tuning.MinGangPause<<min(g.IncompleteAttempts, 10), tuning.MaxGangPause))
-			g.IncompleteAttempts++
+	return "loss " + strconv.Itoa(int(l))
+}
+
+// EndAttempt ends the gang's present attempt.
+func (j *Job) EndAttempt(now time.Duration) { j.Gang.endAttempt(now) }
+
+// TaskGone takes note that a gang's task is proven gone from its worker.
+func (j *Job) TaskGone(task *Task, loss Loss, now time.Duration) {
+	gang := j.Gang
+	if !j.hasTaskPlaced() {
+		started := gang.Started
+		pause := gang.nextAttempt(now)
+		if !started {
+			j.NotBefore = max(j.NotBefore, now+pause)
 		}
-		*g = Gang{IncompleteAttempts: g.IncompleteAttempts, Done: g.Done, EnqueuedAt: now}
 		return
 	}
 	switch {
-	case g.AttemptOver:
-	case g.Started || how == LossExited || !t.Replaceable():
-		g.endAttempt(now)
-	case how == LossVanished && g.StartInDoubtSince == 0:
-		g.StartInDoubtSince = now
+	case gang.AttemptOver:
+	case gang.Started || loss == LossExited || !task.Replaceable():
+		gang.endAttempt(now)
+	case loss == LossVanished && gang.StartInDoubtSince == 0:
+		gang.StartInDoubtSince = now
+	}
+}
+
+// hasTaskPlaced reports whether a task of the job is placed now.
+func (j *Job) hasTaskPlaced() bool {
+	for _, task := range j.Tasks {
+		if task.State == StatePlaced {
+			return true
+		}
 	}
+	return false
 }
 
-// ReportedRunning takes note that a task runs: all have been there.
+// ReportedRunning takes note that a task of the gang runs: then all of them have been there.
 func (j *Job) ReportedRunning(now time.Duration) {
-	g := j.Gang
-	g.Started = true
-	if g.StartInDoubtSince > 0 {
-		g.endAttempt(now)
+	j.Gang.Started = true
+	if j.Gang.StartInDoubtSince > 0 {
+		j.Gang.endAttempt(now)
 	}
 }
 
-// ReportedWaiting takes note that a task waits, as a report says that was received
-// after the loss in doubt: what is lost was lost before the start.
+// ReportedWaiting takes note that a task of the gang waits for the others, as a heartbeat
+// received now says. If that is later than the loss that is in doubt, the lost task was
+// lost before the start.
 func (j *Job) ReportedWaiting(now time.Duration) {
-	g := j.Gang
-	if g.StartInDoubtSince == 0 || g.StartInDoubtSince >= now || g.AttemptOver {
+	gang := j.Gang
+	if gang.StartInDoubtSince == 0 || gang.StartInDoubtSince >= now || gang.AttemptOver {
 		return
 	}
-	g.StartInDoubtSince = 0
-	for _, t := range j.Tasks {
-		if t.State == StateWaiting && !t.Replaceable() {
-			g.endAttempt(now)
+	gang.StartInDoubtSince = 0
+	for _, task := range j.Tasks {
+		if task.State == StateWaiting && !task.Replaceable() {
+			gang.endAttempt(now)
 		}
 	}
 }
 
-// MustHaltAttempt tells whether a task of an attempt that is over has to be halted now:
-// at once if the gang has not started, else when it has not noticed by itself,
-// or not saved, in the time for that.
-func (j *Job) MustHaltAttempt(now, peer time.Duration) bool {
-	g := j.Gang
-	wait := peer + tuning.GangLossNoticeMargin
+// MustHaltAttempt reports whether the tasks of an attempt that is over have to be halted
+// now. Before the start that is at once; afterwards the tasks notice a lost peer by
+// themselves within peerTimeout, and if they were told to save their progress they get the
+// time for that.
+func (j *Job) MustHaltAttempt(now, peerTimeout time.Duration) bool {
+	gang := j.Gang
+	wait := peerTimeout + tuning.GangLossNoticeMargin
 	switch {
-	case !g.AttemptOver || g.Attempt == 0:
+	case !gang.AttemptOver || gang.Attempt == 0:
 		return false
-	case g.Checkpointing:
+	case gang.Checkpointing:
 		wait += time.Duration(j.Spec.CheckpointSeconds * float64(time.Second))
-	case !g.Started:
+	case !gang.Started:
 		wait = 0
 	}
-	return now-g.AttemptOverSince >= wait
+	return now-gang.AttemptOverSince >= wait
 }
 
-// EndAttempt winds the present attempt up.
-func (j *Job) EndAttempt(now time.Duration) { j.Gang.endAttempt(now) }
+// RecoverGang works out the gang's state from the records under a new token. now is the time
+// from which heartbeats count.
+func (j *Job) RecoverGang(now time.Duration) {
+	gang := j.Gang
+	*gang = Gang{EnqueuedAt: now, Done: j.PartDoneElsewhere}
+	for _, task := range j.Tasks {
+		gang.Done = gang.Done || task.State == StateDone
+		if task.State == StatePlaced {
+			gang.Attempt = max(gang.Attempt, task.WireAttempt())
+		}
+	}
+	if gang.Attempt == 0 {
+		return
+	}
+	for _, task := range j.Tasks {
+		switch {
+		case task.State == StatePlaced:
+			gang.recoverPlaced(task, now)
+		case task.State == StateWaiting && task.WireAttempt() == gang.Attempt:
+			gang.endAttempt(now) // lost, and it is not known from which workers
+		case task.State == StateWaiting:
+			gang.StartInDoubtSince = now // not all of the placements were committed
+		}
+	}
+	if gang.Started && gang.StartInDoubtSince > 0 {
+		gang.endAttempt(now)
+	}
+}
+
+// recoverPlaced takes in a task that the records show placed.
+func (g *Gang) recoverPlaced(task *Task, now time.Duration) {
+	g.Started = g.Started || task.Observed.HasRun
+	task.Tried.Workers = []string{task.WorkerID}
+	task.Tried.Incomplete = task.Attempt%tuning.GangAttemptStride > 0
+	if task.WireAttempt() != g.Attempt {
+		g.endAttempt(now) // placed by the first version, which took gangs for arrays
+	}
+}
--- /dev/null
+++ b/internal/taskstate/job_test.go
@@ -0,0 +1,29 @@
+package taskstate
+
+import (
+	"testing"
+
+	"lemonmoor/internal/jobs"
+)
+
+// TestJobOrder: priority, then objectives that can still be met, then quotas; of jobs alike
+// in these the smaller goes first, so that under overload more meet their objectives, and
+// jobs of about the same size go by age.
+func TestJobOrder(t *testing.T) {
+	newJob := func(id, urgency string, missedObjectives int, withinQuota bool, taskCount int, submittedMS int64) *Job {
+		job := NewJob(&jobs.Spec{ID: id, Urgency: urgency, Tasks: taskCount, CPUs: 1, EstimateSeconds: 10}, submittedMS, withinQuota)
+		job.Rank.MissedObjectives = missedObjectives
+		return job
+	}
+	ordered := []*Job{
+		newJob("wk-1", "urgent", 0, true, 10, 50), newJob("wk-2", "urgent", 0, true, 200, 10), newJob("wk-3", "urgent", 0, true, 190, 20),
+		newJob("wk-4", "urgent", 0, false, 5, 5), newJob("wk-5", "urgent", 1, true, 5, 1), newJob("wk-6", "standard", 0, true, 1, 1),
+	}
+	for i, a := range ordered {
+		for k, b := range ordered {
+			if JobBefore(a, b) != (i < k) {
+				t.Errorf("%s before %s: %v", a.Spec.ID, b.Spec.ID, JobBefore(a, b))
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/taskstate/page_test.go
@@ -0,0 +1,162 @@
+package taskstate
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/tuning"
+)
+
+// TestInvalidPagesAreRefused: what contradicts itself is never taken in, not in part either.
+func TestInvalidPagesAreRefused(t *testing.T) {
+	for _, value := range []string{`{`, `{"e":[{"c":"wk-1"}]}`, `{"e":[{"c":"x/0","d":"1"}]}`, `{"e":[{"c":"wk-1/0","d":"0"},{"c":"wk-1/0","w":"2-1"}]}`} {
+		statuses, err := decodePage(json.RawMessage(value))
+		if !errors.Is(err, ErrInvalidPage) {
+			t.Errorf("page %s gave %v", value, err)
+		}
+		if len(statuses) > 0 {
+			t.Errorf("%s was taken in in part", value)
+		}
+	}
+}
+
+// TestLogPagesRestoreEveryStatus: whatever becomes of the tasks of a shard, a copy that reads
+// the pages in any order, some twice, holds the newest status of each; and no page is larger
+// than allowed.
+func TestLogPagesRestoreEveryStatus(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		store := NewStore(nil, nil, slog.New(slog.DiscardHandler))
+		tasks := drawRecords(t, store)
+		var pages []json.RawMessage
+		for range rapid.IntRange(1, 12).Draw(t, "commits") {
+			pages = append(pages, packAll(t, drawChanges(t, tasks), rapid.IntRange(300, 2000).Draw(t, "limit"))...)
+		}
+		for i, page := range rapid.Permutation(append(pages, pages...)).Draw(t, "order") {
+			store.applyPage(0, i, page)
+		}
+		checkStatuses(t, store, tasks)
+	})
+}
+
+// drawRecords adds some records to a store and returns their tasks.
+func drawRecords(t *rapid.T, store *Store) []*Task {
+	t.Helper()
+	var tasks []*Task
+	for number := range rapid.IntRange(1, 4).Draw(t, "records") {
+		jobID := []string{"wk-1", "wk-22", "wk-333", "wk-4444"}[number]
+		indexes := rapid.SliceOfNDistinct(rapid.IntRange(0, 400), 1, 120, rapid.ID[int]).Draw(t, "indexes")
+		slices.Sort(indexes)
+		record := NewRecord(0, jobID, number, indexes, nil, nil)
+		value, err := record.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		store.apply(record.Key, value, 1)
+		job := &Job{Spec: &jobs.Spec{ID: jobID}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
+		tasks = append(tasks, LoadRecord(job, record).Tasks...)
+	}
+	return tasks
+}
+
+// drawChanges changes some of the tasks and returns these.
+func drawChanges(t *rapid.T, tasks []*Task) []*Task {
+	t.Helper()
+	var changed []*Task
+	for _, task := range tasks {
+		if task.State == StateDone || task.State == StateReturned || rapid.IntRange(0, 2).Draw(t, "stays") > 0 {
+			continue
+		}
+		switch {
+		case task.State == StateWaiting && rapid.IntRange(0, 5).Draw(t, "what") == 0:
+			task.State = StateReturned
+		case task.State == StateWaiting:
+			task.State, task.WorkerID = StatePlaced, rapid.SampledFrom([]string{"vm-000001", "vm-000002", "vm-1234567"}).Draw(t, "worker")
+			task.Attempt++
+		case rapid.Bool().Draw(t, "done"):
+			task.State, task.WorkerID = StateDone, ""
+		default:
+			task.State, task.WorkerID = StateWaiting, ""
+		}
+		changed = append(changed, task)
+	}
+	return changed
+}
+
+// packAll writes all tasks on pages and checks that each task is on one, and the pages' size.
+func packAll(t *rapid.T, tasks []*Task, maxBytes int) []json.RawMessage {
+	t.Helper()
+	pages, rest, err := PackPages(tasks, maxBytes, 1000)
+	if err != nil || len(rest) > 0 {
+		t.Fatalf("%d left over, %v", len(rest), err)
+	}
+	var values []json.RawMessage
+	written := 0
+	for _, page := range pages {
+		written += len(page.Tasks)
+		if len(page.Value) > maxBytes {
+			t.Fatalf("a page of %d bytes, %d are allowed", len(page.Value), maxBytes)
+		}
+		values = append(values, page.Value)
+	}
+	if written != len(tasks) {
+		t.Fatalf("%d of %d tasks written", written, len(tasks))
+	}
+	return values
+}
+
+// checkStatuses compares what a store says with the tasks.
+func checkStatuses(t *rapid.T, store *Store, tasks []*Task) {
+	t.Helper()
+	type progress struct{ done, placed int }
+	want := map[string]progress{}
+	for _, task := range tasks {
+		record := store.Get(task.Group.Key)
+		status := record.Statuses[record.position(task.Index)]
+		if status.State != task.State || status.WorkerID != task.WorkerID || (task.State != StateDone && status.Attempt != task.Attempt) {
+			t.Fatalf("%s is %+v, the copy says %+v", task.Name(), task, status)
+		}
+		job := want[record.Job]
+		switch task.State {
+		case StateDone:
+			job.done++
+		case StatePlaced:
+			job.placed++
+		case StateWaiting, StateDropped, StateReturned:
+		}
+		want[record.Job] = job
+	}
+	for jobID, job := range want {
+		if done, placed := store.Progress(jobID); done != job.done || placed != job.placed {
+			t.Fatalf("%s: %d done and %d placed, the copy says %d and %d", jobID, job.done, job.placed, done, placed)
+		}
+	}
+}
+
+// BenchmarkPackPages shows what it costs to write a page, by the tasks on it.
+func BenchmarkPackPages(b *testing.B) {
+	for _, taskCount := range []int{50, 500} {
+		b.Run(fmt.Sprint(taskCount, "tasks"), func(b *testing.B) {
+			indexes := make([]int, taskCount)
+			for i := range indexes {
+				indexes[i] = i
+			}
+			job := &Job{Spec: &jobs.Spec{ID: "wk-000412"}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
+			tasks := LoadRecord(job, NewRecord(0, "wk-000412", 0, indexes, nil, nil)).Tasks
+			for i, task := range tasks {
+				task.State, task.Attempt, task.WorkerID = StatePlaced, 1, fmt.Sprintf("vm-%06d", i/2)
+			}
+			for b.Loop() {
+				if _, rest, err := PackPages(slices.Clone(tasks), tuning.MaxPageBytes, 12); err != nil || len(rest) > 0 {
+					b.Fatal(len(rest), err)
+				}
+			}
+		})
+	}
+}
--- a/internal/taskstate/production_test.go
+++ b/internal/taskstate/production_test.go
@@ -22,59 +22,44 @@
 }
 
 func readProduction(t *testing.T) production {
-	raw, err := os.ReadFile("testdata/production.json")
+	t.Helper()
+	text, err := os.ReadFile("testdata/production.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var p production
-	if err := json.Unmarshal(raw, &p); err != nil {
+	var recorded production
+	if err := json.Unmarshal(text, &recorded); err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return recorded
 }
 
-// TestProductionRecords: each record and page of the version in production is
-// read, and written again for arrays it comes out to the byte, so that either
-// version works on what the other has left.
+// TestProductionRecords: each record and page of the version in production is read, and
+// written again for arrays it comes out to the byte, so that either version works on what
+// the other has left.
 func TestProductionRecords(t *testing.T) {
 	records, pages := 0, 0
-	for _, snap := range readProduction(t).Snapshots {
-		s := NewStore(nil, nil, slog.New(slog.DiscardHandler))
-		var keys []string
-		for key := range snap.Keys {
-			if strings.HasPrefix(key, KeyPrefix) {
-				keys = append(keys, key)
-			}
-		}
-		// Records before pages.
-		slices.SortFunc(keys, func(a, b string) int {
-			if x, y := strings.Contains(a, "/log/"), strings.Contains(b, "/log/"); x != y {
-				if x {
-					return 1
-				}
-				return -1
-			}
-			return strings.Compare(a, b)
-		})
-		for _, key := range keys {
-			value := snap.Keys[key]
-			s.apply(key, value, 7)
-			block, job, number, err := parseKey(key)
+	for _, snapshot := range readProduction(t).Snapshots {
+		store := NewStore(nil, nil, slog.New(slog.DiscardHandler))
+		for _, key := range keysInReadingOrder(snapshot.Keys) {
+			value := snapshot.Keys[key]
+			store.apply(key, value, 7)
+			parsed, err := parseKey(key)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if job == logName {
+			if parsed.isPage {
 				pages++
-				again(t, s, snap.Keys, block, number, value)
+				checkRewrittenPage(t, store, snapshot.Keys, parsed, value)
 				continue
 			}
 			records++
-			r := s.Get(key)
-			if r == nil {
+			record := store.Get(key)
+			if record == nil {
 				t.Fatalf("record %s is not read", key)
 			}
-			if raw, err := r.Encode(); err != nil || !bytes.Equal(raw, value) {
-				t.Errorf("%s: was %s, is %s (%v)", key, value, raw, err)
+			if rewritten, err := record.Encode(); err != nil || !bytes.Equal(rewritten, value) {
+				t.Errorf("%s: was %s, is %s (%v)", key, value, rewritten, err)
 			}
 		}
 	}
@@ -83,52 +68,73 @@
 	}
 }
 
-// again writes the page of a block anew from what has been read of it.
-func again(t *testing.T, s *Store, all map[string]json.RawMessage, block, number int, value json.RawMessage) {
+// keysInReadingOrder returns the keys of records, then those of log pages.
+func keysInReadingOrder(all map[string]json.RawMessage) []string {
+	var keys []string
+	for key := range all {
+		if strings.HasPrefix(key, KeyPrefix) {
+			keys = append(keys, key)
+		}
+	}
+	slices.SortFunc(keys, func(a, b string) int {
+		if x, y := strings.Contains(a, "/log/"), strings.Contains(b, "/log/"); x != y {
+			if x {
+				return 1
+			}
+			return -1
+		}
+		return strings.Compare(a, b)
+	})
+	return keys
+}
+
+// checkRewrittenPage writes a log page anew from what has been read of it and compares the
+// two. Entries of jobs that are over are left out: their specs are gone.
+func checkRewrittenPage(t *testing.T, store *Store, all map[string]json.RawMessage, key parsedKey, value json.RawMessage) {
 	t.Helper()
-	jobs := map[string]*Job{}
-	chunks := map[string]*TaskGroup{}
+	statuses, err := decodePage(value)
+	if err != nil {
+		t.Fatalf("page %d: %v", key.number, err)
+	}
+	jobs, groups := map[string]*Job{}, map[string]*TaskGroup{}
 	var tasks []*Task
-	err := decodePage(value, func(job string, n, task int, m TaskStatus) {
-		r := s.Get(RecordKey(block, job, n))
-		if r == nil {
-			return // over
+	for _, logged := range statuses {
+		record := store.Get(RecordKey(key.shardIndex, logged.jobID, logged.number))
+		if record == nil {
+			continue // over
 		}
-		if jobs[job] == nil {
-			var rec userapi.Record
-			if err := json.Unmarshal(all[userapi.KeyPrefix+job], &rec); err != nil || rec.Spec == nil {
-				return // its description is gone with its end
+		if jobs[logged.jobID] == nil {
+			var stored userapi.Record
+			if err := json.Unmarshal(all[userapi.KeyPrefix+logged.jobID], &stored); err != nil || stored.Spec == nil {
+				continue
 			}
-			jobs[job] = &Job{Spec: rec.Spec, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
+			jobs[logged.jobID] = &Job{Spec: stored.Spec, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 		}
-		if chunks[r.Key] == nil {
-			chunks[r.Key] = LoadRecord(jobs[job], r)
+		if groups[record.Key] == nil {
+			groups[record.Key] = LoadRecord(jobs[logged.jobID], record)
 		}
-		k := chunks[r.Key].Tasks[r.position(task)]
-		k.State, k.Attempt, k.WorkerID = m.State, m.Attempt, m.WorkerID
-		tasks = append(tasks, k)
-	})
-	if err != nil {
-		t.Fatalf("page %d: %v", number, err)
+		task := groups[record.Key].Tasks[record.position(logged.index)]
+		task.State, task.Attempt, task.WorkerID = logged.status.State, logged.status.Attempt, logged.status.WorkerID
+		tasks = append(tasks, task)
 	}
-	var was storedPage
-	if err := json.Unmarshal(value, &was); err != nil {
+	var original storedPage
+	if err := json.Unmarshal(value, &original); err != nil {
 		t.Fatal(err)
 	}
-	was.Entries = slices.DeleteFunc(was.Entries, func(e pageEntry) bool {
-		job, _, _ := strings.Cut(e.Record, "/")
-		return jobs[job] == nil || !slices.ContainsFunc(tasks, func(k *Task) bool { return strings.HasSuffix(k.Group.Key, "/"+e.Record) })
+	original.Entries = slices.DeleteFunc(original.Entries, func(entry pageEntry) bool {
+		jobID, _, _ := strings.Cut(entry.Record, "/")
+		return jobs[jobID] == nil || !slices.ContainsFunc(tasks, func(task *Task) bool { return strings.HasSuffix(task.Group.Key, "/"+entry.Record) })
 	})
-	if len(was.Entries) == 0 {
+	if len(original.Entries) == 0 {
 		return
 	}
-	slices.SortFunc(was.Entries, func(a, b pageEntry) int { return strings.Compare(a.Record, b.Record) })
-	want, err := json.Marshal(was)
+	slices.SortFunc(original.Entries, func(a, b pageEntry) int { return strings.Compare(a.Record, b.Record) })
+	want, err := json.Marshal(original)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, _, rest, err := PackPages(tasks, 10*tuning.MaxPageBytes, 12)
-	if err != nil || len(got) != 1 || len(rest) > 0 || !bytes.Equal(got[0], want) {
-		t.Errorf("page %d: was %s, is %s (%v)", number, want, got, err)
+	pages, rest, err := PackPages(tasks, 10*tuning.MaxPageBytes, 12)
+	if err != nil || len(pages) != 1 || len(rest) > 0 || !bytes.Equal(pages[0].Value, want) {
+		t.Errorf("page %d: was %s, is %v (%v)", key.number, want, pages, err)
 	}
 }
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -21,189 +21,215 @@
 	TaskStatusChanged(record *Record, position int, previous TaskStatus)
 }
 
-// Store is every node's copy of all records and of what the pages say of their
-// tasks, fed by a watch.
+// Store is every node's copy of all records and of what the log pages say of their tasks, fed
+// by a watch. It is used within the event loop only.
 type Store struct {
-	observers []Observer
-
-	mirror  *statestore.Mirror
-	records map[string]*Record
-	recordsByJob   map[string]map[string]*Record
-	progress    map[string]*jobProgress
-	pageRevisions   map[string]uint64 // stamps of the pages
-	log     *slog.Logger
+	mirror        *statestore.Mirror
+	observers     []Observer
+	records       map[string]*Record            // by key
+	recordsByJob  map[string]map[string]*Record // by job and key
+	progress      map[string]*jobProgress       // by job
+	pageRevisions map[string]uint64             // by key
+	log           *slog.Logger
 }
 
-// jobProgress is what users are shown of a job.
-type jobProgress struct{ done, placed, running int }
+// jobProgress counts the tasks of a job for its user.
+type jobProgress struct {
+	done, placed int
+	running      int // placed tasks of a gang that have been seen running
+}
 
 // NewStore returns an empty store.
-func NewStore(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Store {
+func NewStore(runtime eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Store {
 	s := &Store{
 		records: map[string]*Record{}, recordsByJob: map[string]map[string]*Record{}, progress: map[string]*jobProgress{},
 		pageRevisions: map[string]uint64{}, log: log,
 	}
-	s.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{Apply: s.apply, Reset: s.reset})
+	s.mirror = statestore.NewMirror(runtime, state, KeyPrefix, statestore.MirrorHandler{Apply: s.apply, Reset: s.reset})
 	return s
 }
 
-// reset removes the records that a new listing lacks. What is there still is not taken
-// away and brought back: an owner would lose sight of the tasks on its machines.
-func (s *Store) reset(rows []statestore.KeyValue) {
-	there := make(map[string]bool, len(rows))
-	for _, r := range rows {
-		there[r.Key] = true
-	}
-	for key := range s.records {
-		if !there[key] {
-			s.apply(key, nil, 0)
-		}
-	}
-}
-
 // Observe has an observer told of changes, after those that were registered before it.
 func (s *Store) Observe(observer Observer) { s.observers = append(s.observers, observer) }
 
-// SetWatchPause sets how long to rest between changes.
+// SetWatchPause sets how long to pause between two watch requests.
 func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.SetWatchPause(pause) }
 
 // Start begins to read the records.
 func (s *Store) Start() { s.mirror.Start() }
 
-// Verify calls fn when the store is proven to be current.
+// Verify calls fn once the store is verified to hold everything that was committed before
+// the call, or with an error if that could not be shown.
 func (s *Store) Verify(fn func(error)) { s.mirror.Verify(fn) }
 
-func (s *Store) apply(key string, value json.RawMessage, stamp uint64) {
-	block, job, number, err := parseKey(key)
-	if err != nil {
-		s.log.Error("work record has a strange key", "err", err)
-		return
+// Get returns a record, nil if there is none with that key.
+func (s *Store) Get(key string) *Record { return s.records[key] }
+
+// EachRecord calls fn for every record, in no particular order.
+func (s *Store) EachRecord(fn func(*Record)) {
+	for _, record := range s.records {
+		fn(record)
 	}
-	if job == logName {
-		if value != nil {
-			s.pageRevisions[key] = stamp
-			s.applyPage(block, number, value)
-		}
-		return
+}
+
+// JobRecords returns the records of a job by their keys. The map is the store's own and must
+// not be changed.
+func (s *Store) JobRecords(jobID string) map[string]*Record { return s.recordsByJob[jobID] }
+
+// PageRevision returns the revision of a log page, 0 if it was never written.
+func (s *Store) PageRevision(shardIndex, page int) uint64 {
+	return s.pageRevisions[PageKey(shardIndex, page)]
+}
+
+// Progress returns how many tasks of a job are done, and how many are placed.
+func (s *Store) Progress(jobID string) (done, placed int) {
+	if progress := s.progress[jobID]; progress != nil {
+		return progress.done, progress.placed
+	}
+	return 0, 0
+}
+
+// RunningGangTasks returns how many tasks of a gang run: placed ones may still wait for each
+// other.
+func (s *Store) RunningGangTasks(jobID string) int {
+	if progress := s.progress[jobID]; progress != nil {
+		return progress.running
+	}
+	return 0
+}
+
+// reset removes the records that a new listing lacks. A record that is still there is not
+// removed and added again: an owner would lose sight of the tasks on its workers.
+func (s *Store) reset(entries []statestore.KeyValue) {
+	listed := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		listed[entry.Key] = true
 	}
-	old := s.records[key]
-	if value == nil {
-		if old != nil {
-			delete(s.records, key)
-			delete(s.recordsByJob[old.Job], key)
-			for _, m := range old.Statuses {
-				s.count(job, m, -1)
-			}
-			if len(s.recordsByJob[old.Job]) == 0 {
-				delete(s.recordsByJob, old.Job)
-				delete(s.progress, old.Job)
-			}
-			for _, observer := range s.observers {
-				observer.RecordRemoved(old)
-			}
+	for key := range s.records {
+		if !listed[key] {
+			s.apply(key, nil, 0)
 		}
-		return
 	}
-	if old != nil {
-		return // records are written once; it was read before
+}
+
+// apply takes in a change of a key; the value is nil if the key was deleted.
+func (s *Store) apply(key string, value json.RawMessage, revision uint64) {
+	parsed, err := parseKey(key)
+	switch {
+	case err != nil:
+		s.log.Error("unexpected key under the prefix of the records", "key", key, "err", err)
+	case parsed.isPage && value != nil:
+		s.pageRevisions[key] = revision
+		s.applyPage(parsed.shardIndex, parsed.number, value)
+	case parsed.isPage:
+		// The statuses stay as they are: pages are overwritten, never deleted.
+	case value == nil:
+		s.removeRecord(key)
+	default:
+		s.addRecord(key, value, revision)
+	}
+}
+
+// addRecord takes in a new record. Records are written once: one that is known is the same,
+// and its statuses are newer than what the stored form says.
+func (s *Store) addRecord(key string, value json.RawMessage, revision uint64) {
+	if s.records[key] != nil {
+		return
 	}
-	r, err := DecodeRecord(key, value, stamp)
+	record, err := DecodeRecord(key, value, revision)
 	if err != nil {
-		s.log.Error("work record does not parse", "err", err)
+		s.log.Error("record not decoded", "key", key, "err", err)
 		return
 	}
-	s.records[key] = r
-	if s.recordsByJob[r.Job] == nil {
-		s.recordsByJob[r.Job] = map[string]*Record{}
+	s.records[key] = record
+	if s.recordsByJob[record.Job] == nil {
+		s.recordsByJob[record.Job] = map[string]*Record{}
 	}
-	s.recordsByJob[r.Job][key] = r
-	for _, m := range r.Statuses {
-		s.count(job, m, 1)
+	s.recordsByJob[record.Job][key] = record
+	for _, status := range record.Statuses {
+		s.count(record.Job, status, 1)
 	}
 	for _, observer := range s.observers {
-		observer.RecordAdded(r)
+		observer.RecordAdded(record)
 	}
 }
 
-// applyPage takes a page in. Words on records that are gone mean nothing any more.
-func (s *Store) applyPage(block, page int, value json.RawMessage) {
-	var r *Record
-	err := decodePage(value, func(job string, number, task int, m TaskStatus) {
-		if r == nil || r.Job != job || r.Number != number {
-			r = s.records[RecordKey(block, job, number)]
-		}
-		if r == nil {
-			return
-		}
-		k := r.position(task)
-		if k < 0 {
-			s.log.Error("log page names a strange task", "record", r.Key, "task", task)
-			return
-		}
-		was := r.Statuses[k]
-		switch {
-		case m == was || (m.State == StateDone && was.State == StateDone):
-			r.LogPages[k] = int32(page) // copied from a page that is to be written over
-		case m.supersedes(was):
-			r.Statuses[k], r.LogPages[k] = m, int32(page)
-			s.count(job, was, -1)
-			s.count(job, m, 1)
-			for _, observer := range s.observers {
-				observer.TaskStatusChanged(r, k, was)
-			}
-		}
-	})
-	if err != nil {
-		s.log.Error("log page does not parse", "block", block, "page", page, "err", err)
+// removeRecord forgets a record that was deleted.
+func (s *Store) removeRecord(key string) {
+	record := s.records[key]
+	if record == nil {
+		return
+	}
+	delete(s.records, key)
+	delete(s.recordsByJob[record.Job], key)
+	for _, status := range record.Statuses {
+		s.count(record.Job, status, -1)
+	}
+	if len(s.recordsByJob[record.Job]) == 0 {
+		delete(s.recordsByJob, record.Job)
+		delete(s.progress, record.Job)
+	}
+	for _, observer := range s.observers {
+		observer.RecordRemoved(record)
 	}
 }
 
-func (s *Store) count(job string, m TaskStatus, sign int) {
-	n := s.progress[job]
-	if n == nil {
-		n = &jobProgress{}
-		s.progress[job] = n
+// applyPage takes in what a log page says. Statuses of tasks of removed records mean nothing
+// any more.
+func (s *Store) applyPage(shardIndex, page int, value json.RawMessage) {
+	statuses, err := decodePage(value)
+	if err != nil {
+		s.log.Error("log page not decoded", "shard", shardIndex, "page", page, "err", err)
+		return
 	}
-	switch m.State {
-	case StateDone:
-		n.done += sign
-	case StatePlaced:
-		n.placed += sign
-		if m.Running {
-			n.running += sign
+	var record *Record
+	for _, logged := range statuses {
+		if record == nil || record.Job != logged.jobID || record.Number != logged.number {
+			record = s.records[RecordKey(shardIndex, logged.jobID, logged.number)]
+		}
+		if record == nil {
+			continue
 		}
+		position := record.position(logged.index)
+		if position < 0 {
+			s.log.Error("log page names a task that its record lacks", "shard", shardIndex, "page", page, "key", record.Key, "task", logged.index)
+			continue
+		}
+		s.applyStatus(record, position, logged.status, page)
 	}
 }
 
-// RunningTasks tells how many tasks of a gang run: placed ones may still wait for
-// each other.
-func (s *Store) RunningGangTasks(job string) int {
-	if n := s.progress[job]; n != nil {
-		return n.running
+// applyStatus takes in the status that a log page says that a task has.
+func (s *Store) applyStatus(record *Record, position int, status TaskStatus, page int) {
+	previous := record.Statuses[position]
+	switch {
+	case status == previous || (status.State == StateDone && previous.State == StateDone):
+		record.LogPages[position] = int32(page) // moved off a page that is to be overwritten
+	case status.supersedes(previous):
+		record.Statuses[position], record.LogPages[position] = status, int32(page)
+		s.count(record.Job, previous, -1)
+		s.count(record.Job, status, 1)
+		for _, observer := range s.observers {
+			observer.TaskStatusChanged(record, position, previous)
+		}
 	}
-	return 0
 }
 
-// Progress tells how many tasks of a job are done and on machines.
-func (s *Store) Progress(job string) (done, placed int) {
-	if n := s.progress[job]; n != nil {
-		return n.done, n.placed
+// count adds a task to a job's progress, or takes it out with a sign of -1.
+func (s *Store) count(jobID string, status TaskStatus, sign int) {
+	progress := s.progress[jobID]
+	if progress == nil {
+		progress = &jobProgress{}
+		s.progress[jobID] = progress
 	}
-	return 0, 0
-}
-
-// PageRevision is the stamp of a page, 0 if it was never written.
-func (s *Store) PageRevision(block, page int) uint64 { return s.pageRevisions[PageKey(block, page)] }
-
-// Get finds a record.
-func (s *Store) Get(key string) *Record { return s.records[key] }
-
-// EachRecord calls fn for every record.
-func (s *Store) EachRecord(fn func(*Record)) {
-	for _, r := range s.records {
-		fn(r)
+	switch status.State {
+	case StateDone:
+		progress.done += sign
+	case StatePlaced:
+		progress.placed += sign
+		if status.Running {
+			progress.running += sign
+		}
+	case StateWaiting, StateDropped, StateReturned:
 	}
 }
-
-// JobRecords returns the records of a job.
-func (s *Store) JobRecords(job string) map[string]*Record { return s.recordsByJob[job] }
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -3,8 +3,6 @@
 import (
 	"strconv"
 	"time"
-
-	"lemonmoor/internal/jobs"
 )
 
 // State is where a task stands, as far as the owner of its shard is concerned.
@@ -184,89 +182,3 @@
 func (t *Task) DecideHalt(windDownSeconds float64) {
 	t.Halt.Decided, t.Halt.WindDownSeconds, t.Halt.Sent = true, windDownSeconds, false
 }
-
-// Job is a job of which a block has tasks.
-type Job struct {
-	Spec                *jobs.Spec
-	SubmittedMS         int64 // ms since the epoch, by the accepting node's clock
-	Rank                jobs.Rank
-	Cancelled           bool
-	HasPlacedTask       bool // a task of it has been placed
-	Tasks               map[int]*Task
-	Groups              map[string]*TaskGroup
-	ConsecutiveFailures int           // failures in a row
-	NotBefore           time.Duration // pause after failures
-	Gang                *Gang         // nil if the tasks need not run together
-	PartDoneElsewhere   bool          // a part of a divided gang is done in another block
-}
-
-// NewJob returns a job of which no task is known yet.
-func NewJob(d *jobs.Spec, submitted int64, within bool) *Job {
-	return &Job{
-		Spec: d, SubmittedMS: submitted, Rank: jobs.NewRank(d, submitted, within),
-		Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{},
-	}
-}
-
-// OpenTasks counts the block's tasks of the job that are neither done nor given back.
-func (j *Job) OpenTasks() int {
-	open := 0
-	for _, c := range j.Groups {
-		open += c.OpenTasks
-	}
-	return open
-}
-
-// JobBefore orders jobs by their ranks.
-func JobBefore(a, b *Job) bool { return a.Rank.Before(&b.Rank) }
-
-// TaskGroup is the owner's working copy of a record.
-type TaskGroup struct {
-	Job       *Job
-	Key       string
-	Number    int
-	Tasks     []*Task
-	Zones     []string
-	OpenTasks int // tasks that are neither done nor given back
-	// GangAttempt is the attempt that the leader has chosen for a divided gang, Part how
-	// many of its tasks it has given to the block; 0 if it is not divided.
-	GangAttempt uint64
-	PartSize    int
-}
-
-// LoadRecord makes an owner's working copy of a record. Every placement in it is one
-// that an earlier token's launch may have carried out.
-func LoadRecord(j *Job, r *Record) *TaskGroup {
-	c := &TaskGroup{Job: j, Key: r.Key, Number: r.Number, Zones: r.Zones, GangAttempt: r.GangAttempt, PartSize: r.PartSize, Tasks: make([]*Task, len(r.TaskIndexes))}
-	tasks := make([]Task, len(r.TaskIndexes))
-	for k, i := range r.TaskIndexes {
-		m := r.Statuses[k]
-		t := &tasks[k]
-		*t = Task{Job: j, Group: c, Index: i, State: m.State, Attempt: m.Attempt, WorkerID: m.WorkerID, Observed: Observation{HasRun: m.Running}, Log: LogPosition{Page: int(r.LogPages[k])}, Zone: ZoneOf(r.Zones, i)}
-		j.HasPlacedTask = j.HasPlacedTask || m.Attempt > 0 || m.State == StateDone
-		switch m.State {
-		case StateDone:
-			t.DoneDurable = true
-		case StatePlaced:
-			t.PlacementDurable, t.Launch.Sent = true, true
-		}
-		if m.State == StateWaiting || m.State == StatePlaced {
-			c.OpenTasks++
-		}
-		c.Tasks[k] = t
-		if t.State != StateReturned {
-			j.Tasks[i] = t // a returned task may be back in a later record
-		}
-	}
-	j.Groups[c.Key] = c
-	return c
-}
-
-// ZoneOf is the zone fixed for a task, "" for any: one for samePlace, in turn
-// for spread.
-func ZoneOf(zones []string, index int) string {
-	if len(zones) == 0 {
-		return ""
-	}
-	return zones[index%len(zones)]
-}
--- a/internal/taskstate/wire_test.go
+++ b/internal/taskstate/wire_test.go
@@ -1,6 +1,7 @@
 package taskstate
 
 import (
+	"reflect"
 	"testing"
 
 	"lemonmoor/internal/jobs"
@@ -18,19 +19,37 @@
 			t.Errorf("%q instead of %q", got, want)
 		}
 	}
-	for key, block := range map[string]int{"work/3/wk-000412/7": 3, "work/4/log/7": 4, "work/layout": -1, "work/x/log/1": -1, "work/1/novel/2": -1} {
-		if got := ShardOfKey(key); got != block {
-			t.Errorf("%s is of block %d, not %d", key, got, block)
+	for key, shardIndex := range map[string]int{"work/3/wk-000412/7": 3, "work/4/log/7": 4, "work/layout": -1, "work/x/log/1": -1, "work/1/novel/2": -1} {
+		if got := ShardOfKey(key); got != shardIndex {
+			t.Errorf("%s is of shard %d, not %d", key, got, shardIndex)
 		}
 	}
 }
 
-// TestWireBlocks: which block a machine belongs to follows from its name alone, and all
+// TestWireShards: which shard a worker belongs to follows from its name alone, and all
 // versions agree on it.
-func TestWireBlocks(t *testing.T) {
-	for host, block := range map[string]int{"vm-000000": 0, "vm-000007": 1, "w-a-11": 2, "vm-18446744073709551615": 1, "novel": 0, "": 1} {
-		if got := ShardOf(host, 3); got != block {
-			t.Errorf("%q is in block %d, not %d", host, got, block)
+func TestWireShards(t *testing.T) {
+	for workerID, shardIndex := range map[string]int{"vm-000000": 0, "vm-000007": 1, "w-a-11": 2, "vm-18446744073709551615": 1, "novel": 0, "": 1} {
+		if got := ShardOf(workerID, 3); got != shardIndex {
+			t.Errorf("%q is in shard %d, not %d", workerID, got, shardIndex)
+		}
+	}
+}
+
+// TestWireAttempt: the stored attempts of a gang's tasks, and what workers are told.
+func TestWireAttempt(t *testing.T) {
+	gang, array := &Job{Gang: &Gang{}}, &Job{}
+	for _, test := range []struct {
+		task *Task
+		want uint64
+	}{
+		{&Task{Job: array, Attempt: 3*1024 + 5}, 3*1024 + 5},
+		{&Task{Job: gang, Attempt: 3*1024 + 5}, 3},
+		{&Task{Job: gang, Attempt: 1024}, 1},
+		{&Task{Job: gang, Attempt: 1023}, 1023}, // of the first version, which took gangs for arrays
+	} {
+		if got := test.task.WireAttempt(); got != test.want {
+			t.Errorf("attempt %d of a job with gang %v is %d to its worker, not %d", test.task.Attempt, test.task.Job.Gang != nil, got, test.want)
 		}
 	}
 }
@@ -41,17 +60,21 @@
 	wiretest.Written(t, storedRecord{}, `{"i":""}`)
 
 	const text = `{"i":"0-3,7","w":"1@2,3,7@9","z":["yard-a","yard-b"],"g":3,"n":4,"d":"2"}`
-	r, err := DecodeRecord("work/5/wk-000412/6", []byte(text), 8)
+	record, err := DecodeRecord("work/5/wk-000412/6", []byte(text), 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := r.Encode(); err != nil || string(again) != text {
-		t.Errorf("written %s (%v)", again, err)
+	if rewritten, err := record.Encode(); err != nil || string(rewritten) != text {
+		t.Errorf("written %s (%v)", rewritten, err)
 	}
-	if r.Shard != 5 || r.Job != "wk-000412" || r.Number != 6 || r.Revision != 8 || r.GangAttempt != 3 || r.PartSize != 4 || len(r.TaskIndexes) != 5 || len(r.Zones) != 2 ||
-		r.Statuses[0] != (TaskStatus{}) || r.Statuses[1] != (TaskStatus{Attempt: 2}) || r.Statuses[2] != (TaskStatus{State: StateDone}) || r.Statuses[3] != (TaskStatus{Attempt: 1}) ||
-		r.Statuses[4] != (TaskStatus{Attempt: 9}) {
-		t.Errorf("read %+v", r)
+	want := &Record{
+		Key: "work/5/wk-000412/6", Shard: 5, Job: "wk-000412", Number: 6, Revision: 8,
+		Zones: []string{"yard-a", "yard-b"}, GangAttempt: 3, PartSize: 4, TaskIndexes: []int{0, 1, 2, 3, 7},
+		Statuses: []TaskStatus{{}, {Attempt: 2}, {State: StateDone}, {Attempt: 1}, {Attempt: 9}},
+		LogPages: []int32{-1, -1, -1, -1, -1},
+	}
+	if !reflect.DeepEqual(record, want) {
+		t.Errorf("read %+v, want %+v", record, want)
 	}
 }
 
@@ -64,16 +87,18 @@
 
 	read := map[int]TaskStatus{}
 	seenRunning := map[int]bool{}
-	if err := decodePage([]byte(text), func(job string, number, task int, m TaskStatus) {
-		if job != "wk-000412" || number != 6 {
-			t.Errorf("of %s/%d", job, number)
-		}
-		seenRunning[task] = seenRunning[task] || m.Running
-		m.Running = false
-		read[task] = m
-	}); err != nil {
+	statuses, err := decodePage([]byte(text))
+	if err != nil {
 		t.Fatal(err)
 	}
+	for _, logged := range statuses {
+		if logged.jobID != "wk-000412" || logged.number != 6 {
+			t.Errorf("of %s/%d", logged.jobID, logged.number)
+		}
+		seenRunning[logged.index] = seenRunning[logged.index] || logged.status.Running
+		logged.status.Running = false
+		read[logged.index] = logged.status
+	}
 	want := []TaskStatus{
 		{State: StatePlaced, Attempt: 1, WorkerID: "vm-1"},
 		{State: StatePlaced, Attempt: 1, WorkerID: "vm-1"},
@@ -83,19 +108,19 @@
 		{State: StateDone, Attempt: 1},
 		{State: StateDone, Attempt: 1},
 	}
-	for task, mark := range want {
-		if read[task] != mark || seenRunning[task] != (task == 2) {
+	for task, status := range want {
+		if read[task] != status || seenRunning[task] != (task == 2) {
 			t.Errorf("task %d: read %+v, running %v", task, read[task], seenRunning[task])
 		}
 	}
 
 	job := &Job{Spec: &jobs.Spec{ID: "wk-000412", Shape: "gang", Tasks: 7}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
-	chunk := LoadRecord(job, NewRecord(5, "wk-000412", 6, []int{0, 1, 2, 3, 4, 5, 6}, nil, nil))
-	for i, task := range chunk.Tasks {
+	group := LoadRecord(job, NewRecord(5, "wk-000412", 6, []int{0, 1, 2, 3, 4, 5, 6}, nil, nil))
+	for i, task := range group.Tasks {
 		task.State, task.Attempt, task.WorkerID, task.Observed.HasRun = want[i].State, want[i].Attempt, want[i].WorkerID, i == 2
 	}
-	pages, _, rest, err := PackPages(chunk.Tasks, 8000, 3)
-	if err != nil || len(rest) > 0 || len(pages) != 1 || string(pages[0]) != text {
-		t.Errorf("written %s, %d left (%v)", pages, len(rest), err)
+	pages, rest, err := PackPages(group.Tasks, 8000, 3)
+	if err != nil || len(rest) > 0 || len(pages) != 1 || string(pages[0].Value) != text {
+		t.Errorf("written %v, %d left (%v)", pages, len(rest), err)
 	}
 }
