--- a/internal/shard/node_test.go
+++ b/internal/shard/node_test.go
@@ -23,6 +23,7 @@
 	terms  int // tokens acquired
 
 	durable []*taskstate.Task // in the order in which their placements became durable
+	waiting []*taskstate.Task // in the order in which they were announced
 }
 
 // newTestNode returns a node that campaigns for leadership and is then given the shard.
@@ -68,8 +69,8 @@
 	n.tasks.EndTerm()
 }
 
-// TaskWaiting is of no interest here: the tests place tasks themselves.
-func (n *testNode) TaskWaiting(*taskstate.Task) {}
+// TaskWaiting remembers the task.
+func (n *testNode) TaskWaiting(task *taskstate.Task) { n.waiting = append(n.waiting, task) }
 
 // PlacementDurable remembers the task.
 func (n *testNode) PlacementDurable(task *taskstate.Task) { n.durable = append(n.durable, task) }
@@ -92,15 +93,20 @@
 // newShardOwner returns a state service with one job of so many tasks dispatched to shard 0,
 // and the shard's owner, which has read it.
 func newShardOwner(t *testing.T, taskCount int) (*statetest.Service, *testNode) {
+	t.Helper()
+	return newOwnerOf(t, userapi.Record{SubmittedMS: 1, Spec: &jobs.Spec{ID: jobID, Shape: "array", Tasks: taskCount, CPUs: 1}})
+}
+
+// newOwnerOf is newShardOwner for a given job.
+func newOwnerOf(t *testing.T, job userapi.Record) (*statetest.Service, *testNode) {
 	t.Helper()
 	service := statetest.New()
-	job := &jobs.Spec{ID: jobID, Shape: "array", Tasks: taskCount, CPUs: 1}
-	service.Set(t, userapi.KeyPrefix+job.ID, userapi.Record{SubmittedMS: 1, Spec: job})
-	indexes := make([]int, taskCount)
+	service.Set(t, userapi.KeyPrefix+jobID, job)
+	indexes := make([]int, job.Spec.Tasks)
 	for i := range indexes {
 		indexes[i] = i
 	}
-	record := taskstate.NewRecord(0, job.ID, 0, indexes, nil, nil)
+	record := taskstate.NewRecord(0, jobID, 0, indexes, nil, nil)
 	value, err := record.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +114,7 @@
 	service.Set(t, record.Key, value)
 	node := newTestNode(service)
 	service.Run(5 * time.Second)
-	if !node.tasks.IsLoaded() || node.tasks.Job(job.ID) == nil {
+	if !node.tasks.IsLoaded() || node.tasks.Job(jobID) == nil {
 		t.Fatal("the shard's records are not loaded")
 	}
 	return service, node
--- a/internal/taskstate/job_test.go
+++ b/internal/taskstate/job_test.go
@@ -27,3 +27,19 @@
 		}
 	}
 }
+
+// TestReturnedTaskDoesNotHideTheOneInALaterRecord: records are read in no particular order, and
+// a task that was returned to the leader may be back in another one.
+func TestReturnedTaskDoesNotHideTheOneInALaterRecord(t *testing.T) {
+	job := NewJob(&jobs.Spec{ID: "wk-1", Tasks: 1}, 0, true)
+	later := LoadRecord(job, NewRecord(0, "wk-1", 1, []int{0}, nil, nil))
+	returned := NewRecord(0, "wk-1", 0, []int{0}, nil, nil)
+	returned.Statuses[0].State = StateReturned
+	LoadRecord(job, returned)
+	if job.Tasks[0] != later.Tasks[0] {
+		t.Errorf("the job's task is %v", job.Tasks[0].State)
+	}
+	if open := job.OpenTasks(); open != 1 {
+		t.Errorf("%d open tasks", open)
+	}
+}
--- a/internal/taskstate/page_test.go
+++ b/internal/taskstate/page_test.go
@@ -45,6 +45,46 @@
 	})
 }
 
+// TestPagesStayWithinTheirLimit: tasks whose statuses have nothing in common take the most
+// room.
+func TestPagesStayWithinTheirLimit(t *testing.T) {
+	job := &Job{Spec: &jobs.Spec{ID: "wk-1"}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
+	indexes := make([]int, 500)
+	for i := range indexes {
+		indexes[i] = i
+	}
+	tasks := LoadRecord(job, NewRecord(0, "wk-1", 0, indexes, nil, nil)).Tasks
+	for i, task := range tasks {
+		task.State, task.Attempt, task.WorkerID = StatePlaced, uint64(1000+i), fmt.Sprintf("vm-%06d", i)
+	}
+	pages, rest, err := PackPages(tasks, 1000, 1000)
+	if err != nil || len(rest) > 0 {
+		t.Fatalf("%d left over, %v", len(rest), err)
+	}
+	for i, page := range pages {
+		if len(page.Value) > 1000 {
+			t.Errorf("page %d has %d bytes", i, len(page.Value))
+		}
+	}
+}
+
+// TestAttemptsOfDoneTasksAreNotStored: completed tasks make one range, whatever their attempts
+// were.
+func TestAttemptsOfDoneTasksAreNotStored(t *testing.T) {
+	job := &Job{Spec: &jobs.Spec{ID: "wk-1"}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
+	tasks := LoadRecord(job, NewRecord(0, "wk-1", 0, []int{0, 1, 2}, nil, nil)).Tasks
+	for i, task := range tasks {
+		task.State, task.Attempt = StateDone, uint64(i)
+	}
+	pages, _, err := PackPages(tasks, 1000, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, want := string(pages[0].Value), `{"e":[{"c":"wk-1/0","d":"0-2"}]}`; got != want {
+		t.Errorf("stored %s, want %s", got, want)
+	}
+}
+
 // drawRecords adds some records to a store and returns their tasks.
 func drawRecords(t *rapid.T, store *Store) []*Task {
 	t.Helper()
