--- a/internal/shard/log_pages_test.go
+++ b/internal/shard/log_pages_test.go
@@ -53,6 +53,37 @@
 	})
 }
 
+// TestTasksMoveOffTheOldestSupersededPage: once the log is long, the statuses that are left on
+// an old page are moved, so that it can be overwritten.
+func TestTasksMoveOffTheOldestSupersededPage(t *testing.T) {
+	pages := logPages{revisionOf: func(int) uint64 { return 0 }}
+	write := func(number int, tasks ...*taskstate.Task) {
+		for _, task := range tasks {
+			pages.removeTask(task.Log.Page)
+			task.Log.Page = number
+			pages.addTask(number, task)
+		}
+	}
+	newTask := func() *taskstate.Task { return &taskstate.Task{Log: taskstate.LogPosition{Page: -1}} }
+	whole, left, moved := []*taskstate.Task{newTask(), newTask()}, newTask(), newTask()
+	write(0, whole...)
+	write(1, left, moved)
+	for number := 2; number < tuning.LogCompactionPages-1; number++ {
+		write(number, newTask())
+	}
+	if got := pages.tasksToMove(); got != nil {
+		t.Errorf("%d tasks are moved while no page is superseded and the log is short", len(got))
+	}
+	write(tuning.LogCompactionPages-1, moved)
+	if got := pages.tasksToMove(); len(got) != 1 || got[0] != left {
+		t.Fatalf("%d tasks are moved, want the one left on page 1", len(got))
+	}
+	write(tuning.LogCompactionPages, left)
+	if reserved := pages.reserve(1); len(reserved) != 1 || reserved[0] != 1 {
+		t.Errorf("pages %v are overwritten, want page 1", reserved)
+	}
+}
+
 // commit writes drawn tasks to a page, at once; the answer comes later.
 func (m *pagesModel) commit(t *rapid.T) {
 	m.sequence++
--- a/internal/shard/records_test.go
+++ b/internal/shard/records_test.go
@@ -27,6 +27,9 @@
 	if len(node.durable) > 0 || task.PlacementDurable {
 		t.Error("a placement became durable though its record is gone")
 	}
+	if page := node.tasks.writer.pages.page(0); page.current != 0 || page.inUse {
+		t.Errorf("the page counts as the newest of %d tasks, in use %v, though its record is gone", page.current, page.inUse)
+	}
 }
 
 // TestWaitingTasksOfACancelledJobAreDropped: they are closed, and never offered for placement.
