--- a/internal/leader/board_test.go
+++ b/internal/leader/board_test.go
@@ -14,37 +14,37 @@
 // for, on machines that it may use, and never more than a machine holds.
 func TestBoardTakesWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &roomView{cpus: make([]float64, 2), queued: make([]float64, 2)}
+		b := &capacityView{totalCPUs: make([]float64, 2), queuedCPUs: make([]float64, 2)}
 		types := []*jobs.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}, {Name: "l", CPUs: 64, MemoryGB: 128, Zones: []string{"a", "b"}}}
 		before := map[*machineGroup]float64{}
 		for range rapid.IntRange(0, 8).Draw(t, "racks") {
 			typ := rapid.SampledFrom(types).Draw(t, "type")
 			r := &machineGroup{
 				kind:  &fleet.AvailableMachine{MachineKind: fleet.MachineKind{MachineType: typ.Name, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")}, MachineType: typ},
-				block: rapid.IntRange(0, 1).Draw(t, "block"), booting: rapid.Bool().Draw(t, "booting"),
+				shard: rapid.IntRange(0, 1).Draw(t, "block"), booting: rapid.Bool().Draw(t, "booting"),
 			}
 			for range rapid.IntRange(0, 5).Draw(t, "rooms") {
-				r.rooms = append(r.rooms, room{cpus: rapid.Float64Range(0.5, typ.CPUs).Draw(t, "cpus"), memory: rapid.Float64Range(0.5, typ.MemoryGB).Draw(t, "memory")})
+				r.machines = append(r.machines, machineCapacity{cpus: rapid.Float64Range(0.5, typ.CPUs).Draw(t, "cpus"), memoryGB: rapid.Float64Range(0.5, typ.MemoryGB).Draw(t, "memory")})
 			}
-			for _, m := range r.rooms {
+			for _, m := range r.machines {
 				before[r] += m.cpus
 			}
-			b.racks = append(b.racks, r)
+			b.groups = append(b.groups, r)
 		}
-		p := &jobState{desc: &jobs.Spec{
+		p := &jobState{spec: &jobs.Spec{
 			CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 16}).Draw(t, "task"), MemoryGB: rapid.SampledFrom([]float64{0, 1, 40}).Draw(t, "gb"),
 			Spot: rapid.Bool().Draw(t, "spot allowed"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
 		}}
 		block, booting := rapid.IntRange(-1, 1).Draw(t, "which"), rapid.Bool().Draw(t, "which are booting")
 		want := rapid.IntRange(0, 60).Draw(t, "tasks")
 		usable := func(r *machineGroup) bool {
-			return r.booting == booting && (block < 0 || r.block == block) && r.kind.CouldRun(p.desc, "")
+			return r.booting == booting && (block < 0 || r.shard == block) && r.kind.CouldRun(p.spec, "")
 		}
 		room := 0
-		for _, r := range b.racks {
-			for i := range r.rooms {
+		for _, r := range b.groups {
+			for i := range r.machines {
 				if usable(r) {
-					room += r.rooms[i].fit(p.desc)
+					room += r.machines[i].taskCount(p.spec)
 				}
 			}
 		}
@@ -59,10 +59,10 @@
 			t.Fatalf("%d tasks, room for %d: %d taken, %d told", want, room, got, told)
 		}
 		used := 0.0
-		for _, r := range b.racks {
+		for _, r := range b.groups {
 			left := 0.0
-			for _, m := range r.rooms {
-				if m.cpus < -slack || m.memory < -slack {
+			for _, m := range r.machines {
+				if m.cpus < -slack || m.memoryGB < -slack {
 					t.Fatalf("a machine is left with %+v", m)
 				}
 				left += m.cpus
@@ -74,8 +74,8 @@
 				used += before[r] - left // less what full machines had left
 			}
 		}
-		if used < float64(got)*p.desc.CPUs-1e-6 {
-			t.Fatalf("%d tasks of %g processors took %g", got, p.desc.CPUs, used)
+		if used < float64(got)*p.spec.CPUs-1e-6 {
+			t.Fatalf("%d tasks of %g processors took %g", got, p.spec.CPUs, used)
 		}
 	})
 }
--- a/internal/leader/ends.go
+++ b/internal/leader/ends.go
@@ -10,8 +10,8 @@
 	"lemonmoor/internal/userapi"
 )
 
-// over queues a job's end once nothing of it is left to run.
-func (l *Leader) over(p *jobState) {
+// endIfComplete queues a job's end once nothing of it is left to run.
+func (l *Leader) endIfComplete(p *jobState) {
 	if p.ending {
 		return
 	}
@@ -21,40 +21,40 @@
 		if p.open > 0 {
 			return
 		}
-	} else if p.desc.IsService() || p.done < p.desc.Tasks || p.open > 0 {
+	} else if p.spec.IsService() || p.done < p.spec.Tasks || p.open > 0 {
 		return
 	}
 	p.ending = true
-	l.ends = append(l.ends, p)
+	l.endings = append(l.endings, p)
 }
 
-// end writes the ends of jobs, several in a commit.
-func (l *Leader) end() bool {
+// commitEndings writes the ends of jobs, several in a commit.
+func (l *Leader) commitEndings() bool {
 	var guards []statestore.Condition
 	var apply []statestore.Operation
 	var ended []*jobState
 	most := l.state.MaxOperations()
-	rest := l.ends[:0:0]
-	for n, p := range l.ends {
-		if l.plans[p.e.ID] != p {
+	rest := l.endings[:0:0]
+	for n, p := range l.endings {
+		if l.jobs[p.entry.ID] != p {
 			continue
 		}
-		if len(apply) == most || (len(apply) > 0 && l.alone) {
-			rest = append(rest, l.ends[n:]...)
+		if len(apply) == most || (len(apply) > 0 && l.endSingly) {
+			rest = append(rest, l.endings[n:]...)
 			break
 		}
-		g, a := l.finish(p, most-len(apply))
+		g, a := l.endOperations(p, most-len(apply))
 		if len(a) == 0 {
 			continue
 		}
 		guards, apply, ended = append(guards, g...), append(apply, a...), append(ended, p)
 	}
-	l.ends = rest
+	l.endings = rest
 	if len(apply) == 0 {
 		return false
 	}
 	l.commit(guards, apply, func(r statestore.CommitResult) {
-		l.alone = r.Outcome == statestore.OutcomeConflict
+		l.endSingly = r.Outcome == statestore.OutcomeConflict
 		for _, p := range ended {
 			p.ending = false
 		}
@@ -62,20 +62,20 @@
 		case statestore.OutcomeOK:
 			for _, a := range apply {
 				if id, ok := strings.CutPrefix(a.PutKey, userapi.KeyPrefix); ok {
-					l.cat.Observe(id, a.Value, r.Revision)
+					l.catalog.Observe(id, a.Value, r.Revision)
 				}
 			}
 			for _, p := range ended {
-				l.log.Debug("job over", "job", p.e.ID, "class", p.desc.Class, "tasks", p.desc.Tasks, "cancelled", p.cancelled,
-					"age_s", float64(l.rt.WallClock().UnixMilli()-p.e.SubmittedMS)/1000)
-				if l.plans[p.e.ID] == p && p.cancelled {
+				l.log.Debug("job over", "job", p.entry.ID, "class", p.spec.Class, "tasks", p.spec.Tasks, "cancelled", p.cancelled,
+					"age_s", float64(l.runtime.WallClock().UnixMilli()-p.entry.SubmittedMS)/1000)
+				if l.jobs[p.entry.ID] == p && p.cancelled {
 					l.recheck(p)
 				}
 			}
 		case statestore.OutcomeRefused:
-			l.later(0, func() {
+			l.backOff(0, func() {
 				for _, p := range ended {
-					l.over(p)
+					l.endIfComplete(p)
 				}
 			})
 		default:
@@ -91,33 +91,33 @@
 // recheck looks at a job again when the copies are proven to be current.
 func (l *Leader) recheck(p *jobState) {
 	term := l.term
-	l.store.Verify(func(error) {
-		l.cat.Verify(func(error) {
-			if term == l.term && l.plans[p.e.ID] == p {
-				l.over(p)
+	l.records.Verify(func(error) {
+		l.catalog.Verify(func(error) {
+			if term == l.term && l.jobs[p.entry.ID] == p {
+				l.endIfComplete(p)
 			}
 		})
 	})
 }
 
-// finish gives the changes that end a job. Of a job that is done it is the phase
+// endOperations gives the changes that end a job. Of a job that is done it is the phase
 // that its user will be told; its records are removed when there is time for it:
 // in one commit with them the ends of a backlog took the changes of twenty
 // seconds, and nothing was handed out meanwhile. Of a cancelled one it is the
 // removal of its records, as many as a commit takes. The tasks of a job are
 // counted once more, each by its number: a job is never called done before all of
 // its tasks are.
-func (l *Leader) finish(p *jobState, most int) (guards []statestore.Condition, apply []statestore.Operation) {
-	id := p.e.ID
-	records := l.store.JobRecords(id)
-	for _, v := range l.pending {
+func (l *Leader) endOperations(p *jobState, most int) (guards []statestore.Condition, apply []statestore.Operation) {
+	id := p.entry.ID
+	records := l.records.JobRecords(id)
+	for _, v := range l.pendingRecords {
 		if v.Job == id {
 			p.ending = false // looked at again when the record shows up
 			return nil, nil
 		}
 	}
 	if !p.cancelled {
-		done := make(map[int]bool, p.desc.Tasks)
+		done := make(map[int]bool, p.spec.Tasks)
 		for _, r := range records {
 			for k, i := range r.TaskIndexes {
 				if r.Statuses[k].State == taskstate.StateDone {
@@ -125,12 +125,12 @@
 				}
 			}
 		}
-		e := l.cat.Get(id)
-		if len(done) != p.desc.Tasks || e == nil || e.Phase != "" {
+		e := l.catalog.Get(id)
+		if len(done) != p.spec.Tasks || e == nil || e.Phase != "" {
 			p.ending = false
 			return nil, nil
 		}
-		value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: e.SubmittedMS, TaskCount: p.desc.Tasks})
+		value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: e.SubmittedMS, TaskCount: p.spec.Tasks})
 		if err != nil {
 			l.log.Error("job record does not encode", "err", err)
 			return nil, nil
@@ -138,7 +138,7 @@
 		p.ending = true
 		return []statestore.Condition{{Key: userapi.KeyPrefix + id, Revision: e.Revision}}, []statestore.Operation{{PutKey: userapi.KeyPrefix + id, Value: value}}
 	} else if len(records) == 0 {
-		l.forget(p)
+		l.forgetJob(p)
 		return nil, nil
 	}
 	for key, r := range records {
@@ -152,20 +152,20 @@
 	return guards, apply
 }
 
-// sweep removes records of jobs that are over, a part of the changes at a time.
-func (l *Leader) sweep() {
-	now := l.rt.Now()
-	if len(l.stale) == 0 || now-l.swept < tuning.RecordSweepInterval {
+// collectRecords removes records of jobs that are over, a part of the changes at a time.
+func (l *Leader) collectRecords() {
+	now := l.runtime.Now()
+	if len(l.obsoleteRecords) == 0 || now-l.collectedAt < tuning.RecordSweepInterval {
 		return
 	}
-	l.swept = now
+	l.collectedAt = now
 	var apply []statestore.Operation
-	state := &l.set.Deployment.State
+	state := &l.settings.Deployment.State
 	most := min(l.state.MaxOperations(), max(1, int(state.WriteRPS*l.state.WriteShare()*tuning.RecordSweepWriteShare*tuning.RecordSweepInterval.Seconds())))
-	for len(l.stale) > 0 && len(apply) < most {
-		key := l.stale[0]
-		l.stale = l.stale[1:]
-		if l.store.Get(key) != nil {
+	for len(l.obsoleteRecords) > 0 && len(apply) < most {
+		key := l.obsoleteRecords[0]
+		l.obsoleteRecords = l.obsoleteRecords[1:]
+		if l.records.Get(key) != nil {
 			apply = append(apply, statestore.Operation{DeleteKey: key})
 		}
 	}
@@ -175,7 +175,7 @@
 	l.commit(nil, apply, func(r statestore.CommitResult) {
 		if r.Outcome != statestore.OutcomeOK {
 			for _, c := range apply {
-				l.stale = append(l.stale, c.DeleteKey)
+				l.obsoleteRecords = append(l.obsoleteRecords, c.DeleteKey)
 			}
 		}
 	})
--- a/internal/leader/handout.go
+++ b/internal/leader/handout.go
@@ -11,164 +11,164 @@
 	"lemonmoor/internal/tuning"
 )
 
-// home is the block where most machines cache a job's image.
-func (l *Leader) home(p *jobState) int {
+// homeShard is the block where most machines cache a job's image.
+func (l *Leader) homeShard(p *jobState) int {
 	best := -1
-	for block, n := range l.images[p.desc.Image] {
-		if n > 0 && (best < 0 || n > l.images[p.desc.Image][best]) {
+	for block, n := range l.placementsByImage[p.spec.Image] {
+		if n > 0 && (best < 0 || n > l.placementsByImage[p.spec.Image][best]) {
 			best = block
 		}
 	}
 	return best
 }
 
-// handOut hands out as many tasks as the limits and the queues allow, and
+// dispatch hands out as many tasks as the limits and the queues allow, and
 // tells the fleet for which there is no room.
-func (l *Leader) handOut() bool {
-	now := l.rt.WallClock().UnixMilli()
+func (l *Leader) dispatch() bool {
+	now := l.runtime.WallClock().UnixMilli()
 	l.sortJobs(now)
-	board := l.viewRooms()
-	l.pause = tuning.MinRoundInterval + time.Duration(board.number)*tuning.RoundIntervalPerMachine
+	board := l.viewCapacity()
+	l.roundInterval = tuning.MinRoundInterval + time.Duration(board.machineCount)*tuning.RoundIntervalPerMachine
 	clear(l.recalls)
-	unmet := &unmetNeeds{leader: l, now: now}
-	l.keepWarm(board, func(d *jobs.Spec, zone string, n int) {
-		unmet.list = append(unmet.list, fleet.Demand{Spec: d, Zone: zone, Tasks: n, ObjectiveSlackSeconds: []float64{tuning.MaxQueueTime.Seconds()}})
+	unmet := &unmetDemand{leader: l, nowMS: now}
+	l.reserveForGangs(board, func(d *jobs.Spec, zone string, n int) {
+		unmet.demands = append(unmet.demands, fleet.Demand{Spec: d, Zone: zone, Tasks: n, ObjectiveSlackSeconds: []float64{tuning.MaxQueueTime.Seconds()}})
 	})
-	l.takeQueued(board, unmet)
-	batches := l.fill(board, unmet)
+	l.serveQueued(board, unmet)
+	batches := l.dispatchJobs(board, unmet)
 	l.pruneCaches()
-	l.fleet.SetDemand(unmet.list, l.mostMovable())
+	l.fleet.SetDemand(unmet.demands, l.mostMovable())
 	if len(batches) == 0 {
 		return false
 	}
-	l.send(batches)
+	l.commitBatches(batches)
 	return true
 }
 
-// unmetNeeds collects the tasks for which there is no room.
-type unmetNeeds struct {
+// unmetDemand collects the tasks for which there is no room.
+type unmetDemand struct {
 	leader *Leader
-	now    int64 // time of day, in ms
-	list   []fleet.Demand
+	nowMS    int64 // time of day, in ms
+	demands   []fleet.Demand
 }
 
-// need notes tasks that could run now if there were room.
-func (u *unmetNeeds) need(p *jobState, zone string, n int) {
+// addTasks notes tasks that could run now if there were room.
+func (u *unmetDemand) addTasks(p *jobState, zone string, n int) {
 	if n > 0 {
-		u.list = append(u.list, fleet.Demand{
-			Spec: p.desc, Zone: zone, Tasks: n, Rank: p.place,
-			WaitedSeconds: float64(u.now-p.e.SubmittedMS) / 1000, ObjectiveSlackSeconds: u.leader.openAims(p, u.now),
+		u.demands = append(u.demands, fleet.Demand{
+			Spec: p.spec, Zone: zone, Tasks: n, Rank: p.position,
+			WaitedSeconds: float64(u.nowMS-p.entry.SubmittedMS) / 1000, ObjectiveSlackSeconds: u.leader.objectiveSlack(p, u.nowMS),
 		})
 	}
 }
 
-// held notes tasks that their team's limit holds back.
-func (u *unmetNeeds) held(p *jobState, n int) {
+// addHeldByQuota notes tasks that their team's limit holds back.
+func (u *unmetDemand) addHeldByQuota(p *jobState, n int) {
 	if n > 0 {
-		u.list = append(u.list, fleet.Demand{Spec: p.desc, HeldByQuota: n})
+		u.demands = append(u.demands, fleet.Demand{Spec: p.spec, HeldByQuota: n})
 	}
 }
 
 // sortJobs brings the jobs into the order in which they are served.
 func (l *Leader) sortJobs(now int64) {
-	for _, p := range l.order {
+	for _, p := range l.ordered {
 		// A job that nothing has been done for is not passed over for ever.
 		if late := !p.starved && !p.cancelled && p.placed+p.done == 0 &&
-			now-p.e.SubmittedMS > tuning.StarvedAfter.Milliseconds(); late {
-			p.starved, l.resort = true, true
+			now-p.entry.SubmittedMS > tuning.StarvedAfter.Milliseconds(); late {
+			p.starved, l.needsSort = true, true
 		} else if p.starved && p.placed+p.done > 0 {
-			p.starved, l.resort = false, true
+			p.starved, l.needsSort = false, true
 		}
-		if p.left() > 0 && !p.cancelled {
-			if p.rank.Update(p.desc, l.set, now, p.desc.Tasks-p.done) {
-				l.resort = true
+		if p.undispatched() > 0 && !p.cancelled {
+			if p.rank.Update(p.spec, l.settings, now, p.spec.Tasks-p.done) {
+				l.needsSort = true
 			}
 		}
 	}
-	if l.resort {
-		sort.Slice(l.order, func(i, k int) bool { return before(l.order[i], l.order[k]) })
-		l.resort = false
+	if l.needsSort {
+		sort.Slice(l.ordered, func(i, k int) bool { return jobBefore(l.ordered[i], l.ordered[k]) })
+		l.needsSort = false
 	}
-	for i, p := range l.order {
-		p.place = i
+	for i, p := range l.ordered {
+		p.position = i
 	}
 }
 
-// takeQueued gives the tasks already in the blocks' queues the room there is.
-func (l *Leader) takeQueued(board *roomView, unmet *unmetNeeds) {
-	for _, p := range l.order {
+// serveQueued gives the tasks already in the blocks' queues the room there is.
+func (l *Leader) serveQueued(board *capacityView, unmet *unmetDemand) {
+	for _, p := range l.ordered {
 		if p.cancelled {
 			continue
 		}
-		if p.desc.IsGang() {
-			l.queuedGang(board, p, unmet.need)
+		if p.spec.IsGang() {
+			l.serveQueuedGang(board, p, unmet.addTasks)
 			continue
 		}
-		for _, q := range l.queues(p) {
-			n := q.number - board.take(p, q.zone, q.block, false, q.number, func(int, int) {})
+		for _, q := range l.queuedTasks(p) {
+			n := q.tasks - board.take(p, q.zone, q.shard, false, q.tasks, func(int, int) {})
 			if n == 0 {
 				continue
 			}
 			// Another block's open machines are better than this one's booting.
 			n -= l.recallFor(board, p, q, n)
-			n -= board.take(p, q.zone, q.block, true, n, func(int, int) {})
-			board.queued[q.block] += float64(n) * p.desc.CPUs
-			unmet.need(p, q.zone, n)
+			n -= board.take(p, q.zone, q.shard, true, n, func(int, int) {})
+			board.queuedCPUs[q.shard] += float64(n) * p.spec.CPUs
+			unmet.addTasks(p, q.zone, n)
 		}
 	}
 }
 
-// fill hands out what the limits and the room allow, job by job.
-func (l *Leader) fill(board *roomView, unmet *unmetNeeds) []*batch {
-	var batches []*batch
+// dispatchJobs hands out what the limits and the room allow, job by job.
+func (l *Leader) dispatchJobs(board *capacityView, unmet *unmetDemand) []*taskBatch {
+	var batches []*taskBatch
 	full := map[string]bool{}
-	l.reserve()
-	for _, p := range l.order {
-		u := l.usage[p.desc.Team]
-		if p.cancelled || p.ending || p.left() == 0 || u == nil {
+	l.reserveForUrgent()
+	for _, p := range l.ordered {
+		u := l.teams[p.spec.Team]
+		if p.cancelled || p.ending || p.undispatched() == 0 || u == nil {
 			continue
 		}
-		if full[p.desc.Team] {
-			unmet.held(p, p.left())
+		if full[p.spec.Team] {
+			unmet.addHeldByQuota(p, p.undispatched())
 			continue
 		}
 		if !l.fixZones(p) {
 			continue
 		}
-		n := l.allowed(p, u)
-		if n < p.left() && (p.desc.Priority() >= jobs.PriorityUrgent || p.desc.IsGang()) || n == 0 && p.starved {
-			full[p.desc.Team] = true // what comes after does not go past it
+		n := l.tasksWithinQuota(p, u)
+		if n < p.undispatched() && (p.spec.Priority() >= jobs.PriorityUrgent || p.spec.IsGang()) || n == 0 && p.starved {
+			full[p.spec.Team] = true // what comes after does not go past it
 		}
-		unmet.held(p, p.left()-n)
+		unmet.addHeldByQuota(p, p.undispatched()-n)
 		switch {
-		case n <= 0 || p.desc.IsGang() && n < p.left(): // a gang is handed out whole or not at all
-		case p.desc.IsGang():
-			batches = l.placeGang(board, p, u, batches, unmet.need)
+		case n <= 0 || p.spec.IsGang() && n < p.undispatched(): // a gang is handed out whole or not at all
+		case p.spec.IsGang():
+			batches = l.placeGang(board, p, u, batches, unmet.addTasks)
 		default:
-			batches = l.place(board, p, u, n, batches, unmet.need)
+			batches = l.placeJob(board, p, u, n, batches, unmet.addTasks)
 		}
 	}
 	return batches
 }
 
-// allowed is how many more tasks of a job its team's limits allow.
-func (l *Leader) allowed(p *jobState, u *usage) int {
-	limit := u.cpusMax
-	if p.desc.Priority() < jobs.PriorityUrgent && !p.starved {
-		limit -= max(0, u.kept-u.urgent)
+// tasksWithinQuota is how many more tasks of a job its team's limits allow.
+func (l *Leader) tasksWithinQuota(p *jobState, u *teamUsage) int {
+	limit := u.maxCPUs
+	if p.spec.Priority() < jobs.PriorityUrgent && !p.starved {
+		limit -= max(0, u.reservedCPUs-u.urgentCPUs)
 	}
-	return min(p.left(), share(limit-u.cpus, p.desc.CPUs), share(u.cardsMax-u.cards, p.desc.GPUs))
+	return min(p.undispatched(), taskCountIn(limit-u.cpus, p.spec.CPUs), taskCountIn(u.maxGPUs-u.gpus, p.spec.GPUs))
 }
 
 // fixZones fixes the zones of a job that needs that; false if they are not known yet.
 func (l *Leader) fixZones(p *jobState) bool {
-	if p.zones != nil || (!p.desc.Spread && (!p.desc.SameZone || p.desc.IsGang())) {
+	if p.zones != nil || (!p.spec.Spread && (!p.spec.SameZone || p.spec.IsGang())) {
 		return true
 	}
 	// A leader that does not know the machine types yet must not fix
 	// "any zone" for a job that may not have it.
-	p.zones = l.fleet.ChooseZones(p.desc)
-	if len(p.zones) == 0 || (p.desc.Spread && len(p.zones) < 2 && p.desc.Tasks > 1) {
+	p.zones = l.fleet.ChooseZones(p.spec)
+	if len(p.zones) == 0 || (p.spec.Spread && len(p.zones) < 2 && p.spec.Tasks > 1) {
 		p.zones = nil
 		return false
 	}
@@ -177,12 +177,12 @@
 
 // pruneCaches forgets what machines cached that are long gone.
 func (l *Leader) pruneCaches() {
-	if l.rt.Now()-l.pruned <= tuning.ReleasedMachineMemory {
+	if l.runtime.Now()-l.cachesPrunedAt <= tuning.ReleasedMachineMemory {
 		return
 	}
-	l.pruned = l.rt.Now()
+	l.cachesPrunedAt = l.runtime.Now()
 	for host, c := range l.caches {
-		if l.pruned-c.seen > tuning.ReleasedMachineMemory {
+		if l.cachesPrunedAt-c.seenAt > tuning.ReleasedMachineMemory {
 			delete(l.caches, host)
 		}
 	}
@@ -192,50 +192,50 @@
 // if there is none.
 func (l *Leader) mostMovable() *jobs.Spec {
 	var most *jobState
-	for _, p := range l.order {
-		if !p.cancelled && movable(p.desc) && p.placed > 0 &&
-			(most == nil || float64(p.placed)*p.desc.CPUs > float64(most.placed)*most.desc.CPUs) {
+	for _, p := range l.ordered {
+		if !p.cancelled && isMovable(p.spec) && p.placed > 0 &&
+			(most == nil || float64(p.placed)*p.spec.CPUs > float64(most.placed)*most.spec.CPUs) {
 			most = p
 		}
 	}
 	if most == nil {
 		return nil
 	}
-	return most.desc
+	return most.spec
 }
 
-// share tells how many tasks of a size fit into what is left.
-func share(left, size float64) int {
+// taskCountIn tells how many tasks of a size fit into what is left.
+func taskCountIn(left, size float64) int {
 	if size <= 0 {
 		return math.MaxInt32
 	}
 	return max(0, int(math.Floor((left+slack)/size)))
 }
 
-// reserve keeps room under the teams' limits for urgent jobs, as much as their
+// reserveForUrgent keeps room under the teams' limits for urgent jobs, as much as their
 // urgent jobs have lately wanted at once: other work, which may run for minutes,
 // would else take the limit up and urgent work would wait for its ends.
-func (l *Leader) reserve() {
-	wants := map[*usage]float64{}
-	for _, p := range l.order {
-		if u := l.usage[p.desc.Team]; u != nil && !p.cancelled && p.desc.Priority() >= jobs.PriorityUrgent {
-			wants[u] += float64(p.open+p.left()) * p.desc.CPUs
+func (l *Leader) reserveForUrgent() {
+	wants := map[*teamUsage]float64{}
+	for _, p := range l.ordered {
+		if u := l.teams[p.spec.Team]; u != nil && !p.cancelled && p.spec.Priority() >= jobs.PriorityUrgent {
+			wants[u] += float64(p.open+p.undispatched()) * p.spec.CPUs
 		}
 	}
-	now := l.rt.Now()
-	for _, u := range l.usage {
-		u.kept *= math.Exp2(-float64(now-u.at) / float64(tuning.UrgentReserveHalfLife))
-		u.at = now
-		u.kept = max(u.kept, min(wants[u], tuning.MaxUrgentReserveShare*u.cpusMax))
+	now := l.runtime.Now()
+	for _, u := range l.teams {
+		u.reservedCPUs *= math.Exp2(-float64(now-u.reservedAt) / float64(tuning.UrgentReserveHalfLife))
+		u.reservedAt = now
+		u.reservedCPUs = max(u.reservedCPUs, min(wants[u], tuning.MaxUrgentReserveShare*u.maxCPUs))
 	}
 }
 
-// openAims is how many seconds a job's tasks can still wait for a machine for each
+// objectiveSlack is how many seconds a job's tasks can still wait for a machine for each
 // of the users' aims that is not missed yet.
-func (l *Leader) openAims(p *jobState, nowMS int64) []float64 {
-	age := float64(nowMS-p.e.SubmittedMS) / 1000
+func (l *Leader) objectiveSlack(p *jobState, nowMS int64) []float64 {
+	age := float64(nowMS-p.entry.SubmittedMS) / 1000
 	var open []float64
-	l.set.EachObjectiveDeadline(p.desc.Class, p.desc.EstimateSeconds, p.desc.DeadlineSeconds, func(latest float64) {
+	l.settings.EachObjectiveDeadline(p.spec.Class, p.spec.EstimateSeconds, p.spec.DeadlineSeconds, func(latest float64) {
 		if left := latest - age; left > 0 {
 			open = append(open, left)
 		}
@@ -243,25 +243,25 @@
 	return open
 }
 
-// place finds blocks for up to n tasks of a job: where there is room, at home
+// placeJob finds blocks for up to n tasks of a job: where there is room, at home
 // first, then where machines boot, then in the queues while those are short.
-func (l *Leader) place(b *roomView, p *jobState, u *usage, n int, batches []*batch, need func(*jobState, string, int)) []*batch {
-	home := l.home(p)
+func (l *Leader) placeJob(b *capacityView, p *jobState, u *teamUsage, n int, batches []*taskBatch, need func(*jobState, string, int)) []*taskBatch {
+	home := l.homeShard(p)
 	give := func(block, k int) {
 		for range k {
-			batches = l.give(batches, p, block, u)
+			batches = l.addTask(batches, p, block, u)
 		}
 		n -= k
 	}
 	if len(p.zones) > 1 {
 		// The zones of a spread job take turns, task by task.
 		for n > 0 {
-			zone := taskstate.ZoneOf(p.zones, p.first())
+			zone := taskstate.ZoneOf(p.zones, p.nextTask())
 			if b.take(p, zone, -1, false, 1, give) > 0 || b.take(p, zone, -1, true, 1, give) > 0 {
 				continue
 			}
-			if block := b.shortest(p, zone, home); block >= 0 {
-				b.queued[block] += p.desc.CPUs
+			if block := b.shardToQueueIn(p, zone, home); block >= 0 {
+				b.queuedCPUs[block] += p.spec.CPUs
 				give(block, 1)
 				continue
 			}
@@ -269,7 +269,7 @@
 		}
 		held := map[string]int{}
 		for k := range n {
-			held[taskstate.ZoneOf(p.zones, p.nth(k))]++
+			held[taskstate.ZoneOf(p.zones, p.taskAt(k))]++
 		}
 		for _, zone := range p.zones {
 			need(p, zone, held[zone])
@@ -279,7 +279,7 @@
 	zone := taskstate.ZoneOf(p.zones, 0)
 	for _, booting := range []bool{false, true} {
 		// Block by block, so that a job makes few records: changes are scarce.
-		for _, block := range b.order(home) {
+		for _, block := range b.shardsInOrder(home) {
 			if n > 0 {
 				b.take(p, zone, block, booting, n, give)
 			}
@@ -287,12 +287,12 @@
 	}
 	need(p, zone, n)
 	for n > 0 {
-		block := b.shortest(p, zone, home)
+		block := b.shardToQueueIn(p, zone, home)
 		if block < 0 {
 			break
 		}
-		k := min(n, max(1, share(tuning.MaxQueuedShare*b.cpus[block]-b.queued[block], p.desc.CPUs)))
-		b.queued[block] += float64(k) * p.desc.CPUs
+		k := min(n, max(1, taskCountIn(tuning.MaxQueuedShare*b.totalCPUs[block]-b.queuedCPUs[block], p.spec.CPUs)))
+		b.queuedCPUs[block] += float64(k) * p.spec.CPUs
 		give(block, k)
 	}
 	return batches
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -22,49 +22,49 @@
 
 // Leader hands out work while this process holds the lead.
 type Leader struct {
-	rt     eventloop.Runtime
+	runtime     eventloop.Runtime
 	state  *statestore.Client
 	leases *statestore.LeaseManager
-	cat    *userapi.Catalog
-	store  *taskstate.Store
+	catalog    *userapi.Catalog
+	records  *taskstate.Store
 	fleet  *fleet.Fleet
-	set    *settings.Settings
+	settings    *settings.Settings
 	log    *slog.Logger
 
 	term     int // grows with every lead won; late answers of old ones are dropped
 	token    uint64
 	loaded   bool
-	plans    map[string]*jobState
-	order    []*jobState
-	resort   bool
-	usage    map[string]*usage
-	loads    map[string]*load
-	pending  map[string]*taskstate.Record // handed out, not seen in the store yet
-	ends     []*jobState
-	stale    []string // records to remove
-	swept    time.Duration
-	flying   bool
-	wanted   bool
-	timed    bool
-	last     time.Duration
+	jobs    map[string]*jobState
+	ordered    []*jobState
+	needsSort   bool
+	teams    map[string]*teamUsage
+	machineLoads    map[string]*machineLoad
+	pendingRecords  map[string]*taskstate.Record // handed out, not seen in the store yet
+	endings     []*jobState
+	obsoleteRecords    []string // records to remove
+	collectedAt    time.Duration
+	commitBlocked   bool
+	roundRequested   bool
+	roundScheduled    bool
+	lastRoundAt     time.Duration
 	recalls  map[int]map[string]int // by block and job
-	images   map[string][]int       // tasks placed, by image and block
-	caches   map[string]*cache      // what the machines cache, by their names
-	alone    bool                   // after a failed guard, one end a commit
-	pause    time.Duration          // between two hand-outs
-	expected map[string]*expected   // gangs to come, by class
-	pruned   time.Duration          // when machines long gone were last forgotten
+	placementsByImage   map[string][]int       // tasks placed, by image and block
+	caches   map[string]*machineCache      // what the machines cache, by their names
+	endSingly    bool                   // after a failed guard, one end a commit
+	roundInterval    time.Duration          // between two hand-outs
+	expectedGangs map[string]*gangClass   // gangs to come, by class
+	cachesPrunedAt   time.Duration          // when machines long gone were last forgotten
 }
 
 // New returns a leader without the lead.
 func New(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
 	fl *fleet.Fleet, set *settings.Settings, log *slog.Logger,
 ) *Leader {
-	l := &Leader{rt: rt, state: state, leases: leases, cat: cat, store: store, fleet: fl, set: set, log: log}
+	l := &Leader{runtime: rt, state: state, leases: leases, catalog: cat, records: store, fleet: fl, settings: set, log: log}
 	l.EndTerm()
 	fl.LoadOf = func(host string) fleet.MachineLoad {
-		if h := l.loads[host]; h != nil {
-			return fleet.MachineLoad{CPUs: h.cpus, Movable: h.movable, Services: h.services, ByPriority: h.byPriority}
+		if h := l.machineLoads[host]; h != nil {
+			return fleet.MachineLoad{CPUs: h.cpus, Movable: h.movableCPUs, Services: h.serviceCPUs, ByPriority: h.cpusByPriority}
 		}
 		return fleet.MachineLoad{}
 	}
@@ -74,13 +74,13 @@
 // EndTerm forgets everything: the lead is lost.
 func (l *Leader) EndTerm() {
 	l.term++
-	l.token, l.loaded, l.flying, l.timed = 0, false, false, false
-	l.plans, l.order, l.ends, l.stale = map[string]*jobState{}, nil, nil, nil
-	l.usage, l.loads = map[string]*usage{}, map[string]*load{}
-	l.pending, l.recalls = map[string]*taskstate.Record{}, map[int]map[string]int{}
-	l.images, l.caches, l.expected = map[string][]int{}, map[string]*cache{}, map[string]*expected{}
-	for _, t := range l.set.Deployment.Teams {
-		l.usage[t.Name] = &usage{cpusMax: t.CPUsMax, cardsMax: t.GPUsMax, kept: tuning.MaxUrgentReserveShare * t.CPUsMax, at: l.rt.Now()}
+	l.token, l.loaded, l.commitBlocked, l.roundScheduled = 0, false, false, false
+	l.jobs, l.ordered, l.endings, l.obsoleteRecords = map[string]*jobState{}, nil, nil, nil
+	l.teams, l.machineLoads = map[string]*teamUsage{}, map[string]*machineLoad{}
+	l.pendingRecords, l.recalls = map[string]*taskstate.Record{}, map[int]map[string]int{}
+	l.placementsByImage, l.caches, l.expectedGangs = map[string][]int{}, map[string]*machineCache{}, map[string]*gangClass{}
+	for _, t := range l.settings.Deployment.Teams {
+		l.teams[t.Name] = &teamUsage{maxCPUs: t.CPUsMax, maxGPUs: t.GPUsMax, reservedCPUs: tuning.MaxUrgentReserveShare * t.CPUsMax, reservedAt: l.runtime.Now()}
 	}
 }
 
@@ -92,18 +92,18 @@
 func (l *Leader) BeginTerm(token uint64) {
 	l.EndTerm()
 	l.token = token
-	l.read(l.term, 0)
+	l.verify(l.term, 0)
 }
 
-func (l *Leader) read(term, try int) {
+func (l *Leader) verify(term, try int) {
 	retry := func() {
-		l.rt.After(l.state.Backoff(try), func() {
+		l.runtime.After(l.state.Backoff(try), func() {
 			if term == l.term {
-				l.read(term, try+1)
+				l.verify(term, try+1)
 			}
 		})
 	}
-	l.store.Verify(func(err error) {
+	l.records.Verify(func(err error) {
 		if term != l.term {
 			return
 		}
@@ -111,59 +111,59 @@
 			retry()
 			return
 		}
-		l.cat.Verify(func(err error) {
+		l.catalog.Verify(func(err error) {
 			switch {
 			case term != l.term:
 			case err != nil:
 				retry()
 			default:
-				l.build()
+				l.load()
 			}
 		})
 	})
 }
 
-func (l *Leader) build() {
+func (l *Leader) load() {
 	l.loaded = true
-	l.cat.EachUnfinished(func(e *userapi.Entry) { l.add(e) })
-	l.store.EachRecord(func(r *taskstate.Record) {
-		p := l.plans[r.Job]
+	l.catalog.EachUnfinished(func(e *userapi.Entry) { l.addJob(e) })
+	l.records.EachRecord(func(r *taskstate.Record) {
+		p := l.jobs[r.Job]
 		if p == nil {
-			if e := l.cat.Get(r.Job); e != nil && e.Phase == userapi.PhaseCancelled && e.Spec != nil {
-				p = l.add(e)
+			if e := l.catalog.Get(r.Job); e != nil && e.Phase == userapi.PhaseCancelled && e.Spec != nil {
+				p = l.addJob(e)
 				p.cancelled = true
 			} else {
-				l.stale = append(l.stale, r.Key)
+				l.obsoleteRecords = append(l.obsoleteRecords, r.Key)
 				return
 			}
 		}
 		l.count(p, r, 1)
-		p.number = max(p.number, r.Number+1)
-		p.next = max(p.next, r.TaskIndexes[len(r.TaskIndexes)-1]+1)
+		p.nextRecord = max(p.nextRecord, r.Number+1)
+		p.nextNew = max(p.nextNew, r.TaskIndexes[len(r.TaskIndexes)-1]+1)
 		if len(r.Zones) > 0 {
 			p.zones = r.Zones
 		}
 	})
-	for _, p := range l.plans {
-		l.givenBack(p)
-		if p.desc.IsGang() && p.open == 0 && p.done == 0 {
+	for _, p := range l.jobs {
+		l.findReturned(p)
+		if p.spec.IsGang() && p.open == 0 && p.done == 0 {
 			p.zones = nil // all of it is off its machines: it may go elsewhere
 		}
-		if p.desc.IsGang() {
-			l.expect(p)
+		if p.spec.IsGang() {
+			l.observeGang(p)
 		}
 	}
-	for _, p := range l.plans {
-		l.over(p)
+	for _, p := range l.jobs {
+		l.endIfComplete(p)
 	}
-	l.wanted = true
-	l.log.Info("lead begins", "token", l.token, "jobs", len(l.plans))
+	l.roundRequested = true
+	l.log.Info("lead begins", "token", l.token, "jobs", len(l.jobs))
 }
 
-// givenBack finds the tasks of a job that its newest records give back.
-func (l *Leader) givenBack(p *jobState) {
+// findReturned finds the tasks of a job that its newest records give back.
+func (l *Leader) findReturned(p *jobState) {
 	records := make([]*taskstate.Record, 0, 4)
-	for _, r := range l.store.JobRecords(p.e.ID) {
+	for _, r := range l.records.JobRecords(p.entry.ID) {
 		records = append(records, r)
 	}
 	slices.SortFunc(records, func(a, b *taskstate.Record) int { return cmp.Compare(a.Number, b.Number) })
@@ -178,22 +178,22 @@
 		}
 	}
 	for i := range p.attempts {
-		p.back = append(p.back, i)
+		p.returned = append(p.returned, i)
 	}
-	slices.Sort(p.back)
+	slices.Sort(p.returned)
 }
 
-func (l *Leader) add(e *userapi.Entry) *jobState {
-	p := &jobState{e: e, desc: e.Spec, rank: jobs.NewRank(e.Spec, e.SubmittedMS, l.cat.WithinQuota(e)), attempts: map[int]uint64{}, waiting: make([]int, l.set.ShardCount())}
-	l.plans[e.ID] = p
-	l.order = append(l.order, p)
-	l.resort = true
+func (l *Leader) addJob(e *userapi.Entry) *jobState {
+	p := &jobState{entry: e, spec: e.Spec, rank: jobs.NewRank(e.Spec, e.SubmittedMS, l.catalog.WithinQuota(e)), attempts: map[int]uint64{}, waitingByShard: make([]int, l.settings.ShardCount())}
+	l.jobs[e.ID] = p
+	l.ordered = append(l.ordered, p)
+	l.needsSort = true
 	return p
 }
 
-func (l *Leader) forget(p *jobState) {
-	delete(l.plans, p.e.ID)
-	l.order = slices.DeleteFunc(l.order, func(o *jobState) bool { return o == p })
+func (l *Leader) forgetJob(p *jobState) {
+	delete(l.jobs, p.entry.ID)
+	l.ordered = slices.DeleteFunc(l.ordered, func(o *jobState) bool { return o == p })
 }
 
 // JobChanged takes note of a new or ended job.
@@ -201,18 +201,18 @@
 	if !l.loaded {
 		return
 	}
-	p := l.plans[e.ID]
-	l.wanted = true
+	p := l.jobs[e.ID]
+	l.roundRequested = true
 	switch {
 	case e.Phase == "" && p == nil:
-		l.add(e)
+		l.addJob(e)
 	case e.Phase == userapi.PhaseCancelled && p != nil:
 		p.cancelled = true
-		l.over(p)
+		l.endIfComplete(p)
 	case e.Phase == userapi.PhaseDone && p != nil:
-		l.forget(p)
-		for key := range l.store.JobRecords(e.ID) {
-			l.stale = append(l.stale, key)
+		l.forgetJob(p)
+		for key := range l.records.JobRecords(e.ID) {
+			l.obsoleteRecords = append(l.obsoleteRecords, key)
 		}
 	}
 }
@@ -223,20 +223,20 @@
 	if !l.loaded {
 		return
 	}
-	l.wanted = true
-	p := l.plans[r.Job]
-	if v := l.pending[r.Key]; v != nil {
-		delete(l.pending, r.Key)
+	l.roundRequested = true
+	p := l.jobs[r.Job]
+	if v := l.pendingRecords[r.Key]; v != nil {
+		delete(l.pendingRecords, r.Key)
 		if p != nil {
 			l.count(p, v, -1)
 		}
 	}
 	if p != nil {
 		l.count(p, r, 1)
-		l.over(p)
-	} else if e := l.cat.Get(r.Job); e != nil && e.Phase != "" {
+		l.endIfComplete(p)
+	} else if e := l.catalog.Get(r.Job); e != nil && e.Phase != "" {
 		// A hand-out that was carried out once more after its job was over.
-		l.stale = append(l.stale, r.Key)
+		l.obsoleteRecords = append(l.obsoleteRecords, r.Key)
 	}
 }
 
@@ -245,10 +245,10 @@
 	if !l.loaded {
 		return
 	}
-	l.wanted = true
-	if p := l.plans[r.Job]; p != nil {
+	l.roundRequested = true
+	if p := l.jobs[r.Job]; p != nil {
 		l.count(p, r, -1)
-		l.over(p)
+		l.endIfComplete(p)
 	}
 }
 
@@ -257,72 +257,72 @@
 	if !l.loaded {
 		return
 	}
-	p := l.plans[r.Job]
+	p := l.jobs[r.Job]
 	if p == nil {
 		return
 	}
-	l.wanted = true
+	l.roundRequested = true
 	now := r.Statuses[k]
-	l.mark(p, r.Shard, was, -1)
-	l.mark(p, r.Shard, now, 1)
+	l.countTask(p, r.Shard, was, -1)
+	l.countTask(p, r.Shard, now, 1)
 	if now.State == taskstate.StateReturned && !p.cancelled {
-		if i, there := slices.BinarySearch(p.back, r.TaskIndexes[k]); !there {
-			p.back = slices.Insert(p.back, i, r.TaskIndexes[k])
+		if i, there := slices.BinarySearch(p.returned, r.TaskIndexes[k]); !there {
+			p.returned = slices.Insert(p.returned, i, r.TaskIndexes[k])
 		}
 		p.attempts[r.TaskIndexes[k]] = now.Attempt
 	}
 	if p.open == 0 {
-		l.over(p)
+		l.endIfComplete(p)
 	}
 }
 
 // RequestRound makes the next Settle look at everything again.
-func (l *Leader) RequestRound() { l.wanted = true }
+func (l *Leader) RequestRound() { l.roundRequested = true }
 
 // AfterBatch hands out and commits what is due.
 func (l *Leader) AfterBatch() {
-	if !l.loaded || !l.leases.LeaseValid() || l.flying || (!l.wanted && len(l.ends) == 0 && len(l.stale) == 0) {
+	if !l.loaded || !l.leases.LeaseValid() || l.commitBlocked || (!l.roundRequested && len(l.endings) == 0 && len(l.obsoleteRecords) == 0) {
 		return
 	}
-	if l.end() {
+	if l.commitEndings() {
 		return
 	}
-	now := l.rt.Now()
-	if wait := l.last + l.pause - now; wait > 0 && l.last > 0 {
-		if !l.timed {
-			l.timed = true
+	now := l.runtime.Now()
+	if wait := l.lastRoundAt + l.roundInterval - now; wait > 0 && l.lastRoundAt > 0 {
+		if !l.roundScheduled {
+			l.roundScheduled = true
 			term := l.term
-			l.rt.After(wait, func() {
+			l.runtime.After(wait, func() {
 				if term == l.term {
-					l.timed = false
+					l.roundScheduled = false
 				}
 			})
 		}
 		return
 	}
-	l.last = now
-	if l.wanted {
-		l.wanted = false
-		if l.handOut() {
+	l.lastRoundAt = now
+	if l.roundRequested {
+		l.roundRequested = false
+		if l.dispatch() {
 			return
 		}
 	}
-	l.sweep()
+	l.collectRecords()
 }
 
 // commit sends changes under the guard of the lead.
 func (l *Leader) commit(guards []statestore.Condition, apply []statestore.Operation, fn func(statestore.CommitResult)) {
 	term := l.term
 	guards = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: l.token}}, guards...)
-	l.flying = true
+	l.commitBlocked = true
 	l.state.Commit(guards, apply, func(r statestore.CommitResult) {
 		if term != l.term {
 			return
 		}
-		l.flying = false
+		l.commitBlocked = false
 		if r.Outcome == statestore.OutcomeConflict && slices.Contains(r.FailedKeys, statestore.LeaderKey) {
 			// The watch will say who leads; until then nothing more is sent.
-			l.flying = true
+			l.commitBlocked = true
 			l.leases.Refresh(func() {
 				if term == l.term {
 					l.BeginTerm(l.token)
@@ -330,18 +330,18 @@
 			})
 			return
 		}
-		l.wanted = true
+		l.roundRequested = true
 		fn(r)
 	})
 }
 
-// later lets a refused commit rest before anything else is sent.
-func (l *Leader) later(try int, fn func()) {
+// backOff lets a refused commit rest before anything else is sent.
+func (l *Leader) backOff(try int, fn func()) {
 	term := l.term
-	l.flying = true
-	l.rt.After(l.state.Backoff(try), func() {
+	l.commitBlocked = true
+	l.runtime.After(l.state.Backoff(try), func() {
 		if term == l.term {
-			l.flying = false
+			l.commitBlocked = false
 			fn()
 		}
 	})
--- a/internal/leader/operators.go
+++ b/internal/leader/operators.go
@@ -10,7 +10,7 @@
 
 // CPUsPlacedOn is the processors of the tasks placed on a machine.
 func (l *Leader) CPUsPlacedOn(host string) float64 {
-	if h := l.loads[host]; h != nil {
+	if h := l.machineLoads[host]; h != nil {
 		return h.cpus
 	}
 	return 0
@@ -25,8 +25,8 @@
 			return
 		}
 		cpus, cards, memory := r.MachineType.CPUs, r.MachineType.GPUs, r.MachineType.MemoryGB
-		if h := l.loads[r.ID]; h != nil {
-			cpus, cards, memory = cpus-h.cpus, cards-h.cards, memory-h.memory
+		if h := l.machineLoads[r.ID]; h != nil {
+			cpus, cards, memory = cpus-h.cpus, cards-h.gpus, memory-h.memoryGB
 		}
 		tasks += fit(d, cpus, cards, memory)
 	})
@@ -37,7 +37,7 @@
 func (l *Leader) TaskStatus(job string, index int) (taskstate.TaskStatus, bool) {
 	var newest taskstate.TaskStatus
 	number := -1
-	for _, r := range l.store.JobRecords(job) {
+	for _, r := range l.records.JobRecords(job) {
 		// A task that was given back is in a later record.
 		if i, there := slices.BinarySearch(r.TaskIndexes, index); there && r.Number > number {
 			newest, number = r.Statuses[i], r.Number
@@ -48,14 +48,14 @@
 
 // EachPlacement calls fn for all tasks that are placed.
 func (l *Leader) EachPlacement(fn func(d *jobs.Spec, mark taskstate.TaskStatus)) {
-	l.store.EachRecord(func(r *taskstate.Record) {
-		p := l.plans[r.Job]
+	l.records.EachRecord(func(r *taskstate.Record) {
+		p := l.jobs[r.Job]
 		if p == nil {
 			return
 		}
 		for _, m := range r.Statuses {
 			if m.State == taskstate.StatePlaced {
-				fn(p.desc, m)
+				fn(p.spec, m)
 			}
 		}
 	})
@@ -63,13 +63,13 @@
 
 // EachReturnedTask calls fn for each task that has had an attempt and that no block holds now.
 func (l *Leader) EachReturnedTask(fn func(d *jobs.Spec, index int)) {
-	for _, p := range l.order {
+	for _, p := range l.ordered {
 		if p.cancelled {
 			continue
 		}
-		for _, index := range p.back {
+		for _, index := range p.returned {
 			if p.attempts[index] > 0 {
-				fn(p.desc, index)
+				fn(p.spec, index)
 			}
 		}
 	}
