--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,8 +97,14 @@
 	n.leases.AnswerGracePeriod = set.AnswerGracePeriod()
 	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log)
 	n.store = taskstate.NewStore(rt, n.state, log)
-	n.fleet = fleet.New(rt, set.External.Cloud, n.leases, set, log)
-	n.leader = leader.New(rt, n.state, n.leases, n.cat, n.store, n.fleet, set, log)
+	machines := leader.NewMachineUsage(set.ShardCount())
+	n.fleet = fleet.New(fleet.Dependencies{
+		Runtime: rt, Address: set.External.Cloud, Leases: n.leases, Loads: machines, Settings: set, Log: log,
+	})
+	n.leader = leader.New(leader.Dependencies{
+		Runtime: rt, State: n.state, Leases: n.leases, Catalog: n.cat, Records: n.store,
+		Fleet: n.fleet, Machines: machines, Settings: set, Log: log,
+	})
 	n.api = userapi.NewAPI(rt, n.state, n.cat, set, log)
 	for b := range set.ShardCount() {
 		n.owners = append(n.owners, newOwner(n, b))
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -75,7 +75,7 @@
 	f.EachAvailable(func(r *AvailableMachine) {
 		c := sums.at(r.MachineKind)
 		c.add(r.MachineType.CPUs, r.Booting, r.ReadyIn)
-		load := f.LoadOf(r.ID)
+		load := f.loads.MachineLoad(r.ID)
 		c.used.CPUs += load.CPUs
 		c.used.Services += load.Services
 		for priority, cpus := range load.ByPriority {
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -103,7 +103,7 @@
 			}
 			return
 		}
-		load := f.LoadOf(r.ID)
+		load := f.loads.MachineLoad(r.ID)
 		bound := load.CPUs - load.Movable
 		v.work += load.Movable
 		if r.Spot {
--- a/internal/fleet/exchange_test.go
+++ b/internal/fleet/exchange_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"testing"
 	"time"
 
@@ -18,11 +17,11 @@
 	rt = &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f = New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f = newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	f.since, f.listed = rt.now, true
 	start := rt.now
-	f.LoadOf = func(host string) MachineLoad {
+	f.loads = loadsFunc(func(host string) MachineLoad {
 		m, taking := f.machines[host], 0.0
 		for _, o := range f.machines {
 			if o.drain == "" {
@@ -38,7 +37,7 @@
 			return MachineLoad{CPUs: use, Movable: use / 2}
 		}
 		return MachineLoad{CPUs: use, Movable: use}
-	}
+	})
 	add := func(spot bool, addr string) {
 		id := fmt.Sprintf("vm-%06d", len(f.machines))
 		f.machines[id] = &machine{id: id, addr: addr, kind: MachineKind{"g8", "a", spot}, rented: rt.now, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
@@ -124,7 +123,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 	for i := range 10 {
@@ -147,7 +146,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	low := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 60, Urgency: "standard"}
 	high := &jobs.Spec{CPUs: 1, MemoryGB: 2, EstimateSeconds: 0, Shape: "daemon", Urgency: "urgent"}
@@ -176,7 +175,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 	for i := range 200 {
@@ -184,11 +183,11 @@
 		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", i >= 20}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
 	standard := &jobs.Spec{Urgency: "standard"}
-	f.LoadOf = func(string) MachineLoad {
+	f.loads = loadsFunc(func(string) MachineLoad {
 		l := MachineLoad{CPUs: 30, Movable: 30}
 		l.ByPriority[standard.Priority()] = 30
 		return l
-	}
+	})
 	replica := &jobs.Spec{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
 	f.SetDemand([]Demand{{Spec: replica, Tasks: 1, ObjectiveSlackSeconds: []float64{4}}}, nil)
 	f.rent(f.term)
@@ -216,7 +215,7 @@
 		rt := &still{now: time.Hour}
 		set := &settings.Settings{}
 		set.Deployment.Cloud.RPS = 4
-		f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+		f := newFleet(rt, leading{}, set)
 		f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 		f.pauses[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
 		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
@@ -253,19 +252,19 @@
 		rt := &still{now: time.Hour}
 		set := &settings.Settings{}
 		set.Deployment.Cloud.RPS = 4
-		f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+		f := newFleet(rt, leading{}, set)
 		f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
 		for i := range 10 {
 			id := fmt.Sprintf("vm-%06d", i)
 			f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 		}
-		f.LoadOf = func(string) MachineLoad {
+		f.loads = loadsFunc(func(string) MachineLoad {
 			l := MachineLoad{CPUs: c.services + c.lower, Movable: c.lower, Services: c.services}
 			l.ByPriority[standard.Priority()] = c.lower
 			l.ByPriority[jobs.PriorityUrgent] = c.services
 			return l
-		}
+		})
 		replica := &jobs.Spec{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
 		f.SetDemand([]Demand{{Spec: replica, Tasks: 1, WaitedSeconds: c.waited}}, nil)
 		f.rent(f.term)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,12 +63,10 @@
 
 // Fleet is the leader's view of the cloud.
 type Fleet struct {
-	// LoadOf tells what the tasks placed on a machine take.
-	LoadOf func(host string) MachineLoad
-
 	rt    eventloop.Runtime
 	addr  string
 	lease Lease
+	loads LoadSource
 	set   *settings.Settings
 	log   *slog.Logger
 
@@ -101,12 +99,28 @@
 	filled     time.Duration
 }
 
-// New returns a fleet that speaks to the cloud at addr.
-func New(rt eventloop.Runtime, addr string, lease Lease, set *settings.Settings, log *slog.Logger) *Fleet {
+// LoadSource tells what the tasks placed on machines take.
+type LoadSource interface {
+	MachineLoad(machineID string) MachineLoad
+}
+
+// Dependencies are what a fleet works with.
+type Dependencies struct {
+	Runtime  eventloop.Runtime
+	Address  string // of the cloud
+	Leases   Lease
+	Loads    LoadSource
+	Settings *settings.Settings
+	Log      *slog.Logger
+}
+
+// New returns a fleet without any machines.
+func New(dependencies Dependencies) *Fleet {
+	set := dependencies.Settings
 	return &Fleet{
-		rt: rt, addr: addr, lease: lease, set: set, log: log,
+		rt: dependencies.Runtime, addr: dependencies.Address, lease: dependencies.Leases, loads: dependencies.Loads,
+		set: set, log: dependencies.Log,
 		machines: map[string]*machine{}, returned: map[string]time.Duration{}, pauses: map[MachineKind]time.Duration{},
-		LoadOf:   func(string) MachineLoad { return MachineLoad{} },
 		inFlight: map[string]hire{}, named: map[string][]string{}, statuses: make([]statusHeard, set.ShardCount()), unreported: make([][]string, set.ShardCount()),
 		reachable: map[string]time.Duration{}, running: map[string]int{}, cutOffAt: map[string]time.Duration{},
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -54,12 +54,25 @@
 func (l leading) LeaseValid() bool    { return !l.out }
 func (leading) ShardOwner(int) string { return "node-0" }
 
+// loadsFunc is a source of loads made of a function.
+type loadsFunc func(machineID string) MachineLoad
+
+func (f loadsFunc) MachineLoad(machineID string) MachineLoad { return f(machineID) }
+
+// newFleet returns a fleet with nothing on its machines.
+func newFleet(runtime eventloop.Runtime, leases Lease, settings *settings.Settings) *Fleet {
+	return New(Dependencies{
+		Runtime: runtime, Address: "cloud", Leases: leases, Settings: settings, Log: slog.New(slog.DiscardHandler),
+		Loads: loadsFunc(func(string) MachineLoad { return MachineLoad{} }),
+	})
+}
+
 // TestNewOwnerLosesNoMachine guards against a fault seen on a rough day: a new
 // owner, which knew the machines from its records only, made the leader return
 // all of them as never booted, with their tasks.
 func TestNewOwnerLosesNoMachine(t *testing.T) {
 	rt := &still{now: time.Hour}
-	f := New(rt, "", leading{}, &settings.Settings{}, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, &settings.Settings{})
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rented: 0, listed: true}
 	f.machines["vm-2"] = &machine{id: "vm-2", kind: MachineKind{MachineType: "g8"}, rented: 0, listed: true, booting: true}
@@ -82,7 +95,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS = 10
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	for _, id := range []string{"vm-1", "vm-2"} {
 		f.machines[id] = &machine{id: id, kind: MachineKind{MachineType: "g8"}, rented: rt.now, listed: true, running: rt.now}
@@ -113,7 +126,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootSeconds: 50, Zones: []string{"a", "b"}}}
 	job := &jobs.Spec{CPUs: 16, MemoryGB: 35, Spot: true, EstimateSeconds: 40, Tasks: 400}
 	asked := map[string]int{}
@@ -158,7 +171,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS, set.Deployment.Cloud.RPS = 10, 100
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
 	d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 	for i := range 90 {
@@ -254,7 +267,7 @@
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS = 10
 	lease := &leading{}
-	f := New(rt, "", lease, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, lease, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.BeginTerm()
 	rt.now += time.Hour
@@ -306,7 +319,7 @@
 		rt := &still{now: time.Hour}
 		set := &settings.Settings{}
 		set.Deployment.Workers.ReportS = 10
-		f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+		f := newFleet(rt, leading{}, set)
 		f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 		d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 		for i := range n {
@@ -339,7 +352,7 @@
 // that waited for it.
 func TestLateStatusTellsNothing(t *testing.T) {
 	rt := &still{now: time.Hour}
-	f := New(rt, "", leading{}, &settings.Settings{}, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, &settings.Settings{})
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	ghost := []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}
 	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Seq: 40})
@@ -359,7 +372,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.ListLagS = 10
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.listed = true
 	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rented: rt.now}
@@ -381,7 +394,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 10
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.listed = true
 	status := MachineStatus{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}
@@ -411,7 +424,7 @@
 // still tells of it.
 func TestReturnedMachineIsNotTakenInAgain(t *testing.T) {
 	rt := &still{now: time.Hour}
-	f := New(rt, "", leading{}, &settings.Settings{}, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, &settings.Settings{})
 	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.returned["vm-1"] = rt.now
 	r := f.HandleStatus(&ShardStatus{Full: true, Seq: 1, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
@@ -426,7 +439,7 @@
 func TestRepeatedRentalKeepsItsName(t *testing.T) {
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
-	f := New(rt, "", leading{}, set, slog.New(slog.DiscardHandler))
+	f := newFleet(rt, leading{}, set)
 	f.hire(0, hire{Name: "r-7-1", Build: "g8", Zone: "a", Number: 2}, 0)
 	rt.answers[0](http1.Response{}, eventloop.ErrNoAnswer)
 	rt.fire()
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"log/slog"
 	"testing"
 	"time"
 
@@ -26,7 +25,7 @@
 	rt := &still{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 100
-	return rt, New(rt, "cloud", leading{}, set, slog.New(slog.DiscardHandler))
+	return rt, newFleet(rt, leading{}, set)
 }
 
 // asked checks the last call to the cloud.
--- a/internal/leader/capacity.go
+++ b/internal/leader/capacity.go
@@ -1,210 +1,261 @@
 package leader
 
 import (
-	"math"
 	"sort"
+	"time"
 
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/tuning"
 )
 
+// anyShard stands for all shards where one is asked for.
+const anyShard = -1
+
 // machineCapacity is what one machine has left.
 type machineCapacity struct {
-	cpus, gpus, memoryGB float64
-	cache               *machineCache // nil if nothing is known
-	// Kept for gangs to come: other work gets none of it.
-	reservedCPUs, reservedGPUs, reservedMemoryGB float64
+	available resource.Vector
+	reserved  resource.Vector // for gangs to come: other work gets none of it
+	cache     *machineCache   // nil if nothing is known
+}
+
+// taskCount returns how many tasks of a job the machine has room for. Room is reserved for
+// gangs, so only other jobs have to leave it.
+func (m *machineCapacity) taskCount(spec *jobs.Spec) int {
+	if spec.IsGang() {
+		return spec.Resources().CountIn(m.available)
+	}
+	return m.unreservedTaskCount(spec)
+}
+
+// unreservedTaskCount returns how many tasks of a job fit into what is not reserved.
+func (m *machineCapacity) unreservedTaskCount(spec *jobs.Spec) int {
+	return spec.Resources().CountIn(m.available.Minus(m.reserved))
 }
 
-// machineGroup is the machines of one kind in one block, up or booting: whether a job
-// may use them is asked once for all of them.
+// caches reports whether the machine is known to cache an image.
+func (m *machineCapacity) caches(image string) bool {
+	return m.cache != nil && m.cache.images.Contains(image)
+}
+
+// hasRoom reports whether any task could still fit.
+func (m *machineCapacity) hasRoom() bool {
+	return m.available.CPUs > resource.Epsilon && m.available.MemoryGB > resource.Epsilon
+}
+
+// machineGroup is the machines of one kind in one shard that are all up or all booting:
+// whether a job may use them is asked once for all of them.
 type machineGroup struct {
-	kind    *fleet.AvailableMachine
-	shard   int
-	booting bool
-	machines   []machineCapacity
-	sorted  bool
+	kind     *fleet.AvailableMachine
+	shard    int
+	booting  bool
+	machines []machineCapacity // those with room
+	sorted   bool
+}
+
+// take gives up to limit tasks of a job room on the group's machines, the fullest first, so
+// that others run empty and can be returned, and returns how many got some.
+func (g *machineGroup) take(job *jobState, limit int) int {
+	if !g.sorted {
+		sort.Slice(g.machines, func(i, j int) bool { return g.machines[i].available.CPUs < g.machines[j].available.CPUs })
+		g.sorted = true
+	}
+	task := job.spec.Resources()
+	taken := 0
+	for i := range g.machines {
+		if taken == limit {
+			break
+		}
+		machine := &g.machines[i]
+		count := machine.taskCount(job.spec)
+		if job.starved { // has waited too long to leave room for others
+			count = task.CountIn(machine.available)
+		}
+		count = min(count, limit-taken)
+		machine.available = machine.available.Minus(task.Times(float64(count)))
+		taken += count
+	}
+	if taken > 0 {
+		g.removeFull()
+	}
+	return taken
+}
+
+// removeFull drops the machines that have no room left.
+func (g *machineGroup) removeFull() {
+	rest := g.machines[:0]
+	for _, machine := range g.machines {
+		if machine.hasRoom() {
+			rest = append(rest, machine)
+		}
+	}
+	g.machines = rest
 }
 
-// capacityView is the machines' room as one hand-out sees it.
+// capacityView is what the machines have left, as one dispatch round sees it: the round
+// takes from it what it plans.
 type capacityView struct {
-	groups  []*machineGroup
-	totalCPUs   []float64 // of all machines, by block
-	queuedCPUs []float64 // of tasks that wait in the blocks' queues
-	machineCount int       // of machines
+	groups       []*machineGroup
+	totalCPUs    []float64 // of all machines, by shard
+	queuedCPUs   []float64 // of tasks that wait in the shards' queues, by shard
+	machineCount int
 }
 
-func (l *Leader) viewCapacity() *capacityView {
-	blocks := l.settings.ShardCount()
-	b := &capacityView{totalCPUs: make([]float64, blocks), queuedCPUs: make([]float64, blocks)}
-	type which struct {
+// newCapacityView looks at all available machines.
+func newCapacityView(shards int, machines *fleet.Fleet, usage *MachineUsage, now time.Duration) *capacityView {
+	view := &capacityView{totalCPUs: make([]float64, shards), queuedCPUs: make([]float64, shards)}
+	type groupKey struct {
 		kind    fleet.MachineKind
-		block   int
+		shard   int
 		booting bool
 	}
-	index := map[which]*machineGroup{}
-	now := l.runtime.Now()
-	l.fleet.EachAvailable(func(r *fleet.AvailableMachine) {
-		b.machineCount++
-		b.totalCPUs[r.Shard] += r.MachineType.CPUs
-		w := which{r.MachineKind, r.Shard, r.Booting}
-		s := index[w]
-		if s == nil {
-			kind := *r
-			s = &machineGroup{kind: &kind, shard: r.Shard, booting: r.Booting}
-			index[w] = s
-			b.groups = append(b.groups, s)
-		}
-		left := machineCapacity{cpus: r.MachineType.CPUs, gpus: r.MachineType.GPUs, memoryGB: r.MachineType.MemoryGB, cache: l.caches[r.ID]}
-		if left.cache != nil {
-			left.cache.machineType, left.cache.seenAt = r.MachineType, now
-		}
-		if h := l.machineLoads[r.ID]; h != nil {
-			left.cpus -= h.cpus
-			left.gpus -= h.gpus
-			left.memoryGB -= h.memoryGB
-		}
-		if left.cpus > slack && left.memoryGB > slack {
-			s.machines = append(s.machines, left)
+	groups := map[groupKey]*machineGroup{}
+	machines.EachAvailable(func(machine *fleet.AvailableMachine) {
+		view.machineCount++
+		view.totalCPUs[machine.Shard] += machine.MachineType.CPUs
+		key := groupKey{machine.MachineKind, machine.Shard, machine.Booting}
+		group := groups[key]
+		if group == nil {
+			kind := *machine
+			group = &machineGroup{kind: &kind, shard: machine.Shard, booting: machine.Booting}
+			groups[key] = group
+			view.groups = append(view.groups, group)
 		}
-	})
-	// Small machines first: large ones are all that large tasks have.
-	sort.Slice(b.groups, func(i, k int) bool {
-		a, c := b.groups[i], b.groups[k]
-		if x, y := a.kind.MachineType.CPUs, c.kind.MachineType.CPUs; x != y {
-			return x < y
+		capacity := machineCapacity{
+			available: usage.available(machine.ID, machine.MachineType),
+			cache:     usage.observe(machine.ID, machine.MachineType, now),
 		}
-		if a.kind.MachineKind != c.kind.MachineKind {
-			return a.kind.Before(c.kind.MachineKind)
+		if capacity.hasRoom() {
+			group.machines = append(group.machines, capacity)
 		}
-		return a.shard < c.shard
 	})
-	return b
+	view.sortGroups()
+	return view
 }
 
-const slack = 1e-9 // sums of decimal amounts are not exact
-
-// taskCount tells how many tasks of a job a machine has room for.
-func (r *machineCapacity) taskCount(d *jobs.Spec) int {
-	if d.IsGang() {
-		return fit(d, r.cpus, r.gpus, r.memoryGB)
-	}
-	return r.unreservedTaskCount(d)
+// sortGroups puts small machines first: large ones are all that large tasks have.
+func (v *capacityView) sortGroups() {
+	sort.Slice(v.groups, func(i, j int) bool {
+		a, b := v.groups[i], v.groups[j]
+		if a.kind.MachineType.CPUs != b.kind.MachineType.CPUs {
+			return a.kind.MachineType.CPUs < b.kind.MachineType.CPUs
+		}
+		if a.kind.MachineKind != b.kind.MachineKind {
+			return a.kind.Before(b.kind.MachineKind)
+		}
+		return a.shard < b.shard
+	})
 }
 
-// unreservedTaskCount is the same for what is not kept.
-func (r *machineCapacity) unreservedTaskCount(d *jobs.Spec) int {
-	return fit(d, r.cpus-r.reservedCPUs, r.gpus-r.reservedGPUs, r.memoryGB-r.reservedMemoryGB)
+// machineSet is the machines on which a job looks for room.
+type machineSet struct {
+	zone    string // "" for any
+	shard   int    // or anyShard
+	booting bool   // those that boot, else those that are up
 }
 
-func fit(d *jobs.Spec, cpus, cards, memory float64) int {
-	n := math.MaxInt32
-	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.GPUs, cards}, {d.MemoryGB, memory}} {
-		if x.need > 0 {
-			n = min(n, int(math.Floor((x.left+slack)/x.need)))
-		}
-	}
-	return max(n, 0)
+// includes reports whether the job may use the machines of a group of the set.
+func (s machineSet) includes(group *machineGroup, spec *jobs.Spec) bool {
+	return group.booting == s.booting && (s.shard == anyShard || group.shard == s.shard) && group.kind.CouldRun(spec, s.zone)
 }
 
-// take gives up to n tasks of a job room on the machines of a block (-1: of
-// any), and calls fn with how many each block took.
-func (b *capacityView) take(p *jobState, zone string, block int, booting bool, n int, fn func(block, n int)) int {
-	taken := 0
-	for _, s := range b.groups {
-		if taken == n {
+// take gives up to limit tasks of a job room on machines of a set, calls taken with how
+// many each shard took, and returns their sum.
+func (v *capacityView) take(job *jobState, set machineSet, limit int, taken func(shard, tasks int)) int {
+	total := 0
+	for _, group := range v.groups {
+		if total == limit {
 			break
 		}
-		if s.booting != booting || (block >= 0 && s.shard != block) || len(s.machines) == 0 || !s.kind.CouldRun(p.spec, zone) {
+		if len(group.machines) == 0 || !set.includes(group, job.spec) {
 			continue
 		}
-		if !s.sorted {
-			// The fullest first, so that others run empty and can be returned.
-			sort.Slice(s.machines, func(i, k int) bool { return s.machines[i].cpus < s.machines[k].cpus })
-			s.sorted = true
+		if count := group.take(job, limit-total); count > 0 {
+			total += count
+			taken(group.shard, count)
 		}
-		here := 0
-		for i := range s.machines {
-			if taken == n {
-				break
-			}
-			r := &s.machines[i]
-			k := r.taskCount(p.spec)
-			if p.starved { // has waited too long to leave room for others
-				k = fit(p.spec, r.cpus, r.gpus, r.memoryGB)
-			}
-			k = min(k, n-taken)
-			if k == 0 {
-				continue
-			}
-			s.machines[i].cpus -= float64(k) * p.spec.CPUs
-			s.machines[i].gpus -= float64(k) * p.spec.GPUs
-			s.machines[i].memoryGB -= float64(k) * p.spec.MemoryGB
-			taken, here = taken+k, here+k
-		}
-		if here > 0 {
-			fn(s.shard, here)
-			kept := s.machines[:0]
-			for _, r := range s.machines {
-				if r.cpus > slack && r.memoryGB > slack {
-					kept = append(kept, r)
-				}
+	}
+	return total
+}
+
+// discard takes room without anything being dispatched into it.
+func (v *capacityView) discard(job *jobState, set machineSet, limit int) int {
+	return v.take(job, set, limit, func(int, int) {})
+}
+
+// countTasks returns for how many tasks of a job the machines of a set have room; cached:
+// only those that cache its image.
+func (v *capacityView) countTasks(spec *jobs.Spec, set machineSet, cached bool) int {
+	count := 0
+	for _, group := range v.groups {
+		if !set.includes(group, spec) {
+			continue
+		}
+		for i := range group.machines {
+			if machine := &group.machines[i]; !cached || machine.caches(spec.Image) {
+				count += machine.taskCount(spec)
 			}
-			s.machines = kept
 		}
 	}
-	return taken
+	return count
 }
 
-// shardsInOrder lists the blocks: home first, then those with the most room.
-func (b *capacityView) shardsInOrder(home int) []int {
-	list := make([]int, len(b.totalCPUs))
-	free := make([]float64, len(b.totalCPUs))
-	for block := range list {
-		list[block] = block
+// shardsInOrder lists the shards: home first, then those with the most free processors.
+func (v *capacityView) shardsInOrder(home int) []int {
+	shards := make([]int, len(v.totalCPUs))
+	free := make([]float64, len(v.totalCPUs))
+	for shard := range shards {
+		shards[shard] = shard
 	}
-	for _, s := range b.groups {
-		if !s.booting {
-			for i := range s.machines {
-				free[s.shard] += s.machines[i].cpus
+	for _, group := range v.groups {
+		if !group.booting {
+			for i := range group.machines {
+				free[group.shard] += group.machines[i].available.CPUs
 			}
 		}
 	}
-	sort.SliceStable(list, func(i, k int) bool {
-		if x, y := list[i] == home, list[k] == home; x != y {
-			return x
+	sort.SliceStable(shards, func(i, j int) bool {
+		if a, b := shards[i] == home, shards[j] == home; a != b {
+			return a
 		}
-		return free[list[i]] > free[list[k]]
+		return free[shards[i]] > free[shards[j]]
 	})
-	return list
+	return shards
 }
 
-// servingShards tells which blocks have a machine that may run a job's tasks.
-func (b *capacityView) servingShards(p *jobState, zone string) []bool {
-	list := make([]bool, len(b.totalCPUs))
-	for _, s := range b.groups {
-		if !list[s.shard] && s.kind.CouldRun(p.spec, zone) {
-			list[s.shard] = true
+// servingShards tells of each shard whether it has a machine that may run a job's tasks.
+func (v *capacityView) servingShards(spec *jobs.Spec, zone string) []bool {
+	serving := make([]bool, len(v.totalCPUs))
+	for _, group := range v.groups {
+		if !serving[group.shard] && group.kind.CouldRun(spec, zone) {
+			serving[group.shard] = true
 		}
 	}
-	return list
+	return serving
 }
 
-// shardToQueueIn finds the block in whose queues a task should wait: home, else the
-// one with the shortest for its size; -1 if the queues are long enough.
-func (b *capacityView) shardToQueueIn(p *jobState, zone string, home int) int {
-	best, least := -1, 0.0
-	for block, ok := range b.servingShards(p, zone) {
-		if !ok || (b.queuedCPUs[block] > 0 && b.queuedCPUs[block]+p.spec.CPUs > tuning.MaxQueuedShare*b.totalCPUs[block]) {
+// shardToQueueIn finds the shard in whose queues a task should wait: home, else the one
+// whose queue is the shortest for its size; -1 if the queues are long enough.
+func (v *capacityView) shardToQueueIn(spec *jobs.Spec, zone string, home int) int {
+	best, bestLoad := -1, 0.0
+	for shard, serving := range v.servingShards(spec, zone) {
+		if !serving || (v.queuedCPUs[shard] > 0 && v.queuedCPUs[shard]+spec.CPUs > tuning.MaxQueuedShare*v.totalCPUs[shard]) {
 			continue
 		}
-		if block == home {
-			return block
+		if shard == home {
+			return shard
 		}
-		if load := b.queuedCPUs[block] / b.totalCPUs[block]; best < 0 || load < least {
-			best, least = block, load
+		if load := v.queuedCPUs[shard] / v.totalCPUs[shard]; best < 0 || load < bestLoad {
+			best, bestLoad = shard, load
 		}
 	}
 	return best
 }
+
+// queueableTasks returns how many tasks of a job the queues of a shard still take, at least
+// one.
+func (v *capacityView) queueableTasks(spec *jobs.Spec, shard int) int {
+	task := resource.Vector{CPUs: spec.CPUs}
+	return max(1, task.CountIn(resource.Vector{CPUs: tuning.MaxQueuedShare*v.totalCPUs[shard] - v.queuedCPUs[shard]}))
+}
--- a/internal/leader/capacity_test.go
+++ b/internal/leader/capacity_test.go
@@ -8,74 +8,97 @@
 
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 )
 
-// TestBoardTakesWhatFits: hand-outs give a job as many tasks as there is room
-// for, on machines that it may use, and never more than a machine holds.
-func TestBoardTakesWhatFits(t *testing.T) {
+// drawCapacityView draws machines of two types with some room left on them.
+func drawCapacityView(t *rapid.T) *capacityView {
+	view := &capacityView{totalCPUs: make([]float64, 2), queuedCPUs: make([]float64, 2)}
+	types := []*jobs.MachineType{
+		{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}},
+		{Name: "l", CPUs: 64, MemoryGB: 128, Zones: []string{"a", "b"}},
+	}
+	for range rapid.IntRange(0, 8).Draw(t, "groups") {
+		machineType := rapid.SampledFrom(types).Draw(t, "type")
+		kind := fleet.MachineKind{
+			MachineType: machineType.Name, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			Spot: rapid.Bool().Draw(t, "spot"),
+		}
+		group := &machineGroup{
+			kind:  &fleet.AvailableMachine{MachineKind: kind, MachineType: machineType},
+			shard: rapid.IntRange(0, 1).Draw(t, "shard"), booting: rapid.Bool().Draw(t, "booting"),
+		}
+		for range rapid.IntRange(0, 5).Draw(t, "machines") {
+			group.machines = append(group.machines, machineCapacity{available: resource.Vector{
+				CPUs:     rapid.Float64Range(0.5, machineType.CPUs).Draw(t, "cpus"),
+				MemoryGB: rapid.Float64Range(0.5, machineType.MemoryGB).Draw(t, "memory"),
+			}})
+		}
+		view.groups = append(view.groups, group)
+	}
+	return view
+}
+
+// freeCPUs sums up what the machines of a group have left.
+func freeCPUs(t *rapid.T, group *machineGroup) float64 {
+	sum := 0.0
+	for _, machine := range group.machines {
+		if machine.available.CPUs < -resource.Epsilon || machine.available.MemoryGB < -resource.Epsilon {
+			t.Fatalf("a machine is left with %+v", machine)
+		}
+		sum += machine.available.CPUs
+	}
+	return sum
+}
+
+// TestTakeGivesWhatFits: a job gets room for as many tasks as there is, on machines that it
+// may use, and never more than a machine holds.
+func TestTakeGivesWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := &capacityView{totalCPUs: make([]float64, 2), queuedCPUs: make([]float64, 2)}
-		types := []*jobs.MachineType{{Name: "s", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}}, {Name: "l", CPUs: 64, MemoryGB: 128, Zones: []string{"a", "b"}}}
+		view := drawCapacityView(t)
 		before := map[*machineGroup]float64{}
-		for range rapid.IntRange(0, 8).Draw(t, "racks") {
-			typ := rapid.SampledFrom(types).Draw(t, "type")
-			r := &machineGroup{
-				kind:  &fleet.AvailableMachine{MachineKind: fleet.MachineKind{MachineType: typ.Name, Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")}, MachineType: typ},
-				shard: rapid.IntRange(0, 1).Draw(t, "block"), booting: rapid.Bool().Draw(t, "booting"),
-			}
-			for range rapid.IntRange(0, 5).Draw(t, "rooms") {
-				r.machines = append(r.machines, machineCapacity{cpus: rapid.Float64Range(0.5, typ.CPUs).Draw(t, "cpus"), memoryGB: rapid.Float64Range(0.5, typ.MemoryGB).Draw(t, "memory")})
-			}
-			for _, m := range r.machines {
-				before[r] += m.cpus
-			}
-			b.groups = append(b.groups, r)
+		for _, group := range view.groups {
+			before[group] = freeCPUs(t, group)
 		}
-		p := &jobState{spec: &jobs.Spec{
+		job := &jobState{spec: &jobs.Spec{
 			CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 16}).Draw(t, "task"), MemoryGB: rapid.SampledFrom([]float64{0, 1, 40}).Draw(t, "gb"),
 			Spot: rapid.Bool().Draw(t, "spot allowed"), Zone: rapid.SampledFrom([]string{"", "a"}).Draw(t, "only zone"),
 		}}
-		block, booting := rapid.IntRange(-1, 1).Draw(t, "which"), rapid.Bool().Draw(t, "which are booting")
-		want := rapid.IntRange(0, 60).Draw(t, "tasks")
-		usable := func(r *machineGroup) bool {
-			return r.booting == booting && (block < 0 || r.shard == block) && r.kind.CouldRun(p.spec, "")
+		set := machineSet{shard: rapid.IntRange(anyShard, 1).Draw(t, "which"), booting: rapid.Bool().Draw(t, "which are booting")}
+		limit := rapid.IntRange(0, 60).Draw(t, "tasks")
+		usable := func(group *machineGroup) bool {
+			return group.booting == set.booting && (set.shard < 0 || group.shard == set.shard) && group.kind.CouldRun(job.spec, "")
 		}
 		room := 0
-		for _, r := range b.groups {
-			for i := range r.machines {
-				if usable(r) {
-					room += r.machines[i].taskCount(p.spec)
+		for _, group := range view.groups {
+			for i := range group.machines {
+				if usable(group) {
+					room += group.machines[i].taskCount(job.spec)
 				}
 			}
 		}
-		told := 0
-		got := b.take(p, "", block, booting, want, func(at, n int) {
-			told += n
-			if block >= 0 && at != block {
-				t.Fatalf("block %d gave room, %d was asked", at, block)
+		reported := 0
+		taken := view.take(job, set, limit, func(shard, tasks int) {
+			reported += tasks
+			if set.shard >= 0 && shard != set.shard {
+				t.Fatalf("shard %d gave room, %d was asked", shard, set.shard)
 			}
 		})
-		if got != min(want, room) || told != got {
-			t.Fatalf("%d tasks, room for %d: %d taken, %d told", want, room, got, told)
+		if taken != min(limit, room) || reported != taken {
+			t.Fatalf("%d tasks, room for %d: %d taken, %d reported", limit, room, taken, reported)
 		}
 		used := 0.0
-		for _, r := range b.groups {
-			left := 0.0
-			for _, m := range r.machines {
-				if m.cpus < -slack || m.memoryGB < -slack {
-					t.Fatalf("a machine is left with %+v", m)
-				}
-				left += m.cpus
-			}
-			if !usable(r) && math.Abs(left-before[r]) > 1e-6 {
+		for _, group := range view.groups {
+			left := freeCPUs(t, group)
+			if !usable(group) && math.Abs(left-before[group]) > 1e-6 {
 				t.Fatal("room was taken on machines that the job may not use")
 			}
-			if usable(r) {
-				used += before[r] - left // less what full machines had left
+			if usable(group) {
+				used += before[group] - left // less what full machines had left
 			}
 		}
-		if used < float64(got)*p.spec.CPUs-1e-6 {
-			t.Fatalf("%d tasks of %g processors took %g", got, p.spec.CPUs, used)
+		if used < float64(taken)*job.spec.CPUs-1e-6 {
+			t.Fatalf("%d tasks of %g processors took %g", taken, job.spec.CPUs, used)
 		}
 	})
 }
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -1,299 +1,234 @@
 package leader
 
 import (
-	"math"
-	"sort"
-	"time"
-
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 )
 
-// homeShard is the block where most machines cache a job's image.
-func (l *Leader) homeShard(p *jobState) int {
-	best := -1
-	for block, n := range l.placementsByImage[p.spec.Image] {
-		if n > 0 && (best < 0 || n > l.placementsByImage[p.spec.Image][best]) {
-			best = block
-		}
-	}
-	return best
+// dispatchRound is one look at all jobs and machines: it plans which tasks go to which
+// shards, and collects the demand for which there is no room.
+type dispatchRound struct {
+	leader   *Leader
+	nowMS    int64         // time of day, in milliseconds since the epoch
+	capacity *capacityView // what is left of the machines
+	demands  []fleet.Demand
+	batches  []*taskBatch
 }
 
-// dispatch hands out as many tasks as the limits and the queues allow, and
-// tells the fleet for which there is no room.
+// dispatch dispatches as many tasks as the quotas and the queues allow, tells the fleet for
+// which there is no room, and reports whether a commit was sent.
 func (l *Leader) dispatch() bool {
-	now := l.runtime.WallClock().UnixMilli()
-	l.sortJobs(now)
-	board := l.viewCapacity()
-	l.roundInterval = tuning.MinRoundInterval + time.Duration(board.machineCount)*tuning.RoundIntervalPerMachine
+	round := &dispatchRound{leader: l, nowMS: l.runtime.WallClock().UnixMilli()}
+	l.jobs.sort(round.nowMS, l.settings)
+	round.capacity = newCapacityView(l.settings.ShardCount(), l.fleet, l.machines, l.runtime.Now())
+	l.pacing.setMachineCount(round.capacity.machineCount)
 	clear(l.recalls)
-	unmet := &unmetDemand{leader: l, nowMS: now}
-	l.reserveForGangs(board, func(d *jobs.Spec, zone string, n int) {
-		unmet.demands = append(unmet.demands, fleet.Demand{Spec: d, Zone: zone, Tasks: n, ObjectiveSlackSeconds: []float64{tuning.MaxQueueTime.Seconds()}})
-	})
-	l.serveQueued(board, unmet)
-	batches := l.dispatchJobs(board, unmet)
-	l.pruneCaches()
-	l.fleet.SetDemand(unmet.demands, l.mostMovable())
-	if len(batches) == 0 {
+	round.reserveForGangs()
+	round.serveQueuedTasks()
+	round.dispatchJobs()
+	l.machines.pruneCaches(l.runtime.Now())
+	l.fleet.SetDemand(round.demands, l.largestMovableJob())
+	if len(round.batches) == 0 {
 		return false
 	}
-	l.commitBatches(batches)
+	l.commitBatches(round.batches)
 	return true
 }
 
-// unmetDemand collects the tasks for which there is no room.
-type unmetDemand struct {
-	leader *Leader
-	nowMS    int64 // time of day, in ms
-	demands   []fleet.Demand
-}
-
-// addTasks notes tasks that could run now if there were room.
-func (u *unmetDemand) addTasks(p *jobState, zone string, n int) {
-	if n > 0 {
-		u.demands = append(u.demands, fleet.Demand{
-			Spec: p.spec, Zone: zone, Tasks: n, Rank: p.position,
-			WaitedSeconds: float64(u.nowMS-p.entry.SubmittedMS) / 1000, ObjectiveSlackSeconds: u.leader.objectiveSlack(p, u.nowMS),
+// addDemand notes tasks that could run now if there were room.
+func (r *dispatchRound) addDemand(job *jobState, zone string, tasks int) {
+	if tasks > 0 {
+		r.demands = append(r.demands, fleet.Demand{
+			Spec: job.spec, Zone: zone, Tasks: tasks, Rank: job.position,
+			WaitedSeconds:         float64(r.nowMS-job.entry.SubmittedMS) / 1000,
+			ObjectiveSlackSeconds: r.objectiveSlack(job),
 		})
 	}
 }
 
-// addHeldByQuota notes tasks that their team's limit holds back.
-func (u *unmetDemand) addHeldByQuota(p *jobState, n int) {
-	if n > 0 {
-		u.demands = append(u.demands, fleet.Demand{Spec: p.spec, HeldByQuota: n})
+// addHeldByQuota notes tasks that their team's quota holds back.
+func (r *dispatchRound) addHeldByQuota(job *jobState, tasks int) {
+	if tasks > 0 {
+		r.demands = append(r.demands, fleet.Demand{Spec: job.spec, HeldByQuota: tasks})
 	}
 }
 
-// sortJobs brings the jobs into the order in which they are served.
-func (l *Leader) sortJobs(now int64) {
-	for _, p := range l.ordered {
-		// A job that nothing has been done for is not passed over for ever.
-		if late := !p.starved && !p.cancelled && p.placed+p.done == 0 &&
-			now-p.entry.SubmittedMS > tuning.StarvedAfter.Milliseconds(); late {
-			p.starved, l.needsSort = true, true
-		} else if p.starved && p.placed+p.done > 0 {
-			p.starved, l.needsSort = false, true
+// objectiveSlack returns how many seconds a job's tasks can still wait for a machine, for
+// each of the users' objectives that is not missed yet.
+func (r *dispatchRound) objectiveSlack(job *jobState) []float64 {
+	age := float64(r.nowMS-job.entry.SubmittedMS) / 1000
+	var open []float64
+	spec := job.spec
+	r.leader.settings.EachObjectiveDeadline(spec.Class, spec.EstimateSeconds, spec.DeadlineSeconds, func(latest float64) {
+		if left := latest - age; left > 0 {
+			open = append(open, left)
 		}
-		if p.undispatched() > 0 && !p.cancelled {
-			if p.rank.Update(p.spec, l.settings, now, p.spec.Tasks-p.done) {
-				l.needsSort = true
+	})
+	return open
+}
+
+// serveQueuedTasks gives the tasks that already wait in the shards' queues the room there is.
+func (r *dispatchRound) serveQueuedTasks() {
+	for _, job := range r.leader.jobs.ordered {
+		switch {
+		case job.cancelled:
+		case job.spec.IsGang():
+			r.serveQueuedGang(job)
+		default:
+			for _, queue := range r.leader.queuedTasks(job) {
+				r.serveQueue(job, queue)
 			}
 		}
 	}
-	if l.needsSort {
-		sort.Slice(l.ordered, func(i, k int) bool { return jobBefore(l.ordered[i], l.ordered[k]) })
-		l.needsSort = false
-	}
-	for i, p := range l.ordered {
-		p.position = i
-	}
 }
 
-// serveQueued gives the tasks already in the blocks' queues the room there is.
-func (l *Leader) serveQueued(board *capacityView, unmet *unmetDemand) {
-	for _, p := range l.ordered {
-		if p.cancelled {
-			continue
-		}
-		if p.spec.IsGang() {
-			l.serveQueuedGang(board, p, unmet.addTasks)
-			continue
-		}
-		for _, q := range l.queuedTasks(p) {
-			n := q.tasks - board.take(p, q.zone, q.shard, false, q.tasks, func(int, int) {})
-			if n == 0 {
-				continue
-			}
-			// Another block's open machines are better than this one's booting.
-			n -= l.recallFor(board, p, q, n)
-			n -= board.take(p, q.zone, q.shard, true, n, func(int, int) {})
-			board.queuedCPUs[q.shard] += float64(n) * p.spec.CPUs
-			unmet.addTasks(p, q.zone, n)
-		}
+func (r *dispatchRound) serveQueue(job *jobState, queue shardQueue) {
+	set := machineSet{zone: queue.zone, shard: queue.shard}
+	waiting := queue.tasks - r.capacity.discard(job, set, queue.tasks)
+	if waiting == 0 {
+		return
 	}
+	// Machines of another shard that are up are better than this one's that boot.
+	waiting -= r.recallFrom(queue, job, waiting)
+	set.booting = true
+	waiting -= r.capacity.discard(job, set, waiting)
+	r.capacity.queuedCPUs[queue.shard] += float64(waiting) * job.spec.CPUs
+	r.addDemand(job, queue.zone, waiting)
 }
 
-// dispatchJobs hands out what the limits and the room allow, job by job.
-func (l *Leader) dispatchJobs(board *capacityView, unmet *unmetDemand) []*taskBatch {
-	var batches []*taskBatch
-	full := map[string]bool{}
-	l.reserveForUrgent()
-	for _, p := range l.ordered {
-		u := l.teams[p.spec.Team]
-		if p.cancelled || p.ending || p.undispatched() == 0 || u == nil {
+// dispatchJobs dispatches what the quotas and the room allow, job by job.
+func (r *dispatchRound) dispatchJobs() {
+	exhausted := map[string]bool{} // by team: nothing more goes past what the quota holds back
+	reserveForUrgent(r.leader.teams, r.leader.jobs.ordered, r.leader.runtime.Now())
+	for _, job := range r.leader.jobs.ordered {
+		if job.cancelled || job.ending || job.pending.length() == 0 || job.team == nil {
 			continue
 		}
-		if full[p.spec.Team] {
-			unmet.addHeldByQuota(p, p.undispatched())
+		if exhausted[job.spec.Team] {
+			r.addHeldByQuota(job, job.pending.length())
 			continue
 		}
-		if !l.fixZones(p) {
+		if !r.leader.fixZones(job) {
 			continue
 		}
-		n := l.tasksWithinQuota(p, u)
-		if n < p.undispatched() && (p.spec.Priority() >= jobs.PriorityUrgent || p.spec.IsGang()) || n == 0 && p.starved {
-			full[p.spec.Team] = true // what comes after does not go past it
-		}
-		unmet.addHeldByQuota(p, p.undispatched()-n)
-		switch {
-		case n <= 0 || p.spec.IsGang() && n < p.undispatched(): // a gang is handed out whole or not at all
-		case p.spec.IsGang():
-			batches = l.placeGang(board, p, u, batches, unmet.addTasks)
-		default:
-			batches = l.placeJob(board, p, u, n, batches, unmet.addTasks)
-		}
+		exhausted[job.spec.Team] = r.dispatchJob(job)
 	}
-	return batches
 }
 
-// tasksWithinQuota is how many more tasks of a job its team's limits allow.
-func (l *Leader) tasksWithinQuota(p *jobState, u *teamUsage) int {
-	limit := u.maxCPUs
-	if p.spec.Priority() < jobs.PriorityUrgent && !p.starved {
-		limit -= max(0, u.reservedCPUs-u.urgentCPUs)
+// dispatchJob dispatches what the quota and the room allow of one job, and reports whether
+// jobs that come after it must not go past what the quota holds back.
+func (r *dispatchRound) dispatchJob(job *jobState) (exhausted bool) {
+	pending := job.pending.length()
+	allowed := job.team.tasksWithinQuota(job)
+	r.addHeldByQuota(job, pending-allowed)
+	switch {
+	case allowed <= 0 || job.spec.IsGang() && allowed < pending:
+		// A gang is dispatched whole or not at all.
+	case job.spec.IsGang():
+		r.dispatchGang(job)
+	case len(job.zones) > 1:
+		r.dispatchSpreadTasks(job, allowed)
+	default:
+		r.dispatchTasks(job, allowed)
 	}
-	return min(p.undispatched(), taskCountIn(limit-u.cpus, p.spec.CPUs), taskCountIn(u.maxGPUs-u.gpus, p.spec.GPUs))
+	urgent := job.spec.Priority() >= jobs.PriorityUrgent
+	return allowed < pending && (urgent || job.spec.IsGang()) || allowed == 0 && job.starved
 }
 
-// fixZones fixes the zones of a job that needs that; false if they are not known yet.
-func (l *Leader) fixZones(p *jobState) bool {
-	if p.zones != nil || (!p.spec.Spread && (!p.spec.SameZone || p.spec.IsGang())) {
+// fixZones fixes the zones of a job that must stay in one or must be spread; false if they
+// are not known yet.
+func (l *Leader) fixZones(job *jobState) bool {
+	spec := job.spec
+	if job.zones != nil || (!spec.Spread && (!spec.SameZone || spec.IsGang())) {
 		return true
 	}
-	// A leader that does not know the machine types yet must not fix
-	// "any zone" for a job that may not have it.
-	p.zones = l.fleet.ChooseZones(p.spec)
-	if len(p.zones) == 0 || (p.spec.Spread && len(p.zones) < 2 && p.spec.Tasks > 1) {
-		p.zones = nil
+	// A leader that does not know the machine types yet must not fix "any zone" for a job
+	// that may not have it.
+	job.zones = l.fleet.ChooseZones(spec)
+	if len(job.zones) == 0 || (spec.Spread && len(job.zones) < 2 && spec.Tasks > 1) {
+		job.zones = nil
 		return false
 	}
 	return true
 }
 
-// pruneCaches forgets what machines cached that are long gone.
-func (l *Leader) pruneCaches() {
-	if l.runtime.Now()-l.cachesPrunedAt <= tuning.ReleasedMachineMemory {
-		return
+// dispatchTasks finds shards for up to limit tasks of a job: where there is room, at home
+// first, then where machines boot, then in the queues while those are short.
+func (r *dispatchRound) dispatchTasks(job *jobState, limit int) {
+	zone := taskstate.ZoneOf(job.zones, 0)
+	home := r.leader.machines.homeShard(job.spec.Image)
+	give := func(shard, tasks int) {
+		r.addTasks(job, shard, tasks)
+		limit -= tasks
 	}
-	l.cachesPrunedAt = l.runtime.Now()
-	for host, c := range l.caches {
-		if l.cachesPrunedAt-c.seenAt > tuning.ReleasedMachineMemory {
-			delete(l.caches, host)
+	for _, booting := range []bool{false, true} {
+		// Shard by shard, so that a job makes few records: writes are scarce.
+		for _, shard := range r.capacity.shardsInOrder(home) {
+			if limit > 0 {
+				r.capacity.take(job, machineSet{zone, shard, booting}, limit, give)
+			}
 		}
 	}
-}
-
-// mostMovable is the job of which most runs that could as well run on spot machines, nil
-// if there is none.
-func (l *Leader) mostMovable() *jobs.Spec {
-	var most *jobState
-	for _, p := range l.ordered {
-		if !p.cancelled && isMovable(p.spec) && p.placed > 0 &&
-			(most == nil || float64(p.placed)*p.spec.CPUs > float64(most.placed)*most.spec.CPUs) {
-			most = p
+	r.addDemand(job, zone, limit)
+	for limit > 0 {
+		shard := r.capacity.shardToQueueIn(job.spec, zone, home)
+		if shard < 0 {
+			return
 		}
+		tasks := min(limit, r.capacity.queueableTasks(job.spec, shard))
+		r.capacity.queuedCPUs[shard] += float64(tasks) * job.spec.CPUs
+		give(shard, tasks)
 	}
-	if most == nil {
-		return nil
-	}
-	return most.spec
 }
 
-// taskCountIn tells how many tasks of a size fit into what is left.
-func taskCountIn(left, size float64) int {
-	if size <= 0 {
-		return math.MaxInt32
+// dispatchSpreadTasks is dispatchTasks for a job whose tasks are bound to several zones in
+// turn: task by task.
+func (r *dispatchRound) dispatchSpreadTasks(job *jobState, limit int) {
+	home := r.leader.machines.homeShard(job.spec.Image)
+	give := func(shard, tasks int) {
+		r.addTasks(job, shard, tasks)
+		limit -= tasks
 	}
-	return max(0, int(math.Floor((left+slack)/size)))
-}
-
-// reserveForUrgent keeps room under the teams' limits for urgent jobs, as much as their
-// urgent jobs have lately wanted at once: other work, which may run for minutes,
-// would else take the limit up and urgent work would wait for its ends.
-func (l *Leader) reserveForUrgent() {
-	wants := map[*teamUsage]float64{}
-	for _, p := range l.ordered {
-		if u := l.teams[p.spec.Team]; u != nil && !p.cancelled && p.spec.Priority() >= jobs.PriorityUrgent {
-			wants[u] += float64(p.open+p.undispatched()) * p.spec.CPUs
+	for limit > 0 {
+		zone := taskstate.ZoneOf(job.zones, job.pending.at(0))
+		if r.capacity.take(job, machineSet{zone, anyShard, false}, 1, give) > 0 ||
+			r.capacity.take(job, machineSet{zone, anyShard, true}, 1, give) > 0 {
+			continue
 		}
+		shard := r.capacity.shardToQueueIn(job.spec, zone, home)
+		if shard < 0 {
+			break
+		}
+		r.capacity.queuedCPUs[shard] += job.spec.CPUs
+		give(shard, 1)
 	}
-	now := l.runtime.Now()
-	for _, u := range l.teams {
-		u.reservedCPUs *= math.Exp2(-float64(now-u.reservedAt) / float64(tuning.UrgentReserveHalfLife))
-		u.reservedAt = now
-		u.reservedCPUs = max(u.reservedCPUs, min(wants[u], tuning.MaxUrgentReserveShare*u.maxCPUs))
+	unplaced := job.pending.tasksByZone(job.zones, limit)
+	for _, zone := range job.zones {
+		r.addDemand(job, zone, unplaced[zone])
 	}
 }
 
-// objectiveSlack is how many seconds a job's tasks can still wait for a machine for each
-// of the users' aims that is not missed yet.
-func (l *Leader) objectiveSlack(p *jobState, nowMS int64) []float64 {
-	age := float64(nowMS-p.entry.SubmittedMS) / 1000
-	var open []float64
-	l.settings.EachObjectiveDeadline(p.spec.Class, p.spec.EstimateSeconds, p.spec.DeadlineSeconds, func(latest float64) {
-		if left := latest - age; left > 0 {
-			open = append(open, left)
-		}
-	})
-	return open
-}
-
-// placeJob finds blocks for up to n tasks of a job: where there is room, at home
-// first, then where machines boot, then in the queues while those are short.
-func (l *Leader) placeJob(b *capacityView, p *jobState, u *teamUsage, n int, batches []*taskBatch, need func(*jobState, string, int)) []*taskBatch {
-	home := l.homeShard(p)
-	give := func(block, k int) {
-		for range k {
-			batches = l.addTask(batches, p, block, u)
-		}
-		n -= k
-	}
-	if len(p.zones) > 1 {
-		// The zones of a spread job take turns, task by task.
-		for n > 0 {
-			zone := taskstate.ZoneOf(p.zones, p.nextTask())
-			if b.take(p, zone, -1, false, 1, give) > 0 || b.take(p, zone, -1, true, 1, give) > 0 {
-				continue
-			}
-			if block := b.shardToQueueIn(p, zone, home); block >= 0 {
-				b.queuedCPUs[block] += p.spec.CPUs
-				give(block, 1)
-				continue
-			}
-			break
-		}
-		held := map[string]int{}
-		for k := range n {
-			held[taskstate.ZoneOf(p.zones, p.taskAt(k))]++
-		}
-		for _, zone := range p.zones {
-			need(p, zone, held[zone])
-		}
-		return batches
-	}
-	zone := taskstate.ZoneOf(p.zones, 0)
-	for _, booting := range []bool{false, true} {
-		// Block by block, so that a job makes few records: changes are scarce.
-		for _, block := range b.shardsInOrder(home) {
-			if n > 0 {
-				b.take(p, zone, block, booting, n, give)
-			}
+// largestMovableJob returns the job of which most runs that could as well run on spot
+// machines, nil if there is none.
+func (l *Leader) largestMovableJob() *jobs.Spec {
+	var largest *jobs.Spec
+	largestCPUs := 0.0
+	for _, job := range l.jobs.ordered {
+		if job.cancelled || !isMovable(job.spec) || job.counts.placed <= 0 {
+			continue
 		}
-	}
-	need(p, zone, n)
-	for n > 0 {
-		block := b.shardToQueueIn(p, zone, home)
-		if block < 0 {
-			break
+		if cpus := float64(job.counts.placed) * job.spec.CPUs; largest == nil || cpus > largestCPUs {
+			largest, largestCPUs = job.spec, cpus
 		}
-		k := min(n, max(1, taskCountIn(tuning.MaxQueuedShare*b.totalCPUs[block]-b.queuedCPUs[block], p.spec.CPUs)))
-		b.queuedCPUs[block] += float64(k) * p.spec.CPUs
-		give(block, k)
 	}
-	return batches
+	return largest
+}
+
+// addReserveDemand asks for machines for a gang that may come.
+func (r *dispatchRound) addReserveDemand(spec *jobs.Spec, zone string, tasks int) {
+	r.demands = append(r.demands, fleet.Demand{
+		Spec: spec, Zone: zone, Tasks: tasks, ObjectiveSlackSeconds: []float64{tuning.MaxQueueTime.Seconds()},
+	})
 }
--- a/internal/leader/job_end.go
+++ b/internal/leader/job_end.go
@@ -6,177 +6,181 @@
 
 	"lemonmoor/internal/statestore"
 	"lemonmoor/internal/taskstate"
-	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/userapi"
 )
 
+// endQueue holds the jobs of which nothing is left to run, until their ends are committed.
+type endQueue struct {
+	jobs []*jobState
+	// singly has each end committed by itself: a condition of the last commit has failed,
+	// and one job must not hold up the others.
+	singly bool
+}
+
+// endCommit is a transaction that ends jobs.
+type endCommit struct {
+	conditions []statestore.Condition
+	operations []statestore.Operation
+	jobs       []*jobState
+}
+
 // endIfComplete queues a job's end once nothing of it is left to run.
-func (l *Leader) endIfComplete(p *jobState) {
-	if p.ending {
-		return
-	}
-	if p.cancelled {
-		// Its owner has to write every task off before the record may go: a
-		// placement that is on its way to the state service would be lost.
-		if p.open > 0 {
-			return
-		}
-	} else if p.spec.IsService() || p.done < p.spec.Tasks || p.open > 0 {
+func (l *Leader) endIfComplete(job *jobState) {
+	if job.ending || !job.isComplete() {
 		return
 	}
-	p.ending = true
-	l.endings = append(l.endings, p)
+	job.ending = true
+	l.ends.jobs = append(l.ends.jobs, job)
 }
 
-// commitEndings writes the ends of jobs, several in a commit.
-func (l *Leader) commitEndings() bool {
-	var guards []statestore.Condition
-	var apply []statestore.Operation
-	var ended []*jobState
-	most := l.state.MaxOperations()
-	rest := l.endings[:0:0]
-	for n, p := range l.endings {
-		if l.jobs[p.entry.ID] != p {
-			continue
-		}
-		if len(apply) == most || (len(apply) > 0 && l.endSingly) {
-			rest = append(rest, l.endings[n:]...)
-			break
-		}
-		g, a := l.endOperations(p, most-len(apply))
-		if len(a) == 0 {
-			continue
-		}
-		guards, apply, ended = append(guards, g...), append(apply, a...), append(ended, p)
-	}
-	l.endings = rest
-	if len(apply) == 0 {
+// commitEnds commits the ends of jobs, several at a time, and reports whether a commit was
+// sent.
+func (l *Leader) commitEnds() bool {
+	commit := l.nextEndCommit()
+	if len(commit.operations) == 0 {
 		return false
 	}
-	l.commit(guards, apply, func(r statestore.CommitResult) {
-		l.endSingly = r.Outcome == statestore.OutcomeConflict
-		for _, p := range ended {
-			p.ending = false
+	l.commits.commit(commit.conditions, commit.operations, func(result statestore.CommitResult) {
+		l.ends.singly = result.Outcome == statestore.OutcomeConflict
+		for _, job := range commit.jobs {
+			job.ending = false
 		}
-		switch r.Outcome {
+		switch result.Outcome {
 		case statestore.OutcomeOK:
-			for _, a := range apply {
-				if id, ok := strings.CutPrefix(a.PutKey, userapi.KeyPrefix); ok {
-					l.catalog.Observe(id, a.Value, r.Revision)
-				}
-			}
-			for _, p := range ended {
-				l.log.Debug("job over", "job", p.entry.ID, "class", p.spec.Class, "tasks", p.spec.Tasks, "cancelled", p.cancelled,
-					"age_s", float64(l.runtime.WallClock().UnixMilli()-p.entry.SubmittedMS)/1000)
-				if l.jobs[p.entry.ID] == p && p.cancelled {
-					l.recheck(p)
-				}
-			}
+			l.endsCommitted(commit, result.Revision)
 		case statestore.OutcomeRefused:
-			l.backOff(0, func() {
-				for _, p := range ended {
-					l.endIfComplete(p)
+			l.commits.backOff(0, func() {
+				for _, job := range commit.jobs {
+					l.endIfComplete(job)
 				}
 			})
-		default:
+		case statestore.OutcomeConflict, statestore.OutcomeUnknown, statestore.OutcomeGone, statestore.OutcomeInvalid:
 			// Cancelled in the meantime, or carried out unseen.
-			for _, p := range ended {
-				l.recheck(p)
+			for _, job := range commit.jobs {
+				l.recheckEnd(job)
 			}
 		}
 	})
 	return true
 }
 
-// recheck looks at a job again when the copies are proven to be current.
-func (l *Leader) recheck(p *jobState) {
-	term := l.term
-	l.records.Verify(func(error) {
-		l.catalog.Verify(func(error) {
-			if term == l.term && l.jobs[p.entry.ID] == p {
-				l.endIfComplete(p)
-			}
-		})
-	})
+// nextEndCommit takes as many jobs out of the queue as one commit ends.
+func (l *Leader) nextEndCommit() *endCommit {
+	commit := &endCommit{}
+	most := l.state.MaxOperations()
+	rest := l.ends.jobs[:0:0]
+	for i, job := range l.ends.jobs {
+		if !l.jobs.has(job) {
+			continue
+		}
+		if len(commit.operations) == most || (len(commit.operations) > 0 && l.ends.singly) {
+			rest = append(rest, l.ends.jobs[i:]...)
+			break
+		}
+		l.addEnd(commit, job, most-len(commit.operations))
+	}
+	l.ends.jobs = rest
+	return commit
 }
 
-// endOperations gives the changes that end a job. Of a job that is done it is the phase
-// that its user will be told; its records are removed when there is time for it:
-// in one commit with them the ends of a backlog took the changes of twenty
-// seconds, and nothing was handed out meanwhile. Of a cancelled one it is the
-// removal of its records, as many as a commit takes. The tasks of a job are
-// counted once more, each by its number: a job is never called done before all of
-// its tasks are.
-func (l *Leader) endOperations(p *jobState, most int) (guards []statestore.Condition, apply []statestore.Operation) {
-	id := p.entry.ID
-	records := l.records.JobRecords(id)
-	for _, v := range l.pendingRecords {
-		if v.Job == id {
-			p.ending = false // looked at again when the record shows up
-			return nil, nil
+// endsCommitted has users told of the ends, which are durable now.
+func (l *Leader) endsCommitted(commit *endCommit, revision uint64) {
+	for _, operation := range commit.operations {
+		if id, ok := strings.CutPrefix(operation.PutKey, userapi.KeyPrefix); ok {
+			l.catalog.Observe(id, operation.Value, revision)
 		}
 	}
-	if !p.cancelled {
-		done := make(map[int]bool, p.spec.Tasks)
-		for _, r := range records {
-			for k, i := range r.TaskIndexes {
-				if r.Statuses[k].State == taskstate.StateDone {
-					done[i] = true
-				}
-			}
+	for _, job := range commit.jobs {
+		l.log.Debug("job ended", "job", job.entry.ID, "class", job.spec.Class, "tasks", job.spec.Tasks, "cancelled", job.cancelled,
+			"age_s", float64(l.runtime.WallClock().UnixMilli()-job.entry.SubmittedMS)/1000)
+		if l.jobs.has(job) && job.cancelled {
+			l.recheckEnd(job)
 		}
-		e := l.catalog.Get(id)
-		if len(done) != p.spec.Tasks || e == nil || e.Phase != "" {
-			p.ending = false
-			return nil, nil
+	}
+}
+
+// recheckEnd looks at a job again when the copies are verified to be current.
+func (l *Leader) recheckEnd(job *jobState) {
+	check := l.terms.Guard(func() {
+		if l.jobs.has(job) {
+			l.endIfComplete(job)
 		}
-		value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: e.SubmittedMS, TaskCount: p.spec.Tasks})
-		if err != nil {
-			l.log.Error("job record does not encode", "err", err)
-			return nil, nil
+	})
+	l.records.Verify(func(error) {
+		l.catalog.Verify(func(error) { check() })
+	})
+}
+
+// addEnd adds the operations that end a job, at most so many. Of a job that is done that is
+// the phase that its user will be told; its records are removed when there is time for it:
+// in one commit with them the ends of a backlog took the writes of twenty seconds, and
+// nothing was dispatched meanwhile. Of a cancelled one it is the removal of its records, as
+// many as the commit takes.
+func (l *Leader) addEnd(commit *endCommit, job *jobState, most int) {
+	job.ending = false
+	for _, record := range l.unseenRecords {
+		if record.Job == job.entry.ID {
+			return // looked at again when the record shows up
 		}
-		p.ending = true
-		return []statestore.Condition{{Key: userapi.KeyPrefix + id, Revision: e.Revision}}, []statestore.Operation{{PutKey: userapi.KeyPrefix + id, Value: value}}
-	} else if len(records) == 0 {
-		l.forgetJob(p)
-		return nil, nil
 	}
-	for key, r := range records {
-		if len(apply) == most {
-			break
-		}
-		guards = append(guards, statestore.Condition{Key: key, Revision: r.Revision})
-		apply = append(apply, statestore.Operation{DeleteKey: key})
+	before := len(commit.operations)
+	if job.cancelled {
+		l.addRecordRemovals(commit, job, most)
+	} else {
+		l.addDonePhase(commit, job)
+	}
+	if len(commit.operations) > before {
+		job.ending = true
+		commit.jobs = append(commit.jobs, job)
 	}
-	p.ending = true
-	return guards, apply
 }
 
-// collectRecords removes records of jobs that are over, a part of the changes at a time.
-func (l *Leader) collectRecords() {
-	now := l.runtime.Now()
-	if len(l.obsoleteRecords) == 0 || now-l.collectedAt < tuning.RecordSweepInterval {
+// addDonePhase adds the operation that makes a job done. Its tasks are counted once more,
+// each by its index: a job is never called done before all of its tasks are.
+func (l *Leader) addDonePhase(commit *endCommit, job *jobState) {
+	id := job.entry.ID
+	entry := l.catalog.Get(id)
+	if l.countDoneTasks(job) != job.spec.Tasks || entry == nil || entry.Phase != "" {
+		return
+	}
+	value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: entry.SubmittedMS, TaskCount: job.spec.Tasks})
+	if err != nil {
+		l.log.Error("job record does not encode", "job", id, "err", err)
 		return
 	}
-	l.collectedAt = now
-	var apply []statestore.Operation
-	state := &l.settings.Deployment.State
-	most := min(l.state.MaxOperations(), max(1, int(state.WriteRPS*l.state.WriteShare()*tuning.RecordSweepWriteShare*tuning.RecordSweepInterval.Seconds())))
-	for len(l.obsoleteRecords) > 0 && len(apply) < most {
-		key := l.obsoleteRecords[0]
-		l.obsoleteRecords = l.obsoleteRecords[1:]
-		if l.records.Get(key) != nil {
-			apply = append(apply, statestore.Operation{DeleteKey: key})
+	key := userapi.KeyPrefix + id
+	commit.conditions = append(commit.conditions, statestore.Condition{Key: key, Revision: entry.Revision})
+	commit.operations = append(commit.operations, statestore.Operation{PutKey: key, Value: value})
+}
+
+// countDoneTasks counts the tasks that any of the job's records calls done.
+func (l *Leader) countDoneTasks(job *jobState) int {
+	done := make(map[int]bool, job.spec.Tasks)
+	for _, record := range l.records.JobRecords(job.entry.ID) {
+		for position, index := range record.TaskIndexes {
+			if record.Statuses[position].State == taskstate.StateDone {
+				done[index] = true
+			}
 		}
 	}
-	if len(apply) == 0 {
+	return len(done)
+}
+
+// addRecordRemovals adds the removal of records of a cancelled job. A job without any is
+// forgotten.
+func (l *Leader) addRecordRemovals(commit *endCommit, job *jobState, most int) {
+	records := l.records.JobRecords(job.entry.ID)
+	if len(records) == 0 {
+		l.jobs.remove(job)
 		return
 	}
-	l.commit(nil, apply, func(r statestore.CommitResult) {
-		if r.Outcome != statestore.OutcomeOK {
-			for _, c := range apply {
-				l.obsoleteRecords = append(l.obsoleteRecords, c.DeleteKey)
-			}
+	removed := 0
+	for key, record := range records {
+		if removed == most {
+			return
 		}
-	})
+		commit.conditions = append(commit.conditions, statestore.Condition{Key: key, Revision: record.Revision})
+		commit.operations = append(commit.operations, statestore.Operation{DeleteKey: key})
+		removed++
+	}
 }
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -4,51 +4,112 @@
 	"time"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/userapi"
 )
 
-// jobState is a job as the leader sees it.
+// jobState is what the leader knows of an unfinished job.
 type jobState struct {
-	entry         *userapi.Entry
-	spec      *jobs.Spec
-	rank      jobs.Rank
-	cancelled bool
-	zones     []string
-	nextNew      int            // first task never handed out
-	returned      []int          // returned by a block and not handed out again
-	attempts  map[int]uint64 // last attempts of those
-	nextRecord    int            // of the next record
-	open      int            // handed out, neither done nor returned
-	placed    int            // of those, on machines
-	done      int
-	waitingByShard   []int // of those, in the blocks' queues
-	ending    bool
-	starved   bool          // waits for its first task for too long
-	position     int           // in the order at the latest hand-out
-	partReturnedSince      time.Duration // a gang: since when only a part of it has come back
-	dispatchedAt    time.Duration // a gang: when it was last handed out
-}
-
-// undispatched tells how many tasks are not handed out.
-func (p *jobState) undispatched() int { return len(p.returned) + p.spec.Tasks - p.nextNew }
-
-// taskAt is the task k places behind the next to hand out.
-func (p *jobState) taskAt(k int) int {
-	if k < len(p.returned) {
-		return p.returned[k]
+	entry      *userapi.Entry
+	spec       *jobs.Spec
+	team       *teamUsage // nil if the settings don't name the team
+	rank       jobs.Rank
+	position   int      // in the dispatch order, as of the newest round
+	zones      []string // its tasks are bound to them in turn; empty: to none
+	nextRecord int      // number of the next task record
+	cancelled  bool
+	ending     bool // the commit of its end is queued or in flight
+	starved    bool // has waited too long for its first task
+	pending    taskQueue
+	counts     taskCounts
+	gang       gangState
+}
+
+// taskCounts counts the tasks of a job that have been dispatched to shards.
+type taskCounts struct {
+	open           int   // dispatched, neither done nor returned
+	placed         int   // open and on a machine
+	done           int   // completed
+	waitingByShard []int // open and in a shard's queue
+}
+
+// gangState is what the leader knows of a job of shape gang besides.
+type gangState struct {
+	// partReturnedSince is since when only a part of the gang has been returned, 0 if
+	// none or all of it has.
+	partReturnedSince time.Duration
+	dispatchedAt      time.Duration // the last time
+}
+
+// taskQueue holds the tasks of a job that no shard has: those that shards have returned go
+// first, then the ones never dispatched.
+type taskQueue struct {
+	total    int            // tasks of the job
+	nextNew  int            // first task never dispatched
+	returned []int          // returned by shards, in ascending order
+	attempts map[int]uint64 // last attempts of tasks that were returned
+}
+
+// length returns how many tasks are to be dispatched.
+func (q *taskQueue) length() int { return len(q.returned) + q.total - q.nextNew }
+
+// at returns the task with so many others before it in the queue.
+func (q *taskQueue) at(offset int) int {
+	if offset < len(q.returned) {
+		return q.returned[offset]
+	}
+	return q.nextNew + offset - len(q.returned)
+}
+
+// pop takes the next task out of the queue; retried: a shard has returned it before.
+func (q *taskQueue) pop() (index int, retried bool) {
+	index = q.at(0)
+	if len(q.returned) > 0 {
+		q.returned = q.returned[1:]
+		return index, true
+	}
+	q.nextNew++
+	return index, false
+}
+
+// tasksByZone counts how many of the next so many tasks must go to each of the zones; ""
+// stands for any.
+func (q *taskQueue) tasksByZone(zones []string, count int) map[string]int {
+	byZone := map[string]int{}
+	for offset := range count {
+		byZone[taskstate.ZoneOf(zones, q.at(offset))]++
+	}
+	return byZone
+}
+
+// isComplete reports whether nothing of the job is left to run, so that its end can be
+// committed.
+func (j *jobState) isComplete() bool {
+	if j.cancelled {
+		// The shard owner has to write off every task before the record may go: a
+		// placement that is on its way to the state service would be lost.
+		return j.counts.open == 0
 	}
-	return p.nextNew + k - len(p.returned)
+	return !j.spec.IsService() && j.counts.done >= j.spec.Tasks && j.counts.open == 0
 }
 
-// nextTask is the next task to hand out.
-func (p *jobState) nextTask() int {
-	if len(p.returned) > 0 {
-		return p.returned[0]
+// updateStarved notes whether the job waits too long for its first task, and reports
+// whether that has changed: a job that nothing has been done for is not passed over for
+// ever.
+func (j *jobState) updateStarved(age time.Duration, limit time.Duration) bool {
+	begun := j.counts.placed+j.counts.done > 0
+	switch {
+	case !j.starved && !j.cancelled && !begun && age > limit:
+		j.starved = true
+	case j.starved && begun:
+		j.starved = false
+	default:
+		return false
 	}
-	return p.nextNew
+	return true
 }
 
-// jobBefore orders plans as the owners order jobs.
+// jobBefore orders jobs as the shard owners order them.
 func jobBefore(a, b *jobState) bool {
 	if a.starved != b.starved {
 		return a.starved
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,308 +1,212 @@
-// Package leader is the leader's duty: it hands tasks out to the blocks of
-// machines, by image and by room and within the teams' limits, calls waiting
-// ones back for blocks with idle machines, and writes the end of a job.
+// Package leader is the leader's one job: it dispatches the tasks of jobs to the shards of
+// machines, by cached image and by room and within the teams' quotas, recalls waiting ones
+// for shards with room, and commits the ends of jobs.
+//
+// It owns what it derives from the jobs and the task records for the length of a term: the
+// tasks of each job that no shard has, the quotas in use and the loads of the machines. All
+// of it is durable elsewhere and is read anew at the start of a term. It commits task
+// records (made and removed) and the final phase of jobs that are done.
+//
+// It must never dispatch or end anything before the copies of jobs and records are verified
+// to be current, commit without the condition on the leader's lease, let a team's open tasks
+// exceed its quota, call a job done of which a task is not, or remove a record before the
+// shard's owner has written every task in it off.
 package leader
 
 import (
 	"cmp"
 	"log/slog"
 	"slices"
-	"sort"
 	"time"
 
 	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/fleet"
+	"lemonmoor/internal/gangforecast"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
 	"lemonmoor/internal/taskstate"
-	"lemonmoor/internal/tuning"
+	"lemonmoor/internal/term"
 	"lemonmoor/internal/userapi"
 )
 
-// Leader hands out work while this process holds the lead.
+// Dependencies are what a leader works with.
+type Dependencies struct {
+	Runtime  eventloop.Runtime
+	State    *statestore.Client
+	Leases   *statestore.LeaseManager
+	Catalog  *userapi.Catalog // the copy of the jobs
+	Records  *taskstate.Store // the copy of the task records
+	Fleet    *fleet.Fleet
+	Machines *MachineUsage // kept current by the leader, read by the fleet
+	Settings *settings.Settings
+	Log      *slog.Logger
+}
+
+// Leader dispatches work while this process holds the leadership. It belongs to the event
+// loop and is not safe for concurrent use.
 type Leader struct {
-	runtime     eventloop.Runtime
-	state  *statestore.Client
-	leases *statestore.LeaseManager
-	catalog    *userapi.Catalog
+	runtime  eventloop.Runtime
+	state    *statestore.Client
+	leases   *statestore.LeaseManager
+	catalog  *userapi.Catalog
 	records  *taskstate.Store
-	fleet  *fleet.Fleet
-	settings    *settings.Settings
-	log    *slog.Logger
+	fleet    *fleet.Fleet
+	settings *settings.Settings
+	log      *slog.Logger
 
-	term     int // grows with every lead won; late answers of old ones are dropped
-	token    uint64
-	loaded   bool
-	jobs    map[string]*jobState
-	ordered    []*jobState
-	needsSort   bool
+	terms    term.Counter // a term begins with every leadership won, and when one is lost
+	loaded   bool         // all jobs and records of the term are known
+	jobs     jobTable
 	teams    map[string]*teamUsage
-	machineLoads    map[string]*machineLoad
-	pendingRecords  map[string]*taskstate.Record // handed out, not seen in the store yet
-	endings     []*jobState
-	obsoleteRecords    []string // records to remove
-	collectedAt    time.Duration
-	commitBlocked   bool
-	roundRequested   bool
-	roundScheduled    bool
-	lastRoundAt     time.Duration
-	recalls  map[int]map[string]int // by block and job
-	placementsByImage   map[string][]int       // tasks placed, by image and block
-	caches   map[string]*machineCache      // what the machines cache, by their names
-	endSingly    bool                   // after a failed guard, one end a commit
-	roundInterval    time.Duration          // between two hand-outs
-	expectedGangs map[string]*gangClass   // gangs to come, by class
-	cachesPrunedAt   time.Duration          // when machines long gone were last forgotten
-}
-
-// New returns a leader without the lead.
-func New(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
-	fl *fleet.Fleet, set *settings.Settings, log *slog.Logger,
-) *Leader {
-	l := &Leader{runtime: rt, state: state, leases: leases, catalog: cat, records: store, fleet: fl, settings: set, log: log}
+	machines *MachineUsage
+	gangs    gangforecast.Forecast
+	pacing   pacing
+	commits  committer
+	// unseenRecords are those committed, or about to be, that the watch has not brought in.
+	unseenRecords map[string]*taskstate.Record
+	recalls       recallRequests
+	ends          endQueue
+	garbage       garbage
+}
+
+// New returns a leader without the leadership.
+func New(dependencies Dependencies) *Leader {
+	l := &Leader{
+		runtime: dependencies.Runtime, state: dependencies.State, leases: dependencies.Leases, catalog: dependencies.Catalog,
+		records: dependencies.Records, fleet: dependencies.Fleet, settings: dependencies.Settings, log: dependencies.Log,
+		machines: dependencies.Machines,
+	}
+	l.commits = committer{runtime: l.runtime, state: l.state, leases: l.leases, terms: &l.terms, observer: l}
 	l.EndTerm()
-	fl.LoadOf = func(host string) fleet.MachineLoad {
-		if h := l.machineLoads[host]; h != nil {
-			return fleet.MachineLoad{CPUs: h.cpus, Movable: h.movableCPUs, Services: h.serviceCPUs, ByPriority: h.cpusByPriority}
-		}
-		return fleet.MachineLoad{}
-	}
 	return l
 }
 
-// EndTerm forgets everything: the lead is lost.
+// EndTerm forgets everything: the leadership is lost.
 func (l *Leader) EndTerm() {
-	l.term++
-	l.token, l.loaded, l.commitBlocked, l.roundScheduled = 0, false, false, false
-	l.jobs, l.ordered, l.endings, l.obsoleteRecords = map[string]*jobState{}, nil, nil, nil
-	l.teams, l.machineLoads = map[string]*teamUsage{}, map[string]*machineLoad{}
-	l.pendingRecords, l.recalls = map[string]*taskstate.Record{}, map[int]map[string]int{}
-	l.placementsByImage, l.caches, l.expectedGangs = map[string][]int{}, map[string]*machineCache{}, map[string]*gangClass{}
-	for _, t := range l.settings.Deployment.Teams {
-		l.teams[t.Name] = &teamUsage{maxCPUs: t.CPUsMax, maxGPUs: t.GPUsMax, reservedCPUs: tuning.MaxUrgentReserveShare * t.CPUsMax, reservedAt: l.runtime.Now()}
-	}
-}
-
-// IsLoaded tells whether the leader knows all work.
-func (l *Leader) IsLoaded() bool { return l.loaded }
-
-// BeginTerm starts a term: earlier leaders' commits fail from now on, so the
-// records proven to be current are all that has been handed out.
+	l.terms.Advance()
+	l.loaded = false
+	l.commits.begin(0)
+	l.pacing.timerSet = false
+	l.jobs = newJobTable()
+	l.teams = newTeamUsages(l.settings.Deployment.Teams, l.runtime.Now())
+	l.machines.reset()
+	l.gangs = gangforecast.Forecast{}
+	l.unseenRecords = map[string]*taskstate.Record{}
+	l.recalls = recallRequests{}
+	l.ends.jobs, l.garbage.keys = nil, nil
+}
+
+// BeginTerm starts a term under a fencing token: earlier leaders' commits fail from now on,
+// so the records verified to be current are all that has been dispatched.
 func (l *Leader) BeginTerm(token uint64) {
 	l.EndTerm()
-	l.token = token
-	l.verify(l.term, 0)
+	l.commits.begin(token)
+	l.state.VerifyUntilCurrent(&l.terms, l.load, l.records, l.catalog)
 }
 
-func (l *Leader) verify(term, try int) {
-	retry := func() {
-		l.runtime.After(l.state.Backoff(try), func() {
-			if term == l.term {
-				l.verify(term, try+1)
-			}
-		})
-	}
-	l.records.Verify(func(err error) {
-		if term != l.term {
-			return
-		}
-		if err != nil {
-			retry()
-			return
-		}
-		l.catalog.Verify(func(err error) {
-			switch {
-			case term != l.term:
-			case err != nil:
-				retry()
-			default:
-				l.load()
-			}
-		})
-	})
-}
+// IsLoaded reports whether the leader knows all jobs and records of its term.
+func (l *Leader) IsLoaded() bool { return l.loaded }
 
+// load derives the state of the term from the copies of jobs and records.
 func (l *Leader) load() {
 	l.loaded = true
-	l.catalog.EachUnfinished(func(e *userapi.Entry) { l.addJob(e) })
-	l.records.EachRecord(func(r *taskstate.Record) {
-		p := l.jobs[r.Job]
-		if p == nil {
-			if e := l.catalog.Get(r.Job); e != nil && e.Phase == userapi.PhaseCancelled && e.Spec != nil {
-				p = l.addJob(e)
-				p.cancelled = true
-			} else {
-				l.obsoleteRecords = append(l.obsoleteRecords, r.Key)
-				return
-			}
-		}
-		l.count(p, r, 1)
-		p.nextRecord = max(p.nextRecord, r.Number+1)
-		p.nextNew = max(p.nextNew, r.TaskIndexes[len(r.TaskIndexes)-1]+1)
-		if len(r.Zones) > 0 {
-			p.zones = r.Zones
+	l.catalog.EachUnfinished(func(entry *userapi.Entry) { l.addJob(entry) })
+	l.records.EachRecord(l.loadRecord)
+	for _, job := range l.jobs.byID {
+		l.loadReturned(job)
+		if !job.spec.IsGang() {
+			continue
 		}
-	})
-	for _, p := range l.jobs {
-		l.findReturned(p)
-		if p.spec.IsGang() && p.open == 0 && p.done == 0 {
-			p.zones = nil // all of it is off its machines: it may go elsewhere
-		}
-		if p.spec.IsGang() {
-			l.observeGang(p)
+		if job.counts.open == 0 && job.counts.done == 0 {
+			job.zones = nil // all of it is off its machines: it may go elsewhere
 		}
+		l.observeGang(job)
 	}
-	for _, p := range l.jobs {
-		l.endIfComplete(p)
+	for _, job := range l.jobs.byID {
+		l.endIfComplete(job)
 	}
-	l.roundRequested = true
-	l.log.Info("lead begins", "token", l.token, "jobs", len(l.jobs))
+	l.RequestRound()
+	l.log.Info("leadership begins", "token", l.commits.token, "jobs", len(l.jobs.byID))
 }
 
-// findReturned finds the tasks of a job that its newest records give back.
-func (l *Leader) findReturned(p *jobState) {
-	records := make([]*taskstate.Record, 0, 4)
-	for _, r := range l.records.JobRecords(p.entry.ID) {
-		records = append(records, r)
-	}
-	slices.SortFunc(records, func(a, b *taskstate.Record) int { return cmp.Compare(a.Number, b.Number) })
-	for _, r := range records {
-		for k, i := range r.TaskIndexes {
-			// A task may have been given back more than once.
-			if m := r.Statuses[k]; m.State == taskstate.StateReturned {
-				p.attempts[i] = m.Attempt
-			} else {
-				delete(p.attempts, i)
-			}
+// loadRecord takes a record in that an earlier term has made.
+func (l *Leader) loadRecord(record *taskstate.Record) {
+	job := l.jobs.byID[record.Job]
+	if job == nil {
+		entry := l.catalog.Get(record.Job)
+		if entry == nil || entry.Phase != userapi.PhaseCancelled || entry.Spec == nil {
+			l.garbage.keys = append(l.garbage.keys, record.Key)
+			return
 		}
+		job = l.addJob(entry)
+		job.cancelled = true
 	}
-	for i := range p.attempts {
-		p.returned = append(p.returned, i)
+	l.countRecord(job, record, 1)
+	job.nextRecord = max(job.nextRecord, record.Number+1)
+	job.pending.nextNew = max(job.pending.nextNew, record.TaskIndexes[len(record.TaskIndexes)-1]+1)
+	if len(record.Zones) > 0 {
+		job.zones = record.Zones
 	}
-	slices.Sort(p.returned)
-}
-
-func (l *Leader) addJob(e *userapi.Entry) *jobState {
-	p := &jobState{entry: e, spec: e.Spec, rank: jobs.NewRank(e.Spec, e.SubmittedMS, l.catalog.WithinQuota(e)), attempts: map[int]uint64{}, waitingByShard: make([]int, l.settings.ShardCount())}
-	l.jobs[e.ID] = p
-	l.ordered = append(l.ordered, p)
-	l.needsSort = true
-	return p
-}
-
-func (l *Leader) forgetJob(p *jobState) {
-	delete(l.jobs, p.entry.ID)
-	l.ordered = slices.DeleteFunc(l.ordered, func(o *jobState) bool { return o == p })
 }
 
-// JobChanged takes note of a new or ended job.
-func (l *Leader) JobChanged(e *userapi.Entry) {
-	if !l.loaded {
-		return
-	}
-	p := l.jobs[e.ID]
-	l.roundRequested = true
-	switch {
-	case e.Phase == "" && p == nil:
-		l.addJob(e)
-	case e.Phase == userapi.PhaseCancelled && p != nil:
-		p.cancelled = true
-		l.endIfComplete(p)
-	case e.Phase == userapi.PhaseDone && p != nil:
-		l.forgetJob(p)
-		for key := range l.records.JobRecords(e.ID) {
-			l.obsoleteRecords = append(l.obsoleteRecords, key)
-		}
-	}
-}
-
-// RecordAdded takes note of a record that this leader, or an earlier one, has
-// made.
-func (l *Leader) RecordAdded(r *taskstate.Record) {
-	if !l.loaded {
-		return
+// loadReturned finds the tasks of a job that its newest records call returned.
+func (l *Leader) loadReturned(job *jobState) {
+	records := make([]*taskstate.Record, 0, 4)
+	for _, record := range l.records.JobRecords(job.entry.ID) {
+		records = append(records, record)
 	}
-	l.roundRequested = true
-	p := l.jobs[r.Job]
-	if v := l.pendingRecords[r.Key]; v != nil {
-		delete(l.pendingRecords, r.Key)
-		if p != nil {
-			l.count(p, v, -1)
+	slices.SortFunc(records, func(a, b *taskstate.Record) int { return cmp.Compare(a.Number, b.Number) })
+	queue := &job.pending
+	for _, record := range records {
+		for position, index := range record.TaskIndexes {
+			// A task may have been returned more than once.
+			if status := record.Statuses[position]; status.State == taskstate.StateReturned {
+				queue.attempts[index] = status.Attempt
+			} else {
+				delete(queue.attempts, index)
+			}
 		}
 	}
-	if p != nil {
-		l.count(p, r, 1)
-		l.endIfComplete(p)
-	} else if e := l.catalog.Get(r.Job); e != nil && e.Phase != "" {
-		// A hand-out that was carried out once more after its job was over.
-		l.obsoleteRecords = append(l.obsoleteRecords, r.Key)
-	}
-}
-
-// RecordRemoved takes note of a record that is over.
-func (l *Leader) RecordRemoved(r *taskstate.Record) {
-	if !l.loaded {
-		return
-	}
-	l.roundRequested = true
-	if p := l.jobs[r.Job]; p != nil {
-		l.count(p, r, -1)
-		l.endIfComplete(p)
+	for index := range queue.attempts {
+		queue.returned = append(queue.returned, index)
 	}
+	slices.Sort(queue.returned)
 }
 
-// TaskStatusChanged takes note of what a block's owner has logged.
-func (l *Leader) TaskStatusChanged(r *taskstate.Record, k int, was taskstate.TaskStatus) {
-	if !l.loaded {
-		return
-	}
-	p := l.jobs[r.Job]
-	if p == nil {
-		return
-	}
-	l.roundRequested = true
-	now := r.Statuses[k]
-	l.countTask(p, r.Shard, was, -1)
-	l.countTask(p, r.Shard, now, 1)
-	if now.State == taskstate.StateReturned && !p.cancelled {
-		if i, there := slices.BinarySearch(p.returned, r.TaskIndexes[k]); !there {
-			p.returned = slices.Insert(p.returned, i, r.TaskIndexes[k])
-		}
-		p.attempts[r.TaskIndexes[k]] = now.Attempt
-	}
-	if p.open == 0 {
-		l.endIfComplete(p)
+// addJob takes an unfinished job in.
+func (l *Leader) addJob(entry *userapi.Entry) *jobState {
+	spec := entry.Spec
+	job := &jobState{
+		entry: entry, spec: spec, team: l.teams[spec.Team],
+		rank:    jobs.NewRank(spec, entry.SubmittedMS, l.catalog.WithinQuota(entry)),
+		pending: taskQueue{total: spec.Tasks, attempts: map[int]uint64{}},
+		counts:  taskCounts{waitingByShard: make([]int, l.settings.ShardCount())},
 	}
+	l.jobs.add(job)
+	return job
 }
 
-// RequestRound makes the next Settle look at everything again.
-func (l *Leader) RequestRound() { l.roundRequested = true }
+// RequestRound has the next AfterBatch look at everything again.
+func (l *Leader) RequestRound() { l.pacing.requested = true }
 
-// AfterBatch hands out and commits what is due.
+// AfterBatch dispatches and commits what is due. The event loop calls it after every batch
+// of events.
 func (l *Leader) AfterBatch() {
-	if !l.loaded || !l.leases.LeaseValid() || l.commitBlocked || (!l.roundRequested && len(l.endings) == 0 && len(l.obsoleteRecords) == 0) {
+	if !l.loaded || !l.leases.LeaseValid() || l.commits.busy || !l.hasWork() {
 		return
 	}
-	if l.commitEndings() {
+	if l.commitEnds() {
 		return
 	}
 	now := l.runtime.Now()
-	if wait := l.lastRoundAt + l.roundInterval - now; wait > 0 && l.lastRoundAt > 0 {
-		if !l.roundScheduled {
-			l.roundScheduled = true
-			term := l.term
-			l.runtime.After(wait, func() {
-				if term == l.term {
-					l.roundScheduled = false
-				}
-			})
-		}
+	if wait := l.pacing.untilNextTurn(now); wait > 0 {
+		l.wakeAfter(wait)
 		return
 	}
-	l.lastRoundAt = now
-	if l.roundRequested {
-		l.roundRequested = false
+	l.pacing.lastTurnAt = now
+	if l.pacing.requested {
+		l.pacing.requested = false
 		if l.dispatch() {
 			return
 		}
@@ -310,50 +214,23 @@
 	l.collectRecords()
 }
 
-// commit sends changes under the guard of the lead.
-func (l *Leader) commit(guards []statestore.Condition, apply []statestore.Operation, fn func(statestore.CommitResult)) {
-	term := l.term
-	guards = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: l.token}}, guards...)
-	l.commitBlocked = true
-	l.state.Commit(guards, apply, func(r statestore.CommitResult) {
-		if term != l.term {
-			return
-		}
-		l.commitBlocked = false
-		if r.Outcome == statestore.OutcomeConflict && slices.Contains(r.FailedKeys, statestore.LeaderKey) {
-			// The watch will say who leads; until then nothing more is sent.
-			l.commitBlocked = true
-			l.leases.Refresh(func() {
-				if term == l.term {
-					l.BeginTerm(l.token)
-				}
-			})
-			return
-		}
-		l.roundRequested = true
-		fn(r)
-	})
-}
-
-// backOff lets a refused commit rest before anything else is sent.
-func (l *Leader) backOff(try int, fn func()) {
-	term := l.term
-	l.commitBlocked = true
-	l.runtime.After(l.state.Backoff(try), func() {
-		if term == l.term {
-			l.commitBlocked = false
-			fn()
-		}
-	})
+// hasWork reports whether there may be anything to dispatch or to commit.
+func (l *Leader) hasWork() bool {
+	return l.pacing.requested || len(l.ends.jobs) > 0 || len(l.garbage.keys) > 0
 }
 
-// TakeRecalls takes what a block is asked to give back.
-func (l *Leader) TakeRecalls(block int) []fleet.Recall {
-	var list []fleet.Recall
-	for job, n := range l.recalls[block] {
-		list = append(list, fleet.Recall{Job: job, Tasks: n})
+// wakeAfter has the event loop come back, since nothing else may happen until then.
+func (l *Leader) wakeAfter(wait time.Duration) {
+	if l.pacing.timerSet {
+		return
 	}
-	delete(l.recalls, block)
-	sort.Slice(list, func(i, k int) bool { return list[i].Job < list[k].Job })
-	return list
+	l.pacing.timerSet = true
+	l.runtime.After(wait, l.terms.Guard(func() { l.pacing.timerSet = false }))
 }
+
+// commitAnswered has everything looked at again: what the commit held up may go on.
+func (l *Leader) commitAnswered() { l.RequestRound() }
+
+// tokenRejected starts the term anew. If another node leads by now, the watch of the leases
+// ends it.
+func (l *Leader) tokenRejected() { l.BeginTerm(l.commits.token) }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -50,8 +50,12 @@
 	n.leases = statestore.NewLeaseManager(s, state, log, "node-0", 1, 0, 1)
 	n.catalog = userapi.NewCatalog(s, state, set.Deployment.Teams, log)
 	n.store = taskstate.NewStore(s, state, log)
-	n.fleet = fleet.New(s, "cloud", n.leases, set, log)
-	n.leader = New(s, state, n.leases, n.catalog, n.store, n.fleet, set, log)
+	machines := NewMachineUsage(1)
+	n.fleet = fleet.New(fleet.Dependencies{Runtime: s, Address: "cloud", Leases: n.leases, Loads: machines, Settings: set, Log: log})
+	n.leader = New(Dependencies{
+		Runtime: s, State: state, Leases: n.leases, Catalog: n.catalog, Records: n.store,
+		Fleet: n.fleet, Machines: machines, Settings: set, Log: log,
+	})
 	n.catalog.JobChanged = n.leader.JobChanged
 	n.store.RecordAdded, n.store.RecordRemoved, n.store.TaskStatusChanged = n.leader.RecordAdded, n.leader.RecordRemoved, n.leader.TaskStatusChanged
 	n.leases.LeadershipAcquired = func(token uint64) {
--- /dev/null
+++ b/internal/leader/machine_usage.go
@@ -0,0 +1,190 @@
+package leader
+
+import (
+	"time"
+
+	"lemonmoor/internal/fleet"
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/tuning"
+	"lemonmoor/internal/workers"
+)
+
+// MachineUsage holds what the task records say of the machines: what the tasks placed on
+// each take, and which images they have brought there. The leader keeps it current while
+// it leads; the fleet reads the loads.
+type MachineUsage struct {
+	shards            int
+	loads             map[string]*machineLoad // by worker ID; none: nothing is placed there
+	placementsByImage map[string][]int        // placements of tasks so far in the term, by image and shard
+	caches            map[string]*machineCache
+	cachesPrunedAt    time.Duration
+}
+
+var _ fleet.LoadSource = (*MachineUsage)(nil)
+
+// NewMachineUsage returns the usage of machines that are divided into so many shards, with
+// nothing placed on them.
+func NewMachineUsage(shards int) *MachineUsage {
+	usage := &MachineUsage{shards: shards}
+	usage.reset()
+	return usage
+}
+
+// machineLoad is what the tasks placed on a machine take.
+type machineLoad struct {
+	tasks          int
+	used           resource.Vector
+	movableCPUs    float64 // of tasks that any spot machine could run
+	serviceCPUs    float64 // of replicas of services
+	cpusByPriority [jobs.PriorityCritical + 1]float64
+}
+
+// machineCache is what a machine caches, inferred from the tasks that this leader has seen
+// placed there.
+type machineCache struct {
+	images      workers.ImageCache
+	machineType *jobs.MachineType // nil until the machine is known
+	seenAt      time.Duration     // when the machine was last available
+}
+
+// reset forgets all placements.
+func (u *MachineUsage) reset() {
+	u.loads, u.placementsByImage, u.caches = map[string]*machineLoad{}, map[string][]int{}, map[string]*machineCache{}
+}
+
+// MachineLoad returns what the tasks placed on a machine take.
+func (u *MachineUsage) MachineLoad(machineID string) fleet.MachineLoad {
+	if load := u.loads[machineID]; load != nil {
+		return fleet.MachineLoad{CPUs: load.used.CPUs, Movable: load.movableCPUs, Services: load.serviceCPUs, ByPriority: load.cpusByPriority}
+	}
+	return fleet.MachineLoad{}
+}
+
+// available returns what a machine of a type has left.
+func (u *MachineUsage) available(machineID string, machineType *jobs.MachineType) resource.Vector {
+	available := machineType.Resources()
+	if load := u.loads[machineID]; load != nil {
+		available = available.Minus(load.used)
+	}
+	return available
+}
+
+// observe notes that a machine of a type is available, and returns its cache, nil if
+// nothing is known of that.
+func (u *MachineUsage) observe(machineID string, machineType *jobs.MachineType, now time.Duration) *machineCache {
+	cache := u.caches[machineID]
+	if cache != nil {
+		cache.machineType, cache.seenAt = machineType, now
+	}
+	return cache
+}
+
+// homeShard returns the shard where most tasks with the image were placed, -1 if none was.
+func (u *MachineUsage) homeShard(image string) int {
+	placements := u.placementsByImage[image]
+	home := -1
+	for shard, count := range placements {
+		if count > 0 && (home < 0 || count > placements[home]) {
+			home = shard
+		}
+	}
+	return home
+}
+
+// count adds a placed task (sign 1), or takes it off (sign -1).
+func (u *MachineUsage) count(spec *jobs.Spec, shard int, workerID string, sign int) {
+	load := u.loads[workerID]
+	if load == nil {
+		load = &machineLoad{}
+		u.loads[workerID] = load
+	}
+	load.count(spec, sign)
+	if load.tasks == 0 {
+		delete(u.loads, workerID)
+	}
+	if sign > 0 {
+		u.notePlacement(spec, shard, workerID)
+	}
+}
+
+func (l *machineLoad) count(spec *jobs.Spec, sign int) {
+	l.tasks += sign
+	taken := spec.Resources().Times(float64(sign))
+	l.used = l.used.Plus(taken)
+	l.cpusByPriority[spec.Priority()] += taken.CPUs
+	if spec.IsService() {
+		l.serviceCPUs += taken.CPUs
+	}
+	if isMovable(spec) {
+		l.movableCPUs += taken.CPUs
+	}
+}
+
+// notePlacement notes that a machine of the shard fetches the job's image.
+func (u *MachineUsage) notePlacement(spec *jobs.Spec, shard int, workerID string) {
+	placements := u.placementsByImage[spec.Image]
+	if placements == nil {
+		placements = make([]int, u.shards)
+		u.placementsByImage[spec.Image] = placements
+	}
+	if shard < len(placements) {
+		placements[shard]++
+	}
+	cache := u.caches[workerID]
+	if cache == nil {
+		cache = &machineCache{}
+		u.caches[workerID] = cache
+	}
+	cache.images.Use(spec.Image, spec.ImageGB, cache.machineType)
+}
+
+// pruneCaches forgets, once in a while, what machines cached that are long gone.
+func (u *MachineUsage) pruneCaches(now time.Duration) {
+	if now-u.cachesPrunedAt <= tuning.ReleasedMachineMemory {
+		return
+	}
+	u.cachesPrunedAt = now
+	for machineID, cache := range u.caches {
+		if now-cache.seenAt > tuning.ReleasedMachineMemory {
+			delete(u.caches, machineID)
+		}
+	}
+}
+
+// isMovable reports whether a job's tasks can as well run on spot machines.
+func isMovable(spec *jobs.Spec) bool {
+	return spec.Spot && !spec.IsService() && !spec.IsGang() && spec.MachineTypes == nil && spec.Zone == "" && !spec.SameZone && !spec.Spread
+}
+
+// countRecord adds the tasks of a record to all sums (sign 1), or takes them off (sign -1).
+func (l *Leader) countRecord(job *jobState, record *taskstate.Record, sign int) {
+	for _, status := range record.Statuses {
+		l.countTask(job, record.Shard, status, sign)
+	}
+}
+
+// countTask adds a task to the sums of its job, team and machine (sign 1), or takes it off
+// (sign -1).
+func (l *Leader) countTask(job *jobState, shard int, status taskstate.TaskStatus, sign int) {
+	counts := &job.counts
+	switch status.State {
+	case taskstate.StateReturned:
+		return
+	case taskstate.StateDone:
+		counts.done += sign
+		return
+	case taskstate.StateWaiting, taskstate.StateDropped, taskstate.StatePlaced:
+	}
+	counts.open += sign
+	if job.team != nil {
+		job.team.count(job.spec, float64(sign))
+	}
+	if status.State == taskstate.StatePlaced {
+		counts.placed += sign
+		l.machines.count(job.spec, shard, status.WorkerID, sign)
+	} else if shard < len(counts.waitingByShard) {
+		counts.waitingByShard[shard] += sign
+	}
+}
--- a/internal/leader/recall.go
+++ b/internal/leader/recall.go
@@ -1,66 +1,100 @@
 package leader
 
 import (
+	"sort"
+
+	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/taskstate"
 )
 
-// recallFor asks a block to give waiting tasks back when others have open
-// machines with room for them.
-func (l *Leader) recallFor(b *capacityView, p *jobState, q shardQueue, n int) int {
-	if len(b.totalCPUs) == 1 {
-		return 0
-	}
-	found := 0
-	for block := range b.totalCPUs {
-		if block != q.shard && found < n {
-			found += b.take(p, q.zone, block, false, n-found, func(int, int) {})
-		}
+// recallRequests says how many waiting tasks of which jobs the owners of shards are asked
+// to return. Owners fetch them with the answers to their status messages.
+type recallRequests map[int]map[string]int // by shard and job
+
+// ofShard returns the requests to a shard.
+func (r recallRequests) ofShard(shard int) map[string]int {
+	if r[shard] == nil {
+		r[shard] = map[string]int{}
 	}
-	if found > 0 {
-		if l.recalls[q.shard] == nil {
-			l.recalls[q.shard] = map[string]int{}
-		}
-		l.recalls[q.shard][p.entry.ID] += found
+	return r[shard]
+}
+
+// take returns the requests to a shard in the order of the jobs' IDs, and forgets them.
+func (r recallRequests) take(shard int) []fleet.Recall {
+	var list []fleet.Recall
+	for job, tasks := range r[shard] {
+		list = append(list, fleet.Recall{Job: job, Tasks: tasks})
 	}
-	return found
+	delete(r, shard)
+	sort.Slice(list, func(i, j int) bool { return list[i].Job < list[j].Job })
+	return list
 }
 
-// shardQueue is tasks of a job that wait in a block, all for one zone.
+// TakeRecalls takes what a shard's owner is asked to return.
+func (l *Leader) TakeRecalls(shard int) []fleet.Recall { return l.recalls.take(shard) }
+
+// shardQueue is tasks of a job that wait in a shard, all of them bound to one zone or to
+// none.
 type shardQueue struct {
-	shard  int
-	zone   string
+	shard int
+	zone  string
 	tasks int
 }
 
 // queuedTasks tells where tasks of a job wait.
-func (l *Leader) queuedTasks(p *jobState) []shardQueue {
-	var list []shardQueue
-	if len(p.zones) <= 1 {
-		for block, n := range p.waitingByShard {
-			if n > 0 {
-				list = append(list, shardQueue{block, taskstate.ZoneOf(p.zones, 0), n})
-			}
+func (l *Leader) queuedTasks(job *jobState) []shardQueue {
+	if len(job.zones) > 1 {
+		return l.queuedTasksByZone(job)
+	}
+	var queues []shardQueue
+	for shard, tasks := range job.counts.waitingByShard {
+		if tasks > 0 {
+			queues = append(queues, shardQueue{shard, taskstate.ZoneOf(job.zones, 0), tasks})
 		}
-		return list
 	}
-	sums := map[shardQueue]int{}
-	add := func(r *taskstate.Record) {
-		for k, i := range r.TaskIndexes {
-			if r.Statuses[k].State == taskstate.StateWaiting {
-				sums[shardQueue{shard: r.Shard, zone: taskstate.ZoneOf(p.zones, i)}]++
+	return queues
+}
+
+// queuedTasksByZone is queuedTasks for a job whose tasks are bound to several zones: only
+// its records say which of them wait.
+func (l *Leader) queuedTasksByZone(job *jobState) []shardQueue {
+	counts := map[shardQueue]int{}
+	add := func(record *taskstate.Record) {
+		for position, index := range record.TaskIndexes {
+			if record.Statuses[position].State == taskstate.StateWaiting {
+				counts[shardQueue{shard: record.Shard, zone: taskstate.ZoneOf(job.zones, index)}]++
 			}
 		}
 	}
-	for _, r := range l.records.JobRecords(p.entry.ID) {
-		add(r)
+	for _, record := range l.records.JobRecords(job.entry.ID) {
+		add(record)
 	}
-	for _, r := range l.pendingRecords {
-		if r.Job == p.entry.ID {
-			add(r)
+	for _, record := range l.unseenRecords {
+		if record.Job == job.entry.ID {
+			add(record)
 		}
 	}
-	for q, n := range sums {
-		list = append(list, shardQueue{q.shard, q.zone, n})
+	var queues []shardQueue
+	for queue, tasks := range counts {
+		queues = append(queues, shardQueue{queue.shard, queue.zone, tasks})
 	}
-	return list
+	return queues
+}
+
+// recallFrom asks a shard to return up to limit waiting tasks of a job when other shards
+// have room for them on machines that are up, and returns how many.
+func (r *dispatchRound) recallFrom(queue shardQueue, job *jobState, limit int) int {
+	if len(r.capacity.totalCPUs) == 1 {
+		return 0
+	}
+	found := 0
+	for shard := range r.capacity.totalCPUs {
+		if shard != queue.shard && found < limit {
+			found += r.capacity.discard(job, machineSet{zone: queue.zone, shard: shard}, limit-found)
+		}
+	}
+	if found > 0 {
+		r.leader.recalls.ofShard(queue.shard)[job.entry.ID] += found
+	}
+	return found
 }
