--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -18,8 +18,8 @@
 	"lemonmoor/internal/userapi"
 )
 
-// node is a controller that leads, with one block of one large machine, of which nobody
-// carries the work out.
+// node is a controller that leads, with one shard of one large machine. Nobody carries the
+// work out.
 type node struct {
 	service  *statetest.Service
 	leases   *statestore.LeaseManager
@@ -30,52 +30,52 @@
 	statuses uint64
 }
 
-// newNode returns a controller that stands for the leadership.
-func newNode(s *statetest.Service) *node {
+// startNode returns a controller that stands for the leadership.
+func startNode(service *statetest.Service) *node {
 	log := slog.New(slog.DiscardHandler)
-	set := &settings.Settings{}
-	set.Deployment.Teams = []settings.Team{{Name: "red", CPUsMax: 24, GPUsMax: 4}}
-	set.Deployment.State.WriteRPS = 1000
-	set.Deployment.Cloud.RPS = 100
-	state := statestore.New(s, statetest.Address, log)
+	config := &settings.Settings{}
+	config.Deployment.Teams = []settings.Team{{Name: "red", CPUsMax: 24, GPUsMax: 4}}
+	config.Deployment.State.WriteRPS = 1000
+	config.Deployment.Cloud.RPS = 100
+	state := statestore.New(service, statetest.Address, log)
 	state.FreshnessCheckInterval = 0
 	state.SetLimits(statestore.Limits{MaxOperations: 10, MaxValueBytes: 1 << 16, FutureWriteShare: 1})
-	s.Other = func(c http1.ClientRequest) http1.Response {
-		if c.Target == "/machine_types" {
+	service.Other = func(call http1.ClientRequest) http1.Response {
+		if call.Target == "/machine_types" {
 			return statetest.Reply(200, map[string]any{"builds": []jobs.MachineType{{Name: "g8", CPUs: 500, GPUs: 100, MemoryGB: 500, Zones: []string{"a"}}}})
 		}
 		return statetest.Reply(200, map[string]any{"hosts": []any{}})
 	}
-	n := &node{service: s}
-	n.leases = statestore.NewLeaseManager(s, state, log, "node-0", 1, 0, 1)
-	n.catalog = userapi.NewCatalog(s, state, set.Deployment.Teams, log)
-	n.store = taskstate.NewStore(s, state, log)
+	node := &node{service: service}
+	node.leases = statestore.NewLeaseManager(service, state, log, "node-0", 1, 0, 1)
+	node.catalog = userapi.NewCatalog(service, state, config.Deployment.Teams, log)
+	node.store = taskstate.NewStore(service, state, log)
 	machines := NewMachineUsage(1)
-	n.fleet = fleet.New(fleet.Dependencies{Runtime: s, Address: "cloud", Leases: n.leases, Loads: machines, Settings: set, Log: log})
-	n.leader = New(Dependencies{
-		Runtime: s, State: state, Leases: n.leases, Catalog: n.catalog, Records: n.store,
-		Fleet: n.fleet, Machines: machines, Settings: set, Log: log,
+	node.fleet = fleet.New(fleet.Dependencies{Runtime: service, Address: "cloud", Leases: node.leases, Loads: machines, Settings: config, Log: log})
+	node.leader = New(Dependencies{
+		Runtime: service, State: state, Leases: node.leases, Catalog: node.catalog, Records: node.store,
+		Fleet: node.fleet, Machines: machines, Settings: config, Log: log,
 	})
-	n.catalog.JobChanged = n.leader.JobChanged
-	n.store.RecordAdded, n.store.RecordRemoved, n.store.TaskStatusChanged = n.leader.RecordAdded, n.leader.RecordRemoved, n.leader.TaskStatusChanged
-	n.leases.LeadershipAcquired = func(token uint64) {
-		n.leader.BeginTerm(token)
-		n.fleet.BeginTerm()
+	node.catalog.JobChanged = node.leader.JobChanged
+	node.store.RecordAdded, node.store.RecordRemoved, node.store.TaskStatusChanged = node.leader.RecordAdded, node.leader.RecordRemoved, node.leader.TaskStatusChanged
+	node.leases.LeadershipAcquired = func(token uint64) {
+		node.leader.BeginTerm(token)
+		node.fleet.BeginTerm()
 	}
-	n.leases.LeadershipLost = func() {
-		n.leader.EndTerm()
-		n.fleet.EndTerm()
+	node.leases.LeadershipLost = func() {
+		node.leader.EndTerm()
+		node.fleet.EndTerm()
 	}
-	n.leases.ShardAcquired, n.leases.ShardLost = func(int, uint64) {}, func(int) {}
-	n.fleet.Start()
-	n.catalog.Start()
-	n.store.Start()
-	n.leases.Start()
-	return n
+	node.leases.ShardAcquired, node.leases.ShardLost = func(int, uint64) {}, func(int) {}
+	node.fleet.Start()
+	node.catalog.Start()
+	node.store.Start()
+	node.leases.Start()
+	return node
 }
 
-// settle lets the leader decide once more.
-func (n *node) settle() {
+// decide lets the leader decide once more.
+func (n *node) decide() {
 	n.statuses++
 	n.fleet.HandleStatus(&fleet.ShardStatus{
 		Full: true, Token: 1, Seq: n.statuses,
@@ -85,289 +85,295 @@
 	n.leader.AfterBatch()
 }
 
-// run lets time pass, with a look at everything every 100 ms.
-func (n *node) run(d time.Duration) {
-	for ; d > 0; d -= 100 * time.Millisecond {
-		n.settle()
+// run lets time pass; the leader decides every 100 ms.
+func (n *node) run(duration time.Duration) {
+	for ; duration > 0; duration -= 100 * time.Millisecond {
+		n.decide()
 		n.service.Run(100 * time.Millisecond)
 	}
 }
 
-// job is one of the team red.
-func job(id string, tasks int) *jobs.Spec {
+// newSpec returns a job of the team red.
+func newSpec(id string, tasks int) *jobs.Spec {
 	return &jobs.Spec{ID: id, Team: "red", Shape: "array", Urgency: "urgent", Tasks: tasks, CPUs: 1, EstimateSeconds: 5}
 }
 
-// submit stores jobs.
-func submit(t *testing.T, s *statetest.Service, list ...*jobs.Spec) {
+// submit stores jobs as accepted.
+func submit(t *testing.T, service *statetest.Service, list ...*jobs.Spec) {
 	t.Helper()
-	for i, d := range list {
-		s.Set(t, userapi.KeyPrefix+d.ID, userapi.Record{SubmittedMS: s.WallClock().UnixMilli() + int64(i), Spec: d})
+	for i, spec := range list {
+		service.Set(t, userapi.KeyPrefix+spec.ID, userapi.Record{SubmittedMS: service.WallClock().UnixMilli() + int64(i), Spec: spec})
 	}
 }
 
-// handedOut counts the tasks of a job in all records.
-func (n *node) handedOut(job string) (tasks int) {
-	for _, r := range n.store.JobRecords(job) {
-		tasks += len(r.TaskIndexes)
+// dispatchedTasks counts the tasks of a job in all records.
+func (n *node) dispatchedTasks(job string) (tasks int) {
+	for _, record := range n.store.JobRecords(job) {
+		tasks += len(record.TaskIndexes)
 	}
 	return tasks
 }
 
-// logTasks writes a page of the block's log that tells of the tasks of a record.
-func logTasks(t *testing.T, s *statetest.Service, page int, r *taskstate.Record, change func(*taskstate.Task)) {
+// putPage writes a log page of the shard that tells of the tasks of a record.
+func putPage(t *testing.T, service *statetest.Service, page int, record *taskstate.Record, change func(*taskstate.Task)) {
 	t.Helper()
-	c := taskstate.LoadRecord(&taskstate.Job{Spec: job(r.Job, len(r.TaskIndexes)), Tasks: map[int]*taskstate.Task{}, Groups: map[string]*taskstate.TaskGroup{}}, r)
-	for _, k := range c.Tasks {
-		change(k)
+	group := taskstate.LoadRecord(&taskstate.Job{Spec: newSpec(record.Job, len(record.TaskIndexes)), Tasks: map[int]*taskstate.Task{}, Groups: map[string]*taskstate.TaskGroup{}}, record)
+	for _, task := range group.Tasks {
+		change(task)
 	}
-	pages, _, _, err := taskstate.PackPages(c.Tasks, 1<<16, 1)
+	pages, _, _, err := taskstate.PackPages(group.Tasks, 1<<16, 1)
 	if err != nil || len(pages) != 1 {
 		t.Fatalf("%d pages, %v", len(pages), err)
 	}
-	s.Set(t, taskstate.PageKey(r.Shard, page), pages[0])
+	service.Set(t, taskstate.PageKey(record.Shard, page), pages[0])
 }
 
-// record makes one of the job's tasks, as an earlier leader has.
-func record(t *testing.T, s *statetest.Service, job string, number int, index ...int) *taskstate.Record {
+// putRecord stores a record of tasks of a job, as an earlier leader has.
+func putRecord(t *testing.T, service *statetest.Service, job string, number int, index ...int) *taskstate.Record {
 	t.Helper()
-	r := taskstate.NewRecord(0, job, number, index, nil, nil)
-	value, err := r.Encode()
+	made := taskstate.NewRecord(0, job, number, index, nil, nil)
+	value, err := made.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Set(t, r.Key, value)
-	return r
+	service.Set(t, made.Key, value)
+	return made
 }
 
-func done(k *taskstate.Task) { k.State, k.Attempt = taskstate.StateDone, 1 }
+func markDone(task *taskstate.Task) { task.State, task.Attempt = taskstate.StateDone, 1 }
 
-// holdRecords has commits held back that hand tasks out.
-func holdRecords(c *statetest.Commit) bool {
-	return len(c.Apply) > 0 && strings.HasPrefix(c.Apply[0].PutKey, taskstate.KeyPrefix)
+// isDispatch reports whether a commit dispatches tasks.
+func isDispatch(commit *statetest.Commit) bool {
+	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, taskstate.KeyPrefix)
 }
 
-// holdEnds has commits held back that end jobs.
-func holdEnds(c *statetest.Commit) bool {
-	return len(c.Apply) > 0 && strings.HasPrefix(c.Apply[0].PutKey, userapi.KeyPrefix)
+// isJobEnd reports whether a commit ends jobs.
+func isJobEnd(commit *statetest.Commit) bool {
+	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, userapi.KeyPrefix)
 }
 
-// TestHandOutsKeepToTheLimits: the open tasks of a team's jobs never exceed its limits of
-// processors and of GPUs, also while the newest hand-outs have not been seen yet.
-func TestHandOutsKeepToTheLimits(t *testing.T) {
-	for _, c := range []struct {
+// TestOpenTasksStayWithinTheQuota: the open tasks of a team's jobs never exceed its quota of
+// processors and of GPUs, also while the newest records have not been seen yet.
+func TestOpenTasksStayWithinTheQuota(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		cards float64
 		want  int
 	}{{"processors", 0, 24}, {"GPUs", 1, 4}} {
-		t.Run(c.name, func(t *testing.T) {
-			s := statetest.New()
-			n := newNode(s)
-			n.run(2 * time.Second)
+		t.Run(test.name, func(t *testing.T) {
+			service := statetest.New()
+			node := startNode(service)
+			node.run(2 * time.Second)
 			for _, id := range []string{"wk-1", "wk-2"} {
-				d := job(id, 30)
-				d.GPUs = c.cards
-				submit(t, s, d)
+				spec := newSpec(id, 30)
+				spec.GPUs = test.cards
+				submit(t, service, spec)
 			}
-			n.run(100 * time.Millisecond)
+			node.run(100 * time.Millisecond)
 			for range 3 { // no watch tells of anything meanwhile
-				s.Skip(time.Second)
-				n.settle()
+				service.Skip(time.Second)
+				node.decide()
 			}
-			n.run(2 * time.Second)
-			if got := n.handedOut("wk-1") + n.handedOut("wk-2"); got != c.want {
-				t.Errorf("%d tasks are handed out, the limit is %d", got, c.want)
+			node.run(2 * time.Second)
+			if got := node.dispatchedTasks("wk-1") + node.dispatchedTasks("wk-2"); got != test.want {
+				t.Errorf("%d tasks are dispatched, the quota is %d", got, test.want)
 			}
 		})
 	}
 }
 
-// TestLateHandOutOfAnEarlierLeaderFails: a hand-out that is held up on its way until another
+// TestLateDispatchOfAnEarlierLeaderFails: a dispatch that is held up on its way until another
 // node leads changes nothing.
-func TestLateHandOutOfAnEarlierLeaderFails(t *testing.T) {
-	s := statetest.New()
-	s.Hold = holdRecords
-	n := newNode(s)
-	submit(t, s, job("wk-1", 3))
-	n.run(3 * time.Second)
-	if len(s.Held) != 1 {
-		t.Fatalf("%d hand-outs", len(s.Held))
+func TestLateDispatchOfAnEarlierLeaderFails(t *testing.T) {
+	service := statetest.New()
+	service.Hold = isDispatch
+	node := startNode(service)
+	submit(t, service, newSpec("wk-1", 3))
+	node.run(3 * time.Second)
+	if len(service.Held) != 1 {
+		t.Fatalf("%d dispatches", len(service.Held))
 	}
-	s.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
-	if a := s.Commit(s.Held[0]); a.Status != 409 {
-		t.Errorf("carried out under another leader: %d", a.Status)
+	service.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
+	if answer := service.Commit(service.Held[0]); answer.Status != 409 {
+		t.Errorf("carried out under another leader: %d", answer.Status)
 	}
 }
 
-// TestRepeatedHandOutFails: carried out once more, later, it does not make its records anew.
-func TestRepeatedHandOutFails(t *testing.T) {
-	s := statetest.New()
-	s.Hold = holdRecords
-	n := newNode(s)
-	submit(t, s, job("wk-1", 3))
-	n.run(3 * time.Second)
-	if a := s.Commit(s.Held[0]); a.Status != 200 {
-		t.Fatalf("answered %d", a.Status)
+// TestRepeatedDispatchFails: carried out once more, later, it does not make its records anew.
+func TestRepeatedDispatchFails(t *testing.T) {
+	service := statetest.New()
+	service.Hold = isDispatch
+	node := startNode(service)
+	submit(t, service, newSpec("wk-1", 3))
+	node.run(3 * time.Second)
+	if answer := service.Commit(service.Held[0]); answer.Status != 200 {
+		t.Fatalf("answered %d", answer.Status)
 	}
-	if a := s.Commit(s.Held[0]); a.Status != 409 {
-		t.Errorf("carried out twice: %d", a.Status)
+	if answer := service.Commit(service.Held[0]); answer.Status != 409 {
+		t.Errorf("carried out twice: %d", answer.Status)
 	}
 }
 
-// TestHandOutInDoubtIsRepeatedWhole: a hand-out that got no answer may have been carried out.
-// Until that is known all of it is sent again, also when a try is refused.
-func TestHandOutInDoubtIsRepeatedWhole(t *testing.T) {
-	s := statetest.New()
-	n := newNode(s)
-	n.run(2 * time.Second)
-	s.Hold = holdRecords
-	submit(t, s, job("wk-1", 3), job("wk-2", 3))
-	n.run(2 * time.Second)
-	if len(s.Held) != 1 || len(s.Held[0].Apply) != 2 {
-		t.Fatalf("%d hand-outs, the first of %d records", len(s.Held), len(s.Held[0].Apply))
+// TestDispatchOfUnknownOutcomeIsRepeatedWhole: a dispatch that got no answer may have been
+// carried out. Until that is known all of it is sent again, also when an attempt is refused.
+func TestDispatchOfUnknownOutcomeIsRepeatedWhole(t *testing.T) {
+	service := statetest.New()
+	node := startNode(service)
+	node.run(2 * time.Second)
+	service.Hold = isDispatch
+	submit(t, service, newSpec("wk-1", 3), newSpec("wk-2", 3))
+	node.run(2 * time.Second)
+	if len(service.Held) != 1 || len(service.Held[0].Apply) != 2 {
+		t.Fatalf("%d dispatches, the first of %d records", len(service.Held), len(service.Held[0].Apply))
 	}
-	s.Held[0].Answer(http1.Response{}, eventloop.ErrNoAnswer)
-	n.run(2 * time.Second)
-	s.Held[1].Answer(statetest.Reply(503, nil), nil)
-	n.run(2 * time.Second)
-	if len(s.Held) != 3 || len(s.Held[1].Apply) != 2 || len(s.Held[2].Apply) != 2 {
-		t.Errorf("%d tries, the last of %d records", len(s.Held), len(s.Held[len(s.Held)-1].Apply))
+	service.Held[0].Answer(http1.Response{}, eventloop.ErrNoAnswer)
+	node.run(2 * time.Second)
+	service.Held[1].Answer(statetest.Reply(503, nil), nil)
+	node.run(2 * time.Second)
+	if len(service.Held) != 3 || len(service.Held[1].Apply) != 2 || len(service.Held[2].Apply) != 2 {
+		t.Errorf("%d attempts, the last of %d records", len(service.Held), len(service.Held[len(service.Held)-1].Apply))
 	}
 }
 
-// TestLeaderWhoseTokenFailedSendsNothing: when the guard of the leadership has failed, nothing
-// more is sent before the leases have been looked at.
-func TestLeaderWhoseTokenFailedSendsNothing(t *testing.T) {
-	s := statetest.New()
-	s.Hold = holdRecords
-	n := newNode(s)
-	submit(t, s, job("wk-1", 3))
-	n.run(3 * time.Second)
-	s.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
-	s.Held[0].Answer(s.Commit(s.Held[0]), nil)
-	s.Skip(time.Second)
-	n.settle()
-	if len(s.Held) > 1 || n.leader.IsLoaded() {
-		t.Errorf("%d hand-outs, leads %v", len(s.Held), n.leader.IsLoaded())
+// TestNothingIsSentAfterTheTokenWasRejected: when a commit has failed on the leader's lease,
+// nothing more is sent before the leases have been read anew.
+func TestNothingIsSentAfterTheTokenWasRejected(t *testing.T) {
+	service := statetest.New()
+	service.Hold = isDispatch
+	node := startNode(service)
+	submit(t, service, newSpec("wk-1", 3))
+	node.run(3 * time.Second)
+	service.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
+	service.Held[0].Answer(service.Commit(service.Held[0]), nil)
+	service.Skip(time.Second)
+	node.decide()
+	if len(service.Held) > 1 || node.leader.IsLoaded() {
+		t.Errorf("%d dispatches, leads %v", len(service.Held), node.leader.IsLoaded())
 	}
 }
 
-// TestAttemptsAreCarriedOn: a task that a block gave back keeps its last attempt in its next
-// record, also when another leader hands it out, so that no attempt is used twice.
-func TestAttemptsAreCarriedOn(t *testing.T) {
-	for _, takeover := range []bool{false, true} {
-		s := statetest.New()
-		n := newNode(s)
-		d := job("wk-1", 2)
-		submit(t, s, d)
-		r := record(t, s, d.ID, 0, 0, 1)
-		if !takeover {
-			n.run(2 * time.Second)
-		}
-		logTasks(t, s, 0, r, func(k *taskstate.Task) { k.State, k.Attempt = taskstate.StateReturned, 3 })
-		n.run(3 * time.Second)
-		next, ok := s.Get(taskstate.RecordKey(0, d.ID, 1))
-		if !ok {
-			t.Fatalf("takeover %v: not handed out again", takeover)
-		}
-		again, err := taskstate.Decode(next.Key, next.Value, next.Revision)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, m := range again.Statuses {
-			if m.Attempt != 3 {
-				t.Errorf("takeover %v: handed out with last attempt %d, it was 3", takeover, m.Attempt)
+// TestReturnedTaskKeepsItsLastAttempt: a task that a shard has returned keeps its last attempt
+// in its next record, also when another leader dispatches it, so that no attempt is used
+// twice.
+func TestReturnedTaskKeepsItsLastAttempt(t *testing.T) {
+	for name, takeover := range map[string]bool{"same leader": false, "next leader": true} {
+		t.Run(name, func(t *testing.T) {
+			service := statetest.New()
+			node := startNode(service)
+			spec := newSpec("wk-1", 2)
+			submit(t, service, spec)
+			returned := putRecord(t, service, spec.ID, 0, 0, 1)
+			if !takeover {
+				node.run(2 * time.Second)
 			}
-		}
+			putPage(t, service, 0, returned, func(task *taskstate.Task) { task.State, task.Attempt = taskstate.StateReturned, 3 })
+			node.run(3 * time.Second)
+			next, ok := service.Get(taskstate.RecordKey(0, spec.ID, 1))
+			if !ok {
+				t.Fatal("not dispatched again")
+			}
+			again, err := taskstate.Decode(next.Key, next.Value, next.Revision)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, status := range again.Statuses {
+				if status.Attempt != 3 {
+					t.Errorf("dispatched with last attempt %d, it was 3", status.Attempt)
+				}
+			}
+		})
 	}
 }
 
 // TestRecordsOfACancelledJobStayUntilWrittenOff: removed on the leader's own judgement, a
-// placement that the owner commits at the same time would be lost.
+// placement that the shard owner commits at the same time would be lost.
 func TestRecordsOfACancelledJobStayUntilWrittenOff(t *testing.T) {
-	s := statetest.New()
-	n := newNode(s)
-	d := job("wk-1", 2)
-	submit(t, s, d)
-	r := record(t, s, d.ID, 0, 0, 1)
-	n.run(2 * time.Second)
-	s.Set(t, userapi.KeyPrefix+d.ID, userapi.Record{SubmittedMS: 1, Spec: d, Phase: userapi.PhaseCancelled, CancelledMS: 1})
-	n.run(3 * time.Second)
-	if _, ok := s.Get(r.Key); !ok {
+	service := statetest.New()
+	node := startNode(service)
+	spec := newSpec("wk-1", 2)
+	submit(t, service, spec)
+	record := putRecord(t, service, spec.ID, 0, 0, 1)
+	node.run(2 * time.Second)
+	service.Set(t, userapi.KeyPrefix+spec.ID, userapi.Record{SubmittedMS: 1, Spec: spec, Phase: userapi.PhaseCancelled, CancelledMS: 1})
+	node.run(3 * time.Second)
+	if _, ok := service.Get(record.Key); !ok {
 		t.Fatal("removed while its tasks may be on machines")
 	}
-	logTasks(t, s, 0, r, func(k *taskstate.Task) { k.State, k.Attempt = taskstate.StateDropped, 1 })
-	n.run(3 * time.Second)
-	if _, ok := s.Get(r.Key); ok {
+	putPage(t, service, 0, record, func(task *taskstate.Task) { task.State, task.Attempt = taskstate.StateDropped, 1 })
+	node.run(3 * time.Second)
+	if _, ok := service.Get(record.Key); ok {
 		t.Error("never removed")
 	}
 }
 
-// TestJobIsDoneWhenEachTaskIs: the tasks of a job that seems to be over are counted once more,
-// each by its number, since one may be done on two records.
-func TestJobIsDoneWhenEachTaskIs(t *testing.T) {
-	s := statetest.New()
-	n := newNode(s)
-	d := job("wk-1", 2)
-	submit(t, s, d)
-	first, second := record(t, s, d.ID, 0, 0), record(t, s, d.ID, 1, 0)
-	logTasks(t, s, 0, first, done)
-	logTasks(t, s, 1, second, done)
-	n.run(3 * time.Second)
-	if e := n.catalog.Get(d.ID); e.Phase != "" {
-		t.Fatalf("%s when one of its two tasks is", e.Phase)
+// TestJobIsDoneOnlyWhenEveryTaskIs: the tasks of a job that seems to be over are counted once more,
+// each by its index, since one may be done on two records.
+func TestJobIsDoneOnlyWhenEveryTaskIs(t *testing.T) {
+	service := statetest.New()
+	node := startNode(service)
+	spec := newSpec("wk-1", 2)
+	submit(t, service, spec)
+	first, second := putRecord(t, service, spec.ID, 0, 0), putRecord(t, service, spec.ID, 1, 0)
+	putPage(t, service, 0, first, markDone)
+	putPage(t, service, 1, second, markDone)
+	node.run(3 * time.Second)
+	if entry := node.catalog.Get(spec.ID); entry.Phase != "" {
+		t.Fatalf("%s when one of its two tasks is", entry.Phase)
 	}
-	row, ok := s.Get(taskstate.RecordKey(0, d.ID, 2))
+	stored, ok := service.Get(taskstate.RecordKey(0, spec.ID, 2))
 	if !ok {
-		t.Fatal("its other task is not handed out")
+		t.Fatal("its other task is not dispatched")
 	}
-	last, err := taskstate.Decode(row.Key, row.Value, row.Revision)
+	last, err := taskstate.Decode(stored.Key, stored.Value, stored.Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
-	logTasks(t, s, 2, last, done)
-	n.run(3 * time.Second)
-	if e := n.catalog.Get(d.ID); e.Phase != userapi.PhaseDone {
-		t.Errorf("%q when both are", e.Phase)
+	putPage(t, service, 2, last, markDone)
+	node.run(3 * time.Second)
+	if entry := node.catalog.Get(spec.ID); entry.Phase != userapi.PhaseDone {
+		t.Errorf("%q when both are", entry.Phase)
 	}
 }
 
-// TestEndOfAJobIsToldWhenDurable: and it never overwrites a cancellation.
-func TestEndOfAJobIsToldWhenDurable(t *testing.T) {
-	s := statetest.New()
-	s.Hold = holdEnds
-	n := newNode(s)
-	d := job("wk-1", 1)
-	submit(t, s, d)
-	logTasks(t, s, 0, record(t, s, d.ID, 0, 0), done)
-	n.run(3 * time.Second)
-	if len(s.Held) != 1 || !slices.ContainsFunc(s.Held[0].Apply, func(c statestore.Operation) bool { return c.PutKey == userapi.KeyPrefix+d.ID }) {
-		t.Fatalf("%d ends of jobs", len(s.Held))
+// TestJobEndIsReportedOnlyWhenDurable: users are told of the end of a job when it is durable,
+// and it never overwrites a cancellation.
+func TestJobEndIsReportedOnlyWhenDurable(t *testing.T) {
+	service := statetest.New()
+	service.Hold = isJobEnd
+	node := startNode(service)
+	spec := newSpec("wk-1", 1)
+	submit(t, service, spec)
+	putPage(t, service, 0, putRecord(t, service, spec.ID, 0, 0), markDone)
+	node.run(3 * time.Second)
+	if len(service.Held) != 1 || !slices.ContainsFunc(service.Held[0].Apply, func(operation statestore.Operation) bool { return operation.PutKey == userapi.KeyPrefix+spec.ID }) {
+		t.Fatalf("%d ends of jobs", len(service.Held))
 	}
-	if e := n.catalog.Get(d.ID); e.Phase != "" {
-		t.Errorf("told %q before that is durable", e.Phase)
+	if entry := node.catalog.Get(spec.ID); entry.Phase != "" {
+		t.Errorf("told %q before that is durable", entry.Phase)
 	}
-	s.Set(t, userapi.KeyPrefix+d.ID, userapi.Record{SubmittedMS: 1, Spec: d, Phase: userapi.PhaseCancelled, CancelledMS: 1})
-	if a := s.Commit(s.Held[0]); a.Status != 409 {
-		t.Errorf("a cancelled job is overwritten: %d", a.Status)
+	service.Set(t, userapi.KeyPrefix+spec.ID, userapi.Record{SubmittedMS: 1, Spec: spec, Phase: userapi.PhaseCancelled, CancelledMS: 1})
+	if answer := service.Commit(service.Held[0]); answer.Status != 409 {
+		t.Errorf("a cancelled job is overwritten: %d", answer.Status)
 	}
 }
 
-// TestLeaderBeginsOnWhatIsProvenCurrent: a new leader hands nothing out before the copies of
-// the records and of the jobs are proven to hold all that earlier ones have committed.
-func TestLeaderBeginsOnWhatIsProvenCurrent(t *testing.T) {
-	for _, prefix := range []string{taskstate.KeyPrefix, userapi.KeyPrefix} {
-		s := statetest.New()
-		s.Refuse = func(c http1.ClientRequest) bool { return statetest.IsCheck(c, prefix) }
-		n := newNode(s)
-		submit(t, s, job("wk-1", 3))
-		n.run(5 * time.Second)
-		if n.leases.LeaderToken() == 0 || n.leader.IsLoaded() || n.handedOut("wk-1") > 0 {
-			t.Errorf("%s: token %d, acts %v without a proof", prefix, n.leases.LeaderToken(), n.leader.IsLoaded())
-		}
-		s.Refuse = nil
-		if n.run(5 * time.Second); n.handedOut("wk-1") != 3 {
-			t.Errorf("%s: does not act when there is one", prefix)
-		}
+// TestDispatchWaitsForVerifiedCopies: a new leader dispatches nothing before the copies of the
+// records and of the jobs are verified to hold all that earlier leaders have committed.
+func TestDispatchWaitsForVerifiedCopies(t *testing.T) {
+	for name, prefix := range map[string]string{"records": taskstate.KeyPrefix, "jobs": userapi.KeyPrefix} {
+		t.Run(name, func(t *testing.T) {
+			service := statetest.New()
+			service.Refuse = func(call http1.ClientRequest) bool { return statetest.IsCheck(call, prefix) }
+			node := startNode(service)
+			submit(t, service, newSpec("wk-1", 3))
+			node.run(5 * time.Second)
+			if node.leases.LeaderToken() == 0 || node.leader.IsLoaded() || node.dispatchedTasks("wk-1") > 0 {
+				t.Errorf("token %d, acts %v on copies that are not verified", node.leases.LeaderToken(), node.leader.IsLoaded())
+			}
+			service.Refuse = nil
+			if node.run(5 * time.Second); node.dispatchedTasks("wk-1") != 3 {
+				t.Error("does not act when they are")
+			}
+		})
 	}
 }
