--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -324,7 +324,7 @@
 		return fleet.StatusReply{}
 	}
 	if n.drains != nil {
-		n.drains.coordinator.HandleReport(d.Shard, d.Token, d.Seq, d.Drains)
+		n.drains.coordinator.HandleShardReport(d.Shard, d.Token, d.Seq, d.Drains)
 	}
 	r := n.fleet.HandleStatus(d.ShardStatus)
 	r.Recall = n.leader.TakeRecalls(d.Shard)
--- a/internal/drain/advance.go
+++ b/internal/drain/advance.go
@@ -12,65 +12,65 @@
 )
 
 // advance takes a drain's next steps.
-func (r *round) advance(d *Drain) {
-	r.settle(d)
-	if !d.Head.Phase.Active() {
+func (r *round) advance(drain *Drain) {
+	r.removeSettledGrants(drain)
+	if !drain.Head.Phase.Active() {
 		return
 	}
-	open := r.released(d)
-	if open == 0 && len(d.Grants) == 0 {
-		r.finish(d)
+	machinesLeft := r.markReleasedMachines(drain)
+	if machinesLeft == 0 && len(drain.Grants) == 0 {
+		r.finish(drain)
 		return
 	}
-	if d.Head.Phase == PhasePaused {
-		r.wait(d, "paused by an operator")
+	if drain.Head.Phase == PhasePaused {
+		r.addWaitReason(drain, "paused by an operator")
 		return
 	}
-	r.replace(d)
-	r.close(d)
-	r.grant(d)
+	r.advanceReplacements(drain)
+	r.closeNextMachines(drain)
+	r.grantMoves(drain)
 }
 
-// settle removes the grants all of whose tasks are disturbed no more. A task that was
+// removeSettledGrants removes the grants all of whose tasks are disturbed no more. A task that was
 // never stopped counts only if its owner still holds the block when that is committed:
 // another owner might stop it, not knowing that the drain was cancelled.
-func (r *round) settle(d *Drain) {
-	for _, number := range d.grantNumbers() {
-		g := d.Grants[number]
-		var guards []statestore.Condition
-		over := true
-		for _, ref := range g.Tasks {
-			if r.c.settled(ref) {
+func (r *round) removeSettledGrants(drain *Drain) {
+	for _, number := range drain.grantNumbers() {
+		grant := drain.Grants[number]
+		var conditions []statestore.Condition
+		allSettled := true
+		for _, ref := range grant.Tasks {
+			if r.coordinator.isSettled(ref) {
 				continue
 			}
-			block, token, void := r.c.voidIn(ref)
-			if !void || d.Head.Phase != PhaseCancelled {
-				over = false
+			shardIndex, token, isUntouched := r.coordinator.shardReportingUntouched(ref)
+			if !isUntouched || drain.Head.Phase != PhaseCancelled {
+				allSettled = false
 				break
 			}
-			guard := statestore.Condition{Key: r.c.cluster.ShardKey(block), Revision: token}
-			if !slices.Contains(guards, guard) {
-				guards = append(guards, guard)
+			condition := statestore.Condition{Key: r.coordinator.cluster.ShardKey(shardIndex), Revision: token}
+			if !slices.Contains(conditions, condition) {
+				conditions = append(conditions, condition)
 			}
 		}
-		if over && r.remove(GrantKey(d.ID, number), g.Revision) {
-			for _, guard := range guards {
-				if !slices.Contains(r.guards, guard) {
-					r.guards = append(r.guards, guard)
+		if allSettled && r.delete(GrantKey(drain.ID, number), grant.Revision) {
+			for _, condition := range conditions {
+				if !slices.Contains(r.conditions, condition) {
+					r.conditions = append(r.conditions, condition)
 				}
 			}
 		}
 	}
 }
 
-// released notes the machines that are gone, and counts the others.
-func (r *round) released(d *Drain) int {
+// markReleasedMachines notes the machines that are gone, and counts the others.
+func (r *round) markReleasedMachines(drain *Drain) int {
 	left := 0
-	d.Each(func(page, position int, m *Machine) {
-		if m.State == MachineReleased {
+	drain.EachMachine(func(page, position int, machine *Machine) {
+		if machine.State == MachineReleased {
 			return
 		}
-		if r.c.cluster.IsGone(m.ID) && r.edit(d, page, position, "released", func(m *Machine) { m.State = MachineReleased }) {
+		if r.coordinator.cluster.IsGone(machine.ID) && r.editMachine(drain, page, position, "released", func(machine *Machine) { machine.State = MachineReleased }) {
 			return
 		}
 		left++
@@ -79,143 +79,143 @@
 }
 
 // finish ends a drain all of whose machines are gone.
-func (r *round) finish(d *Drain) {
-	head := d.Head
-	head.Phase, head.Ended, head.Released = PhaseDone, r.c.rt.WallClock().UnixMilli(), head.Machines
-	if r.set(HeadKey(d.ID), d.Revision, head) {
-		r.steps = append(r.steps, step{drain: d.ID, what: stepDone})
+func (r *round) finish(drain *Drain) {
+	head := drain.Head
+	head.Phase, head.Ended, head.Released = PhaseDone, r.coordinator.rt.WallClock().UnixMilli(), head.Machines
+	if r.put(HeadKey(drain.ID), drain.Revision, head) {
+		r.steps = append(r.steps, step{drainID: drain.ID, name: stepDone})
 	}
 }
 
 // rentalName names the request for a machine's replacement. It is never used for
 // another one: the time of creation tells drains of the same name apart.
-func rentalName(d *Drain, m *Machine) string {
-	return fmt.Sprintf("drain-%s-%d-%s-%d", d.ID, d.Head.Created, m.ID, m.Tries)
+func rentalName(drain *Drain, machine *Machine) string {
+	return fmt.Sprintf("drain-%s-%d-%s-%d", drain.ID, drain.Head.Created, machine.ID, machine.Tries)
 }
 
-// replace follows the replacements from the request until they are up.
-func (r *round) replace(d *Drain) {
-	d.Each(func(page, position int, m *Machine) {
-		if m.State != MachineReplacing || r.c.cluster.IsGone(m.ID) {
+// advanceReplacements follows the replacements from the request until they are up.
+func (r *round) advanceReplacements(drain *Drain) {
+	drain.EachMachine(func(page, position int, machine *Machine) {
+		if machine.State != MachineReplacing || r.coordinator.cluster.IsGone(machine.ID) {
 			return
 		}
-		if m.Replacement == "" {
-			r.rent(d, page, position, m)
+		if machine.Replacement == "" {
+			r.rentReplacement(drain, page, position, machine)
 			return
 		}
-		info, known := r.c.cluster.Machine(m.Replacement)
+		info, known := r.coordinator.cluster.Machine(machine.Replacement)
 		switch {
 		case known && info.HasReported && info.AcceptsTasks:
-			r.edit(d, page, position, "closed", r.shut)
-		case r.c.cluster.IsGone(m.Replacement):
-			r.edit(d, page, position, "replacement lost", func(m *Machine) { m.Replacement, m.Tries = "", m.Tries+1 })
+			r.editMachine(drain, page, position, "closed", r.closeMachine)
+		case r.coordinator.cluster.IsGone(machine.Replacement):
+			r.editMachine(drain, page, position, "replacement lost", func(machine *Machine) { machine.Replacement, machine.Tries = "", machine.Tries+1 })
 		default:
-			r.wait(d, "replacement %s of %s is booting", m.Replacement, m.ID)
+			r.addWaitReason(drain, "replacement %s of %s is booting", machine.Replacement, machine.ID)
 		}
 	})
 }
 
-func (r *round) rent(d *Drain, page, position int, m *Machine) {
-	info, known := r.c.cluster.Machine(m.ID)
+func (r *round) rentReplacement(drain *Drain, page, position int, machine *Machine) {
+	info, known := r.coordinator.cluster.Machine(machine.ID)
 	if !known {
-		r.wait(d, "machine %s is not known at present", m.ID)
+		r.addWaitReason(drain, "machine %s is not known at present", machine.ID)
 		return
 	}
-	host, known := r.c.cluster.RentMachine(rentalName(d, m), info)
+	replacement, known := r.coordinator.cluster.RentMachine(rentalName(drain, machine), info)
 	if !known {
-		r.wait(d, "no replacement for %s yet: the cloud has not given one", m.ID)
+		r.addWaitReason(drain, "no replacement for %s yet: the cloud has not given one", machine.ID)
 		return
 	}
-	r.edit(d, page, position, "replacement rented", func(m *Machine) { m.Replacement = host })
+	r.editMachine(drain, page, position, "replacement rented", func(machine *Machine) { machine.Replacement = replacement })
 }
 
-// shut is the change that closes a machine to new work.
-func (r *round) shut(m *Machine) {
-	m.State, m.Since = MachineClosed, r.c.rt.WallClock().UnixMilli()
+// closeMachine is the change that closes a machine to new work.
+func (r *round) closeMachine(machine *Machine) {
+	machine.State, machine.Since = MachineClosed, r.coordinator.rt.WallClock().UnixMilli()
 }
 
 // candidate is a machine that could be the next to be drained.
 type candidate struct {
 	page, position int
 	info           MachineInfo
-	load           float64
+	placedCPUs     float64
 }
 
-// close picks the next machines: of one zone at a time, those first on which the
+// closeNextMachines picks the next machines: of one zone at a time, those first on which the
 // least runs.
-func (r *round) close(d *Drain) {
-	inHand, zone, left := r.inHand(d)
-	most := r.c.conf.MachinesAtOnceOrDefault()
-	if left == 0 || inHand >= most {
+func (r *round) closeNextMachines(drain *Drain) {
+	inProgress, zone, waiting := r.countInProgress(drain)
+	maxInProgress := r.coordinator.drainSettings.MachinesAtOnceOrDefault()
+	if waiting == 0 || inProgress >= maxInProgress {
 		return
 	}
 	// With a replacement first no room is taken away. Where urgent work always waits for
 	// some, a drain would never begin otherwise.
-	if !d.Head.Replace && r.c.cluster.HasUrgentWaiting(jobs.PriorityStandard) {
-		r.wait(d, "urgent work waits for room: no further machine is closed")
+	if !drain.Head.Replace && r.coordinator.cluster.HasUrgentWaiting(jobs.PriorityStandard) {
+		r.addWaitReason(drain, "urgent work waits for room: no further machine is closed")
 		return
 	}
-	list := r.candidates(d)
-	if zone == "" && len(list) > 0 {
-		zone = list[0].info.Zone
+	candidates := r.candidates(drain)
+	if zone == "" && len(candidates) > 0 {
+		zone = candidates[0].info.Zone
 	}
-	for _, next := range list {
-		if next.info.Zone != zone || inHand >= most {
+	for _, next := range candidates {
+		if next.info.Zone != zone || inProgress >= maxInProgress {
 			continue
 		}
-		if !r.begin(d, next) {
+		if !r.beginMachine(drain, next) {
 			return
 		}
-		inHand++
+		inProgress++
 	}
 }
 
-// inHand counts the machines that are being emptied, in which zone they are, and those
+// countInProgress counts the machines that are being emptied, in which zone they are, and those
 // that are left. One that is stuck does not count while there are few of those.
-func (r *round) inHand(d *Drain) (number int, zone string, left int) {
+func (r *round) countInProgress(drain *Drain) (inProgress int, zone string, waiting int) {
 	stuck := 0
-	d.Each(func(_, _ int, m *Machine) {
+	drain.EachMachine(func(_, _ int, machine *Machine) {
 		switch {
-		case m.State == MachineWaiting:
-			left++
-		case m.State != MachineReplacing && m.State != MachineClosed:
-		case r.isStuck(m.ID):
+		case machine.State == MachineWaiting:
+			waiting++
+		case machine.State != MachineReplacing && machine.State != MachineClosed:
+		case r.isStuck(machine.ID):
 			stuck++
 		default:
-			number++
-			if info, known := r.c.cluster.Machine(m.ID); known {
+			inProgress++
+			if info, known := r.coordinator.cluster.Machine(machine.ID); known {
 				zone = info.Zone
 			}
 		}
 	})
-	most := r.c.conf.MachinesAtOnceOrDefault()
-	return max(number, number+stuck-most*(tuning.DrainStuckFactor-1)), zone, left
+	maxInProgress := r.coordinator.drainSettings.MachinesAtOnceOrDefault()
+	return max(inProgress, inProgress+stuck-maxInProgress*(tuning.DrainStuckFactor-1)), zone, waiting
 }
 
 // candidates lists the machines that could be the next, in the order in which they are
 // taken.
-func (r *round) candidates(d *Drain) []candidate {
-	var list []candidate
-	d.Each(func(page, position int, m *Machine) {
-		if m.State != MachineWaiting {
+func (r *round) candidates(drain *Drain) []candidate {
+	var candidates []candidate
+	drain.EachMachine(func(page, position int, machine *Machine) {
+		if machine.State != MachineWaiting {
 			return
 		}
-		if info, known := r.c.cluster.Machine(m.ID); known && info.HasReported {
-			list = append(list, candidate{page, position, info, r.c.cluster.CPUsPlacedOn(m.ID)})
+		if info, known := r.coordinator.cluster.Machine(machine.ID); known && info.HasReported {
+			candidates = append(candidates, candidate{page, position, info, r.coordinator.cluster.CPUsPlacedOn(machine.ID)})
 		}
 	})
-	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.info.Zone, b.info.Zone), cmp.Compare(a.load, b.load), cmp.Compare(a.info.ID, b.info.ID))
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.info.Zone, b.info.Zone), cmp.Compare(a.placedCPUs, b.placedCPUs), cmp.Compare(a.info.ID, b.info.ID))
 	})
-	return list
+	return candidates
 }
 
-// begin takes a machine in hand.
-func (r *round) begin(d *Drain, next candidate) bool {
-	if d.Head.Replace {
-		return r.edit(d, next.page, next.position, "replacing", func(m *Machine) { m.State = MachineReplacing })
+// beginMachine takes a machine in hand.
+func (r *round) beginMachine(drain *Drain, next candidate) bool {
+	if drain.Head.Replace {
+		return r.editMachine(drain, next.page, next.position, "replacing", func(machine *Machine) { machine.State = MachineReplacing })
 	}
-	return r.edit(d, next.page, next.position, "closed", r.shut)
+	return r.editMachine(drain, next.page, next.position, "closed", r.closeMachine)
 }
 
 // isStuck tells whether nothing of a machine could be granted for a while: others go
@@ -224,29 +224,29 @@
 
 // stuckFor is how long nothing of a machine could be granted.
 func (r *round) stuckFor(machine string) time.Duration {
-	if since, there := r.c.stuck[machine]; there {
-		return r.c.rt.Now() - since
+	if since, isStuck := r.coordinator.stuckSince[machine]; isStuck {
+		return r.coordinator.rt.Now() - since
 	}
 	return 0
 }
 
-// sweep removes what is left of drains that are over, and of requests that were never
+// collectGarbage removes what is left of drains that are over, and of requests that were never
 // accepted.
-func (r *round) sweep() {
+func (r *round) collectGarbage() {
 	var ended []*Drain
-	for _, d := range r.c.book.drains {
+	for _, drain := range r.coordinator.records.drains {
 		switch {
-		case !d.exists() && r.c.serving == nil, d.exists() && !d.Head.Phase.Active() && len(d.Grants) == 0:
-			for number, page := range d.Pages {
-				r.remove(PageKey(d.ID, number), page.Revision)
+		case !drain.isAccepted() && r.coordinator.pendingAnswer == nil, drain.isAccepted() && !drain.Head.Phase.Active() && len(drain.Grants) == 0:
+			for number, page := range drain.Pages {
+				r.delete(PageKey(drain.ID, number), page.Revision)
 			}
 		}
-		if d.exists() && !d.Head.Phase.Active() && len(d.Pages)+len(d.Grants) == 0 {
-			ended = append(ended, d)
+		if drain.isAccepted() && !drain.Head.Phase.Active() && len(drain.Pages)+len(drain.Grants) == 0 {
+			ended = append(ended, drain)
 		}
 	}
 	slices.SortFunc(ended, func(a, b *Drain) int { return cmp.Compare(a.Head.Ended, b.Head.Ended) })
-	for _, d := range ended[:max(0, len(ended)-tuning.MaxFinishedDrains)] {
-		r.remove(HeadKey(d.ID), d.Revision)
+	for _, drain := range ended[:max(0, len(ended)-tuning.MaxFinishedDrains)] {
+		r.delete(HeadKey(drain.ID), drain.Revision)
 	}
 }
--- a/internal/drain/book.go
+++ b/internal/drain/book.go
@@ -34,14 +34,14 @@
 	Revision uint64
 }
 
-// exists tells whether the drain was accepted. Pages are written before the head.
-func (d *Drain) exists() bool { return d.Revision != 0 }
+// isAccepted tells whether the drain was accepted. Pages are written before the head.
+func (d *Drain) isAccepted() bool { return d.Revision != 0 }
 
 // grantNumbers lists the grants in the order in which they were given.
 func (d *Drain) grantNumbers() []uint64 { return slices.Sorted(maps.Keys(d.Grants)) }
 
-// Each calls fn for the machines, in the order of the pages.
-func (d *Drain) Each(fn func(page, position int, m *Machine)) {
+// EachMachine calls fn for the machines, in the order of the pages.
+func (d *Drain) EachMachine(fn func(page, position int, machine *Machine)) {
 	for number := range d.Head.Pages {
 		if page := d.Pages[number]; page != nil {
 			for i := range page.Machines {
@@ -51,10 +51,10 @@
 	}
 }
 
-// Count tells how many machines are in each state.
-func (d *Drain) Count() map[MachineState]int {
+// CountByState tells how many machines are in each state.
+func (d *Drain) CountByState() map[MachineState]int {
 	counts := map[MachineState]int{}
-	d.Each(func(_, _ int, m *Machine) { counts[m.State]++ })
+	d.EachMachine(func(_, _ int, machine *Machine) { counts[machine.State]++ })
 	return counts
 }
 
@@ -63,13 +63,13 @@
 	// OnChange is called after the records have changed.
 	OnChange func()
 
-	mirror *statestore.Mirror
-	log    *slog.Logger
-	drains map[string]*Drain
-	closed map[string]int      // drains that keep a machine closed, by its name
-	byTask map[TaskName][]held // grants by task
-	stale  bool                // closed and byTask are to be made anew
-	broken map[string]bool     // keys whose values do not parse
+	mirror         *statestore.Mirror
+	log            *slog.Logger
+	drains         map[string]*Drain
+	closingDrains  map[string]int      // drains that keep a machine closed, by its name
+	grantsByTask   map[TaskName][]held // grants by task
+	indexIsStale   bool                // closed and grantsByTask are to be made anew
+	unreadableKeys map[string]bool     // keys whose values do not parse
 }
 
 // held is a task of a grant.
@@ -80,170 +80,170 @@
 
 // NewRecords returns an empty book.
 func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Records {
-	b := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
-	b.clear()
-	b.mirror.Reset = func([]statestore.KeyValue) { b.clear() }
-	b.mirror.Apply = b.apply
-	b.mirror.Updated = func() { b.OnChange() }
-	return b
+	records := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
+	records.clear()
+	records.mirror.Reset = func([]statestore.KeyValue) { records.clear() }
+	records.mirror.Apply = records.apply
+	records.mirror.Updated = func() { records.OnChange() }
+	return records
 }
 
-func (b *Records) clear() {
-	b.drains, b.closed, b.byTask, b.stale = map[string]*Drain{}, map[string]int{}, map[TaskName][]held{}, false
-	b.broken = map[string]bool{}
+func (r *Records) clear() {
+	r.drains, r.closingDrains, r.grantsByTask, r.indexIsStale = map[string]*Drain{}, map[string]int{}, map[TaskName][]held{}, false
+	r.unreadableKeys = map[string]bool{}
 }
 
 // Start begins to follow the records.
-func (b *Records) Start() { b.mirror.Start() }
+func (r *Records) Start() { r.mirror.Start() }
 
 // Ready tells whether the records have been read.
-func (b *Records) Ready() bool { return b.mirror.IsReady() }
+func (r *Records) Ready() bool { return r.mirror.IsReady() }
 
 // Verify calls fn when the book is proven to hold all that was committed before.
-func (b *Records) Verify(fn func(error)) { b.mirror.Verify(fn) }
+func (r *Records) Verify(done func(error)) { r.mirror.Verify(done) }
 
 // VerifiedAt is the moment up to which the book is proven to be complete.
-func (b *Records) VerifiedAt() (time.Duration, bool) { return b.mirror.VerifiedAt() }
+func (r *Records) VerifiedAt() (time.Duration, bool) { return r.mirror.VerifiedAt() }
 
 // VerifyIfOlder has the book shown to be current if that was longer ago than age.
-func (b *Records) VerifyIfOlder(age time.Duration) { b.mirror.VerifyIfOlder(age) }
+func (r *Records) VerifyIfOlder(maxAge time.Duration) { r.mirror.VerifyIfOlder(maxAge) }
 
 // Get finds a drain.
-func (b *Records) Get(id string) *Drain {
-	if d := b.drains[id]; d != nil && d.exists() {
-		return d
+func (r *Records) Get(id string) *Drain {
+	if drain := r.drains[id]; drain != nil && drain.isAccepted() {
+		return drain
 	}
 	return nil
 }
 
 // Drains lists the drains, the oldest first.
-func (b *Records) Drains() []*Drain {
-	var list []*Drain
-	for _, d := range b.drains {
-		if d.exists() {
-			list = append(list, d)
+func (r *Records) Drains() []*Drain {
+	var drains []*Drain
+	for _, drain := range r.drains {
+		if drain.isAccepted() {
+			drains = append(drains, drain)
 		}
 	}
-	slices.SortFunc(list, func(x, y *Drain) int {
-		return cmp.Or(cmp.Compare(x.Head.Created, y.Head.Created), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(drains, func(a, b *Drain) int {
+		return cmp.Or(cmp.Compare(a.Head.Created, b.Head.Created), cmp.Compare(a.ID, b.ID))
 	})
-	return list
+	return drains
 }
 
 // IsIdle tells whether nothing is to be done for any drain.
-func (b *Records) IsIdle() bool {
-	for _, d := range b.drains {
-		if d.Head.Phase.Active() || len(d.Grants) > 0 {
+func (r *Records) IsIdle() bool {
+	for _, drain := range r.drains {
+		if drain.Head.Phase.Active() || len(drain.Grants) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// IsQuiet tells whether there is nothing to do at all: no drain is active, and nothing is
+// IsEmptyOfWork tells whether there is nothing to do at all: no drain is active, and nothing is
 // left of those that are over.
-func (b *Records) IsQuiet() bool {
-	for _, d := range b.drains {
-		if d.Head.Phase.Active() || len(d.Pages)+len(d.Grants) > 0 {
+func (r *Records) IsEmptyOfWork() bool {
+	for _, drain := range r.drains {
+		if drain.Head.Phase.Active() || len(drain.Pages)+len(drain.Grants) > 0 {
 			return false
 		}
 	}
-	return len(b.drains) <= tuning.MaxFinishedDrains
+	return len(r.drains) <= tuning.MaxFinishedDrains
 }
 
 // IsClosed tells whether a machine takes no new tasks.
-func (b *Records) IsClosed(machine string) bool {
-	b.index()
-	return b.closed[machine] > 0
+func (r *Records) IsClosed(machine string) bool {
+	r.refreshIndex()
+	return r.closingDrains[machine] > 0
 }
 
 // grantsOf lists the grants of a task or gang.
-func (b *Records) grantsOf(name TaskName) []held {
-	b.index()
-	return b.byTask[name]
+func (r *Records) grantsOf(name TaskName) []held {
+	r.refreshIndex()
+	return r.grantsByTask[name]
 }
 
 // IsGranted tells whether a task, of a gang or not, is granted.
-func (b *Records) IsGranted(job string, index int, gang bool) bool {
+func (r *Records) IsGranted(job string, index int, gang bool) bool {
 	if gang {
-		index = wholeGang
+		index = gangIndex
 	}
-	return len(b.grantsOf(TaskName{job, index})) > 0
+	return len(r.grantsOf(TaskName{job, index})) > 0
 }
 
 // HasUnreadable tells whether a record does not parse: what it grants is not known.
-func (b *Records) HasUnreadable() bool { return len(b.broken) > 0 }
+func (r *Records) HasUnreadable() bool { return len(r.unreadableKeys) > 0 }
 
-// index makes the look-up tables anew if the records have changed.
-func (b *Records) index() {
-	if !b.stale {
+// refreshIndex makes the look-up tables anew if the records have changed.
+func (r *Records) refreshIndex() {
+	if !r.indexIsStale {
 		return
 	}
-	b.stale = false
-	clear(b.closed)
-	clear(b.byTask)
-	for _, d := range b.drains {
-		if d.Head.Phase.Active() {
-			d.Each(func(_, _ int, m *Machine) {
-				if m.State == MachineClosed {
-					b.closed[m.ID]++
+	r.indexIsStale = false
+	clear(r.closingDrains)
+	clear(r.grantsByTask)
+	for _, drain := range r.drains {
+		if drain.Head.Phase.Active() {
+			drain.EachMachine(func(_, _ int, machine *Machine) {
+				if machine.State == MachineClosed {
+					r.closingDrains[machine.ID]++
 				}
 			})
 		}
-		for _, g := range d.Grants {
-			for _, ref := range g.Tasks {
-				b.byTask[ref.Name()] = append(b.byTask[ref.Name()], held{d, ref})
+		for _, grant := range drain.Grants {
+			for _, ref := range grant.Tasks {
+				r.grantsByTask[ref.Name()] = append(r.grantsByTask[ref.Name()], held{drain, ref})
 			}
 		}
 	}
 }
 
-func (b *Records) apply(raw string, value json.RawMessage, stamp uint64) {
-	k, err := parseKey(raw)
+func (r *Records) apply(rawKey string, value json.RawMessage, revision uint64) {
+	key, err := parseKey(rawKey)
 	if err != nil {
-		b.log.Warn("unknown drain record", "key", raw)
+		r.log.Warn("unknown drain record", "key", rawKey)
 		return
 	}
-	b.stale = true
-	delete(b.broken, raw)
-	d := b.drains[k.id]
-	if d == nil {
-		d = &Drain{ID: k.id, Pages: map[int]*StoredPage{}, Grants: map[uint64]*StoredGrant{}}
-		b.drains[k.id] = d
+	r.indexIsStale = true
+	delete(r.unreadableKeys, rawKey)
+	drain := r.drains[key.drainID]
+	if drain == nil {
+		drain = &Drain{ID: key.drainID, Pages: map[int]*StoredPage{}, Grants: map[uint64]*StoredGrant{}}
+		r.drains[key.drainID] = drain
 	}
 	if value == nil {
-		b.remove(d, k)
+		r.remove(drain, key)
 		return
 	}
-	switch k.part {
-	case headPart:
-		d.Head, d.Revision = Head{}, stamp
-		err = json.Unmarshal(value, &d.Head)
-	case pagePart:
-		page := &StoredPage{Revision: stamp}
+	switch key.kind {
+	case headKind:
+		drain.Head, drain.Revision = Head{}, revision
+		err = json.Unmarshal(value, &drain.Head)
+	case pageKind:
+		page := &StoredPage{Revision: revision}
 		err = json.Unmarshal(value, &page.Page)
-		d.Pages[int(k.number)] = page
-	case grantPart:
-		grant := &StoredGrant{Revision: stamp}
+		drain.Pages[int(key.number)] = page
+	case grantKind:
+		grant := &StoredGrant{Revision: revision}
 		err = json.Unmarshal(value, &grant.Grant)
-		d.Grants[k.number] = grant
+		drain.Grants[key.number] = grant
 	}
 	if err != nil {
-		b.broken[raw] = true
-		b.log.Error("drain record does not parse, nothing more is granted", "key", raw, "err", err)
+		r.unreadableKeys[rawKey] = true
+		r.log.Error("drain record does not parse, nothing more is granted", "key", rawKey, "err", err)
 	}
 }
 
-func (b *Records) remove(d *Drain, k key) {
-	switch k.part {
-	case headPart:
-		d.Head, d.Revision = Head{}, 0
-	case pagePart:
-		delete(d.Pages, int(k.number))
-	case grantPart:
-		delete(d.Grants, k.number)
+func (r *Records) remove(drain *Drain, key recordKey) {
+	switch key.kind {
+	case headKind:
+		drain.Head, drain.Revision = Head{}, 0
+	case pageKind:
+		delete(drain.Pages, int(key.number))
+	case grantKind:
+		delete(drain.Grants, key.number)
 	}
-	if !d.exists() && len(d.Pages) == 0 && len(d.Grants) == 0 {
-		delete(b.drains, d.ID)
+	if !drain.isAccepted() && len(drain.Pages) == 0 && len(drain.Grants) == 0 {
+		delete(r.drains, drain.ID)
 	}
 }
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -22,8 +22,8 @@
 	Teams   map[string]Budget
 }
 
-// Of finds a team's budget.
-func (b *Budgets) Of(team string) Budget {
+// ForTeam finds a team's budget.
+func (b *Budgets) ForTeam(team string) Budget {
 	if own, ok := b.Teams[team]; ok {
 		return own
 	}
@@ -31,15 +31,15 @@
 }
 
 // NewBudgets reads the budgets from the operators' settings.
-func NewBudgets(set *settings.Drains) Budgets {
+func NewBudgets(drainSettings *settings.Drains) Budgets {
 	unbounded := Budget{Tasks: math.MaxInt32, CPUs: math.Inf(1), Share: math.Inf(1)}
 	budgets := Budgets{Default: unbounded, Teams: map[string]Budget{}}
-	if set.Default != nil {
-		budgets.Default = overlay(unbounded, &set.Default.Limits)
+	if drainSettings.Default != nil {
+		budgets.Default = overlay(unbounded, &drainSettings.Default.Limits)
 	}
-	for i := range set.Teams {
+	for i := range drainSettings.Teams {
 		// What a team's block leaves out is the default's.
-		budgets.Teams[set.Teams[i].Name] = overlay(budgets.Default, &set.Teams[i].Limits)
+		budgets.Teams[drainSettings.Teams[i].Name] = overlay(budgets.Default, &drainSettings.Teams[i].Limits)
 	}
 	return budgets
 }
@@ -69,15 +69,15 @@
 // Plus is the sum of two amounts.
 func (a Amount) Plus(b Amount) Amount { return Amount{a.Tasks + b.Tasks, a.CPUs + b.CPUs} }
 
-// TeamUse is how a team's budget stands.
-type TeamUse struct {
+// TeamUsage is how a team's budget stands.
+type TeamUsage struct {
 	Running  Amount `json:"running"`
 	Chosen   Amount `json:"chosen"`   // granted, and not yet over
 	Unchosen Amount `json:"unchosen"` // crashes, spot notices, cut-off machines
 }
 
 // Disturbed is all that uses the budget up.
-func (u *TeamUse) Disturbed() Amount { return u.Chosen.Plus(u.Unchosen) }
+func (u *TeamUsage) Disturbed() Amount { return u.Chosen.Plus(u.Unchosen) }
 
 // slack covers sums of decimal amounts, which are not exact.
 const slack = 1e-9
@@ -94,7 +94,7 @@
 
 // String is the reason as operators read it.
 func (s *Shortage) String() string {
-	if s.Limit == limitReplicas {
+	if s.Limit == limitReplicasUp {
 		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", s.Team, s.Limit, s.Requested, s.Service, s.Max)
 	}
 	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", s.Team, s.Limit, s.Used, s.Requested, s.Max)
@@ -102,34 +102,34 @@
 
 // Names of the limits, as in the settings.
 const (
-	limitTasks    = "tasks"
-	limitCPUs     = "cpus"
-	limitShare    = "share"
-	limitReplicas = "replicas_up"
+	limitTasks      = "tasks"
+	limitCPUs       = "cpus"
+	limitShare      = "share"
+	limitReplicasUp = "replicas_up"
 )
 
 // Allows tells whether a team's budget has room for a further disturbance; nil if so.
-func (b Budget) Allows(team string, use *TeamUse, more Amount) *Shortage {
-	used := use.Disturbed()
-	if used.Tasks+more.Tasks > b.Tasks {
-		return &Shortage{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(more.Tasks), Max: float64(b.Tasks)}
+func (b Budget) Allows(team string, usage *TeamUsage, requested Amount) *Shortage {
+	used := usage.Disturbed()
+	if used.Tasks+requested.Tasks > b.Tasks {
+		return &Shortage{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(requested.Tasks), Max: float64(b.Tasks)}
 	}
-	if used.CPUs+more.CPUs > b.CPUs+slack {
-		return &Shortage{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: more.CPUs, Max: b.CPUs}
+	if used.CPUs+requested.CPUs > b.CPUs+slack {
+		return &Shortage{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: requested.CPUs, Max: b.CPUs}
 	}
 	// What is disturbed belongs to the work that would run.
-	most := b.Share * (use.Running.CPUs + used.CPUs)
-	if !math.IsInf(b.Share, 1) && used.CPUs+more.CPUs > most+slack {
-		return &Shortage{Team: team, Limit: limitShare, Used: used.CPUs, Requested: more.CPUs, Max: most}
+	maxCPUs := b.Share * (usage.Running.CPUs + used.CPUs)
+	if !math.IsInf(b.Share, 1) && used.CPUs+requested.CPUs > maxCPUs+slack {
+		return &Shortage{Team: team, Limit: limitShare, Used: used.CPUs, Requested: requested.CPUs, Max: maxCPUs}
 	}
 	return nil
 }
 
-// Never tells whether a budget could not allow a disturbance even with nothing else
+// NeverAllows tells whether a budget could not allow a disturbance even with nothing else
 // disturbed; nil if it could.
-func (b Budget) Never(team string, more Amount) *Shortage {
+func (b Budget) NeverAllows(team string, requested Amount) *Shortage {
 	alone := Budget{Tasks: b.Tasks, CPUs: b.CPUs, Share: math.Inf(1)}
-	return alone.Allows(team, &TeamUse{}, more)
+	return alone.Allows(team, &TeamUsage{}, requested)
 }
 
 // String is the budget as operators read it.
@@ -145,7 +145,7 @@
 		parts = append(parts, fmt.Sprintf("%s %g", limitShare, b.Share))
 	}
 	if b.ReplicasUp > 0 {
-		parts = append(parts, fmt.Sprintf("%s %d", limitReplicas, b.ReplicasUp))
+		parts = append(parts, fmt.Sprintf("%s %d", limitReplicasUp, b.ReplicasUp))
 	}
 	if len(parts) == 0 {
 		return "unlimited"
--- a/internal/drain/commit_test.go
+++ b/internal/drain/commit_test.go
@@ -108,8 +108,8 @@
 		func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNoAnswer) },
 	} {
 		c.Tick()
-		if len(rt.commits) != try+1 || rt.commits[try].body != rt.commits[0].body || !c.flying || len(outcomes) > 0 {
-			t.Fatalf("after %d answers: %d commits, flying %v, outcomes %v", try, len(rt.commits), c.flying, outcomes)
+		if len(rt.commits) != try+1 || rt.commits[try].body != rt.commits[0].body || !c.commitInFlight || len(outcomes) > 0 {
+			t.Fatalf("after %d answers: %d commits, flying %v, outcomes %v", try, len(rt.commits), c.commitInFlight, outcomes)
 		}
 		answer(rt.commits[try].answer)
 		rt.fire()
@@ -121,8 +121,8 @@
 	for range 3 {
 		rt.fire()
 	}
-	if len(outcomes) != 1 || outcomes[0] || c.flying {
-		t.Errorf("outcomes %v, flying %v", outcomes, c.flying)
+	if len(outcomes) != 1 || outcomes[0] || c.commitInFlight {
+		t.Errorf("outcomes %v, flying %v", outcomes, c.commitInFlight)
 	}
 	c.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
 	c.BeginTerm(8)
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -22,29 +22,29 @@
 // a book that is proven to hold all of its own commits, and makes at most one; so what
 // is in use of a budget is known exactly, also when an answer is lost.
 type Coordinator struct {
-	rt      eventloop.Runtime
-	state   *statestore.Client
-	lease   LeaderLease
-	book    *Records
-	cluster Cluster
-	set     *settings.Settings
-	conf    *settings.Drains
-	budgets Budgets
-	trace   *Tracer
-	log     *slog.Logger
-	node    string
+	rt            eventloop.Runtime
+	state         *statestore.Client
+	lease         LeaderLease
+	records       *Records
+	cluster       Cluster
+	settings      *settings.Settings
+	drainSettings *settings.Drains
+	budgets       Budgets
+	tracer        *Tracer
+	log           *slog.Logger
+	node          string
 
-	term    int    // grows with each lead won; late answers of old ones are dropped
-	token   uint64 // of the lead, 0 if not held
-	loaded  bool
-	flying  bool // a commit is under way, or its outcome is being read
-	reports []blockHeard
-	ran     map[TaskName]uint64      // highest attempt that a report showed running
-	waits   map[string][]string      // by drain: what it waits for
-	stuck   map[string]time.Duration // by machine: since when nothing of it could be granted
-	serving func(Response)           // the request that is being committed, nil for none
-	spare   float64                  // state changes that may be made now
-	filled  time.Duration            // when that was last looked at
+	term           int    // grows with each lead won; late answers of old ones are dropped
+	token          uint64 // of the lead, 0 if not held
+	isCurrent      bool
+	commitInFlight bool // a commit is under way, or its outcome is being read
+	reports        []receivedReport
+	ranAttempts    map[TaskName]uint64      // highest attempt that a report showed running
+	waitReasons    map[string][]string      // by drain: what it waits for
+	stuckSince     map[string]time.Duration // by machine: since when nothing of it could be granted
+	pendingAnswer  func(Response)           // the request that is being committed, nil for none
+	writeTokens    float64                  // state changes that may be made now
+	refilledAt     time.Duration            // when that was last looked at
 }
 
 // NewCoordinator returns a coordinator without the lead. set.Operator.Drains must not
@@ -53,8 +53,8 @@
 	set *settings.Settings, trace *Tracer, log *slog.Logger,
 ) *Coordinator {
 	c := &Coordinator{
-		rt: rt, state: state, lease: lease, book: book, cluster: cluster, set: set,
-		conf: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), trace: trace, log: log, node: set.Node,
+		rt: rt, state: state, lease: lease, records: book, cluster: cluster, settings: set,
+		drainSettings: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), tracer: trace, log: log, node: set.Node,
 	}
 	c.EndTerm()
 	return c
@@ -65,138 +65,138 @@
 func (c *Coordinator) BeginTerm(token uint64) {
 	c.EndTerm()
 	c.token = token
-	c.read(c.term, 0)
+	c.awaitCurrent(c.term, 0)
 }
 
 // EndTerm forgets everything: the lead is lost.
 func (c *Coordinator) EndTerm() {
 	c.term++
-	c.token, c.loaded, c.flying = 0, false, false
-	c.reports = make([]blockHeard, c.cluster.ShardCount())
-	c.ran, c.waits, c.stuck = map[TaskName]uint64{}, map[string][]string{}, map[string]time.Duration{}
-	c.trace.End()
+	c.token, c.isCurrent, c.commitInFlight = 0, false, false
+	c.reports = make([]receivedReport, c.cluster.ShardCount())
+	c.ranAttempts, c.waitReasons, c.stuckSince = map[TaskName]uint64{}, map[string][]string{}, map[string]time.Duration{}
+	c.tracer.End()
 	c.reply(c.unavailable("the leader has changed"))
 }
 
-func (c *Coordinator) read(term, try int) {
-	c.book.Verify(func(err error) {
+func (c *Coordinator) awaitCurrent(term, attempt int) {
+	c.records.Verify(func(err error) {
 		if term != c.term {
 			return
 		}
 		if err != nil {
-			c.rt.After(c.state.Backoff(try), func() {
+			c.rt.After(c.state.Backoff(attempt), func() {
 				if term == c.term {
-					c.read(term, try+1)
+					c.awaitCurrent(term, attempt+1)
 				}
 			})
 			return
 		}
-		c.loaded = true
+		c.isCurrent = true
 	})
 }
 
 // Tick takes the next step; once a second.
 func (c *Coordinator) Tick() {
-	if c.token == 0 || !c.loaded || c.flying || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
+	if c.token == 0 || !c.isCurrent || c.commitInFlight || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
 		return
 	}
-	c.keep()
-	if c.book.IsQuiet() {
+	c.keepReplacements()
+	if c.records.IsEmptyOfWork() {
 		return
 	}
 	if c.state.WritesThrottled() {
 		return // decisions of the daemon come first
 	}
-	c.refill()
-	if c.spare < 1 {
+	c.refillWrites()
+	if c.writeTokens < 1 {
 		return
 	}
 	r := c.newRound()
-	for _, d := range c.book.Drains() {
-		r.advance(d)
+	for _, drain := range c.records.Drains() {
+		r.advance(drain)
 	}
-	r.sweep()
-	c.logWaits(r.waits)
-	if len(r.apply) > 0 {
-		c.spare -= float64(len(r.apply))
-		c.commit(r.guards, r.apply, func(bool) { r.committed() })
+	r.collectGarbage()
+	c.logWaitReasons(r.waitReasons)
+	if len(r.operations) > 0 {
+		c.writeTokens -= float64(len(r.operations))
+		c.commit(r.conditions, r.operations, func(bool) { r.logSteps() })
 	}
 }
 
-// refill lets the drains have their part of the changes a second.
-func (c *Coordinator) refill() {
-	rate := c.set.Deployment.State.WriteRPS * tuning.DrainWriteShare
+// refillWrites lets the drains have their part of the changes a second.
+func (c *Coordinator) refillWrites() {
+	rate := c.settings.Deployment.State.WriteRPS * tuning.DrainWriteShare
 	now := c.rt.Now()
-	c.spare = min(max(1, rate), c.spare+rate*(now-c.filled).Seconds())
-	c.filled = now
+	c.writeTokens = min(max(1, rate), c.writeTokens+rate*(now-c.refilledAt).Seconds())
+	c.refilledAt = now
 }
 
-// keep has the replacements kept while they wait for the work.
-func (c *Coordinator) keep() {
-	kept := map[string]bool{}
-	for _, d := range c.book.Drains() {
-		if !d.Head.Phase.Active() {
+// keepReplacements has the replacements kept while they wait for the work.
+func (c *Coordinator) keepReplacements() {
+	replacements := map[string]bool{}
+	for _, drain := range c.records.Drains() {
+		if !drain.Head.Phase.Active() {
 			continue
 		}
-		d.Each(func(_, _ int, m *Machine) {
-			if m.Replacement != "" && m.State != MachineReleased {
-				kept[m.Replacement] = true
+		drain.EachMachine(func(_, _ int, machine *Machine) {
+			if machine.Replacement != "" && machine.State != MachineReleased {
+				replacements[machine.Replacement] = true
 			}
 		})
 	}
-	c.cluster.KeepIdle(kept)
+	c.cluster.KeepIdle(replacements)
 }
 
-// logWaits says what the drains wait for, when that changes.
-func (c *Coordinator) logWaits(waits map[string][]string) {
-	for id, list := range waits {
-		if !slices.Equal(list, c.waits[id]) {
-			for _, why := range list {
-				c.log.Info("drain waits", "drain", id, "why", why)
+// logWaitReasons says what the drains wait for, when that changes.
+func (c *Coordinator) logWaitReasons(reasons map[string][]string) {
+	for drainID, current := range reasons {
+		if !slices.Equal(current, c.waitReasons[drainID]) {
+			for _, reason := range current {
+				c.log.Info("drain waits", "drain", drainID, "why", reason)
 			}
-			c.trace.Waits(id, list)
+			c.tracer.Waits(drainID, current)
 		}
 	}
-	c.waits = waits
+	c.waitReasons = reasons
 }
 
 // commit carries changes out under the lead, and calls done when the book shows what
 // came of them; ok is false if a guard failed. A commit without an answer is repeated:
 // carried out twice, it fails the second time.
-func (c *Coordinator) commit(guards []statestore.Condition, apply []statestore.Operation, done func(ok bool)) {
-	c.flying = true
-	guards = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: c.token}}, guards...)
-	c.try(c.term, 0, guards, apply, done)
+func (c *Coordinator) commit(conditions []statestore.Condition, operations []statestore.Operation, done func(ok bool)) {
+	c.commitInFlight = true
+	conditions = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: c.token}}, conditions...)
+	c.attemptCommit(c.term, 0, conditions, operations, done)
 }
 
-func (c *Coordinator) try(term, try int, guards []statestore.Condition, apply []statestore.Operation, done func(bool)) {
+func (c *Coordinator) attemptCommit(term, attempt int, conditions []statestore.Condition, operations []statestore.Operation, done func(bool)) {
 	if term != c.term {
 		return
 	}
-	c.state.Commit(guards, apply, func(r statestore.CommitResult) {
+	c.state.Commit(conditions, operations, func(result statestore.CommitResult) {
 		switch {
 		case term != c.term:
-		case r.Outcome == statestore.OutcomeOK || r.Outcome == statestore.OutcomeConflict:
-			c.learn(term, 0, func() { done(r.Outcome == statestore.OutcomeOK) })
+		case result.Outcome == statestore.OutcomeOK || result.Outcome == statestore.OutcomeConflict:
+			c.awaitCommitted(term, 0, func() { done(result.Outcome == statestore.OutcomeOK) })
 		default:
-			c.rt.After(c.state.Backoff(try), func() { c.try(term, try+1, guards, apply, done) })
+			c.rt.After(c.state.Backoff(attempt), func() { c.attemptCommit(term, attempt+1, conditions, operations, done) })
 		}
 	})
 }
 
-// learn waits until the book is proven to hold what was committed.
-func (c *Coordinator) learn(term, try int, done func()) {
-	c.book.Verify(func(err error) {
+// awaitCommitted waits until the book is proven to hold what was committed.
+func (c *Coordinator) awaitCommitted(term, attempt int, done func()) {
+	c.records.Verify(func(err error) {
 		switch {
 		case term != c.term:
 		case err != nil:
-			c.rt.After(c.state.Backoff(try), func() {
+			c.rt.After(c.state.Backoff(attempt), func() {
 				if term == c.term {
-					c.learn(term, try+1, done)
+					c.awaitCommitted(term, attempt+1, done)
 				}
 			})
 		default:
-			c.flying = false
+			c.commitInFlight = false
 			done()
 		}
 	})
@@ -204,118 +204,118 @@
 
 // round is one look at all drains, and the one commit that comes of it.
 type round struct {
-	c      *Coordinator
-	use    *usage
-	blind  int // a block of which too little is known to grant anything, -1 for none
-	guards []statestore.Condition
-	apply  []statestore.Operation
-	most   int                  // changes that the commit may still take
-	pages  map[string]*pageEdit // by key
-	asked  map[TaskRef]bool     // granted in this round
-	// roomless are the machines for tasks of which there is no room elsewhere.
-	roomless map[string]bool
-	waits    map[string][]string
-	steps    []step // to be logged when they are durable
+	coordinator    *Coordinator
+	usage          *usage
+	unknownShard   int // a block of which too little is known to grant anything, -1 for none
+	conditions     []statestore.Condition
+	operations     []statestore.Operation
+	operationsLeft int                  // changes that the commit may still take
+	pageEdits      map[string]*pageEdit // by key
+	grantedNow     map[TaskRef]bool     // granted in this round
+	// withoutRoom are the machines for tasks of which there is no room elsewhere.
+	withoutRoom map[string]bool
+	waitReasons map[string][]string
+	steps       []step // to be logged when they are durable
 }
 
 // pageEdit is a page that is being changed.
 type pageEdit struct {
-	page   Page
-	change int // its place in apply
+	page           Page
+	operationIndex int // its place in apply
 }
 
 // step is something to be logged and traced once it is committed.
 type step struct {
-	drain, machine, what string
-	grant                *Grant
+	drainID, machineID, name string
+	grant                    *Grant
 }
 
 func (c *Coordinator) newRound() *round {
 	r := &round{
-		c: c, use: c.usage(), blind: c.unheard(), most: min(c.state.MaxOperations(), int(c.spare)), pages: map[string]*pageEdit{},
-		asked: map[TaskRef]bool{}, roomless: map[string]bool{}, waits: map[string][]string{},
+		coordinator: c, usage: c.currentUsage(), unknownShard: c.shardWithoutReport(), operationsLeft: min(c.state.MaxOperations(), int(c.writeTokens)), pageEdits: map[string]*pageEdit{},
+		grantedNow: map[TaskRef]bool{}, withoutRoom: map[string]bool{}, waitReasons: map[string][]string{},
 	}
-	if c.book.HasUnreadable() {
-		r.blind = len(c.reports)
+	if c.records.HasUnreadable() {
+		r.unknownShard = len(c.reports)
 	}
 	return r
 }
 
-// wait notes what a drain waits for.
-func (r *round) wait(d *Drain, format string, args ...any) {
-	why := fmt.Sprintf(format, args...)
-	if list := r.waits[d.ID]; !slices.Contains(list, why) && len(list) < tuning.MaxDrainWaitReasons {
-		r.waits[d.ID] = append(list, why)
+// addWaitReason notes what a drain waits for.
+func (r *round) addWaitReason(drain *Drain, format string, args ...any) {
+	reason := fmt.Sprintf(format, args...)
+	if reasons := r.waitReasons[drain.ID]; !slices.Contains(reasons, reason) && len(reasons) < tuning.MaxDrainWaitReasons {
+		r.waitReasons[drain.ID] = append(reasons, reason)
 	}
 }
 
-// set adds a change of a key that must still have the stamp.
-func (r *round) set(key string, stamp uint64, value any) bool {
+// put adds a change of a key that must still have the stamp.
+func (r *round) put(key string, revision uint64, value any) bool {
 	raw, err := encode(value)
-	if err != nil || r.most <= 0 {
+	if err != nil || r.operationsLeft <= 0 {
 		return false
 	}
-	r.most--
-	r.guards = append(r.guards, statestore.Condition{Key: key, Revision: stamp})
-	r.apply = append(r.apply, statestore.Operation{PutKey: key, Value: raw})
+	r.operationsLeft--
+	r.conditions = append(r.conditions, statestore.Condition{Key: key, Revision: revision})
+	r.operations = append(r.operations, statestore.Operation{PutKey: key, Value: raw})
 	return true
 }
 
-func (r *round) remove(key string, stamp uint64) bool {
-	if r.most <= 0 {
+func (r *round) delete(key string, revision uint64) bool {
+	if r.operationsLeft <= 0 {
 		return false
 	}
-	r.most--
-	r.guards = append(r.guards, statestore.Condition{Key: key, Revision: stamp})
-	r.apply = append(r.apply, statestore.Operation{DeleteKey: key})
+	r.operationsLeft--
+	r.conditions = append(r.conditions, statestore.Condition{Key: key, Revision: revision})
+	r.operations = append(r.operations, statestore.Operation{DeleteKey: key})
 	return true
 }
 
-// edit changes a machine's entry; false if the commit has no room for it.
-func (r *round) edit(d *Drain, page, position int, what string, change func(*Machine)) bool {
-	key := PageKey(d.ID, page)
-	e := r.pages[key]
-	if e == nil {
-		stored := d.Pages[page]
-		e = &pageEdit{page: Page{slices.Clone(stored.Machines)}, change: len(r.apply)}
-		if !r.set(key, stored.Revision, e.page) {
+// editMachine changes a machine's entry; false if the commit has no room for it.
+func (r *round) editMachine(drain *Drain, page, position int, stepName string, change func(*Machine)) bool {
+	key := PageKey(drain.ID, page)
+	edit := r.pageEdits[key]
+	if edit == nil {
+		stored := drain.Pages[page]
+		edit = &pageEdit{page: Page{slices.Clone(stored.Machines)}, operationIndex: len(r.operations)}
+		if !r.put(key, stored.Revision, edit.page) {
 			return false
 		}
-		r.pages[key] = e
+		r.pageEdits[key] = edit
 	}
-	change(&e.page.Machines[position])
-	raw, err := encode(e.page)
+	change(&edit.page.Machines[position])
+	raw, err := encode(edit.page)
 	if err != nil {
 		return false
 	}
-	r.apply[e.change].Value = raw
-	r.steps = append(r.steps, step{drain: d.ID, machine: e.page.Machines[position].ID, what: what})
+	r.operations[edit.operationIndex].Value = raw
+	r.steps = append(r.steps, step{drainID: drain.ID, machineID: edit.page.Machines[position].ID, name: stepName})
 	return true
 }
 
-// committed logs and traces what the round has done.
-func (r *round) committed() {
-	for _, s := range r.steps {
-		if s.grant == nil {
-			r.c.log.Info("drain step", "drain", s.drain, "machine", s.machine, "step", s.what)
+// logSteps logs and traces what the round has done.
+func (r *round) logSteps() {
+	for _, step := range r.steps {
+		if step.grant == nil {
+			r.coordinator.log.Info("drain step", "drain", step.drainID, "machine", step.machineID, "step", step.name)
 		} else {
-			r.logGrant(s)
+			r.logGrant(step)
 		}
-		r.c.trace.Step(s, r.use)
+		r.coordinator.tracer.Step(step, r.usage)
 	}
 }
 
 // logGrant says how the budgets of the teams concerned stand after a grant.
-func (r *round) logGrant(s step) {
+func (r *round) logGrant(granted step) {
 	teams := map[string]bool{}
-	for _, ref := range s.grant.Tasks {
-		if d, open := r.c.cluster.Job(ref.Job); open {
-			teams[d.Team] = true
+	for _, ref := range granted.grant.Tasks {
+		if spec, open := r.coordinator.cluster.Job(ref.Job); open {
+			teams[spec.Team] = true
 		}
 	}
 	for _, team := range slices.Sorted(maps.Keys(teams)) {
-		use, budget := r.use.team(team), r.c.budgets.Of(team)
-		r.c.log.Info("drain granted", "drain", s.drain, "machine", s.machine, "tasks", len(s.grant.Tasks), "team", team,
-			"chosen", use.Chosen.Tasks, "unchosen", use.Unchosen.Tasks, "cpus", use.Disturbed().CPUs, "budget", budget.String())
+		usage, budget := r.usage.team(team), r.coordinator.budgets.ForTeam(team)
+		r.coordinator.log.Info("drain granted", "drain", granted.drainID, "machine", granted.machineID, "tasks", len(granted.grant.Tasks), "team", team,
+			"chosen", usage.Chosen.Tasks, "unchosen", usage.Unchosen.Tasks, "cpus", usage.Disturbed().CPUs, "budget", budget.String())
 	}
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -19,10 +19,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,39}`).Draw(t, "id")
 		number := rapid.Uint64Range(0, 1<<30).Draw(t, "number")
-		for raw, want := range map[string]key{
-			HeadKey(id):              {id: id, part: headPart},
-			PageKey(id, int(number)): {id, pagePart, number},
-			GrantKey(id, number):     {id, grantPart, number},
+		for raw, want := range map[string]recordKey{
+			HeadKey(id):              {drainID: id, kind: headKind},
+			PageKey(id, int(number)): {id, pageKind, number},
+			GrantKey(id, number):     {id, grantKind, number},
 		} {
 			if got, err := parseKey(raw); err != nil || got != want {
 				t.Fatalf("%s: %+v, %v", raw, got, err)
@@ -43,7 +43,7 @@
 			Tasks: rapid.IntRange(1, 9).Draw(t, "tasks"), CPUs: rapid.Float64Range(1, 20).Draw(t, "cpus"),
 			Share: rapid.SampledFrom([]float64{0.1, 0.5, 1, math.Inf(1)}).Draw(t, "share"),
 		}
-		use := &TeamUse{Running: Amount{100, 100}}
+		use := &TeamUsage{Running: Amount{100, 100}}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			more := Amount{rapid.IntRange(1, 4).Draw(t, "n"), rapid.Float64Range(0.1, 8).Draw(t, "c")}
 			use.Unchosen = Amount{rapid.IntRange(0, 3).Draw(t, "lost"), rapid.Float64Range(0, 3).Draw(t, "lost cpus")}
@@ -69,13 +69,13 @@
 		Default: &settings.DefaultBudget{Limits: settings.DrainLimits{Tasks: &two, Share: &share}},
 		Teams:   []settings.TeamBudget{{Name: "t", Limits: settings.DrainLimits{CPUs: &five}}},
 	})
-	if got := b.Of("t"); got.Tasks != 2 || got.CPUs != 5 || got.Share != 0.5 {
+	if got := b.ForTeam("t"); got.Tasks != 2 || got.CPUs != 5 || got.Share != 0.5 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Of("other"); got.Tasks != 2 || !math.IsInf(got.CPUs, 1) || got.String() != "tasks 2, share 0.5" {
+	if got := b.ForTeam("other"); got.Tasks != 2 || !math.IsInf(got.CPUs, 1) || got.String() != "tasks 2, share 0.5" {
 		t.Errorf("%+v", got)
 	}
-	if (Budget{Tasks: 1, CPUs: 3}).Never("t", Amount{1, 4}) == nil || (Budget{Tasks: 1, CPUs: 3}).Never("t", Amount{1, 3}) != nil {
+	if (Budget{Tasks: 1, CPUs: 3}).NeverAllows("t", Amount{1, 4}) == nil || (Budget{Tasks: 1, CPUs: 3}).NeverAllows("t", Amount{1, 3}) != nil {
 		t.Error("what could never move is not told from what could")
 	}
 }
@@ -105,7 +105,7 @@
 		}
 		var got []string
 		for i := range machines {
-			if m.match(&machines[i]) {
+			if m.matches(&machines[i]) {
 				got = append(got, machines[i].ID)
 			}
 		}
@@ -176,11 +176,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	use := &usage{teams: map[string]*TeamUse{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1}}}}
+	use := &usage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1}}}}
 	for _, tr := range []*Tracer{tracer, nil} {
-		tr.Step(step{drain: "d", machine: "vm-1", what: stepGranted, grant: &Grant{}}, use)
+		tr.Step(step{drainID: "d", machineID: "vm-1", name: stepGranted, grant: &Grant{}}, use)
 		tr.Waits("d", []string{"no room"})
-		tr.Step(step{drain: "d", what: stepDone}, use)
+		tr.Step(step{drainID: "d", name: stepDone}, use)
 		tr.End()
 	}
 	for _, want := range []string{`"granted"`, "vm-1", "team.red.chosen", "team.red.unchosen", "no room", `"done"`} {
@@ -196,11 +196,11 @@
 // TestRecordsFitTheirBounds: pages and grants stay below what is reckoned for them.
 func TestRecordsFitTheirBounds(t *testing.T) {
 	machine, err := encode(Machine{ID: strings.Repeat("m", 40), State: MachineReplacing, Tries: 3, Replacement: strings.Repeat("r", 40), Since: math.MaxInt64 / 1000})
-	if err != nil || len(machine) > machineBytes {
+	if err != nil || len(machine) > maxMachineBytes {
 		t.Errorf("%d bytes: %s", len(machine), machine)
 	}
 	task, err := encode(TaskRef{Job: "wk-" + strings.Repeat("9", 18), Index: 99999, Attempt: 99999999, Gang: 99999})
-	if err != nil || len(task) > taskBytes {
+	if err != nil || len(task) > maxTaskRefBytes {
 		t.Errorf("%d bytes: %s", len(task), task)
 	}
 }
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -33,43 +33,43 @@
 // grant, and reports how it stands. It stops a task only if the book is proven to be
 // current: a grant that is withdrawn is never acted upon later.
 type Executor struct {
-	rt      eventloop.Runtime
-	book    *Records
-	workers Workers
-	tasks   Tasks
-	holds   func() bool         // the block's lease, surely
-	begun   time.Duration       // this term
-	asking  bool                // for a proof, after which to act
-	ran     map[TaskName]uint64 // highest attempt seen running, of granted tasks
+	rt          eventloop.Runtime
+	records     *Records
+	workers     Workers
+	tasks       Tasks
+	isLeaseHeld func() bool         // the block's lease, surely
+	termBeganAt time.Duration       // this term
+	isVerifying bool                // for a proof, after which to act
+	ranAttempts map[TaskName]uint64 // highest attempt seen running, of granted tasks
 }
 
 // NewExecutor returns an executor for one block.
-func NewExecutor(rt eventloop.Runtime, book *Records, workers Workers, tasks Tasks, holds func() bool) *Executor {
-	return &Executor{rt: rt, book: book, workers: workers, tasks: tasks, holds: holds, ran: map[TaskName]uint64{}}
+func NewExecutor(rt eventloop.Runtime, records *Records, workers Workers, tasks Tasks, isLeaseHeld func() bool) *Executor {
+	return &Executor{rt: rt, records: records, workers: workers, tasks: tasks, isLeaseHeld: isLeaseHeld, ranAttempts: map[TaskName]uint64{}}
 }
 
 // BeginTerm starts a term.
 func (e *Executor) BeginTerm() {
-	e.begun = e.rt.Now()
-	clear(e.ran)
+	e.termBeganAt = e.rt.Now()
+	clear(e.ranAttempts)
 }
 
-// fresh tells whether the book is proven current in this term and lately; if not, a
+// recordsAreFresh tells whether the book is proven current in this term and lately; if not, a
 // proof is asked for, and what is granted is acted upon when it is there.
-func (e *Executor) fresh() bool {
+func (e *Executor) recordsAreFresh() bool {
 	now := e.rt.Now()
-	proven, known := e.book.VerifiedAt()
-	if known && proven >= e.begun && now-proven <= tuning.MaxLaunchKnowledgeAge {
+	verifiedAt, known := e.records.VerifiedAt()
+	if known && verifiedAt >= e.termBeganAt && now-verifiedAt <= tuning.MaxLaunchKnowledgeAge {
 		return true
 	}
-	if e.asking {
+	if e.isVerifying {
 		return false
 	}
-	e.asking = true
-	begun := e.begun
-	e.book.Verify(func(err error) {
-		e.asking = false
-		if err == nil && e.begun == begun && e.holds() {
+	e.isVerifying = true
+	termBeganAt := e.termBeganAt
+	e.records.Verify(func(err error) {
+		e.isVerifying = false
+		if err == nil && e.termBeganAt == termBeganAt && e.isLeaseHeld() {
 			e.HaltGranted()
 		}
 	})
@@ -78,16 +78,16 @@
 
 // HaltGranted stops what is granted and still runs, while the block is held.
 func (e *Executor) HaltGranted() {
-	if !e.holds() {
+	if !e.isLeaseHeld() {
 		return
 	}
-	for _, d := range e.book.Drains() {
-		if !d.Head.Phase.Active() {
+	for _, drain := range e.records.Drains() {
+		if !drain.Head.Phase.Active() {
 			continue
 		}
-		for _, number := range d.grantNumbers() {
-			for _, ref := range d.Grants[number].Tasks {
-				if !e.act(ref) {
+		for _, number := range drain.grantNumbers() {
+			for _, ref := range drain.Grants[number].Tasks {
+				if !e.halt(ref) {
 					return
 				}
 			}
@@ -95,65 +95,65 @@
 	}
 }
 
-// act stops one task or gang; false if that has to wait for a proof.
-func (e *Executor) act(ref TaskRef) bool {
-	j := e.tasks.Job(ref.Job)
-	if j == nil || j.Cancelled {
+// halt stops one task or gang; false if that has to wait for a proof.
+func (e *Executor) halt(ref TaskRef) bool {
+	job := e.tasks.Job(ref.Job)
+	if job == nil || job.Cancelled {
 		return true
 	}
 	if ref.Gang > 0 {
-		g := j.Gang
-		if g == nil || g.Attempt != ref.Attempt || g.AttemptOver || g.Done {
+		gang := job.Gang
+		if gang == nil || gang.Attempt != ref.Attempt || gang.AttemptOver || gang.Done {
 			return true
 		}
-		if !e.fresh() {
+		if !e.recordsAreFresh() {
 			return false
 		}
-		e.workers.HaltGang(j)
+		e.workers.HaltGang(job)
 		return true
 	}
-	k := j.Tasks[ref.Index]
-	if k == nil || j.Gang != nil || k.State != taskstate.StatePlaced || k.Attempt != ref.Attempt || !k.LaunchSent || k.HaltDecided {
+	task := job.Tasks[ref.Index]
+	if task == nil || job.Gang != nil || task.State != taskstate.StatePlaced || task.Attempt != ref.Attempt || !task.LaunchSent || task.HaltDecided {
 		return true
 	}
-	if !e.fresh() {
+	if !e.recordsAreFresh() {
 		return false
 	}
-	e.workers.HaltTask(k)
+	e.workers.HaltTask(task)
 	return true
 }
 
-// up tells whether a task surely runs.
-func (e *Executor) up(k *taskstate.Task) bool {
-	if k.State != taskstate.StatePlaced || !k.Running {
+// isUp tells whether a task surely runs.
+func (e *Executor) isUp(task *taskstate.Task) bool {
+	if task.State != taskstate.StatePlaced || !task.Running {
 		return false
 	}
-	h := e.workers.Worker(k.WorkerID)
-	return h != nil && e.workers.IsCurrent(h)
+	worker := e.workers.Worker(task.WorkerID)
+	return worker != nil && e.workers.IsCurrent(worker)
 }
 
 // Report tells the leader how the block stands; nil if there are no drains.
 func (e *Executor) Report() *ShardReport {
-	if e.book.IsIdle() {
+	if e.records.IsIdle() {
 		return nil
 	}
-	r := &ShardReport{Teams: map[string]TeamWork{}, Down: map[string]int{}}
-	e.reportGranted(r)
-	e.reportMachines(r)
-	e.tasks.EachJob(func(j *taskstate.Job) {
-		if !j.Cancelled && (j.Gang == nil || !j.Gang.Done) {
-			e.reportJob(r, j)
+	report := &ShardReport{Teams: map[string]TeamWork{}, Down: map[string]int{}}
+	e.reportGranted(report)
+	e.reportMachines(report)
+	e.tasks.EachJob(func(job *taskstate.Job) {
+		if !job.Cancelled && (job.Gang == nil || !job.Gang.Done) {
+			e.reportJob(report, job)
 		}
 	})
-	return r
+	return report
 }
 
-func (e *Executor) reportGranted(r *ShardReport) {
-	for _, d := range e.book.Drains() {
-		for _, number := range d.grantNumbers() {
-			for _, ref := range d.Grants[number].Tasks {
-				if j := e.tasks.Job(ref.Job); j != nil {
-					e.reportRef(r, j, ref, d.Head.Phase == PhaseCancelled)
+func (e *Executor) reportGranted(report *ShardReport) {
+	for _, drain := range e.records.Drains() {
+		for _, number := range drain.grantNumbers() {
+			for _, ref := range drain.Grants[number].Tasks {
+				if job := e.tasks.Job(ref.Job); job != nil {
+					e.reportRef(report, job, ref, drain.Head.Phase == PhaseCancelled)
 				}
 			}
 		}
@@ -161,115 +161,115 @@
 }
 
 // reportRef reports a granted task that runs.
-func (e *Executor) reportRef(r *ShardReport, j *taskstate.Job, ref TaskRef, cancelled bool) {
+func (e *Executor) reportRef(report *ShardReport, job *taskstate.Job, ref TaskRef, isCancelled bool) {
 	state := GrantedTask{TaskRef: ref}
-	untouched := false
+	isUntouched := false
 	if ref.Gang > 0 {
-		if j.Gang == nil || !j.Gang.Started || j.Gang.AttemptOver {
+		if job.Gang == nil || !job.Gang.Started || job.Gang.AttemptOver {
 			return
 		}
-		untouched = len(j.Tasks) == ref.Gang
-		for _, k := range j.Tasks {
-			if !e.up(k) {
+		isUntouched = len(job.Tasks) == ref.Gang
+		for _, task := range job.Tasks {
+			if !e.isUp(task) {
 				return
 			}
-			untouched = untouched && !k.HaltDecided
+			isUntouched = isUntouched && !task.HaltDecided
 		}
-		state.Attempt = j.Gang.Attempt
+		state.Attempt = job.Gang.Attempt
 	} else {
-		k := j.Tasks[ref.Index]
-		if k == nil || !e.up(k) {
+		task := job.Tasks[ref.Index]
+		if task == nil || !e.isUp(task) {
 			return
 		}
-		state.Attempt, untouched = k.Attempt, !k.HaltDecided
+		state.Attempt, isUntouched = task.Attempt, !task.HaltDecided
 	}
 	state.Runs = state.Attempt > ref.Attempt
-	state.Void = cancelled && state.Attempt == ref.Attempt && untouched
+	state.Void = isCancelled && state.Attempt == ref.Attempt && isUntouched
 	if state.Runs {
-		e.ran[ref.Name()] = max(e.ran[ref.Name()], state.Attempt)
+		e.ranAttempts[ref.Name()] = max(e.ranAttempts[ref.Name()], state.Attempt)
 	}
 	if state.Runs || state.Void {
-		r.Granted = append(r.Granted, state)
+		report.Granted = append(report.Granted, state)
 	}
 }
 
-func (e *Executor) reportMachines(r *ShardReport) {
+func (e *Executor) reportMachines(report *ShardReport) {
 	now := e.rt.Now()
-	for _, h := range e.workers.Workers() {
-		if !h.HasReported || !e.book.IsClosed(h.ID) {
+	for _, worker := range e.workers.Workers() {
+		if !worker.HasReported || !e.records.IsClosed(worker.ID) {
 			continue
 		}
-		m := ClosedMachine{ID: h.ID}
-		for k := range h.Tasks {
-			if !k.LaunchSent || k.Job.Cancelled {
+		machine := ClosedMachine{ID: worker.ID}
+		for task := range worker.Tasks {
+			if !task.LaunchSent || task.Job.Cancelled {
 				continue
 			}
-			placed := PlacedTask{Job: k.Job.Spec.ID, Index: k.Index, Attempt: k.Attempt}
-			if k.Job.Gang != nil {
-				placed.Attempt = k.WireAttempt()
+			placed := PlacedTask{Job: task.Job.Spec.ID, Index: task.Index, Attempt: task.Attempt}
+			if task.Job.Gang != nil {
+				placed.Attempt = task.WireAttempt()
 			}
-			if k.Running {
-				placed.RunsMS = max(1, (now - k.RunningSince).Milliseconds())
+			if task.Running {
+				placed.RunsMS = max(1, (now - task.RunningSince).Milliseconds())
 			}
-			m.Tasks = append(m.Tasks, placed)
+			machine.Tasks = append(machine.Tasks, placed)
 		}
-		slices.SortFunc(m.Tasks, func(a, b PlacedTask) int {
+		slices.SortFunc(machine.Tasks, func(a, b PlacedTask) int {
 			if c := strings.Compare(a.Job, b.Job); c != 0 {
 				return c
 			}
 			return a.Index - b.Index
 		})
-		r.Machines = append(r.Machines, m)
+		report.Machines = append(report.Machines, machine)
 	}
 }
 
 // reportJob adds a job's tasks to what runs and to what nobody chose to disturb.
-func (e *Executor) reportJob(r *ShardReport, j *taskstate.Job) {
-	team := r.Teams[j.Spec.Team]
-	one := Amount{1, j.Spec.CPUs}
-	for _, k := range j.Tasks {
+func (e *Executor) reportJob(report *ShardReport, job *taskstate.Job) {
+	team := report.Teams[job.Spec.Team]
+	one := Amount{1, job.Spec.CPUs}
+	for _, task := range job.Tasks {
 		switch {
-		case k.State != taskstate.StatePlaced && k.State != taskstate.StateWaiting, e.disturbedByGrant(j, k):
-		case e.up(k):
+		case task.State != taskstate.StatePlaced && task.State != taskstate.StateWaiting, e.isDisturbedByGrant(job, task):
+		case e.isUp(task):
 			team.Running = team.Running.Plus(one)
-		case e.interrupted(k):
+		case e.isInterrupted(task):
 			team.Disturbed = team.Disturbed.Plus(one)
-			if j.Spec.IsService() && k.State == taskstate.StatePlaced {
-				e.reportDown(r, j.Spec.ID)
+			if job.Spec.IsService() && task.State == taskstate.StatePlaced {
+				e.reportDown(report, job.Spec.ID)
 			}
 		}
 	}
-	r.Teams[j.Spec.Team] = team
+	report.Teams[job.Spec.Team] = team
 }
 
-func (e *Executor) reportDown(r *ShardReport, job string) {
-	if _, there := r.Down[job]; !there && len(r.Down) >= tuning.MaxReportedDownServices {
-		r.Partial = true
+func (e *Executor) reportDown(report *ShardReport, job string) {
+	if _, isListed := report.Down[job]; !isListed && len(report.Down) >= tuning.MaxReportedDownServices {
+		report.Partial = true
 		return
 	}
-	r.Down[job]++
+	report.Down[job]++
 }
 
-// disturbedByGrant tells whether a task is counted by the leader, as granted.
-func (e *Executor) disturbedByGrant(j *taskstate.Job, k *taskstate.Task) bool {
-	name := TaskName{j.Spec.ID, k.Index}
-	if j.Gang != nil {
-		name.Index = wholeGang
+// isDisturbedByGrant tells whether a task is counted by the leader, as granted.
+func (e *Executor) isDisturbedByGrant(job *taskstate.Job, task *taskstate.Task) bool {
+	name := TaskName{job.Spec.ID, task.Index}
+	if job.Gang != nil {
+		name.Index = gangIndex
 	}
-	for _, h := range e.book.grantsOf(name) {
-		if e.ran[name] <= h.ref.Attempt {
+	for _, granted := range e.records.grantsOf(name) {
+		if e.ranAttempts[name] <= granted.ref.Attempt {
 			return true
 		}
 	}
 	return false
 }
 
-// interrupted tells whether a task that does not run, as far as one can tell, has run
+// isInterrupted tells whether a task that does not run, as far as one can tell, has run
 // before. What cannot be proven counts as disturbed.
-func (e *Executor) interrupted(k *taskstate.Task) bool {
-	if k.State == taskstate.StateWaiting {
-		return k.Attempt > 0
+func (e *Executor) isInterrupted(task *taskstate.Task) bool {
+	if task.State == taskstate.StateWaiting {
+		return task.Attempt > 0
 	}
-	h := e.workers.Worker(k.WorkerID)
-	return k.WireAttempt() > 1 || h == nil || !e.workers.IsCurrent(h)
+	worker := e.workers.Worker(task.WorkerID)
+	return task.WireAttempt() > 1 || worker == nil || !e.workers.IsCurrent(worker)
 }
--- a/internal/drain/grant.go
+++ b/internal/drain/grant.go
@@ -13,232 +13,232 @@
 
 // move is a task, or a gang as a whole, that stands on a closed machine.
 type move struct {
-	desc  *jobs.Spec
-	ref   TaskRef
-	runs  time.Duration
-	zone  string // where it has to go
-	here  int    // tasks of it on closed machines, which need room elsewhere
-	since time.Duration
+	spec            *jobs.Spec
+	ref             TaskRef
+	runningFor      time.Duration
+	destinationZone string // where it has to go
+	tasksHere       int    // tasks of it on closed machines, which need room elsewhere
+	closedFor       time.Duration
 }
 
-// lost is how much work is lost when it is stopped, in seconds of a processor.
-func (m *move) lost() float64 {
-	runs := m.runs.Seconds()
-	if m.desc.CheckpointIntervalSeconds > 0 {
-		runs = m.desc.CheckpointSeconds
+// lostCPUSeconds is how much work is lost when it is stopped, in seconds of a processor.
+func (m *move) lostCPUSeconds() float64 {
+	seconds := m.runningFor.Seconds()
+	if m.spec.CheckpointIntervalSeconds > 0 {
+		seconds = m.spec.CheckpointSeconds
 	}
-	return runs * amount(m.desc, m.ref).CPUs
+	return seconds * disturbanceOf(m.spec, m.ref).CPUs
 }
 
-// grant lets tasks of the closed machines be stopped, as far as budgets and room go.
-func (r *round) grant(d *Drain) {
-	d.Each(func(page, position int, m *Machine) {
-		if m.State != MachineClosed {
+// grantMoves lets tasks of the closed machines be stopped, as far as budgets and room go.
+func (r *round) grantMoves(drain *Drain) {
+	drain.EachMachine(func(page, position int, machine *Machine) {
+		if machine.State != MachineClosed {
 			return
 		}
-		r.grantMachine(d, m)
-		if r.roomless[m.ID] && m.Tries < tuning.MaxDrainRentalAttempts && r.stuckFor(m.ID) > tuning.DrainNoRoomAfter {
-			r.edit(d, page, position, "reopened until a machine is rented for its work", reopen)
+		r.grantMachine(drain, machine)
+		if r.withoutRoom[machine.ID] && machine.Tries < tuning.MaxDrainRentalAttempts && r.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
+			r.editMachine(drain, page, position, "reopened until a machine is rented for its work", reopenMachine)
 		}
 	})
 }
 
-// reopen is the change that has a machine take tasks until there is one more in its
+// reopenMachine is the change that has a machine take tasks until there is one more in its
 // place. The room of an earlier one has been taken by other work.
-func reopen(m *Machine) {
-	m.State = MachineReplacing
-	if m.Replacement != "" {
-		m.Replacement, m.Tries = "", m.Tries+1
+func reopenMachine(machine *Machine) {
+	machine.State = MachineReplacing
+	if machine.Replacement != "" {
+		machine.Replacement, machine.Tries = "", machine.Tries+1
 	}
 }
 
-func (r *round) grantMachine(d *Drain, m *Machine) {
-	if r.c.cluster.IsGone(m.ID) {
+func (r *round) grantMachine(drain *Drain, machine *Machine) {
+	if r.coordinator.cluster.IsGone(machine.ID) {
 		return
 	}
-	info, known := r.c.cluster.Machine(m.ID)
+	info, known := r.coordinator.cluster.Machine(machine.ID)
 	if !known {
-		r.wait(d, "machine %s is not known at present", m.ID)
+		r.addWaitReason(drain, "machine %s is not known at present", machine.ID)
 		return
 	}
-	if r.blind >= 0 {
-		r.waitBlind(d)
+	if r.unknownShard >= 0 {
+		r.addUnknownReason(drain)
 		return
 	}
 	closed := r.closedMachine(info)
 	if closed == nil {
-		r.wait(d, "machine %s does not report: its tasks count as disturbed until they are proven gone", m.ID)
+		r.addWaitReason(drain, "machine %s does not report: its tasks count as disturbed until they are proven gone", machine.ID)
 		return
 	}
-	var g Grant
-	moves := r.moves(m, info, closed)
+	var grant Grant
+	moves := r.pendingMoves(machine, info, closed)
 	for i := range moves {
-		if why := r.refusal(m, &moves[i]); why != "" {
-			r.wait(d, "%s", why)
+		if reason := r.refusal(machine, &moves[i]); reason != "" {
+			r.addWaitReason(drain, "%s", reason)
 			continue
 		}
-		if (len(g.Tasks)+1)*taskBytes > r.c.state.MaxValueBytes()-machineBytes || r.most <= 0 {
+		if (len(grant.Tasks)+1)*maxTaskRefBytes > r.coordinator.state.MaxValueBytes()-maxMachineBytes || r.operationsLeft <= 0 {
 			break // the rest with the next round
 		}
-		r.take(&moves[i])
-		g.Tasks = append(g.Tasks, moves[i].ref)
+		r.reserve(&moves[i])
+		grant.Tasks = append(grant.Tasks, moves[i].ref)
 	}
-	r.noteStuck(m.ID, len(moves) > 0 && len(g.Tasks) == 0)
-	if len(g.Tasks) == 0 {
+	r.noteStuck(machine.ID, len(moves) > 0 && len(grant.Tasks) == 0)
+	if len(grant.Tasks) == 0 {
 		return
 	}
-	g.Machine = m.ID
-	if r.set(GrantKey(d.ID, r.nextGrant(d)), 0, g) {
-		r.steps = append(r.steps, step{drain: d.ID, machine: m.ID, what: stepGranted, grant: &g})
+	grant.Machine = machine.ID
+	if r.put(GrantKey(drain.ID, r.nextGrantNumber(drain)), 0, grant) {
+		r.steps = append(r.steps, step{drainID: drain.ID, machineID: machine.ID, name: stepGranted, grant: &grant})
 	}
 }
 
-func (r *round) waitBlind(d *Drain) {
-	if r.blind >= len(r.c.reports) {
-		r.wait(d, "a record of a drain does not parse: what it grants is not known")
+func (r *round) addUnknownReason(drain *Drain) {
+	if r.unknownShard >= len(r.coordinator.reports) {
+		r.addWaitReason(drain, "a record of a drain does not parse: what it grants is not known")
 		return
 	}
-	r.wait(d, "the owner of block %d has not told how its work stands, or knows no drains", r.blind)
+	r.addWaitReason(drain, "the owner of block %d has not told how its work stands, or knows no drains", r.unknownShard)
 }
 
 func (r *round) noteStuck(machine string, stuck bool) {
 	if !stuck {
-		delete(r.c.stuck, machine)
-	} else if _, there := r.c.stuck[machine]; !there {
-		r.c.stuck[machine] = r.c.rt.Now()
+		delete(r.coordinator.stuckSince, machine)
+	} else if _, isNoted := r.coordinator.stuckSince[machine]; !isNoted {
+		r.coordinator.stuckSince[machine] = r.coordinator.rt.Now()
 	}
 }
 
 // closedMachine is what its owner reports of a closed machine; nil if it does not.
 func (r *round) closedMachine(info MachineInfo) *ClosedMachine {
-	report := r.c.reports[info.Shard].report
-	i := slices.IndexFunc(report.Machines, func(m ClosedMachine) bool { return m.ID == info.ID })
+	report := r.coordinator.reports[info.Shard].report
+	i := slices.IndexFunc(report.Machines, func(machine ClosedMachine) bool { return machine.ID == info.ID })
 	if i < 0 {
 		return nil
 	}
 	return &report.Machines[i]
 }
 
-// nextGrant is a number that no grant of the drain has. One that is used again does no
+// nextGrantNumber is a number that no grant of the drain has. One that is used again does no
 // harm: a late copy of an earlier grant names attempts that are over.
-func (r *round) nextGrant(d *Drain) uint64 {
+func (r *round) nextGrantNumber(drain *Drain) uint64 {
 	number := uint64(1)
-	if taken := d.grantNumbers(); len(taken) > 0 {
+	if taken := drain.grantNumbers(); len(taken) > 0 {
 		number = taken[len(taken)-1] + 1
 	}
-	for slices.ContainsFunc(r.apply, func(c statestore.Operation) bool { return c.PutKey == GrantKey(d.ID, number) }) {
+	for slices.ContainsFunc(r.operations, func(operation statestore.Operation) bool { return operation.PutKey == GrantKey(drain.ID, number) }) {
 		number++
 	}
 	return number
 }
 
-// moves lists what has to leave a machine, the cheapest first.
-func (r *round) moves(m *Machine, info MachineInfo, closed *ClosedMachine) []move {
-	since := time.Duration(max(0, r.c.rt.WallClock().UnixMilli()-m.Since)) * time.Millisecond
+// pendingMoves lists what has to leave a machine, the cheapest first.
+func (r *round) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []move {
+	closedFor := time.Duration(max(0, r.coordinator.rt.WallClock().UnixMilli()-machine.Since)) * time.Millisecond
 	gangs := map[string]bool{}
-	var list []move
-	for _, t := range closed.Tasks {
-		desc, open := r.c.cluster.Job(t.Job)
-		if !open || gangs[t.Job] {
+	var moves []move
+	for _, task := range closed.Tasks {
+		spec, isOpen := r.coordinator.cluster.Job(task.Job)
+		if !isOpen || gangs[task.Job] {
 			continue
 		}
 		next := move{
-			desc: desc, ref: TaskRef{Job: t.Job, Index: t.Index, Attempt: t.Attempt},
-			runs: time.Duration(t.RunsMS) * time.Millisecond, zone: desc.Zone, here: 1, since: since,
+			spec: spec, ref: TaskRef{Job: task.Job, Index: task.Index, Attempt: task.Attempt},
+			runningFor: time.Duration(task.RunsMS) * time.Millisecond, destinationZone: spec.Zone, tasksHere: 1, closedFor: closedFor,
 		}
-		if desc.SameZone || desc.Spread {
-			next.zone = info.Zone
+		if spec.SameZone || spec.Spread {
+			next.destinationZone = info.Zone
 		}
-		if desc.IsGang() {
-			gangs[t.Job] = true
-			next.ref.Index, next.ref.Gang = 0, desc.Tasks
-			next.here = r.closedTasks(t.Job)
+		if spec.IsGang() {
+			gangs[task.Job] = true
+			next.ref.Index, next.ref.Gang = 0, spec.Tasks
+			next.tasksHere = r.countTasksOnClosed(task.Job)
 		}
 		// A report can be older than what is known of the task: granted by it, one that
 		// was done already was granted once more.
-		if !r.pending(next.ref) && !r.c.settled(next.ref) {
-			list = append(list, next)
+		if !r.isGranted(next.ref) && !r.coordinator.isSettled(next.ref) {
+			moves = append(moves, next)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b move) int { return cmp.Compare(a.lost(), b.lost()) })
-	return list
+	slices.SortStableFunc(moves, func(a, b move) int { return cmp.Compare(a.lostCPUSeconds(), b.lostCPUSeconds()) })
+	return moves
 }
 
-// closedTasks counts the tasks of a gang on closed machines.
-func (r *round) closedTasks(job string) int {
-	n := 0
-	for i := range r.c.reports {
-		for _, m := range r.c.reports[i].report.Machines {
-			for _, t := range m.Tasks {
-				if t.Job == job {
-					n++
+// countTasksOnClosed counts the tasks of a gang on closed machines.
+func (r *round) countTasksOnClosed(job string) int {
+	count := 0
+	for i := range r.coordinator.reports {
+		for _, machine := range r.coordinator.reports[i].report.Machines {
+			for _, task := range machine.Tasks {
+				if task.Job == job {
+					count++
 				}
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// pending tells whether an attempt is granted already.
-func (r *round) pending(ref TaskRef) bool {
-	if r.asked[ref] {
+// isGranted tells whether an attempt is granted already.
+func (r *round) isGranted(ref TaskRef) bool {
+	if r.grantedNow[ref] {
 		return true
 	}
-	return slices.ContainsFunc(r.c.book.grantsOf(ref.Name()), func(h held) bool { return h.ref == ref })
+	return slices.ContainsFunc(r.coordinator.records.grantsOf(ref.Name()), func(h held) bool { return h.ref == ref })
 }
 
-// take counts a move as granted.
-func (r *round) take(m *move) {
-	r.use.add(m.desc, m.ref)
-	r.use.moving += float64(m.here) * m.desc.CPUs
-	if m.ref.Gang == 0 {
-		r.use.down[m.ref.Job]++
+// reserve counts a move as granted.
+func (r *round) reserve(move *move) {
+	r.usage.addGrant(move.spec, move.ref)
+	r.usage.movingCPUs += float64(move.tasksHere) * move.spec.CPUs
+	if move.ref.Gang == 0 {
+		r.usage.replicasDown[move.ref.Job]++
 	}
-	r.asked[m.ref] = true
+	r.grantedNow[move.ref] = true
 }
 
 // refusal is why a move has to wait, "" if it need not.
-func (r *round) refusal(machine *Machine, m *move) string {
-	left := m.desc.EstimateSeconds - m.runs.Seconds()
-	if wait := r.c.conf.WaitOrDefault() - m.since; wait > 0 && m.runs > 0 && !m.desc.IsService() && left > 0 && left <= wait.Seconds() {
-		return fmt.Sprintf("tasks of %s are about to end", m.desc.ID)
+func (r *round) refusal(machine *Machine, move *move) string {
+	remaining := move.spec.EstimateSeconds - move.runningFor.Seconds()
+	if wait := r.coordinator.drainSettings.WaitOrDefault() - move.closedFor; wait > 0 && move.runningFor > 0 && !move.spec.IsService() && remaining > 0 && remaining <= wait.Seconds() {
+		return fmt.Sprintf("tasks of %s are about to end", move.spec.ID)
 	}
-	budget := r.c.budgets.Of(m.desc.Team)
-	if short := budget.Allows(m.desc.Team, r.use.team(m.desc.Team), amount(m.desc, m.ref)); short != nil {
+	budget := r.coordinator.budgets.ForTeam(move.spec.Team)
+	if short := budget.Allows(move.spec.Team, r.usage.team(move.spec.Team), disturbanceOf(move.spec, move.ref)); short != nil {
 		return short.String()
 	}
-	if m.desc.IsService() {
-		if short := r.replicas(m, budget); short != nil {
+	if move.spec.IsService() {
+		if short := r.checkReplicas(move, budget); short != nil {
 			return short.String()
 		}
 	}
-	return r.noRoom(machine, m)
+	return r.checkRoom(machine, move)
 }
 
-// replicas tells whether enough replicas of a service would stay up; nil if so.
-func (r *round) replicas(m *move, budget Budget) *Shortage {
-	up := r.c.cluster.PlacedReplicas(m.ref.Job) - r.use.down[m.ref.Job] - 1
-	if r.use.partial {
+// checkReplicas tells whether enough replicas of a service would stay up; nil if so.
+func (r *round) checkReplicas(move *move, budget Budget) *Shortage {
+	up := r.coordinator.cluster.PlacedReplicas(move.ref.Job) - r.usage.replicasDown[move.ref.Job] - 1
+	if r.usage.replicasUnknown {
 		up = 0
 	}
 	if up >= budget.ReplicasUp {
 		return nil
 	}
-	return &Shortage{Team: m.desc.Team, Limit: limitReplicas, Service: m.desc.ID, Requested: float64(up), Max: float64(budget.ReplicasUp)}
+	return &Shortage{Team: move.spec.Team, Limit: limitReplicasUp, Service: move.spec.ID, Requested: float64(up), Max: float64(budget.ReplicasUp)}
 }
 
-// noRoom is why there is no place for what is moved, "" if there is. That a machine
+// checkRoom is why there is no place for what is moved, "" if there is. That a machine
 // might be rented for it is not enough: what the cloud has shows only when it is asked.
 // Work of a higher priority goes first, but for the room of the machine's own
 // replacement: if it takes that, there is none.
-func (r *round) noRoom(machine *Machine, m *move) string {
-	if machine.Replacement == "" && r.c.cluster.HasUrgentWaiting(m.desc.Priority()) {
-		return fmt.Sprintf("work of a higher priority than %s waits for room", m.desc.ID)
+func (r *round) checkRoom(machine *Machine, move *move) string {
+	if machine.Replacement == "" && r.coordinator.cluster.HasUrgentWaiting(move.spec.Priority()) {
+		return fmt.Sprintf("work of a higher priority than %s waits for room", move.spec.ID)
 	}
-	room := float64(r.c.cluster.CapacityFor(m.desc, m.zone)) * m.desc.CPUs
-	if room-r.use.moving+slack >= float64(m.here)*m.desc.CPUs {
+	room := float64(r.coordinator.cluster.CapacityFor(move.spec, move.destinationZone)) * move.spec.CPUs
+	if room-r.usage.movingCPUs+slack >= float64(move.tasksHere)*move.spec.CPUs {
 		return ""
 	}
-	r.roomless[machine.ID] = true
-	return fmt.Sprintf("no room for tasks of %s", m.desc.ID)
+	r.withoutRoom[machine.ID] = true
+	return fmt.Sprintf("no room for tasks of %s", move.spec.ID)
 }
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -19,47 +19,47 @@
 
 // Parts of a drain's keys: drain/ID/head, drain/ID/page/N, drain/ID/grant/N.
 const (
-	headPart  = "head"
-	pagePart  = "page"
-	grantPart = "grant"
+	headKind  = "head"
+	pageKind  = "page"
+	grantKind = "grant"
 )
 
 // HeadKey is the key of a drain's head. A drain exists when its head does.
-func HeadKey(id string) string { return KeyPrefix + id + "/" + headPart }
+func HeadKey(id string) string { return KeyPrefix + id + "/" + headKind }
 
 // PageKey is the key of a page of a drain's machines.
 func PageKey(id string, number int) string {
-	return KeyPrefix + id + "/" + pagePart + "/" + strconv.Itoa(number)
+	return KeyPrefix + id + "/" + pageKind + "/" + strconv.Itoa(number)
 }
 
 // GrantKey is the key of a grant. Numbers of a drain are never reused.
 func GrantKey(id string, number uint64) string {
-	return KeyPrefix + id + "/" + grantPart + "/" + strconv.FormatUint(number, 10)
+	return KeyPrefix + id + "/" + grantKind + "/" + strconv.FormatUint(number, 10)
 }
 
-var idForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
+var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
 
 // ValidID tells whether a string can name a drain.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// key is a parsed key.
-type key struct {
-	id     string
-	part   string
-	number uint64
+// recordKey is a parsed key.
+type recordKey struct {
+	drainID string
+	kind    string
+	number  uint64
 }
 
-func parseKey(raw string) (key, error) {
-	parts := strings.Split(strings.TrimPrefix(raw, KeyPrefix), "/")
-	if len(parts) == 2 && parts[1] == headPart && ValidID(parts[0]) {
-		return key{id: parts[0], part: headPart}, nil
+func parseKey(raw string) (recordKey, error) {
+	segments := strings.Split(strings.TrimPrefix(raw, KeyPrefix), "/")
+	if len(segments) == 2 && segments[1] == headKind && ValidID(segments[0]) {
+		return recordKey{drainID: segments[0], kind: headKind}, nil
 	}
-	if len(parts) == 3 && ValidID(parts[0]) && (parts[1] == pagePart || parts[1] == grantPart) {
-		if number, err := strconv.ParseUint(parts[2], 10, 31); err == nil {
-			return key{parts[0], parts[1], number}, nil
+	if len(segments) == 3 && ValidID(segments[0]) && (segments[1] == pageKind || segments[1] == grantKind) {
+		if number, err := strconv.ParseUint(segments[2], 10, 31); err == nil {
+			return recordKey{segments[0], segments[1], number}, nil
 		}
 	}
-	return key{}, fmt.Errorf("not a key of a drain: %q", raw)
+	return recordKey{}, fmt.Errorf("not a key of a drain: %q", raw)
 }
 
 // Phase of a drain.
@@ -117,9 +117,9 @@
 	Since int64 `json:"t,omitempty"`
 }
 
-// machineBytes is the most that an entry of a page takes, with names of up to forty
+// maxMachineBytes is the most that an entry of a page takes, with names of up to forty
 // bytes.
-const machineBytes = 150
+const maxMachineBytes = 150
 
 // Page lists some of a drain's machines.
 type Page struct {
@@ -139,7 +139,7 @@
 // Name is the task without its attempt.
 func (t TaskRef) Name() TaskName {
 	if t.Gang > 0 {
-		return TaskName{t.Job, wholeGang}
+		return TaskName{t.Job, gangIndex}
 	}
 	return TaskName{t.Job, t.Index}
 }
@@ -150,11 +150,11 @@
 	Index int
 }
 
-// wholeGang stands where a task has its number.
-const wholeGang = -1
+// gangIndex stands where a task has its number.
+const gangIndex = -1
 
-// taskBytes is the most that a task takes in a grant.
-const taskBytes = 100
+// maxTaskRefBytes is the most that a task takes in a grant.
+const maxTaskRefBytes = 100
 
 // Grant allows the tasks of a machine to be disturbed. Until each of them runs again,
 // has ended, or its job is over, they use up their teams' budgets.
@@ -163,8 +163,8 @@
 	Tasks   []TaskRef `json:"t"`
 }
 
-func encode(v any) (json.RawMessage, error) {
-	raw, err := json.Marshal(v)
+func encode(record any) (json.RawMessage, error) {
+	raw, err := json.Marshal(record)
 	if err != nil {
 		return nil, fmt.Errorf("drain record: %w", err)
 	}
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -40,11 +40,11 @@
 // Digest tells whether two requests of the same id ask for the same.
 func (r *Request) Digest() string {
 	// Digests are stored and compared across versions: these names must stay.
-	contents := struct {
+	content := struct {
 		Selection Selection `json:"Selection"`
 		Replace   bool      `json:"Replace"`
-	}{r.Selection.sorted(), r.Replace}
-	raw, err := json.Marshal(contents)
+	}{r.Selection.normalized(), r.Replace}
+	raw, err := json.Marshal(content)
 	if err != nil {
 		return ""
 	}
@@ -71,14 +71,14 @@
 	Prefixes []string    `json:"prefixes,omitempty"` // of the workers' addresses
 }
 
-// sorted is the selection in a form that does not depend on the order of naming.
-func (s Selection) sorted() Selection {
-	order := func(list []string) []string {
+// normalized is the selection in a form that does not depend on the order of naming.
+func (s Selection) normalized() Selection {
+	sortedSet := func(list []string) []string {
 		list = slices.Clone(list)
 		slices.Sort(list)
 		return slices.Compact(list)
 	}
-	return Selection{order(s.Machines), order(s.Zones), order(s.Types), s.Kind, order(s.Prefixes)}
+	return Selection{sortedSet(s.Machines), sortedSet(s.Zones), sortedSet(s.Types), s.Kind, sortedSet(s.Prefixes)}
 }
 
 // RequestError is a request that is refused for good.
@@ -108,13 +108,13 @@
 	Reason string         `json:"reason,omitempty"`
 	// RetryMS is when to ask again, with StatusUnavailable.
 	RetryMS int64                `json:"retryMs,omitempty"`
-	Drains  []DrainView          `json:"drains,omitempty"`
+	Drains  []View               `json:"drains,omitempty"`
 	Teams   map[string]TeamState `json:"teams,omitempty"`
 	Plan    *Plan                `json:"plan,omitempty"`
 }
 
-// DrainView is a drain as operators see it.
-type DrainView struct {
+// View is a drain as operators see it.
+type View struct {
 	ID       string         `json:"id"`
 	Phase    Phase          `json:"phase"`
 	Replace  bool           `json:"replace"`
@@ -128,7 +128,7 @@
 
 // TeamState is a team's budget and how it stands.
 type TeamState struct {
-	TeamUse
+	TeamUsage
 	// Budget as text, since limits may be infinite.
 	Budget string `json:"budget"`
 }
@@ -150,29 +150,29 @@
 
 // matcher is a selection made ready to be applied.
 type matcher struct {
-	selection Selection
-	named     map[string]bool // by name, whether a machine of it was found
-	prefixes  *netipx.IPSet   // nil for any address
+	selection   Selection
+	foundByName map[string]bool // by name, whether a machine of it was found
+	prefixes    *netipx.IPSet   // nil for any address
 }
 
 // newMatcher checks what a selection says by itself.
-func newMatcher(s Selection) (*matcher, *RequestError) {
-	if len(s.Machines)+len(s.Zones)+len(s.Types)+len(s.Prefixes) == 0 && s.Kind == AnyKind {
+func newMatcher(selection Selection) (*matcher, *RequestError) {
+	if len(selection.Machines)+len(selection.Zones)+len(selection.Types)+len(selection.Prefixes) == 0 && selection.Kind == AnyKind {
 		return nil, &RequestError{"selection", "empty: name machines, zones, types, prefixes or a kind"}
 	}
-	if s.Kind != AnyKind && s.Kind != SpotKind && s.Kind != OrdinaryKind {
-		return nil, &RequestError{"kind", fmt.Sprintf("%q is neither spot nor ordinary", s.Kind)}
+	if selection.Kind != AnyKind && selection.Kind != SpotKind && selection.Kind != OrdinaryKind {
+		return nil, &RequestError{"kind", fmt.Sprintf("%q is neither spot nor ordinary", selection.Kind)}
 	}
-	m := &matcher{selection: s}
-	if len(s.Machines) > 0 {
-		m.named = map[string]bool{}
-		for _, name := range s.Machines {
-			m.named[name] = false
+	result := &matcher{selection: selection}
+	if len(selection.Machines) > 0 {
+		result.foundByName = map[string]bool{}
+		for _, name := range selection.Machines {
+			result.foundByName[name] = false
 		}
 	}
-	if len(s.Prefixes) > 0 {
+	if len(selection.Prefixes) > 0 {
 		var builder netipx.IPSetBuilder
-		for _, text := range s.Prefixes {
+		for _, text := range selection.Prefixes {
 			prefix, err := netip.ParsePrefix(text)
 			if err != nil {
 				return nil, &RequestError{"prefix", fmt.Sprintf("%q is not an IP prefix such as 10.1.0.0/24", text)}
@@ -183,27 +183,27 @@
 		if err != nil {
 			return nil, &RequestError{"prefix", err.Error()}
 		}
-		m.prefixes = set
+		result.prefixes = set
 	}
-	return m, nil
+	return result, nil
 }
 
-// match tells whether a machine is selected.
-func (m *matcher) match(machine *MachineInfo) bool {
-	s := &m.selection
-	if m.named != nil {
-		if _, named := m.named[machine.ID]; !named {
+// matches tells whether a machine is selected.
+func (m *matcher) matches(machine *MachineInfo) bool {
+	selection := &m.selection
+	if m.foundByName != nil {
+		if _, named := m.foundByName[machine.ID]; !named {
 			return false
 		}
-		m.named[machine.ID] = true
+		m.foundByName[machine.ID] = true
 	}
-	if len(s.Zones) > 0 && !slices.Contains(s.Zones, machine.Zone) {
+	if len(selection.Zones) > 0 && !slices.Contains(selection.Zones, machine.Zone) {
 		return false
 	}
-	if len(s.Types) > 0 && !slices.Contains(s.Types, machine.Type) {
+	if len(selection.Types) > 0 && !slices.Contains(selection.Types, machine.Type) {
 		return false
 	}
-	if (s.Kind == SpotKind && !machine.Spot) || (s.Kind == OrdinaryKind && machine.Spot) {
+	if (selection.Kind == SpotKind && !machine.Spot) || (selection.Kind == OrdinaryKind && machine.Spot) {
 		return false
 	}
 	if m.prefixes == nil {
@@ -213,10 +213,10 @@
 	return err == nil && m.prefixes.Contains(address.Addr().Unmap())
 }
 
-// missing is a named machine that does not exist, "" if there is none.
-func (m *matcher) missing() string {
+// missingMachine is a named machine that does not exist, "" if there is none.
+func (m *matcher) missingMachine() string {
 	for _, name := range m.selection.Machines {
-		if !m.named[name] {
+		if !m.foundByName[name] {
 			return name
 		}
 	}
--- a/internal/drain/requests.go
+++ b/internal/drain/requests.go
@@ -17,7 +17,7 @@
 		answer(c.refused(refusal))
 		return
 	}
-	if c.token == 0 || !c.loaded || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
+	if c.token == 0 || !c.isCurrent || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
 		answer(c.unavailable("this node does not lead, or does not know all machines and work yet"))
 		return
 	}
@@ -29,7 +29,7 @@
 	case VerbStart:
 		c.start(req, answer)
 	default:
-		c.change(req, answer)
+		c.changePhase(req, answer)
 	}
 }
 
@@ -57,175 +57,175 @@
 	return nil
 }
 
-func (c *Coordinator) refused(why *RequestError) Response {
-	return Response{Status: StatusRefused, Node: c.node, Field: why.Field, Reason: why.Reason}
+func (c *Coordinator) refused(err *RequestError) Response {
+	return Response{Status: StatusRefused, Node: c.node, Field: err.Field, Reason: err.Reason}
 }
 
-func (c *Coordinator) unavailable(why string) Response {
-	return Response{Status: StatusUnavailable, Node: c.node, Reason: why, RetryMS: tuning.OperatorRetryDelay.Milliseconds()}
+func (c *Coordinator) unavailable(reason string) Response {
+	return Response{Status: StatusUnavailable, Node: c.node, Reason: reason, RetryMS: tuning.OperatorRetryDelay.Milliseconds()}
 }
 
 // reply answers the request that is being committed.
-func (c *Coordinator) reply(r Response) {
-	if answer := c.serving; answer != nil {
-		c.serving = nil
-		answer(r)
+func (c *Coordinator) reply(response Response) {
+	if answer := c.pendingAnswer; answer != nil {
+		c.pendingAnswer = nil
+		answer(response)
 	}
 }
 
-// ok answers with how one drain stands.
-func (c *Coordinator) ok(id string) Response {
-	r := Response{Status: StatusOK, Node: c.node}
-	if d := c.book.Get(id); d != nil {
-		r.Drains = []DrainView{c.view(d)}
+// confirmed answers with how one drain stands.
+func (c *Coordinator) confirmed(id string) Response {
+	response := Response{Status: StatusOK, Node: c.node}
+	if drain := c.records.Get(id); drain != nil {
+		response.Drains = []View{c.view(drain)}
 	}
-	return r
+	return response
 }
 
-func (c *Coordinator) view(d *Drain) DrainView {
-	v := DrainView{
-		ID: d.ID, Phase: d.Head.Phase, Replace: d.Head.Replace, Machines: d.Head.Machines,
-		States: map[string]int{}, Waits: c.waits[d.ID],
+func (c *Coordinator) view(drain *Drain) View {
+	result := View{
+		ID: drain.ID, Phase: drain.Head.Phase, Replace: drain.Head.Replace, Machines: drain.Head.Machines,
+		States: map[string]int{}, Waits: c.waitReasons[drain.ID],
 	}
-	for state, n := range d.Count() {
+	for state, count := range drain.CountByState() {
 		name := string(state)
 		if state == MachineWaiting {
 			name = "waiting"
 		}
-		v.States[name] = n
+		result.States[name] = count
 	}
-	if len(d.Pages) == 0 {
-		v.States[string(MachineReleased)] = d.Head.Released
+	if len(drain.Pages) == 0 {
+		result.States[string(MachineReleased)] = drain.Head.Released
 	}
-	for _, g := range d.Grants {
-		for _, ref := range g.Tasks {
-			if !c.settled(ref) {
-				v.Grants += max(1, ref.Gang)
+	for _, grant := range drain.Grants {
+		for _, ref := range grant.Tasks {
+			if !c.isSettled(ref) {
+				result.Grants += max(1, ref.Gang)
 			}
 		}
 	}
-	return v
+	return result
 }
 
 func (c *Coordinator) status(id string, answer func(Response)) {
-	r := Response{Status: StatusOK, Node: c.node, Teams: map[string]TeamState{}}
-	if id != "" && c.book.Get(id) == nil {
+	response := Response{Status: StatusOK, Node: c.node, Teams: map[string]TeamState{}}
+	if id != "" && c.records.Get(id) == nil {
 		answer(c.refused(&RequestError{"id", fmt.Sprintf("no drain %q", id)}))
 		return
 	}
-	for _, d := range c.book.Drains() {
-		if id == "" || d.ID == id {
-			r.Drains = append(r.Drains, c.view(d))
+	for _, drain := range c.records.Drains() {
+		if id == "" || drain.ID == id {
+			response.Drains = append(response.Drains, c.view(drain))
 		}
 	}
-	for name, use := range c.usage().teams {
-		r.Teams[name] = TeamState{*use, c.budgets.Of(name).String()}
+	for name, usage := range c.currentUsage().teams {
+		response.Teams[name] = TeamState{*usage, c.budgets.ForTeam(name).String()}
 	}
-	answer(r)
+	answer(response)
 }
 
-// selected lists the machines that a request names.
-func (c *Coordinator) selected(s Selection) ([]MachineInfo, *RequestError) {
-	m, refusal := newMatcher(s)
+// selectMachines lists the machines that a request names.
+func (c *Coordinator) selectMachines(selection Selection) ([]MachineInfo, *RequestError) {
+	matching, refusal := newMatcher(selection)
 	if refusal != nil {
 		return nil, refusal
 	}
-	var list []MachineInfo
+	var machines []MachineInfo
 	c.cluster.EachMachine(func(info *MachineInfo) {
-		if m.match(info) {
-			list = append(list, *info)
+		if matching.matches(info) {
+			machines = append(machines, *info)
 		}
 	})
-	if name := m.missing(); name != "" {
+	if name := matching.missingMachine(); name != "" {
 		return nil, &RequestError{"machine", fmt.Sprintf("there is no machine %q", name)}
 	}
-	if len(list) == 0 {
+	if len(machines) == 0 {
 		return nil, &RequestError{"selection", "no machine matches it"}
 	}
-	return list, nil
+	return machines, nil
 }
 
-// disturbed calls fn for the tasks on machines, once for each gang.
-func (c *Coordinator) disturbed(machines []MachineInfo, fn func(d *jobs.Spec, more Amount)) {
-	on := map[string]bool{}
-	for _, m := range machines {
-		on[m.ID] = true
+// eachDisturbed calls fn for the tasks on machines, once for each gang.
+func (c *Coordinator) eachDisturbed(machines []MachineInfo, fn func(spec *jobs.Spec, more Amount)) {
+	selected := map[string]bool{}
+	for _, machine := range machines {
+		selected[machine.ID] = true
 	}
 	gangs := map[string]bool{}
-	c.cluster.EachPlacement(func(d *jobs.Spec, mark taskstate.TaskStatus) {
-		if !on[mark.WorkerID] || gangs[d.ID] {
+	c.cluster.EachPlacement(func(spec *jobs.Spec, status taskstate.TaskStatus) {
+		if !selected[status.WorkerID] || gangs[spec.ID] {
 			return
 		}
-		ref := TaskRef{Job: d.ID}
-		if d.IsGang() {
-			gangs[d.ID], ref.Gang = true, d.Tasks
+		ref := TaskRef{Job: spec.ID}
+		if spec.IsGang() {
+			gangs[spec.ID], ref.Gang = true, spec.Tasks
 		}
-		fn(d, amount(d, ref))
+		fn(spec, disturbanceOf(spec, ref))
 	})
 }
 
 // plan tells what a drain would disturb.
 func (c *Coordinator) plan(req *Request, answer func(Response)) {
-	machines, refusal := c.selected(req.Selection)
+	machines, refusal := c.selectMachines(req.Selection)
 	if refusal != nil {
 		answer(c.refused(refusal))
 		return
 	}
-	p := &Plan{Machines: len(machines), Teams: map[string]TeamPlan{}}
-	seen := map[string]bool{}
-	c.disturbed(machines, func(d *jobs.Spec, more Amount) {
-		team := p.Teams[d.Team]
-		team.Amount = team.Plus(more)
-		p.Teams[d.Team] = team
-		seen[d.ID] = true
+	plan := &Plan{Machines: len(machines), Teams: map[string]TeamPlan{}}
+	jobIDs := map[string]bool{}
+	c.eachDisturbed(machines, func(spec *jobs.Spec, requested Amount) {
+		team := plan.Teams[spec.Team]
+		team.Amount = team.Plus(requested)
+		plan.Teams[spec.Team] = team
+		jobIDs[spec.ID] = true
 	})
-	p.Jobs = len(seen)
-	for name, team := range p.Teams {
-		budget := c.budgets.Of(name)
+	plan.Jobs = len(jobIDs)
+	for name, team := range plan.Teams {
+		budget := c.budgets.ForTeam(name)
 		team.Budget = budget.String()
 		team.Rounds = max(1, int(math.Ceil(max(float64(team.Tasks)/float64(budget.Tasks), team.CPUs/budget.CPUs)-slack)))
-		p.Teams[name] = team
+		plan.Teams[name] = team
 	}
-	answer(Response{Status: StatusOK, Node: c.node, Plan: p})
+	answer(Response{Status: StatusOK, Node: c.node, Plan: plan})
 }
 
-// never finds work that no budget would ever let go.
-func (c *Coordinator) never(machines []MachineInfo) *RequestError {
+// checkBudgets finds work that no budget would ever let go.
+func (c *Coordinator) checkBudgets(machines []MachineInfo) *RequestError {
 	var refusal *RequestError
-	c.disturbed(machines, func(d *jobs.Spec, more Amount) {
-		if short := c.budgets.Of(d.Team).Never(d.Team, more); short != nil && refusal == nil {
-			refusal = &RequestError{"budget", "nothing of job " + d.ID + " could ever move: " + short.String()}
+	c.eachDisturbed(machines, func(spec *jobs.Spec, requested Amount) {
+		if short := c.budgets.ForTeam(spec.Team).NeverAllows(spec.Team, requested); short != nil && refusal == nil {
+			refusal = &RequestError{"budget", "nothing of job " + spec.ID + " could ever move: " + short.String()}
 		}
 	})
 	return refusal
 }
 
-// busy takes the place of the request that is being committed; false if it is taken.
-func (c *Coordinator) busy(answer func(Response)) bool {
-	if c.flying || c.serving != nil {
+// isBusy takes the place of the request that is being committed; false if it is taken.
+func (c *Coordinator) isBusy(answer func(Response)) bool {
+	if c.commitInFlight || c.pendingAnswer != nil {
 		answer(c.unavailable("a change of the drains is being committed"))
 		return true
 	}
-	c.serving = answer
+	c.pendingAnswer = answer
 	return false
 }
 
 // start accepts a drain: first the pages, which mean nothing by themselves, then the
 // head.
 func (c *Coordinator) start(req *Request, answer func(Response)) {
-	if known := c.known(req); known != nil {
-		answer(*known)
+	if repeated := c.answerRepeated(req); repeated != nil {
+		answer(*repeated)
 		return
 	}
-	machines, refusal := c.selected(req.Selection)
+	machines, refusal := c.selectMachines(req.Selection)
 	if refusal == nil {
-		refusal = c.never(machines)
+		refusal = c.checkBudgets(machines)
 	}
 	if refusal != nil {
 		answer(c.refused(refusal))
 		return
 	}
-	if c.busy(answer) {
+	if c.isBusy(answer) {
 		return
 	}
 	pages := c.paginate(machines)
@@ -236,28 +236,28 @@
 	c.writePages(req, pages, 0, head)
 }
 
-// known answers a repeated request; nil if it is not one.
-func (c *Coordinator) known(req *Request) *Response {
-	d := c.book.Get(req.ID)
-	if d == nil {
+// answerRepeated answers a repeated request; nil if it is not one.
+func (c *Coordinator) answerRepeated(req *Request) *Response {
+	drain := c.records.Get(req.ID)
+	if drain == nil {
 		return nil
 	}
-	r := c.ok(req.ID)
-	if d.Head.Digest != req.Digest() {
-		r = c.refused(&RequestError{"id", fmt.Sprintf("drain %q exists with another selection", req.ID)})
+	response := c.confirmed(req.ID)
+	if drain.Head.Digest != req.Digest() {
+		response = c.refused(&RequestError{"id", fmt.Sprintf("drain %q exists with another selection", req.ID)})
 	}
-	return &r
+	return &response
 }
 
 func (c *Coordinator) paginate(machines []MachineInfo) []Page {
-	each := max(1, c.state.MaxValueBytes()/machineBytes)
+	perPage := max(1, c.state.MaxValueBytes()/maxMachineBytes)
 	var pages []Page
-	for i, m := range machines {
-		if i%each == 0 {
+	for i, machine := range machines {
+		if i%perPage == 0 {
 			pages = append(pages, Page{})
 		}
 		page := &pages[len(pages)-1]
-		page.Machines = append(page.Machines, Machine{ID: m.ID})
+		page.Machines = append(page.Machines, Machine{ID: machine.ID})
 	}
 	return pages
 }
@@ -269,25 +269,25 @@
 		c.writeHead(req, head)
 		return
 	}
-	old := c.book.drains[req.ID]
-	guards := []statestore.Condition{{Key: HeadKey(req.ID)}}
-	var apply []statestore.Operation
-	bytes, next := 0, from
-	for ; next < len(pages) && len(apply) < c.state.MaxOperations(); next++ {
+	existing := c.records.drains[req.ID]
+	conditions := []statestore.Condition{{Key: HeadKey(req.ID)}}
+	var operations []statestore.Operation
+	valueBytes, next := 0, from
+	for ; next < len(pages) && len(operations) < c.state.MaxOperations(); next++ {
 		raw, err := encode(pages[next])
-		if err != nil || (len(apply) > 0 && bytes+len(raw) > tuning.MaxCommitBytes) {
+		if err != nil || (len(operations) > 0 && valueBytes+len(raw) > tuning.MaxCommitBytes) {
 			break
 		}
-		guard := statestore.Condition{Key: PageKey(req.ID, next)}
-		if old != nil && old.Pages[next] != nil { // of a request that came to nothing
-			guard.Revision = old.Pages[next].Revision
+		condition := statestore.Condition{Key: PageKey(req.ID, next)}
+		if existing != nil && existing.Pages[next] != nil { // of a request that came to nothing
+			condition.Revision = existing.Pages[next].Revision
 		}
-		bytes += len(raw)
-		guards = append(guards, guard)
-		apply = append(apply, statestore.Operation{PutKey: guard.Key, Value: raw})
+		valueBytes += len(raw)
+		conditions = append(conditions, condition)
+		operations = append(operations, statestore.Operation{PutKey: condition.Key, Value: raw})
 	}
-	c.commit(guards, apply, func(ok bool) {
-		if !ok {
+	c.commit(conditions, operations, func(committed bool) {
+		if !committed {
 			c.reply(c.unavailable("the request met another one"))
 			return
 		}
@@ -303,17 +303,17 @@
 	}
 	c.commit([]statestore.Condition{{Key: HeadKey(req.ID)}}, []statestore.Operation{{PutKey: HeadKey(req.ID), Value: raw}}, func(bool) {
 		// A first answer may have been lost: the book tells what came of it.
-		if known := c.known(req); known != nil {
+		if repeated := c.answerRepeated(req); repeated != nil {
 			c.log.Info("drain accepted", "drain", req.ID, "machines", head.Machines, "replace", head.Replace)
-			c.reply(*known)
+			c.reply(*repeated)
 			return
 		}
 		c.reply(c.unavailable("the request met another one"))
 	})
 }
 
-// targets tells, by verb, the phase that a request leads to and those from which it may.
-var targets = map[Verb]struct {
+// phaseChanges tells, by verb, the phase that a request leads to and those from which it may.
+var phaseChanges = map[Verb]struct {
 	to   Phase
 	from []Phase
 }{
@@ -322,43 +322,43 @@
 	VerbCancel: {PhaseCancelled, []Phase{PhaseRunning, PhasePaused}},
 }
 
-// change pauses, resumes or cancels a drain.
-func (c *Coordinator) change(req *Request, answer func(Response)) {
-	d := c.book.Get(req.ID)
-	if d == nil {
+// changePhase pauses, resumes or cancels a drain.
+func (c *Coordinator) changePhase(req *Request, answer func(Response)) {
+	drain := c.records.Get(req.ID)
+	if drain == nil {
 		answer(c.refused(&RequestError{"id", fmt.Sprintf("no drain %q", req.ID)}))
 		return
 	}
-	target := targets[req.Verb]
-	if d.Head.Phase == target.to {
-		answer(c.ok(req.ID)) // repeated
+	target := phaseChanges[req.Verb]
+	if drain.Head.Phase == target.to {
+		answer(c.confirmed(req.ID)) // repeated
 		return
 	}
 	allowed := false
 	for _, from := range target.from {
-		allowed = allowed || d.Head.Phase == from
+		allowed = allowed || drain.Head.Phase == from
 	}
 	if !allowed {
-		answer(c.refused(&RequestError{"id", fmt.Sprintf("drain %q is %s", req.ID, d.Head.Phase)}))
+		answer(c.refused(&RequestError{"id", fmt.Sprintf("drain %q is %s", req.ID, drain.Head.Phase)}))
 		return
 	}
-	if c.busy(answer) {
+	if c.isBusy(answer) {
 		return
 	}
-	head := d.Head
+	head := drain.Head
 	head.Phase = target.to
 	if head.Phase == PhaseCancelled {
-		head.Ended, head.Released = c.rt.WallClock().UnixMilli(), d.Count()[MachineReleased]
+		head.Ended, head.Released = c.rt.WallClock().UnixMilli(), drain.CountByState()[MachineReleased]
 	}
 	raw, err := encode(head)
 	if err != nil {
 		c.reply(c.unavailable(err.Error()))
 		return
 	}
-	c.commit([]statestore.Condition{{Key: HeadKey(req.ID), Revision: d.Revision}}, []statestore.Operation{{PutKey: HeadKey(req.ID), Value: raw}}, func(bool) {
-		if now := c.book.Get(req.ID); now != nil && now.Head.Phase == target.to {
+	c.commit([]statestore.Condition{{Key: HeadKey(req.ID), Revision: drain.Revision}}, []statestore.Operation{{PutKey: HeadKey(req.ID), Value: raw}}, func(bool) {
+		if changed := c.records.Get(req.ID); changed != nil && changed.Head.Phase == target.to {
 			c.log.Info("drain changed", "drain", req.ID, "phase", target.to)
-			c.reply(c.ok(req.ID))
+			c.reply(c.confirmed(req.ID))
 			return
 		}
 		c.reply(c.unavailable("the request met another one"))
--- a/internal/drain/scale_test.go
+++ b/internal/drain/scale_test.go
@@ -69,14 +69,14 @@
 		stamp++
 		rt.fire()
 	}
-	if answer == nil || answer.Status != StatusOK || book.Get("all").Count()[MachineWaiting] != machines {
+	if answer == nil || answer.Status != StatusOK || book.Get("all").CountByState()[MachineWaiting] != machines {
 		t.Fatalf("%+v", answer)
 	}
-	if most := machines/(valueBytes/machineBytes) + 2; changes > most {
+	if most := machines/(valueBytes/maxMachineBytes) + 2; changes > most {
 		t.Errorf("%d changes, not %d", changes, most)
 	}
-	c.flying, cluster.asked = false, 0
-	c.spare, c.filled = 3, rt.now
+	c.commitInFlight, cluster.asked = false, 0
+	c.writeTokens, c.refilledAt = 3, rt.now
 	c.Tick()
 	if cluster.asked < machines || cluster.asked > 4*machines {
 		t.Errorf("a round asks %d times about %d machines", cluster.asked, machines)
--- a/internal/drain/surface_test.go
+++ b/internal/drain/surface_test.go
@@ -13,10 +13,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	use := &usage{teams: map[string]*TeamUse{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1.5}}}}
-	tracer.Step(step{drain: "d-1", machine: "vm-1", what: stepGranted, grant: &Grant{Tasks: []TaskRef{{Job: "wk-1"}, {Job: "wk-2"}}}}, use)
+	use := &usage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1.5}}}}
+	tracer.Step(step{drainID: "d-1", machineID: "vm-1", name: stepGranted, grant: &Grant{Tasks: []TaskRef{{Job: "wk-1"}, {Job: "wk-2"}}}}, use)
 	tracer.Waits("d-1", []string{"no room"})
-	tracer.Step(step{drain: "d-1", what: stepDone}, use)
+	tracer.Step(step{drainID: "d-1", name: stepDone}, use)
 	type attribute struct {
 		Key   string
 		Value struct{ Value any }
--- a/internal/drain/trace.go
+++ b/internal/drain/trace.go
@@ -45,44 +45,44 @@
 	return &Tracer{tracer: provider.Tracer("lemonmoor/drain"), spans: map[string]trace.Span{}}, nil
 }
 
-func (t *Tracer) span(drain string) trace.Span {
-	span := t.spans[drain]
+func (t *Tracer) span(drainID string) trace.Span {
+	span := t.spans[drainID]
 	if span == nil {
-		_, span = t.tracer.Start(context.Background(), "drain", trace.WithAttributes(attribute.String("drain", drain)))
-		t.spans[drain] = span
+		_, span = t.tracer.Start(context.Background(), "drain", trace.WithAttributes(attribute.String("drain", drainID)))
+		t.spans[drainID] = span
 	}
 	return span
 }
 
 // Step records a step, and how the teams' budgets stand after it.
-func (t *Tracer) Step(s step, use *usage) {
+func (t *Tracer) Step(step step, usage *usage) {
 	if t == nil {
 		return
 	}
-	attributes := []attribute.KeyValue{attribute.String("machine", s.machine)}
-	if s.grant != nil {
-		attributes = append(attributes, attribute.Int("tasks", len(s.grant.Tasks)))
+	attributes := []attribute.KeyValue{attribute.String("machine", step.machineID)}
+	if step.grant != nil {
+		attributes = append(attributes, attribute.Int("tasks", len(step.grant.Tasks)))
 	}
-	for name, team := range use.teams {
+	for name, team := range usage.teams {
 		attributes = append(attributes,
 			attribute.Int("team."+name+".chosen", team.Chosen.Tasks),
 			attribute.Int("team."+name+".unchosen", team.Unchosen.Tasks),
 			attribute.Float64("team."+name+".cpus", team.Disturbed().CPUs))
 	}
-	span := t.span(s.drain)
-	span.AddEvent(s.what, trace.WithAttributes(attributes...))
-	if s.what == stepDone {
+	span := t.span(step.drainID)
+	span.AddEvent(step.name, trace.WithAttributes(attributes...))
+	if step.name == stepDone {
 		span.End()
-		delete(t.spans, s.drain)
+		delete(t.spans, step.drainID)
 	}
 }
 
 // Waits records what a drain waits for.
-func (t *Tracer) Waits(drain string, reasons []string) {
+func (t *Tracer) Waits(drainID string, reasons []string) {
 	if t == nil {
 		return
 	}
-	t.span(drain).AddEvent("waits", trace.WithAttributes(attribute.StringSlice("reasons", reasons)))
+	t.span(drainID).AddEvent("waits", trace.WithAttributes(attribute.StringSlice("reasons", reasons)))
 }
 
 // End ends all spans: the lead is lost.
@@ -90,8 +90,8 @@
 	if t == nil {
 		return
 	}
-	for drain, span := range t.spans {
+	for drainID, span := range t.spans {
 		span.End()
-		delete(t.spans, drain)
+		delete(t.spans, drainID)
 	}
 }
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -8,163 +8,163 @@
 	"lemonmoor/internal/tuning"
 )
 
-// blockHeard is the newest report of a block's owner.
-type blockHeard struct {
-	token, seq uint64
-	heard      time.Duration
-	report     *ShardReport
+// receivedReport is the newest report of a block's owner.
+type receivedReport struct {
+	token, sequence uint64
+	receivedAt      time.Duration
+	report          *ShardReport
 }
 
-// HandleReport takes what an owner reports; nil from one that knows no drains, or as
+// HandleShardReport takes what an owner reports; nil from one that knows no drains, or as
 // long as it knows of none.
-func (c *Coordinator) HandleReport(block int, token, seq uint64, r *ShardReport) {
-	if c.token == 0 || block < 0 || block >= len(c.reports) {
+func (c *Coordinator) HandleShardReport(shardIndex int, token, sequence uint64, report *ShardReport) {
+	if c.token == 0 || shardIndex < 0 || shardIndex >= len(c.reports) {
 		return
 	}
-	old := &c.reports[block]
-	if token < old.token || (token == old.token && seq <= old.seq) {
+	last := &c.reports[shardIndex]
+	if token < last.token || (token == last.token && sequence <= last.sequence) {
 		return // held back on its way
 	}
-	*old = blockHeard{token, seq, c.rt.Now(), r}
-	if r == nil {
+	*last = receivedReport{token, sequence, c.rt.Now(), report}
+	if report == nil {
 		return
 	}
-	news := false
-	for _, g := range r.Granted {
-		if g.Runs && g.Attempt > c.ran[g.Name()] {
-			c.ran[g.Name()], news = g.Attempt, true
+	budgetFreed := false
+	for _, task := range report.Granted {
+		if task.Runs && task.Attempt > c.ranAttempts[task.Name()] {
+			c.ranAttempts[task.Name()], budgetFreed = task.Attempt, true
 		}
 	}
-	if news {
+	if budgetFreed {
 		c.Tick() // a budget has become free
 	}
 }
 
-// unheard is a block of which too little is known to grant anything, -1 if there is
+// shardWithoutReport is a block of which too little is known to grant anything, -1 if there is
 // none.
-func (c *Coordinator) unheard() int {
-	for block := range c.reports {
-		h := &c.reports[block]
-		if h.report == nil || c.rt.Now()-h.heard > tuning.StatusStaleAfter {
-			return block
+func (c *Coordinator) shardWithoutReport() int {
+	for shardIndex := range c.reports {
+		last := &c.reports[shardIndex]
+		if last.report == nil || c.rt.Now()-last.receivedAt > tuning.StatusStaleAfter {
+			return shardIndex
 		}
 	}
 	return -1
 }
 
-// settled tells whether a granted task is disturbed no more: it runs again, has ended,
+// isSettled tells whether a granted task is disturbed no more: it runs again, has ended,
 // or its job is over.
-func (c *Coordinator) settled(ref TaskRef) bool {
+func (c *Coordinator) isSettled(ref TaskRef) bool {
 	if _, open := c.cluster.Job(ref.Job); !open {
 		return true
 	}
-	if c.ran[ref.Name()] > ref.Attempt {
+	if c.ranAttempts[ref.Name()] > ref.Attempt {
 		return true
 	}
 	if ref.Gang > 0 {
 		return false
 	}
-	mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-	return known && mark.State == taskstate.StateDone
+	status, known := c.cluster.TaskStatus(ref.Job, ref.Index)
+	return known && status.State == taskstate.StateDone
 }
 
-// voidIn finds the block whose owner reports that a task was never stopped and will
+// shardReportingUntouched finds the block whose owner reports that a task was never stopped and will
 // not be, with the token under which that was said.
-func (c *Coordinator) voidIn(ref TaskRef) (block int, token uint64, found bool) {
-	for block := range c.reports {
-		h := &c.reports[block]
-		if h.report == nil {
+func (c *Coordinator) shardReportingUntouched(ref TaskRef) (shardIndex int, token uint64, found bool) {
+	for shardIndex := range c.reports {
+		last := &c.reports[shardIndex]
+		if last.report == nil {
 			continue
 		}
-		for _, g := range h.report.Granted {
-			if g.Void && g.TaskRef == ref {
-				return block, h.token, true
+		for _, task := range last.report.Granted {
+			if task.Void && task.TaskRef == ref {
+				return shardIndex, last.token, true
 			}
 		}
 	}
 	return 0, 0, false
 }
 
-// amount is what the disturbance of a granted task takes of its team's budget.
-func amount(d *jobs.Spec, ref TaskRef) Amount {
+// disturbanceOf is what the disturbance of a granted task takes of its team's budget.
+func disturbanceOf(spec *jobs.Spec, ref TaskRef) Amount {
 	tasks := max(1, ref.Gang)
-	return Amount{tasks, float64(tasks) * d.CPUs}
+	return Amount{tasks, float64(tasks) * spec.CPUs}
 }
 
 // usage is how the teams' budgets stand.
 type usage struct {
-	teams map[string]*TeamUse
-	// moving is the processors of granted tasks that have no new place yet.
-	moving float64
-	// down is, by service, the replicas that are granted or were lost.
-	down    map[string]int
-	partial bool
+	teams map[string]*TeamUsage
+	// movingCPUs is the processors of granted tasks that have no new place yet.
+	movingCPUs float64
+	// replicasDown is, by service, the replicas that are granted or were lost.
+	replicasDown    map[string]int
+	replicasUnknown bool
 }
 
-func (u *usage) team(name string) *TeamUse {
-	t := u.teams[name]
-	if t == nil {
-		t = &TeamUse{}
-		u.teams[name] = t
+func (u *usage) team(name string) *TeamUsage {
+	team := u.teams[name]
+	if team == nil {
+		team = &TeamUsage{}
+		u.teams[name] = team
 	}
-	return t
+	return team
 }
 
-// add counts a grant.
-func (u *usage) add(d *jobs.Spec, ref TaskRef) {
-	more := amount(d, ref)
-	team := u.team(d.Team)
-	team.Chosen = team.Chosen.Plus(more)
+// addGrant counts a grant.
+func (u *usage) addGrant(spec *jobs.Spec, ref TaskRef) {
+	requested := disturbanceOf(spec, ref)
+	team := u.team(spec.Team)
+	team.Chosen = team.Chosen.Plus(requested)
 }
 
-// usage counts what is disturbed, from the records and the owners' reports.
-func (c *Coordinator) usage() *usage {
-	u := &usage{teams: map[string]*TeamUse{}, down: map[string]int{}}
-	for block := range c.reports {
-		r := c.reports[block].report
-		if r == nil {
+// currentUsage counts what is disturbed, from the records and the owners' reports.
+func (c *Coordinator) currentUsage() *usage {
+	total := &usage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
+	for shardIndex := range c.reports {
+		report := c.reports[shardIndex].report
+		if report == nil {
 			continue
 		}
-		u.partial = u.partial || r.Partial
-		for name, work := range r.Teams {
-			team := u.team(name)
+		total.replicasUnknown = total.replicasUnknown || report.Partial
+		for name, work := range report.Teams {
+			team := total.team(name)
 			team.Running = team.Running.Plus(work.Running)
 			team.Unchosen = team.Unchosen.Plus(work.Disturbed)
 		}
-		for job, down := range r.Down {
-			u.down[job] += down
+		for job, down := range report.Down {
+			total.replicasDown[job] += down
 		}
 	}
-	c.cluster.EachInterrupted(func(d *jobs.Spec, tasks int) {
-		team := u.team(d.Team)
-		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * d.CPUs})
+	c.cluster.EachInterrupted(func(spec *jobs.Spec, tasks int) {
+		team := total.team(spec.Team)
+		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * spec.CPUs})
 	})
-	c.eachUnsettled(func(d *jobs.Spec, ref TaskRef) {
-		u.add(d, ref)
-		mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-		placed := known && mark.State == taskstate.StatePlaced
-		if ref.Gang == 0 && placed {
-			u.down[ref.Job]++
+	c.eachUnsettled(func(spec *jobs.Spec, ref TaskRef) {
+		total.addGrant(spec, ref)
+		status, known := c.cluster.TaskStatus(ref.Job, ref.Index)
+		isPlaced := known && status.State == taskstate.StatePlaced
+		if ref.Gang == 0 && isPlaced {
+			total.replicasDown[ref.Job]++
 		}
-		if !placed || mark.Attempt <= ref.Attempt || ref.Gang > 0 {
-			u.moving += amount(d, ref).CPUs
+		if !isPlaced || status.Attempt <= ref.Attempt || ref.Gang > 0 {
+			total.movingCPUs += disturbanceOf(spec, ref).CPUs
 		}
 	})
-	return u
+	return total
 }
 
 // eachUnsettled calls fn for each task that is granted and disturbed.
-func (c *Coordinator) eachUnsettled(fn func(d *jobs.Spec, ref TaskRef)) {
+func (c *Coordinator) eachUnsettled(fn func(drain *jobs.Spec, ref TaskRef)) {
 	counted := map[TaskRef]bool{} // two drains may name the same machine
-	for _, d := range c.book.Drains() {
-		for _, g := range d.Grants {
-			for _, ref := range g.Tasks {
-				if counted[ref] || c.settled(ref) {
+	for _, drain := range c.records.Drains() {
+		for _, grant := range drain.Grants {
+			for _, ref := range grant.Tasks {
+				if counted[ref] || c.isSettled(ref) {
 					continue
 				}
 				counted[ref] = true
-				if desc, open := c.cluster.Job(ref.Job); open {
-					fn(desc, ref)
+				if spec, open := c.cluster.Job(ref.Job); open {
+					fn(spec, ref)
 				}
 			}
 		}
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -72,7 +72,7 @@
 		`"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}},`+
 		`"plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`, &Response{})
 	wiretest.Written(t, Response{}, `{"status":"","node":""}`)
-	wiretest.Written(t, DrainView{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
+	wiretest.Written(t, View{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
 }
 
 // TestWireDigest: the digest of a request is stored in a drain's head and compared with
