--- /dev/null
+++ b/internal/drain/keys_test.go
@@ -0,0 +1,28 @@
+package drain
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestKeys: what a key is made of is read from it, and no other key is taken for one.
+func TestKeys(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		id := rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,39}`).Draw(t, "id")
+		number := rapid.Uint64Range(0, 1<<30).Draw(t, "number")
+		for raw, want := range map[string]recordKey{
+			HeadKey(id):              {drainID: id, kind: headKind},
+			PageKey(id, int(number)): {id, pageKind, number},
+			GrantKey(id, number):     {id, grantKind, number},
+		} {
+			if got, err := parseKey(raw); err != nil || got != want {
+				t.Fatalf("%s: %+v, %v", raw, got, err)
+			}
+		}
+		other := rapid.StringMatching(`drain/[A-Z/]{0,9}(/head|/page|/grant/x)?`).Draw(t, "other")
+		if k, err := parseKey(other); err == nil {
+			t.Fatalf("%s is taken for %+v", other, k)
+		}
+	})
+}
--- a/internal/drain/requests.go
+++ b/internal/drain/operator_requests.go
@@ -33,30 +33,6 @@
 	}
 }
 
-// Validate finds what is wrong with a request by itself; nil if nothing is.
-func (r *Request) Validate() *RequestError {
-	if r.Verb == VerbPlan || r.Verb == VerbStart {
-		if _, refusal := newMatcher(r.Selection); refusal != nil {
-			return refusal
-		}
-	}
-	switch r.Verb {
-	case VerbPlan:
-		return nil
-	case VerbStatus:
-		if r.ID == "" {
-			return nil
-		}
-	case VerbStart, VerbPause, VerbResume, VerbCancel:
-	default:
-		return &RequestError{"verb", fmt.Sprintf("%q is not known", r.Verb)}
-	}
-	if !ValidID(r.ID) {
-		return &RequestError{"id", fmt.Sprintf("%q is not 1 to 40 of a-z, 0-9 and -, the first a letter or digit", r.ID)}
-	}
-	return nil
-}
-
 func (c *Coordinator) refused(err *RequestError) Response {
 	return Response{Status: StatusRefused, Node: c.node, Field: err.Field, Reason: err.Reason}
 }
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -5,10 +5,6 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
-	"net/netip"
-	"slices"
-
-	"go4.org/netipx"
 )
 
 // RequestPath is where controllers take operators' requests on drains.
@@ -52,35 +48,6 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// MachineKind tells spot machines from ordinary ones.
-type MachineKind string
-
-// The kinds; AnyKind is both.
-const (
-	AnyKind      MachineKind = ""
-	SpotKind     MachineKind = "spot"
-	OrdinaryKind MachineKind = "ordinary"
-)
-
-// Selection picks machines. A machine must match each of the fields that are given.
-type Selection struct {
-	Machines []string    `json:"machines,omitempty"`
-	Zones    []string    `json:"zones,omitempty"`
-	Types    []string    `json:"types,omitempty"`
-	Kind     MachineKind `json:"kind,omitempty"`
-	Prefixes []string    `json:"prefixes,omitempty"` // of the workers' addresses
-}
-
-// normalized is the selection in a form that does not depend on the order of naming.
-func (s Selection) normalized() Selection {
-	sortedSet := func(list []string) []string {
-		list = slices.Clone(list)
-		slices.Sort(list)
-		return slices.Compact(list)
-	}
-	return Selection{sortedSet(s.Machines), sortedSet(s.Zones), sortedSet(s.Types), s.Kind, sortedSet(s.Prefixes)}
-}
-
 // RequestError is a request that is refused for good.
 type RequestError struct {
 	Field  string
@@ -148,77 +115,26 @@
 	Budget string `json:"budget"`
 }
 
-// matcher is a selection made ready to be applied.
-type matcher struct {
-	selection   Selection
-	foundByName map[string]bool // by name, whether a machine of it was found
-	prefixes    *netipx.IPSet   // nil for any address
-}
-
-// newMatcher checks what a selection says by itself.
-func newMatcher(selection Selection) (*matcher, *RequestError) {
-	if len(selection.Machines)+len(selection.Zones)+len(selection.Types)+len(selection.Prefixes) == 0 && selection.Kind == AnyKind {
-		return nil, &RequestError{"selection", "empty: name machines, zones, types, prefixes or a kind"}
-	}
-	if selection.Kind != AnyKind && selection.Kind != SpotKind && selection.Kind != OrdinaryKind {
-		return nil, &RequestError{"kind", fmt.Sprintf("%q is neither spot nor ordinary", selection.Kind)}
-	}
-	result := &matcher{selection: selection}
-	if len(selection.Machines) > 0 {
-		result.foundByName = map[string]bool{}
-		for _, name := range selection.Machines {
-			result.foundByName[name] = false
+// Validate finds what is wrong with a request by itself; nil if nothing is.
+func (r *Request) Validate() *RequestError {
+	if r.Verb == VerbPlan || r.Verb == VerbStart {
+		if _, refusal := newMatcher(r.Selection); refusal != nil {
+			return refusal
 		}
 	}
-	if len(selection.Prefixes) > 0 {
-		var builder netipx.IPSetBuilder
-		for _, text := range selection.Prefixes {
-			prefix, err := netip.ParsePrefix(text)
-			if err != nil {
-				return nil, &RequestError{"prefix", fmt.Sprintf("%q is not an IP prefix such as 10.1.0.0/24", text)}
-			}
-			builder.AddPrefix(prefix)
-		}
-		set, err := builder.IPSet()
-		if err != nil {
-			return nil, &RequestError{"prefix", err.Error()}
+	switch r.Verb {
+	case VerbPlan:
+		return nil
+	case VerbStatus:
+		if r.ID == "" {
+			return nil
 		}
-		result.prefixes = set
-	}
-	return result, nil
-}
-
-// matches tells whether a machine is selected.
-func (m *matcher) matches(machine *MachineInfo) bool {
-	selection := &m.selection
-	if m.foundByName != nil {
-		if _, named := m.foundByName[machine.ID]; !named {
-			return false
-		}
-		m.foundByName[machine.ID] = true
-	}
-	if len(selection.Zones) > 0 && !slices.Contains(selection.Zones, machine.Zone) {
-		return false
+	case VerbStart, VerbPause, VerbResume, VerbCancel:
+	default:
+		return &RequestError{"verb", fmt.Sprintf("%q is not known", r.Verb)}
 	}
-	if len(selection.Types) > 0 && !slices.Contains(selection.Types, machine.Type) {
-		return false
-	}
-	if (selection.Kind == SpotKind && !machine.Spot) || (selection.Kind == OrdinaryKind && machine.Spot) {
-		return false
-	}
-	if m.prefixes == nil {
-		return true
-	}
-	address, err := netip.ParseAddrPort(machine.Addr)
-	return err == nil && m.prefixes.Contains(address.Addr().Unmap())
-}
-
-// missingMachine is a named machine that does not exist, "" if there is none.
-func (m *matcher) missingMachine() string {
-	for _, name := range m.selection.Machines {
-		if !m.foundByName[name] {
-			return name
-		}
+	if !ValidID(r.ID) {
+		return &RequestError{"id", fmt.Sprintf("%q is not 1 to 40 of a-z, 0-9 and -, the first a letter or digit", r.ID)}
 	}
-	return ""
+	return nil
 }
