--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -39,7 +39,9 @@
 	}
 	book := drain.NewRecords(n.rt, n.state, n.log)
 	cluster := &drainCluster{n, book}
-	n.drains = &drains{book, drain.NewCoordinator(n.rt, n.state, n.leases, book, cluster, n.set, tracer, n.log)}
+	n.drains = &drains{book, drain.NewCoordinator(drain.Dependencies{
+		Runtime: n.rt, State: n.state, Lease: n.leases, Records: book, Cluster: cluster, Settings: n.set, Tracer: tracer, Log: n.log,
+	})}
 	for _, o := range n.owners {
 		o.workers.ClosedByDrain = book.IsClosed
 		o.drains = drain.NewExecutor(n.rt, book, o.workers, o.tasks, func() bool {
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -5,14 +5,15 @@
 	"math"
 	"strings"
 
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/settings"
 )
 
-// Budget is how much of a team's work may be disturbed at once.
+// Budget is how much of a team's work may be disturbed at once. All limits hold.
 type Budget struct {
-	Tasks      int
-	CPUs       float64
-	Share      float64 // of the processors of its running work
+	Tasks      int     // math.MaxInt32 without a limit
+	CPUs       float64 // processors of the disturbed tasks, +Inf without a limit
+	Share      float64 // of the processors of its work, the disturbed included; +Inf without a limit
 	ReplicasUp int     // of each service, at least
 }
 
@@ -22,7 +23,7 @@
 	Teams   map[string]Budget
 }
 
-// ForTeam finds a team's budget.
+// ForTeam returns a team's budget.
 func (b *Budgets) ForTeam(team string) Budget {
 	if own, ok := b.Teams[team]; ok {
 		return own
@@ -66,7 +67,7 @@
 	CPUs  float64 `json:"cpus"`
 }
 
-// Plus is the sum of two amounts.
+// Plus returns the sum of two amounts.
 func (a Amount) Plus(b Amount) Amount { return Amount{a.Tasks + b.Tasks, a.CPUs + b.CPUs} }
 
 // TeamUsage is how a team's budget stands.
@@ -76,28 +77,28 @@
 	Unchosen Amount `json:"unchosen"` // crashes, spot notices, cut-off machines
 }
 
-// Disturbed is all that uses the budget up.
+// Disturbed returns all that uses the budget up.
 func (u *TeamUsage) Disturbed() Amount { return u.Chosen.Plus(u.Unchosen) }
 
-// slack covers sums of decimal amounts, which are not exact.
-const slack = 1e-9
-
-// Shortage is why a budget does not allow a disturbance.
-type Shortage struct {
-	Team      string
-	Limit     string // the limit: tasks, cpus, share or replicas_up
+// ShortageError is why a budget does not allow a disturbance.
+type ShortageError struct {
+	Team string
+	// Limit is the name of the limit, as in the settings: tasks, cpus, share or replicas_up.
+	Limit string
+	// Used, Requested and Max are tasks or processors; of replicas_up, Requested is the
+	// replicas that would be up and Max those that must be.
 	Used      float64
 	Requested float64
 	Max       float64
-	Service   string // of which too few replicas would be up
+	Service   string // of which too few replicas would be up, with replicas_up
 }
 
-// String is the reason as operators read it.
-func (s *Shortage) String() string {
-	if s.Limit == limitReplicasUp {
-		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", s.Team, s.Limit, s.Requested, s.Service, s.Max)
+// Error is the reason as operators read it.
+func (e *ShortageError) Error() string {
+	if e.Limit == limitReplicasUp {
+		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", e.Team, e.Limit, e.Requested, e.Service, e.Max)
 	}
-	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", s.Team, s.Limit, s.Used, s.Requested, s.Max)
+	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", e.Team, e.Limit, e.Used, e.Requested, e.Max)
 }
 
 // Names of the limits, as in the settings.
@@ -108,28 +109,34 @@
 	limitReplicasUp = "replicas_up"
 )
 
-// Allows tells whether a team's budget has room for a further disturbance; nil if so.
-func (b Budget) Allows(team string, usage *TeamUsage, requested Amount) *Shortage {
+// Allows returns a *ShortageError if a team's budget has no room for a further
+// disturbance.
+func (b Budget) Allows(team string, usage *TeamUsage, requested Amount) error {
 	used := usage.Disturbed()
 	if used.Tasks+requested.Tasks > b.Tasks {
-		return &Shortage{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(requested.Tasks), Max: float64(b.Tasks)}
+		return &ShortageError{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(requested.Tasks), Max: float64(b.Tasks)}
 	}
-	if used.CPUs+requested.CPUs > b.CPUs+slack {
-		return &Shortage{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: requested.CPUs, Max: b.CPUs}
+	if used.CPUs+requested.CPUs > b.CPUs+resource.Epsilon {
+		return &ShortageError{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: requested.CPUs, Max: b.CPUs}
 	}
 	// What is disturbed belongs to the work that would run.
 	maxCPUs := b.Share * (usage.Running.CPUs + used.CPUs)
-	if !math.IsInf(b.Share, 1) && used.CPUs+requested.CPUs > maxCPUs+slack {
-		return &Shortage{Team: team, Limit: limitShare, Used: used.CPUs, Requested: requested.CPUs, Max: maxCPUs}
+	if !math.IsInf(b.Share, 1) && used.CPUs+requested.CPUs > maxCPUs+resource.Epsilon {
+		return &ShortageError{Team: team, Limit: limitShare, Used: used.CPUs, Requested: requested.CPUs, Max: maxCPUs}
 	}
 	return nil
 }
 
-// NeverAllows tells whether a budget could not allow a disturbance even with nothing else
-// disturbed; nil if it could.
-func (b Budget) NeverAllows(team string, requested Amount) *Shortage {
-	alone := Budget{Tasks: b.Tasks, CPUs: b.CPUs, Share: math.Inf(1)}
-	return alone.Allows(team, &TeamUsage{}, requested)
+// EverAllows returns a *ShortageError if a budget could not allow a disturbance even with
+// nothing else disturbed.
+func (b Budget) EverAllows(team string, requested Amount) error {
+	withoutShare := Budget{Tasks: b.Tasks, CPUs: b.CPUs, Share: math.Inf(1)}
+	return withoutShare.Allows(team, &TeamUsage{}, requested)
+}
+
+// rounds is the least number of times that the budget has to be used up for an amount.
+func (b Budget) rounds(amount Amount) int {
+	return max(1, int(math.Ceil(max(float64(amount.Tasks)/float64(b.Tasks), amount.CPUs/b.CPUs)-resource.Epsilon)))
 }
 
 // String is the budget as operators read it.
--- a/internal/drain/budget_test.go
+++ b/internal/drain/budget_test.go
@@ -1,6 +1,7 @@
 package drain
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -14,7 +15,7 @@
 // up to no more than the budget, and a budget that is not used up allows what fits.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Budget{
+		budget := Budget{
 			Tasks: rapid.IntRange(1, 9).Draw(t, "tasks"), CPUs: rapid.Float64Range(1, 20).Draw(t, "cpus"),
 			Share: rapid.SampledFrom([]float64{0.1, 0.5, 1, math.Inf(1)}).Draw(t, "share"),
 		}
@@ -23,16 +24,19 @@
 			more := Amount{rapid.IntRange(1, 4).Draw(t, "n"), rapid.Float64Range(0.1, 8).Draw(t, "c")}
 			use.Unchosen = Amount{rapid.IntRange(0, 3).Draw(t, "lost"), rapid.Float64Range(0, 3).Draw(t, "lost cpus")}
 			before := use.Disturbed()
-			short := b.Allows("t", use, more)
+			err := budget.Allows("t", use, more)
 			after := before.Plus(more)
-			fits := after.Tasks <= b.Tasks && after.CPUs <= b.CPUs && after.CPUs <= b.Share*(100+before.CPUs)
-			if (short == nil) != fits {
-				t.Fatalf("%+v in use, %+v more, of %+v: %v", before, more, b, short)
+			fits := after.Tasks <= budget.Tasks && after.CPUs <= budget.CPUs && after.CPUs <= budget.Share*(100+before.CPUs)
+			if (err == nil) != fits {
+				t.Fatalf("%+v in use, %+v more, of %+v: %v", before, more, budget, err)
 			}
-			if short == nil {
+			if err == nil {
 				use.Chosen = use.Chosen.Plus(more)
-			} else if !strings.Contains(short.String(), "budget of team t: "+short.Limit) {
-				t.Fatal(short.String())
+				continue
+			}
+			var shortage *ShortageError
+			if !errors.As(err, &shortage) || !strings.Contains(err.Error(), "budget of team t: "+shortage.Limit) {
+				t.Fatal(err)
 			}
 		}
 	})
@@ -50,7 +54,7 @@
 	if got := b.ForTeam("other"); got.Tasks != 2 || !math.IsInf(got.CPUs, 1) || got.String() != "tasks 2, share 0.5" {
 		t.Errorf("%+v", got)
 	}
-	if (Budget{Tasks: 1, CPUs: 3}).NeverAllows("t", Amount{1, 4}) == nil || (Budget{Tasks: 1, CPUs: 3}).NeverAllows("t", Amount{1, 3}) != nil {
+	if (Budget{Tasks: 1, CPUs: 3}).EverAllows("t", Amount{1, 4}) == nil || (Budget{Tasks: 1, CPUs: 3}).EverAllows("t", Amount{1, 3}) != nil {
 		t.Error("what could never move is not told from what could")
 	}
 }
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -2,111 +2,137 @@
 
 import (
 	"log/slog"
-	"slices"
 	"time"
 
 	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/tokenbucket"
 	"lemonmoor/internal/tuning"
 )
 
 // LeaderLease is what the Coordinator asks of the leader's lease.
 type LeaderLease interface {
+	// LeaseValid reports whether this process surely leads now.
 	LeaseValid() bool
 }
 
+// Dependencies is what a Coordinator is built from. All but Tracer must be set.
+type Dependencies struct {
+	Runtime eventloop.Runtime
+	State   *statestore.Client
+	Lease   LeaderLease
+	Records *Records
+	Cluster Cluster
+	// Settings are the node's; Operator.Drains must not be nil.
+	Settings *settings.Settings
+	Tracer   *Tracer // nil: nothing is traced
+	Log      *slog.Logger
+}
+
 // Coordinator runs the drains while this process leads. Each of its rounds starts from
-// a book that is proven to hold all of its own commits, and makes at most one; so what
-// is in use of a budget is known exactly, also when an answer is lost.
+// records that are verified to hold all of its own commits, and makes at most one commit;
+// so what is in use of a budget is known exactly, also when an answer is lost.
 type Coordinator struct {
-	rt            eventloop.Runtime
-	state         *statestore.Client
-	lease         LeaderLease
-	records       *Records
-	cluster       Cluster
-	settings      *settings.Settings
-	drainSettings *settings.Drains
-	budgets       Budgets
-	tracer        *Tracer
-	log           *slog.Logger
-	node          string
-
-	term           int    // grows with each lead won; late answers of old ones are dropped
-	token          uint64 // of the lead, 0 if not held
-	isCurrent      bool
-	commitInFlight bool // a commit is under way, or its outcome is being read
-	reports        []receivedReport
-	ranAttempts    map[TaskName]uint64      // highest attempt that a report showed running
-	waitReasons    map[string][]string      // by drain: what it waits for
-	stuckSince     map[string]time.Duration // by machine: since when nothing of it could be granted
-	pendingAnswer  func(Response)           // the request that is being committed, nil for none
-	writeTokens    float64                  // state changes that may be made now
-	refilledAt     time.Duration            // when that was last looked at
+	rt       eventloop.Runtime
+	state    *statestore.Client
+	lease    LeaderLease
+	records  *Records
+	cluster  Cluster
+	settings *settings.Drains
+	budgets  Budgets
+
+	committer    *committer
+	reports      *shardReports
+	disturbances *disturbances
+	writes       writeBudget
+	stuck        *stuckMachines
+	progress     *progressLog
+	requests     *requestHandler
 }
 
-// NewCoordinator returns a coordinator without the lead. set.Operator.Drains must not
-// be nil.
-func NewCoordinator(rt eventloop.Runtime, state *statestore.Client, lease LeaderLease, book *Records, cluster Cluster,
-	set *settings.Settings, trace *Tracer, log *slog.Logger,
-) *Coordinator {
+// NewCoordinator returns a coordinator that does not lead.
+func NewCoordinator(deps Dependencies) *Coordinator {
 	c := &Coordinator{
-		rt: rt, state: state, lease: lease, records: book, cluster: cluster, settings: set,
-		drainSettings: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), tracer: trace, log: log, node: set.Node,
+		rt: deps.Runtime, state: deps.State, lease: deps.Lease, records: deps.Records, cluster: deps.Cluster,
+		settings: deps.Settings.Operator.Drains, budgets: NewBudgets(deps.Settings.Operator.Drains),
+		committer: &committer{rt: deps.Runtime, state: deps.State, records: deps.Records},
+		reports:   &shardReports{rt: deps.Runtime},
+		writes:    writeBudget{rate: deps.Settings.Deployment.State.WriteRPS * tuning.DrainWriteShare},
+		stuck:     &stuckMachines{rt: deps.Runtime},
+	}
+	c.disturbances = &disturbances{cluster: c.cluster, records: c.records, reports: c.reports}
+	c.progress = &progressLog{log: deps.Log, tracer: deps.Tracer, cluster: c.cluster, budgets: c.budgets}
+	c.requests = &requestHandler{
+		rt: c.rt, state: c.state, cluster: c.cluster, records: c.records, budgets: c.budgets,
+		committer: c.committer, disturbances: c.disturbances, progress: c.progress,
+		node: deps.Settings.Node, log: deps.Log,
 	}
 	c.EndTerm()
 	return c
 }
 
-// BeginTerm starts a term: earlier leaders' commits fail from now on, so the records
-// proven to be current hold all that was ever granted.
+// BeginTerm starts a term of leadership under a fencing token: earlier leaders' commits
+// fail from now on, so the records, once verified, hold all that was ever granted.
 func (c *Coordinator) BeginTerm(token uint64) {
 	c.EndTerm()
-	c.token = token
-	c.awaitCurrent(c.term, 0)
+	c.committer.begin(token)
 }
 
-// EndTerm forgets everything: the lead is lost.
+// EndTerm forgets everything: the leadership is lost.
 func (c *Coordinator) EndTerm() {
-	c.term++
-	c.token, c.isCurrent, c.commitInFlight = 0, false, false
-	c.reports = make([]receivedReport, c.cluster.ShardCount())
-	c.ranAttempts, c.waitReasons, c.stuckSince = map[TaskName]uint64{}, map[string][]string{}, map[string]time.Duration{}
-	c.tracer.End()
-	c.reply(c.unavailable("the leader has changed"))
+	c.committer.end()
+	c.reports.reset(c.cluster.ShardCount())
+	c.stuck.reset()
+	c.progress.reset()
+	c.requests.abandon()
 }
 
-func (c *Coordinator) awaitCurrent(term, attempt int) {
-	c.records.Verify(func(err error) {
-		if term != c.term {
-			return
-		}
-		if err != nil {
-			c.rt.After(c.state.Backoff(attempt), func() {
-				if term == c.term {
-					c.awaitCurrent(term, attempt+1)
-				}
-			})
-			return
-		}
-		c.isCurrent = true
-	})
+// canAct reports whether this process leads and knows all that decisions rest on.
+func (c *Coordinator) canAct() bool {
+	return c.committer.isReady() && c.lease.LeaseValid() && c.cluster.IsKnown()
+}
+
+// Handle answers an operator's request; answer is called once. Changes are confirmed
+// when they are durable.
+func (c *Coordinator) Handle(request *Request, answer func(Response)) {
+	if refusal := request.Validate(); refusal != nil {
+		answer(c.requests.refused(refusal))
+		return
+	}
+	if !c.canAct() {
+		answer(c.requests.unavailable("this node does not lead, or does not know all machines and work yet"))
+		return
+	}
+	c.requests.handle(request, answer)
 }
 
-// Tick takes the next step; once a second.
+// HandleShardReport takes what a shard owner reports under its fencing token. The report
+// is nil from an owner that knows no drains, or as long as it knows of none. Reports that
+// are older than one already taken are dropped.
+func (c *Coordinator) HandleShardReport(shardIndex int, token, sequence uint64, report *ShardReport) {
+	if !c.committer.hasTerm() {
+		return
+	}
+	if c.reports.accept(shardIndex, token, sequence, report) {
+		c.Tick() // tasks run again: a budget has become free
+	}
+}
+
+// Tick takes the next step. It is to be called once a second.
 func (c *Coordinator) Tick() {
-	if c.token == 0 || !c.isCurrent || c.commitInFlight || !c.lease.LeaseValid() || !c.cluster.IsKnown() {
+	if c.committer.inFlight || !c.canAct() {
 		return
 	}
-	c.keepReplacements()
-	if c.records.IsEmptyOfWork() {
+	c.cluster.KeepIdle(c.records.replacements())
+	if c.records.HasNoWork() {
 		return
 	}
 	if c.state.WritesThrottled() {
-		return // decisions of the daemon come first
+		return // the scheduler's own decisions come first
 	}
-	c.refillWrites()
-	if c.writeTokens < 1 {
+	c.writes.refill(c.rt.Now())
+	if c.writes.available() == 0 {
 		return
 	}
 	r := c.newRound()
@@ -114,88 +140,54 @@
 		r.advance(drain)
 	}
 	r.collectGarbage()
-	c.logWaitReasons(r.waitReasons)
-	if len(r.operations) > 0 {
-		c.writeTokens -= float64(len(r.operations))
-		c.commit(r.conditions, r.operations, func(bool) { r.logSteps() })
+	c.progress.setWaitReasons(r.waitReasons)
+	if changes := r.changes; !changes.isEmpty() {
+		c.writes.spend(len(changes.operations))
+		c.committer.commit(changes.conditions, changes.operations, func(bool) { c.progress.stepsCommitted(r.steps, r.usage) })
 	}
 }
 
-// refillWrites lets the drains have their part of the changes a second.
-func (c *Coordinator) refillWrites() {
-	rate := c.settings.Deployment.State.WriteRPS * tuning.DrainWriteShare
-	now := c.rt.Now()
-	c.writeTokens = min(max(1, rate), c.writeTokens+rate*(now-c.refilledAt).Seconds())
-	c.refilledAt = now
+// writeBudget is the part of the state service's changes a second that the drains take.
+type writeBudget struct {
+	bucket tokenbucket.Bucket
+	rate   float64 // changes a second
 }
 
-// keepReplacements has the replacements kept while they wait for the work.
-func (c *Coordinator) keepReplacements() {
-	replacements := map[string]bool{}
-	for _, drain := range c.records.Drains() {
-		if !drain.Head.Phase.Active() {
-			continue
-		}
-		drain.EachMachine(func(_, _ int, machine *Machine) {
-			if machine.Replacement != "" && machine.State != MachineReleased {
-				replacements[machine.Replacement] = true
-			}
-		})
-	}
-	c.cluster.KeepIdle(replacements)
-}
+func (b *writeBudget) refill(now time.Duration) { b.bucket.Refill(now, b.rate, max(1, b.rate)) }
 
-// logWaitReasons says what the drains wait for, when that changes.
-func (c *Coordinator) logWaitReasons(reasons map[string][]string) {
-	for drainID, current := range reasons {
-		if !slices.Equal(current, c.waitReasons[drainID]) {
-			for _, reason := range current {
-				c.log.Info("drain waits", "drain", drainID, "why", reason)
-			}
-			c.tracer.Waits(drainID, current)
-		}
-	}
-	c.waitReasons = reasons
+// available returns how many changes may be made now.
+func (b *writeBudget) available() int { return max(0, int(b.bucket.Tokens())) }
+
+func (b *writeBudget) spend(changes int) { b.bucket.Spend(float64(changes)) }
+
+// stuckMachines remembers since when nothing could be granted of a machine that has tasks
+// to move.
+type stuckMachines struct {
+	rt    eventloop.Runtime
+	since map[string]time.Duration // by machine
 }
 
-// commit carries changes out under the lead, and calls done when the book shows what
-// came of them; ok is false if a guard failed. A commit without an answer is repeated:
-// carried out twice, it fails the second time.
-func (c *Coordinator) commit(conditions []statestore.Condition, operations []statestore.Operation, done func(ok bool)) {
-	c.commitInFlight = true
-	conditions = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: c.token}}, conditions...)
-	c.attemptCommit(c.term, 0, conditions, operations, done)
+func (s *stuckMachines) reset() { s.since = map[string]time.Duration{} }
+
+// note records whether a machine is stuck now.
+func (s *stuckMachines) note(machineID string, isStuck bool) {
+	if !isStuck {
+		delete(s.since, machineID)
+	} else if _, isNoted := s.since[machineID]; !isNoted {
+		s.since[machineID] = s.rt.Now()
+	}
 }
 
-func (c *Coordinator) attemptCommit(term, attempt int, conditions []statestore.Condition, operations []statestore.Operation, done func(bool)) {
-	if term != c.term {
-		return
+// stuckFor returns how long nothing of a machine could be granted, 0 if something could.
+func (s *stuckMachines) stuckFor(machineID string) time.Duration {
+	if since, isStuck := s.since[machineID]; isStuck {
+		return s.rt.Now() - since
 	}
-	c.state.Commit(conditions, operations, func(result statestore.CommitResult) {
-		switch {
-		case term != c.term:
-		case result.Outcome == statestore.OutcomeOK || result.Outcome == statestore.OutcomeConflict:
-			c.awaitCommitted(term, 0, func() { done(result.Outcome == statestore.OutcomeOK) })
-		default:
-			c.rt.After(c.state.Backoff(attempt), func() { c.attemptCommit(term, attempt+1, conditions, operations, done) })
-		}
-	})
+	return 0
 }
 
-// awaitCommitted waits until the book is proven to hold what was committed.
-func (c *Coordinator) awaitCommitted(term, attempt int, done func()) {
-	c.records.Verify(func(err error) {
-		switch {
-		case term != c.term:
-		case err != nil:
-			c.rt.After(c.state.Backoff(attempt), func() {
-				if term == c.term {
-					c.awaitCommitted(term, attempt+1, done)
-				}
-			})
-		default:
-			c.commitInFlight = false
-			done()
-		}
-	})
+// isStuck reports whether nothing of a machine could be granted for so long that other
+// machines are taken in hand meanwhile.
+func (s *stuckMachines) isStuck(machineID string) bool {
+	return s.stuckFor(machineID) > tuning.DrainStuckAfter
 }
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -94,13 +94,15 @@
 	set := &settings.Settings{}
 	set.Deployment.State.WriteRPS = 100
 	set.Operator.Drains = &settings.Drains{}
-	c := NewCoordinator(rt, state, emptyCluster{}, book, emptyCluster{}, set, nil, log)
+	c := NewCoordinator(Dependencies{
+		Runtime: rt, State: state, Lease: emptyCluster{}, Records: book, Cluster: emptyCluster{}, Settings: set, Log: log,
+	})
 	c.BeginTerm(7)
 	for range 3 {
 		rt.fire()
 	}
 	outcomes := []bool{}
-	c.commit(nil, []statestore.Operation{{PutKey: HeadKey("a"), Value: json.RawMessage(`{}`)}}, func(ok bool) { outcomes = append(outcomes, ok) })
+	c.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("a"), Value: json.RawMessage(`{}`)}}, func(ok bool) { outcomes = append(outcomes, ok) })
 	for try, answer := range []func(func(http1.Response, error)){
 		func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNoAnswer) },
 		func(fn func(http1.Response, error)) { fn(http1.Response{Status: 503}, nil) },
@@ -108,8 +110,8 @@
 		func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNoAnswer) },
 	} {
 		c.Tick()
-		if len(rt.commits) != try+1 || rt.commits[try].body != rt.commits[0].body || !c.commitInFlight || len(outcomes) > 0 {
-			t.Fatalf("after %d answers: %d commits, flying %v, outcomes %v", try, len(rt.commits), c.commitInFlight, outcomes)
+		if len(rt.commits) != try+1 || rt.commits[try].body != rt.commits[0].body || !c.committer.inFlight || len(outcomes) > 0 {
+			t.Fatalf("after %d answers: %d commits, flying %v, outcomes %v", try, len(rt.commits), c.committer.inFlight, outcomes)
 		}
 		answer(rt.commits[try].answer)
 		rt.fire()
@@ -121,10 +123,10 @@
 	for range 3 {
 		rt.fire()
 	}
-	if len(outcomes) != 1 || outcomes[0] || c.commitInFlight {
-		t.Errorf("outcomes %v, flying %v", outcomes, c.commitInFlight)
+	if len(outcomes) != 1 || outcomes[0] || c.committer.inFlight {
+		t.Errorf("outcomes %v, flying %v", outcomes, c.committer.inFlight)
 	}
-	c.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
+	c.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
 	c.BeginTerm(8)
 	sent := len(rt.commits)
 	rt.commits[sent-1].answer(http1.Response{}, eventloop.ErrNoAnswer)
--- a/internal/drain/grants.go
+++ b/internal/drain/grants.go
@@ -2,26 +2,31 @@
 
 import (
 	"cmp"
+	"errors"
 	"fmt"
 	"slices"
 	"time"
 
 	"lemonmoor/internal/jobs"
-	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/tuning"
 )
 
-// move is a task, or a gang as a whole, that stands on a closed machine.
+// errNoRoom says that no open machine has room for a task. If nothing else of the machine
+// can be granted either, one is rented in its place.
+var errNoRoom = errors.New("no room")
+
+// move is a task, or a gang as a whole, that has to leave a closed machine.
 type move struct {
 	spec            *jobs.Spec
 	ref             TaskRef
-	runningFor      time.Duration
-	destinationZone string // where it has to go
-	tasksHere       int    // tasks of it on closed machines, which need room elsewhere
-	closedFor       time.Duration
+	runningFor      time.Duration // 0 if it has not begun to run
+	destinationZone string        // the only zone where it may go, "" for any
+	tasksOnClosed   int           // tasks of it on closed machines, which need room elsewhere
+	closedFor       time.Duration // how long the machine has been closed
 }
 
-// lostCPUSeconds is how much work is lost when it is stopped, in seconds of a processor.
+// lostCPUSeconds is how much work is lost when it is halted, in seconds of a processor.
 func (m *move) lostCPUSeconds() float64 {
 	seconds := m.runningFor.Seconds()
 	if m.spec.CheckpointIntervalSeconds > 0 {
@@ -30,121 +35,129 @@
 	return seconds * disturbanceOf(m.spec, m.ref).CPUs
 }
 
-// grantMoves lets tasks of the closed machines be stopped, as far as budgets and room go.
+// requiredCPUs is the processors of the room that it needs on open machines.
+func (m *move) requiredCPUs() float64 { return float64(m.tasksOnClosed) * m.spec.CPUs }
+
+// isAboutToEnd reports whether it should end so soon that it is waited for, for at most
+// maxWait from the closing of the machine on.
+func (m *move) isAboutToEnd(maxWait time.Duration) bool {
+	wait := maxWait - m.closedFor
+	remainingSeconds := m.spec.EstimateSeconds - m.runningFor.Seconds()
+	return wait > 0 && m.runningFor > 0 && !m.spec.IsService() && remainingSeconds > 0 && remainingSeconds <= wait.Seconds()
+}
+
+// grantMoves lets tasks of the closed machines be halted, as far as budgets and room go.
 func (r *round) grantMoves(drain *Drain) {
-	drain.EachMachine(func(page, position int, machine *Machine) {
+	drain.EachMachine(func(at entryPosition, machine *Machine) {
 		if machine.State != MachineClosed {
 			return
 		}
 		r.grantMachine(drain, machine)
-		if r.withoutRoom[machine.ID] && machine.Tries < tuning.MaxDrainRentalAttempts && r.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
-			r.editMachine(drain, page, position, "reopened until a machine is rented for its work", reopenMachine)
+		if r.withoutRoom[machine.ID] && machine.Tries < tuning.MaxDrainRentalAttempts && r.stuck.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
+			r.editMachine(drain, at, stepReopened, reopenMachine)
 		}
 	})
 }
 
-// reopenMachine is the change that has a machine take tasks until there is one more in its
-// place. The room of an earlier one has been taken by other work.
-func reopenMachine(machine *Machine) {
-	machine.State = MachineReplacing
-	if machine.Replacement != "" {
-		machine.Replacement, machine.Tries = "", machine.Tries+1
+// reopenMachine is the edit that has a machine take tasks until there is one more in its
+// place. The room of an earlier replacement has been taken by other work.
+func reopenMachine(m *Machine) {
+	m.State = MachineReplacing
+	if m.Replacement != "" {
+		m.Replacement, m.Tries = "", m.Tries+1
 	}
 }
 
+// grantMachine grants what may leave a machine now, and notes what the rest waits for.
 func (r *round) grantMachine(drain *Drain, machine *Machine) {
-	if r.coordinator.cluster.IsGone(machine.ID) {
+	if r.cluster.IsGone(machine.ID) {
 		return
 	}
-	info, known := r.coordinator.cluster.Machine(machine.ID)
-	if !known {
-		r.addWaitReason(drain, "machine %s is not known at present", machine.ID)
+	info, isKnown := r.cluster.Machine(machine.ID)
+	if !isKnown {
+		r.addWaitReason(drain, unknownMachineReason(machine))
 		return
 	}
-	if r.unknownShard >= 0 {
-		r.addUnknownReason(drain)
+	if reason := r.missingKnowledge(); reason != "" {
+		r.addWaitReason(drain, reason)
 		return
 	}
-	closed := r.closedMachine(info)
+	closed := r.reports.closedMachine(info.Shard, info.ID)
 	if closed == nil {
-		r.addWaitReason(drain, "machine %s does not report: its tasks count as disturbed until they are proven gone", machine.ID)
+		r.addWaitReason(drain, fmt.Sprintf("machine %s does not report: its tasks count as disturbed until they are proven gone", machine.ID))
 		return
 	}
-	var grant Grant
 	moves := r.pendingMoves(machine, info, closed)
-	for i := range moves {
-		if reason := r.refusal(machine, &moves[i]); reason != "" {
-			r.addWaitReason(drain, "%s", reason)
-			continue
-		}
-		if (len(grant.Tasks)+1)*maxTaskRefBytes > r.coordinator.state.MaxValueBytes()-maxMachineBytes || r.operationsLeft <= 0 {
-			break // the rest with the next round
-		}
-		r.reserve(&moves[i])
-		grant.Tasks = append(grant.Tasks, moves[i].ref)
-	}
-	r.noteStuck(machine.ID, len(moves) > 0 && len(grant.Tasks) == 0)
-	if len(grant.Tasks) == 0 {
+	granted := r.grantableMoves(drain, machine, moves)
+	r.stuck.note(machine.ID, len(moves) > 0 && len(granted) == 0)
+	if len(granted) == 0 {
 		return
 	}
-	grant.Machine = machine.ID
-	if r.put(GrantKey(drain.ID, r.nextGrantNumber(drain)), 0, grant) {
+	grant := Grant{Machine: machine.ID, Tasks: granted}
+	if r.changes.put(GrantKey(drain.ID, r.nextGrantNumber(drain)), 0, grant) {
 		r.steps = append(r.steps, step{drainID: drain.ID, machineID: machine.ID, name: stepGranted, grant: &grant})
 	}
 }
 
-func (r *round) addUnknownReason(drain *Drain) {
-	if r.unknownShard >= len(r.coordinator.reports) {
-		r.addWaitReason(drain, "a record of a drain does not parse: what it grants is not known")
-		return
+// grantableMoves reserves the budget and room for those of the moves that may happen now,
+// and notes what the others wait for. What does not fit into one record is left to the
+// next round.
+func (r *round) grantableMoves(drain *Drain, machine *Machine, moves []move) []TaskRef {
+	var granted []TaskRef
+	for i := range moves {
+		if err := r.refusal(machine, &moves[i]); err != nil {
+			if errors.Is(err, errNoRoom) {
+				r.withoutRoom[machine.ID] = true
+			}
+			r.addWaitReason(drain, err.Error())
+			continue
+		}
+		if (len(granted)+1)*maxTaskRefBytes > r.state.MaxValueBytes()-maxMachineBytes || r.changes.capacity <= 0 {
+			break
+		}
+		r.reserve(&moves[i])
+		granted = append(granted, moves[i].ref)
 	}
-	r.addWaitReason(drain, "the owner of block %d has not told how its work stands, or knows no drains", r.unknownShard)
+	return granted
 }
 
-func (r *round) noteStuck(machine string, stuck bool) {
-	if !stuck {
-		delete(r.coordinator.stuckSince, machine)
-	} else if _, isNoted := r.coordinator.stuckSince[machine]; !isNoted {
-		r.coordinator.stuckSince[machine] = r.coordinator.rt.Now()
+// missingKnowledge is why nothing can be granted to any drain, "" if something can.
+func (r *round) missingKnowledge() string {
+	if r.hasUnreadableRecord {
+		return "a record of a drain does not parse: what it grants is not known"
 	}
-}
-
-// closedMachine is what its owner reports of a closed machine; nil if it does not.
-func (r *round) closedMachine(info MachineInfo) *ClosedMachine {
-	report := r.coordinator.reports[info.Shard].report
-	i := slices.IndexFunc(report.Machines, func(machine ClosedMachine) bool { return machine.ID == info.ID })
-	if i < 0 {
-		return nil
+	if r.shardWithoutReport != noShard {
+		return fmt.Sprintf("the owner of block %d has not told how its work stands, or knows no drains", r.shardWithoutReport)
 	}
-	return &report.Machines[i]
+	return ""
 }
 
-// nextGrantNumber is a number that no grant of the drain has. One that is used again does no
-// harm: a late copy of an earlier grant names attempts that are over.
+// nextGrantNumber is a number that no grant of the drain has. One that is used again does
+// no harm: a late copy of an earlier grant names attempts that are over.
 func (r *round) nextGrantNumber(drain *Drain) uint64 {
 	number := uint64(1)
 	if taken := drain.grantNumbers(); len(taken) > 0 {
 		number = taken[len(taken)-1] + 1
 	}
-	for slices.ContainsFunc(r.operations, func(operation statestore.Operation) bool { return operation.PutKey == GrantKey(drain.ID, number) }) {
+	for r.changes.puts(GrantKey(drain.ID, number)) {
 		number++
 	}
 	return number
 }
 
-// pendingMoves lists what has to leave a machine, the cheapest first.
+// pendingMoves lists what has to leave a machine and is not granted, the cheapest first.
 func (r *round) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []move {
-	closedFor := time.Duration(max(0, r.coordinator.rt.WallClock().UnixMilli()-machine.Since)) * time.Millisecond
+	closedFor := time.Duration(max(0, r.rt.WallClock().UnixMilli()-machine.Since)) * time.Millisecond
 	gangs := map[string]bool{}
 	var moves []move
 	for _, task := range closed.Tasks {
-		spec, isOpen := r.coordinator.cluster.Job(task.Job)
+		spec, isOpen := r.cluster.Job(task.Job)
 		if !isOpen || gangs[task.Job] {
 			continue
 		}
 		next := move{
 			spec: spec, ref: TaskRef{Job: task.Job, Index: task.Index, Attempt: task.Attempt},
-			runningFor: time.Duration(task.RunsMS) * time.Millisecond, destinationZone: spec.Zone, tasksHere: 1, closedFor: closedFor,
+			runningFor: time.Duration(task.RunsMS) * time.Millisecond, destinationZone: spec.Zone, tasksOnClosed: 1, closedFor: closedFor,
 		}
 		if spec.SameZone || spec.Spread {
 			next.destinationZone = info.Zone
@@ -152,11 +165,11 @@
 		if spec.IsGang() {
 			gangs[task.Job] = true
 			next.ref.Index, next.ref.Gang = 0, spec.Tasks
-			next.tasksHere = r.countTasksOnClosed(task.Job)
+			next.tasksOnClosed = r.reports.tasksOnClosedMachines(task.Job)
 		}
 		// A report can be older than what is known of the task: granted by it, one that
 		// was done already was granted once more.
-		if !r.isGranted(next.ref) && !r.coordinator.isSettled(next.ref) {
+		if !r.isGranted(next.ref) && !r.disturbances.isSettled(next.ref) {
 			moves = append(moves, next)
 		}
 	}
@@ -164,81 +177,65 @@
 	return moves
 }
 
-// countTasksOnClosed counts the tasks of a gang on closed machines.
-func (r *round) countTasksOnClosed(job string) int {
-	count := 0
-	for i := range r.coordinator.reports {
-		for _, machine := range r.coordinator.reports[i].report.Machines {
-			for _, task := range machine.Tasks {
-				if task.Job == job {
-					count++
-				}
-			}
-		}
-	}
-	return count
-}
-
-// isGranted tells whether an attempt is granted already.
+// isGranted reports whether an attempt is granted already.
 func (r *round) isGranted(ref TaskRef) bool {
-	if r.grantedNow[ref] {
-		return true
-	}
-	return slices.ContainsFunc(r.coordinator.records.grantsOf(ref.Name()), func(h held) bool { return h.ref == ref })
+	return r.grantedNow[ref] || slices.Contains(r.records.grantsOf(ref.Name()), ref)
 }
 
 // reserve counts a move as granted.
 func (r *round) reserve(move *move) {
 	r.usage.addGrant(move.spec, move.ref)
-	r.usage.movingCPUs += float64(move.tasksHere) * move.spec.CPUs
+	r.usage.movingCPUs += move.requiredCPUs()
 	if move.ref.Gang == 0 {
 		r.usage.replicasDown[move.ref.Job]++
 	}
 	r.grantedNow[move.ref] = true
 }
 
-// refusal is why a move has to wait, "" if it need not.
-func (r *round) refusal(machine *Machine, move *move) string {
-	remaining := move.spec.EstimateSeconds - move.runningFor.Seconds()
-	if wait := r.coordinator.drainSettings.WaitOrDefault() - move.closedFor; wait > 0 && move.runningFor > 0 && !move.spec.IsService() && remaining > 0 && remaining <= wait.Seconds() {
-		return fmt.Sprintf("tasks of %s are about to end", move.spec.ID)
+// refusal is why a move has to wait, nil if it need not. The texts are for operators.
+func (r *round) refusal(machine *Machine, move *move) error {
+	if move.isAboutToEnd(r.settings.WaitOrDefault()) {
+		return fmt.Errorf("tasks of %s are about to end", move.spec.ID)
 	}
-	budget := r.coordinator.budgets.ForTeam(move.spec.Team)
-	if short := budget.Allows(move.spec.Team, r.usage.team(move.spec.Team), disturbanceOf(move.spec, move.ref)); short != nil {
-		return short.String()
+	team := move.spec.Team
+	budget := r.budgets.ForTeam(team)
+	if err := budget.Allows(team, r.usage.team(team), disturbanceOf(move.spec, move.ref)); err != nil {
+		return err
 	}
 	if move.spec.IsService() {
-		if short := r.checkReplicas(move, budget); short != nil {
-			return short.String()
+		if err := r.checkReplicas(move, budget); err != nil {
+			return err
 		}
 	}
 	return r.checkRoom(machine, move)
 }
 
-// checkReplicas tells whether enough replicas of a service would stay up; nil if so.
-func (r *round) checkReplicas(move *move, budget Budget) *Shortage {
-	up := r.coordinator.cluster.PlacedReplicas(move.ref.Job) - r.usage.replicasDown[move.ref.Job] - 1
+// checkReplicas returns a *ShortageError if too few replicas of a service would stay up.
+func (r *round) checkReplicas(move *move, budget Budget) error {
+	up := r.cluster.PlacedReplicas(move.ref.Job) - r.usage.replicasDown[move.ref.Job] - 1
 	if r.usage.replicasUnknown {
 		up = 0
 	}
 	if up >= budget.ReplicasUp {
 		return nil
 	}
-	return &Shortage{Team: move.spec.Team, Limit: limitReplicasUp, Service: move.spec.ID, Requested: float64(up), Max: float64(budget.ReplicasUp)}
+	return &ShortageError{
+		Team: move.spec.Team, Limit: limitReplicasUp, Service: move.spec.ID,
+		Requested: float64(up), Max: float64(budget.ReplicasUp),
+	}
 }
 
-// checkRoom is why there is no place for what is moved, "" if there is. That a machine
-// might be rented for it is not enough: what the cloud has shows only when it is asked.
-// Work of a higher priority goes first, but for the room of the machine's own
+// checkRoom returns why there is no place for what is moved, nil if there is. That a
+// machine might be rented for it is not enough: what the cloud has shows only when it is
+// asked. Work of a higher priority goes first, but for the room of the machine's own
 // replacement: if it takes that, there is none.
-func (r *round) checkRoom(machine *Machine, move *move) string {
-	if machine.Replacement == "" && r.coordinator.cluster.HasUrgentWaiting(move.spec.Priority()) {
-		return fmt.Sprintf("work of a higher priority than %s waits for room", move.spec.ID)
+func (r *round) checkRoom(machine *Machine, move *move) error {
+	if machine.Replacement == "" && r.cluster.HasUrgentWaiting(move.spec.Priority()) {
+		return fmt.Errorf("work of a higher priority than %s waits for room", move.spec.ID)
 	}
-	room := float64(r.coordinator.cluster.CapacityFor(move.spec, move.destinationZone)) * move.spec.CPUs
-	if room-r.usage.movingCPUs+slack >= float64(move.tasksHere)*move.spec.CPUs {
-		return ""
+	availableCPUs := float64(r.cluster.CapacityFor(move.spec, move.destinationZone)) * move.spec.CPUs
+	if availableCPUs-r.usage.movingCPUs+resource.Epsilon >= move.requiredCPUs() {
+		return nil
 	}
-	r.withoutRoom[machine.ID] = true
-	return fmt.Sprintf("no room for tasks of %s", move.spec.ID)
+	return fmt.Errorf("%w for tasks of %s", errNoRoom, move.spec.ID)
 }
--- a/internal/drain/keys.go
+++ b/internal/drain/keys.go
@@ -1,56 +1,68 @@
 package drain
 
 import (
+	"errors"
 	"fmt"
 	"regexp"
 	"strconv"
 	"strings"
 )
 
-// KeyPrefix of all keys of the drains.
+// KeyPrefix begins every key of the drains in the state service.
 const KeyPrefix = "drain/"
 
-// Parts of a drain's keys: drain/ID/head, drain/ID/page/N, drain/ID/grant/N.
+// recordKind is the part of a key that tells the kinds of records of a drain apart:
+// drain/ID/head, drain/ID/page/N and drain/ID/grant/N.
+type recordKind string
+
 const (
-	headKind  = "head"
-	pageKind  = "page"
-	grantKind = "grant"
+	headKind  recordKind = "head"
+	pageKind  recordKind = "page"
+	grantKind recordKind = "grant"
 )
 
-// HeadKey is the key of a drain's head. A drain exists when its head does.
-func HeadKey(id string) string { return KeyPrefix + id + "/" + headKind }
+// HeadKey returns the key of a drain's head. A drain exists when its head does.
+func HeadKey(drainID string) string { return KeyPrefix + drainID + "/" + string(headKind) }
 
-// PageKey is the key of a page of a drain's machines.
-func PageKey(id string, number int) string {
-	return KeyPrefix + id + "/" + pageKind + "/" + strconv.Itoa(number)
+// PageKey returns the key of a page of a drain's machines; pages count from 0.
+func PageKey(drainID string, number int) string {
+	return KeyPrefix + drainID + "/" + string(pageKind) + "/" + strconv.Itoa(number)
 }
 
-// GrantKey is the key of a grant. Numbers of a drain are never reused.
-func GrantKey(id string, number uint64) string {
-	return KeyPrefix + id + "/" + grantKind + "/" + strconv.FormatUint(number, 10)
+// GrantKey returns the key of a grant; grants of a drain count from 1.
+func GrantKey(drainID string, number uint64) string {
+	return KeyPrefix + drainID + "/" + string(grantKind) + "/" + strconv.FormatUint(number, 10)
 }
 
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
 
-// ValidID tells whether a string can name a drain.
+// ValidID reports whether a string can name a drain.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// recordKey is a parsed key.
+// recordKey is a parsed key. The number is 0 for heads.
 type recordKey struct {
 	drainID string
-	kind    string
+	kind    recordKind
 	number  uint64
 }
 
+// errForeignKey says that a key is not one that HeadKey, PageKey or GrantKey makes.
+var errForeignKey = errors.New("not a key of a drain")
+
+// parseKey is the inverse of HeadKey, PageKey and GrantKey. Any other key is an
+// errForeignKey.
 func parseKey(raw string) (recordKey, error) {
 	segments := strings.Split(strings.TrimPrefix(raw, KeyPrefix), "/")
-	if len(segments) == 2 && segments[1] == headKind && ValidID(segments[0]) {
+	if !ValidID(segments[0]) {
+		return recordKey{}, fmt.Errorf("%w: %q", errForeignKey, raw)
+	}
+	if len(segments) == 2 && segments[1] == string(headKind) {
 		return recordKey{drainID: segments[0], kind: headKind}, nil
 	}
-	if len(segments) == 3 && ValidID(segments[0]) && (segments[1] == pageKind || segments[1] == grantKind) {
+	if len(segments) == 3 && (segments[1] == string(pageKind) || segments[1] == string(grantKind)) {
 		if number, err := strconv.ParseUint(segments[2], 10, 31); err == nil {
-			return recordKey{segments[0], segments[1], number}, nil
+			return recordKey{segments[0], recordKind(segments[1]), number}, nil
 		}
 	}
-	return recordKey{}, fmt.Errorf("not a key of a drain: %q", raw)
+	return recordKey{}, fmt.Errorf("%w: %q", errForeignKey, raw)
 }
--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -17,35 +17,42 @@
 type Drain struct {
 	ID       string
 	Head     Head
-	Revision uint64 // of the head
+	Revision uint64 // of the head, 0 while there is none
 	Pages    map[int]*StoredPage
 	Grants   map[uint64]*StoredGrant
 }
 
-// StoredPage is a page with the stamp of its key.
+// StoredPage is a page with the revision of its key.
 type StoredPage struct {
 	Page
 	Revision uint64
 }
 
-// StoredGrant is a grant with the stamp of its key.
+// StoredGrant is a grant with the revision of its key.
 type StoredGrant struct {
 	Grant
 	Revision uint64
 }
 
-// isAccepted tells whether the drain was accepted. Pages are written before the head.
+// isAccepted reports whether the drain was accepted. Pages are written before the head.
 func (d *Drain) isAccepted() bool { return d.Revision != 0 }
 
 // grantNumbers lists the grants in the order in which they were given.
 func (d *Drain) grantNumbers() []uint64 { return slices.Sorted(maps.Keys(d.Grants)) }
 
-// EachMachine calls fn for the machines, in the order of the pages.
-func (d *Drain) EachMachine(fn func(page, position int, machine *Machine)) {
+// entryPosition is where a drain's pages list a machine.
+type entryPosition struct {
+	page  int // number of the page
+	index int // in the page
+}
+
+// EachMachine calls fn for the machines, in the order of the pages. The entries must not
+// be changed.
+func (d *Drain) EachMachine(fn func(at entryPosition, machine *Machine)) {
 	for number := range d.Head.Pages {
 		if page := d.Pages[number]; page != nil {
 			for i := range page.Machines {
-				fn(number, i, &page.Machines[i])
+				fn(entryPosition{number, i}, &page.Machines[i])
 			}
 		}
 	}
@@ -54,7 +61,7 @@
 // CountByState tells how many machines are in each state.
 func (d *Drain) CountByState() map[MachineState]int {
 	counts := map[MachineState]int{}
-	d.EachMachine(func(_, _ int, machine *Machine) { counts[machine.State]++ })
+	d.EachMachine(func(_ entryPosition, machine *Machine) { counts[machine.State]++ })
 	return counts
 }
 
@@ -65,20 +72,20 @@
 
 	mirror         *statestore.Mirror
 	log            *slog.Logger
-	drains         map[string]*Drain
-	closingDrains  map[string]int      // drains that keep a machine closed, by its name
-	grantsByTask   map[TaskName][]held // grants by task
-	indexIsStale   bool                // closed and grantsByTask are to be made anew
-	unreadableKeys map[string]bool     // keys whose values do not parse
+	drains         map[string]*Drain // by ID, also those that have pages alone
+	unreadableKeys map[string]bool   // keys whose values do not parse
+	index          recordIndex
 }
 
-// held is a task of a grant.
-type held struct {
-	drain *Drain
-	ref   TaskRef
+// recordIndex answers from the records what is asked for each task and machine. It is
+// made anew when it is needed after the records have changed.
+type recordIndex struct {
+	isStale       bool
+	closingDrains map[string]int // active drains that keep a machine closed, by machine
+	grants        map[TaskName][]TaskRef
 }
 
-// NewRecords returns an empty book.
+// NewRecords returns an empty copy, which Start has filled and kept up to date.
 func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Records {
 	records := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
 	records.clear()
@@ -89,26 +96,28 @@
 }
 
 func (r *Records) clear() {
-	r.drains, r.closingDrains, r.grantsByTask, r.indexIsStale = map[string]*Drain{}, map[string]int{}, map[TaskName][]held{}, false
-	r.unreadableKeys = map[string]bool{}
+	r.drains, r.unreadableKeys = map[string]*Drain{}, map[string]bool{}
+	r.index = recordIndex{closingDrains: map[string]int{}, grants: map[TaskName][]TaskRef{}}
 }
 
 // Start begins to follow the records.
 func (r *Records) Start() { r.mirror.Start() }
 
-// Ready tells whether the records have been read.
+// Ready reports whether the records have been read.
 func (r *Records) Ready() bool { return r.mirror.IsReady() }
 
-// Verify calls fn when the book is proven to hold all that was committed before.
+// Verify calls done when the copy is proven to hold all that was committed before, or
+// with an error if that could not be shown.
 func (r *Records) Verify(done func(error)) { r.mirror.Verify(done) }
 
-// VerifiedAt is the moment up to which the book is proven to be complete.
-func (r *Records) VerifiedAt() (time.Duration, bool) { return r.mirror.VerifiedAt() }
+// VerifiedAt is the moment, by the loop's clock, up to which the copy is proven to be
+// complete; isKnown is false before the first proof.
+func (r *Records) VerifiedAt() (at time.Duration, isKnown bool) { return r.mirror.VerifiedAt() }
 
-// VerifyIfOlder has the book shown to be current if that was longer ago than age.
+// VerifyIfOlder has the copy shown to be current if that was longer ago than maxAge.
 func (r *Records) VerifyIfOlder(maxAge time.Duration) { r.mirror.VerifyIfOlder(maxAge) }
 
-// Get finds a drain.
+// Get finds a drain; nil if none of that name was accepted.
 func (r *Records) Get(id string) *Drain {
 	if drain := r.drains[id]; drain != nil && drain.isAccepted() {
 		return drain
@@ -116,7 +125,7 @@
 	return nil
 }
 
-// Drains lists the drains, the oldest first.
+// Drains lists the drains that were accepted, the oldest first.
 func (r *Records) Drains() []*Drain {
 	var drains []*Drain
 	for _, drain := range r.drains {
@@ -130,7 +139,7 @@
 	return drains
 }
 
-// IsIdle tells whether nothing is to be done for any drain.
+// IsIdle reports whether nothing is to be done for any drain.
 func (r *Records) IsIdle() bool {
 	for _, drain := range r.drains {
 		if drain.Head.Phase.Active() || len(drain.Grants) > 0 {
@@ -140,9 +149,9 @@
 	return true
 }
 
-// IsEmptyOfWork tells whether there is nothing to do at all: no drain is active, and nothing is
-// left of those that are over.
-func (r *Records) IsEmptyOfWork() bool {
+// HasNoWork reports whether there is nothing to do at all: no drain is active, and no
+// record is left to be removed.
+func (r *Records) HasNoWork() bool {
 	for _, drain := range r.drains {
 		if drain.Head.Phase.Active() || len(drain.Pages)+len(drain.Grants) > 0 {
 			return false
@@ -151,60 +160,77 @@
 	return len(r.drains) <= tuning.MaxFinishedDrains
 }
 
-// IsClosed tells whether a machine takes no new tasks.
-func (r *Records) IsClosed(machine string) bool {
+// replacements is the machines rented for others that are not released yet.
+func (r *Records) replacements() map[string]bool {
+	replacements := map[string]bool{}
+	for _, drain := range r.Drains() {
+		if !drain.Head.Phase.Active() {
+			continue
+		}
+		drain.EachMachine(func(_ entryPosition, machine *Machine) {
+			if machine.Replacement != "" && machine.State != MachineReleased {
+				replacements[machine.Replacement] = true
+			}
+		})
+	}
+	return replacements
+}
+
+// IsClosed reports whether a machine takes no new tasks.
+func (r *Records) IsClosed(machineID string) bool {
 	r.refreshIndex()
-	return r.closingDrains[machine] > 0
+	return r.index.closingDrains[machineID] > 0
 }
 
-// grantsOf lists the grants of a task or gang.
-func (r *Records) grantsOf(name TaskName) []held {
+// grantsOf lists the granted attempts of a task or gang.
+func (r *Records) grantsOf(name TaskName) []TaskRef {
 	r.refreshIndex()
-	return r.grantsByTask[name]
+	return r.index.grants[name]
 }
 
-// IsGranted tells whether a task, of a gang or not, is granted.
-func (r *Records) IsGranted(job string, index int, gang bool) bool {
-	if gang {
+// IsGranted reports whether a task is granted, of a gang as a whole or by itself.
+func (r *Records) IsGranted(job string, index int, isGang bool) bool {
+	if isGang {
 		index = gangIndex
 	}
 	return len(r.grantsOf(TaskName{job, index})) > 0
 }
 
-// HasUnreadable tells whether a record does not parse: what it grants is not known.
+// HasUnreadable reports whether a record does not parse: what it grants is not known.
 func (r *Records) HasUnreadable() bool { return len(r.unreadableKeys) > 0 }
 
-// refreshIndex makes the look-up tables anew if the records have changed.
+// refreshIndex makes the index anew if the records have changed.
 func (r *Records) refreshIndex() {
-	if !r.indexIsStale {
+	if !r.index.isStale {
 		return
 	}
-	r.indexIsStale = false
-	clear(r.closingDrains)
-	clear(r.grantsByTask)
+	r.index.isStale = false
+	clear(r.index.closingDrains)
+	clear(r.index.grants)
 	for _, drain := range r.drains {
 		if drain.Head.Phase.Active() {
-			drain.EachMachine(func(_, _ int, machine *Machine) {
+			drain.EachMachine(func(_ entryPosition, machine *Machine) {
 				if machine.State == MachineClosed {
-					r.closingDrains[machine.ID]++
+					r.index.closingDrains[machine.ID]++
 				}
 			})
 		}
 		for _, grant := range drain.Grants {
 			for _, ref := range grant.Tasks {
-				r.grantsByTask[ref.Name()] = append(r.grantsByTask[ref.Name()], held{drain, ref})
+				r.index.grants[ref.Name()] = append(r.index.grants[ref.Name()], ref)
 			}
 		}
 	}
 }
 
+// apply takes in a record, or its removal if the value is nil.
 func (r *Records) apply(rawKey string, value json.RawMessage, revision uint64) {
 	key, err := parseKey(rawKey)
 	if err != nil {
 		r.log.Warn("unknown drain record", "key", rawKey)
 		return
 	}
-	r.indexIsStale = true
+	r.index.isStale = true
 	delete(r.unreadableKeys, rawKey)
 	drain := r.drains[key.drainID]
 	if drain == nil {
@@ -215,25 +241,32 @@
 		r.remove(drain, key)
 		return
 	}
+	if err := drain.store(key, value, revision); err != nil {
+		r.unreadableKeys[rawKey] = true
+		r.log.Error("drain record does not parse, nothing more is granted", "key", rawKey, "err", err)
+	}
+}
+
+// store takes in a record. One that does not parse is there nevertheless, as far as it
+// was understood: its revision is needed to replace it.
+func (d *Drain) store(key recordKey, value json.RawMessage, revision uint64) error {
 	switch key.kind {
 	case headKind:
-		drain.Head, drain.Revision = Head{}, revision
-		err = json.Unmarshal(value, &drain.Head)
+		d.Head, d.Revision = Head{}, revision
+		return json.Unmarshal(value, &d.Head)
 	case pageKind:
 		page := &StoredPage{Revision: revision}
-		err = json.Unmarshal(value, &page.Page)
-		drain.Pages[int(key.number)] = page
+		d.Pages[int(key.number)] = page
+		return json.Unmarshal(value, &page.Page)
 	case grantKind:
 		grant := &StoredGrant{Revision: revision}
-		err = json.Unmarshal(value, &grant.Grant)
-		drain.Grants[key.number] = grant
-	}
-	if err != nil {
-		r.unreadableKeys[rawKey] = true
-		r.log.Error("drain record does not parse, nothing more is granted", "key", rawKey, "err", err)
+		d.Grants[key.number] = grant
+		return json.Unmarshal(value, &grant.Grant)
 	}
+	return nil
 }
 
+// remove takes in the removal of a record.
 func (r *Records) remove(drain *Drain, key recordKey) {
 	switch key.kind {
 	case headKind:
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -13,7 +13,7 @@
 // Verb is what an operator asks for.
 type Verb string
 
-// The verbs.
+// The verbs. VerbPlan and VerbStatus change nothing.
 const (
 	VerbPlan   Verb = "plan"
 	VerbStart  Verb = "start"
@@ -33,9 +33,10 @@
 	Forwarded bool `json:"forwarded,omitempty"`
 }
 
-// Digest tells whether two requests of the same id ask for the same.
+// Digest returns a text that is the same for two requests of a drain if, and only if, they
+// ask for the same.
 func (r *Request) Digest() string {
-	// Digests are stored and compared across versions: these names must stay.
+	// Digests are stored and compared across versions: the names of these fields must stay.
 	content := struct {
 		Selection Selection `json:"Selection"`
 		Replace   bool      `json:"Replace"`
@@ -48,12 +49,23 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// RequestError is a request that is refused for good.
+// RequestError is why a request is refused for good: sent again, it would be refused again.
 type RequestError struct {
-	Field  string
+	Field  string // of the request, or what of the cluster forbids it, as operators read it
 	Reason string
 }
 
+// The fields that a RequestError names.
+const (
+	fieldVerb      = "verb"
+	fieldID        = "id"
+	fieldSelection = "selection"
+	fieldMachine   = "machine"
+	fieldKind      = "kind"
+	fieldPrefix    = "prefix"
+	fieldBudget    = "budget"
+)
+
 // Error names the field and the reason in one line.
 func (e *RequestError) Error() string { return e.Field + ": " + e.Reason }
 
@@ -70,10 +82,10 @@
 // Response answers a request.
 type Response struct {
 	Status ResponseStatus `json:"status"`
-	Node   string         `json:"node"` // which answers
+	Node   string         `json:"node"` // the controller that answers
 	Field  string         `json:"field,omitempty"`
 	Reason string         `json:"reason,omitempty"`
-	// RetryMS is when to ask again, with StatusUnavailable.
+	// RetryMS is the milliseconds after which to ask again, with StatusUnavailable.
 	RetryMS int64                `json:"retryMs,omitempty"`
 	Drains  []View               `json:"drains,omitempty"`
 	Teams   map[string]TeamState `json:"teams,omitempty"`
@@ -115,7 +127,8 @@
 	Budget string `json:"budget"`
 }
 
-// Validate finds what is wrong with a request by itself; nil if nothing is.
+// Validate finds what is wrong with a request by itself, without regard to the cluster;
+// nil if nothing is.
 func (r *Request) Validate() *RequestError {
 	if r.Verb == VerbPlan || r.Verb == VerbStart {
 		if _, refusal := newMatcher(r.Selection); refusal != nil {
@@ -131,10 +144,10 @@
 		}
 	case VerbStart, VerbPause, VerbResume, VerbCancel:
 	default:
-		return &RequestError{"verb", fmt.Sprintf("%q is not known", r.Verb)}
+		return &RequestError{fieldVerb, fmt.Sprintf("%q is not known", r.Verb)}
 	}
 	if !ValidID(r.ID) {
-		return &RequestError{"id", fmt.Sprintf("%q is not 1 to 40 of a-z, 0-9 and -, the first a letter or digit", r.ID)}
+		return &RequestError{fieldID, fmt.Sprintf("%q is not 1 to 40 of a-z, 0-9 and -, the first a letter or digit", r.ID)}
 	}
 	return nil
 }
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -1,128 +1,131 @@
 package drain
 
 import (
-	"fmt"
-	"maps"
 	"slices"
 
 	"lemonmoor/internal/statestore"
 	"lemonmoor/internal/tuning"
 )
 
-// round is one look at all drains, and the one commit that comes of it.
+// round is one evaluation of all drains by the leader, and the one commit that comes of
+// it. It is made anew for each Tick from the records and the newest shard reports, and
+// what it decides is in effect only when its changes are durable.
 type round struct {
-	coordinator    *Coordinator
-	usage          *usage
-	unknownShard   int // a block of which too little is known to grant anything, -1 for none
-	conditions     []statestore.Condition
-	operations     []statestore.Operation
-	operationsLeft int                  // changes that the commit may still take
-	pageEdits      map[string]*pageEdit // by key
-	grantedNow     map[TaskRef]bool     // granted in this round
-	// withoutRoom are the machines for tasks of which there is no room elsewhere.
-	withoutRoom map[string]bool
-	waitReasons map[string][]string
-	steps       []step // to be logged when they are durable
-}
+	*Coordinator
 
-// pageEdit is a page that is being changed.
-type pageEdit struct {
-	page           Page
-	operationIndex int // its place in apply
-}
+	usage   *usage // of the teams' budgets, with what this round grants
+	changes *changeSet
+	steps   []step // to be logged when the changes are durable
 
-// step is something to be logged and traced once it is committed.
-type step struct {
-	drainID, machineID, name string
-	grant                    *Grant
+	// Of these nothing may be granted: with an unreadable record it is not known what is
+	// granted already, without a shard's report how its tasks are.
+	hasUnreadableRecord bool
+	shardWithoutReport  int // noShard if all have reported
+
+	grantedNow  map[TaskRef]bool    // by this round
+	withoutRoom map[string]bool     // machines with tasks for which there is no room elsewhere
+	waitReasons map[string][]string // by drain
 }
 
 func (c *Coordinator) newRound() *round {
-	r := &round{
-		coordinator: c, usage: c.currentUsage(), unknownShard: c.shardWithoutReport(), operationsLeft: min(c.state.MaxOperations(), int(c.writeTokens)), pageEdits: map[string]*pageEdit{},
+	return &round{
+		Coordinator: c, usage: c.disturbances.usage(),
+		changes:             &changeSet{capacity: min(c.state.MaxOperations(), c.writes.available()), pageEdits: map[string]*pageEdit{}},
+		hasUnreadableRecord: c.records.HasUnreadable(), shardWithoutReport: c.reports.shardWithoutReport(),
 		grantedNow: map[TaskRef]bool{}, withoutRoom: map[string]bool{}, waitReasons: map[string][]string{},
 	}
-	if c.records.HasUnreadable() {
-		r.unknownShard = len(c.reports)
-	}
-	return r
 }
 
-// addWaitReason notes what a drain waits for.
-func (r *round) addWaitReason(drain *Drain, format string, args ...any) {
-	reason := fmt.Sprintf(format, args...)
-	if reasons := r.waitReasons[drain.ID]; !slices.Contains(reasons, reason) && len(reasons) < tuning.MaxDrainWaitReasons {
+// addWaitReason notes what a drain waits for. Each reason is given once, and only so many
+// that an answer to operators stays small.
+func (r *round) addWaitReason(drain *Drain, reason string) {
+	reasons := r.waitReasons[drain.ID]
+	if !slices.Contains(reasons, reason) && len(reasons) < tuning.MaxDrainWaitReasons {
 		r.waitReasons[drain.ID] = append(reasons, reason)
 	}
 }
 
-// put adds a change of a key that must still have the stamp.
-func (r *round) put(key string, revision uint64, value any) bool {
-	raw, err := encode(value)
-	if err != nil || r.operationsLeft <= 0 {
-		return false
+// editMachine changes a machine's entry and notes the step; false if the commit has no
+// room for it.
+func (r *round) editMachine(drain *Drain, at entryPosition, name stepName, edit func(*Machine)) bool {
+	machineID, isEdited := r.changes.editMachine(drain, at, edit)
+	if isEdited {
+		r.steps = append(r.steps, step{drainID: drain.ID, machineID: machineID, name: name})
 	}
-	r.operationsLeft--
-	r.conditions = append(r.conditions, statestore.Condition{Key: key, Revision: revision})
-	r.operations = append(r.operations, statestore.Operation{PutKey: key, Value: raw})
-	return true
+	return isEdited
 }
 
-func (r *round) delete(key string, revision uint64) bool {
-	if r.operationsLeft <= 0 {
-		return false
-	}
-	r.operationsLeft--
-	r.conditions = append(r.conditions, statestore.Condition{Key: key, Revision: revision})
-	r.operations = append(r.operations, statestore.Operation{DeleteKey: key})
-	return true
+// changeSet collects the conditions and operations of one commit.
+type changeSet struct {
+	conditions []statestore.Condition
+	operations []statestore.Operation
+	capacity   int                  // operations that the commit may still take
+	pageEdits  map[string]*pageEdit // by key
 }
 
-// editMachine changes a machine's entry; false if the commit has no room for it.
-func (r *round) editMachine(drain *Drain, page, position int, stepName string, change func(*Machine)) bool {
-	key := PageKey(drain.ID, page)
-	edit := r.pageEdits[key]
-	if edit == nil {
-		stored := drain.Pages[page]
-		edit = &pageEdit{page: Page{slices.Clone(stored.Machines)}, operationIndex: len(r.operations)}
-		if !r.put(key, stored.Revision, edit.page) {
-			return false
-		}
-		r.pageEdits[key] = edit
+// pageEdit is a page that the commit changes, perhaps at several entries.
+type pageEdit struct {
+	page           Page
+	operationIndex int // of the page's operation in the commit
+}
+
+func (s *changeSet) isEmpty() bool { return len(s.operations) == 0 }
+
+// require adds a condition that does not belong to an operation.
+func (s *changeSet) require(condition statestore.Condition) {
+	if !slices.Contains(s.conditions, condition) {
+		s.conditions = append(s.conditions, condition)
 	}
-	change(&edit.page.Machines[position])
-	raw, err := encode(edit.page)
+}
+
+// put writes a key that must still have the revision; false if the commit has no room.
+func (s *changeSet) put(key string, revision uint64, record any) bool {
+	raw, err := encode(record)
 	if err != nil {
 		return false
 	}
-	r.operations[edit.operationIndex].Value = raw
-	r.steps = append(r.steps, step{drainID: drain.ID, machineID: edit.page.Machines[position].ID, name: stepName})
-	return true
+	return s.add(statestore.Condition{Key: key, Revision: revision}, statestore.Operation{PutKey: key, Value: raw})
 }
 
-// logSteps logs and traces what the round has done.
-func (r *round) logSteps() {
-	for _, step := range r.steps {
-		if step.grant == nil {
-			r.coordinator.log.Info("drain step", "drain", step.drainID, "machine", step.machineID, "step", step.name)
-		} else {
-			r.logGrant(step)
-		}
-		r.coordinator.tracer.Step(step, r.usage)
+// remove deletes a key that must still have the revision; false if the commit has no room.
+func (s *changeSet) remove(key string, revision uint64) bool {
+	return s.add(statestore.Condition{Key: key, Revision: revision}, statestore.Operation{DeleteKey: key})
+}
+
+func (s *changeSet) add(condition statestore.Condition, operation statestore.Operation) bool {
+	if s.capacity <= 0 {
+		return false
 	}
+	s.capacity--
+	s.conditions = append(s.conditions, condition)
+	s.operations = append(s.operations, operation)
+	return true
+}
+
+// puts reports whether the commit writes a key.
+func (s *changeSet) puts(key string) bool {
+	return slices.ContainsFunc(s.operations, func(operation statestore.Operation) bool { return operation.PutKey == key })
 }
 
-// logGrant says how the budgets of the teams concerned stand after a grant.
-func (r *round) logGrant(granted step) {
-	teams := map[string]bool{}
-	for _, ref := range granted.grant.Tasks {
-		if spec, open := r.coordinator.cluster.Job(ref.Job); open {
-			teams[spec.Team] = true
+// editMachine changes an entry of a stored page, of which the commit then writes a copy,
+// and returns the name of the machine; false if the commit has no room.
+func (s *changeSet) editMachine(drain *Drain, at entryPosition, change func(*Machine)) (machineID string, isEdited bool) {
+	key := PageKey(drain.ID, at.page)
+	edit := s.pageEdits[key]
+	if edit == nil {
+		stored := drain.Pages[at.page]
+		edit = &pageEdit{page: Page{slices.Clone(stored.Machines)}, operationIndex: len(s.operations)}
+		if !s.put(key, stored.Revision, edit.page) {
+			return "", false
 		}
+		s.pageEdits[key] = edit
 	}
-	for _, team := range slices.Sorted(maps.Keys(teams)) {
-		usage, budget := r.usage.team(team), r.coordinator.budgets.ForTeam(team)
-		r.coordinator.log.Info("drain granted", "drain", granted.drainID, "machine", granted.machineID, "tasks", len(granted.grant.Tasks), "team", team,
-			"chosen", usage.Chosen.Tasks, "unchosen", usage.Unchosen.Tasks, "cpus", usage.Disturbed().CPUs, "budget", budget.String())
+	machine := &edit.page.Machines[at.index]
+	change(machine)
+	raw, err := encode(edit.page)
+	if err != nil {
+		return "", false
 	}
+	s.operations[edit.operationIndex].Value = raw
+	return machine.ID, true
 }
--- a/internal/drain/scale_test.go
+++ b/internal/drain/scale_test.go
@@ -53,7 +53,9 @@
 	set.Deployment.State.WriteRPS = 15
 	set.Operator.Drains = &settings.Drains{}
 	cluster := &largeCluster{machines: machines}
-	c := NewCoordinator(rt, state, cluster, book, cluster, set, nil, log)
+	c := NewCoordinator(Dependencies{
+		Runtime: rt, State: state, Lease: cluster, Records: book, Cluster: cluster, Settings: set, Log: log,
+	})
 	c.BeginTerm(7)
 	rt.fire()
 	var answer *Response
@@ -75,8 +77,8 @@
 	if most := machines/(valueBytes/maxMachineBytes) + 2; changes > most {
 		t.Errorf("%d changes, not %d", changes, most)
 	}
-	c.commitInFlight, cluster.asked = false, 0
-	c.writeTokens, c.refilledAt = 3, rt.now
+	c.committer.inFlight, cluster.asked = false, 0
+	c.writes.bucket.Reset(rt.now, 3)
 	c.Tick()
 	if cluster.asked < machines || cluster.asked > 4*machines {
 		t.Errorf("a round asks %d times about %d machines", cluster.asked, machines)
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -27,7 +27,7 @@
 	Prefixes []string    `json:"prefixes,omitempty"` // of the workers' addresses
 }
 
-// normalized is the selection in a form that does not depend on the order of naming.
+// normalized returns the selection in a form that does not depend on the order of naming.
 func (s Selection) normalized() Selection {
 	sortedSet := func(list []string) []string {
 		list = slices.Clone(list)
@@ -47,52 +47,61 @@
 // newMatcher checks what a selection says by itself.
 func newMatcher(selection Selection) (*matcher, *RequestError) {
 	if len(selection.Machines)+len(selection.Zones)+len(selection.Types)+len(selection.Prefixes) == 0 && selection.Kind == AnyKind {
-		return nil, &RequestError{"selection", "empty: name machines, zones, types, prefixes or a kind"}
+		return nil, &RequestError{fieldSelection, "empty: name machines, zones, types, prefixes or a kind"}
 	}
 	if selection.Kind != AnyKind && selection.Kind != SpotKind && selection.Kind != OrdinaryKind {
-		return nil, &RequestError{"kind", fmt.Sprintf("%q is neither spot nor ordinary", selection.Kind)}
+		return nil, &RequestError{fieldKind, fmt.Sprintf("%q is neither spot nor ordinary", selection.Kind)}
 	}
-	result := &matcher{selection: selection}
+	prefixes, refusal := parsePrefixes(selection.Prefixes)
+	if refusal != nil {
+		return nil, refusal
+	}
+	m := &matcher{selection: selection, prefixes: prefixes}
 	if len(selection.Machines) > 0 {
-		result.foundByName = map[string]bool{}
+		m.foundByName = map[string]bool{}
 		for _, name := range selection.Machines {
-			result.foundByName[name] = false
+			m.foundByName[name] = false
 		}
 	}
-	if len(selection.Prefixes) > 0 {
-		var builder netipx.IPSetBuilder
-		for _, text := range selection.Prefixes {
-			prefix, err := netip.ParsePrefix(text)
-			if err != nil {
-				return nil, &RequestError{"prefix", fmt.Sprintf("%q is not an IP prefix such as 10.1.0.0/24", text)}
-			}
-			builder.AddPrefix(prefix)
-		}
-		set, err := builder.IPSet()
+	return m, nil
+}
+
+// parsePrefixes returns the set of the addresses that have one of the prefixes; nil if
+// there are no prefixes.
+func parsePrefixes(texts []string) (*netipx.IPSet, *RequestError) {
+	if len(texts) == 0 {
+		return nil, nil
+	}
+	var builder netipx.IPSetBuilder
+	for _, text := range texts {
+		prefix, err := netip.ParsePrefix(text)
 		if err != nil {
-			return nil, &RequestError{"prefix", err.Error()}
+			return nil, &RequestError{fieldPrefix, fmt.Sprintf("%q is not an IP prefix such as 10.1.0.0/24", text)}
 		}
-		result.prefixes = set
+		builder.AddPrefix(prefix)
+	}
+	set, err := builder.IPSet()
+	if err != nil {
+		return nil, &RequestError{fieldPrefix, err.Error()}
 	}
-	return result, nil
+	return set, nil
 }
 
-// matches tells whether a machine is selected.
+// matches reports whether a machine is selected.
 func (m *matcher) matches(machine *MachineInfo) bool {
-	selection := &m.selection
 	if m.foundByName != nil {
-		if _, named := m.foundByName[machine.ID]; !named {
+		if _, isNamed := m.foundByName[machine.ID]; !isNamed {
 			return false
 		}
 		m.foundByName[machine.ID] = true
 	}
-	if len(selection.Zones) > 0 && !slices.Contains(selection.Zones, machine.Zone) {
+	if len(m.selection.Zones) > 0 && !slices.Contains(m.selection.Zones, machine.Zone) {
 		return false
 	}
-	if len(selection.Types) > 0 && !slices.Contains(selection.Types, machine.Type) {
+	if len(m.selection.Types) > 0 && !slices.Contains(m.selection.Types, machine.Type) {
 		return false
 	}
-	if (selection.Kind == SpotKind && !machine.Spot) || (selection.Kind == OrdinaryKind && machine.Spot) {
+	if (m.selection.Kind == SpotKind && !machine.Spot) || (m.selection.Kind == OrdinaryKind && machine.Spot) {
 		return false
 	}
 	if m.prefixes == nil {
@@ -102,7 +111,7 @@
 	return err == nil && m.prefixes.Contains(address.Addr().Unmap())
 }
 
-// missingMachine is a named machine that does not exist, "" if there is none.
+// missingMachine returns a named machine that does not exist, "" if there is none.
 func (m *matcher) missingMachine() string {
 	for _, name := range m.selection.Machines {
 		if !m.foundByName[name] {
@@ -111,3 +120,24 @@
 	}
 	return ""
 }
+
+// selectMachines lists the machines of the cluster that a selection names.
+func selectMachines(cluster Cluster, selection Selection) ([]MachineInfo, *RequestError) {
+	m, refusal := newMatcher(selection)
+	if refusal != nil {
+		return nil, refusal
+	}
+	var machines []MachineInfo
+	cluster.EachMachine(func(info *MachineInfo) {
+		if m.matches(info) {
+			machines = append(machines, *info)
+		}
+	})
+	if name := m.missingMachine(); name != "" {
+		return nil, &RequestError{fieldMachine, fmt.Sprintf("there is no machine %q", name)}
+	}
+	if len(machines) == 0 {
+		return nil, &RequestError{fieldSelection, "no machine matches it"}
+	}
+	return machines, nil
+}
--- a/internal/drain/shard_report.go
+++ b/internal/drain/shard_report.go
@@ -1,21 +1,21 @@
 package drain
 
-// ShardReport is what a block's owner adds to its status message while there are
-// drains.
+// ShardReport is what a shard's owner adds to its status message to the leader while there
+// are drains.
 type ShardReport struct {
 	// Machines are the closed ones that are up, with the tasks on them.
 	Machines []ClosedMachine `json:"machines,omitempty"`
-	// Granted is how the granted tasks are that the owner holds.
+	// Granted is how the granted tasks are of which the owner knows.
 	Granted []GrantedTask `json:"granted,omitempty"`
-	// Teams is the work of the block that runs, or was disturbed by nobody's choice.
+	// Teams is the work of the shard that runs, or was disturbed by nobody's choice.
 	Teams map[string]TeamWork `json:"teams,omitempty"`
 	// Down is, by service, how many replicas are placed but not up.
 	Down map[string]int `json:"down,omitempty"`
-	// Partial: Down has been cut short, so no replica counts as up.
+	// Partial says that Down was cut short, so no replica may be counted as up.
 	Partial bool `json:"partial,omitempty"`
 }
 
-// TeamWork is a team's work in a block.
+// TeamWork is a team's work in a shard.
 type TeamWork struct {
 	Running   Amount `json:"running"`
 	Disturbed Amount `json:"disturbed"`
@@ -32,16 +32,16 @@
 	Job     string `json:"job"`
 	Index   int    `json:"index,omitempty"`
 	Attempt uint64 `json:"attempt"`
-	// RunsMS is how long it has been running, 0 if it has not begun.
+	// RunsMS is how long it has been running, in milliseconds, 0 if it has not begun.
 	RunsMS int64 `json:"runsMs,omitempty"`
 }
 
 // GrantedTask is how a granted task, or gang, is.
 type GrantedTask struct {
 	TaskRef
-	// Runs: a report under the present token shows it running, under the Attempt
-	// given, which may be a later one than the grant's.
+	// Runs says that a heartbeat under the present fencing token shows it running under the
+	// Attempt given here, which is later than the grant's.
 	Runs bool `json:"runs,omitempty"`
-	// Void: the owner has not stopped it, and knows that its drain was cancelled.
+	// Void says that the owner has not halted it, and knows that its drain was cancelled.
 	Void bool `json:"void,omitempty"`
 }
--- a/internal/drain/stored.go
+++ b/internal/drain/stored.go
@@ -1,9 +1,3 @@
-// Package drain empties and replaces machines in steps. Each team has a budget of how
-// much of its work may be disturbed at once; what is disturbed is granted in a record
-// of the state service before anything is stopped.
-//
-// The leader's Coordinator decides and commits, an owner's Executor carries out, and
-// every node follows the records through its Book.
 package drain
 
 import (
@@ -11,10 +5,10 @@
 	"fmt"
 )
 
-// Phase of a drain.
+// Phase is how far a drain as a whole is.
 type Phase string
 
-// The phases. Done and Cancelled are final.
+// The phases. PhaseDone and PhaseCancelled are final.
 const (
 	PhaseRunning   Phase = "running"
 	PhasePaused    Phase = "paused"
@@ -22,10 +16,10 @@
 	PhaseDone      Phase = "done"
 )
 
-// Active tells whether machines are kept closed and grants are carried out.
+// Active reports whether machines are kept closed and grants are carried out.
 func (p Phase) Active() bool { return p == PhaseRunning || p == PhasePaused }
 
-// Head is a drain as a whole.
+// Head is the stored record of a drain as a whole, under HeadKey.
 type Head struct {
 	Phase Phase `json:"phase"`
 	// Created is when it was accepted, in ms since the epoch by the leader's clock.
@@ -43,7 +37,7 @@
 	Ended int64 `json:"ended,omitempty"`
 }
 
-// MachineState is how far a machine of a drain is.
+// MachineState is how far a machine of a drain is. It is stored; MachineWaiting is left out.
 type MachineState string
 
 // The states, in their order.
@@ -66,11 +60,11 @@
 	Since int64 `json:"t,omitempty"`
 }
 
-// maxMachineBytes is the most that an entry of a page takes, with names of up to forty
-// bytes.
+// maxMachineBytes is the most bytes that an entry of a page takes, with names of up to
+// forty bytes.
 const maxMachineBytes = 150
 
-// Page lists some of a drain's machines.
+// Page is the stored record of some of a drain's machines, under PageKey.
 type Page struct {
 	Machines []Machine `json:"m"`
 }
@@ -85,7 +79,7 @@
 	Gang int `json:"g,omitempty"`
 }
 
-// Name is the task without its attempt.
+// Name returns the task, or the gang as a whole, without its attempt.
 func (t TaskRef) Name() TaskName {
 	if t.Gang > 0 {
 		return TaskName{t.Job, gangIndex}
@@ -99,14 +93,15 @@
 	Index int
 }
 
-// gangIndex stands where a task has its number.
+// gangIndex stands where a task has its index.
 const gangIndex = -1
 
-// maxTaskRefBytes is the most that a task takes in a grant.
+// maxTaskRefBytes is the most bytes that a task takes in a grant.
 const maxTaskRefBytes = 100
 
-// Grant allows the tasks of a machine to be disturbed. Until each of them runs again,
-// has ended, or its job is over, they use up their teams' budgets.
+// Grant is the stored record, under GrantKey, that allows tasks of a machine to be
+// disturbed. Each uses up its team's budget until it runs again, has ended, or its job is
+// over.
 type Grant struct {
 	Machine string    `json:"m"`
 	Tasks   []TaskRef `json:"t"`
--- a/internal/drain/trace.go
+++ b/internal/drain/trace.go
@@ -12,21 +12,24 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Steps that are traced by other means than a machine's name for them.
+// Names in the trace, by which operators' tools read it; the names of the steps are those of
+// stepName.
 const (
-	stepGranted = "granted"
-	stepDone    = "done"
+	tracerName = "lemonmoor/drain"
+	spanName   = "drain"
+	waitsEvent = "waits"
 )
 
 // Tracer records the drains' steps as spans: one for each drain, from the first step
-// that this leader takes to the last, with an event for each step and each wait. The
-// nil Tracer records nothing.
+// that this leader takes to the last, with an event for each step and for each change of
+// what the drain waits for. The nil Tracer records nothing.
 type Tracer struct {
 	tracer trace.Tracer
 	spans  map[string]trace.Span // by drain
 }
 
-// OpenTracer returns a tracer that appends to a file.
+// OpenTracer returns a tracer that appends to a file, which is made if need be. The file
+// stays open while the process runs.
 func OpenTracer(path string) (*Tracer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -42,19 +45,20 @@
 		return nil, fmt.Errorf("trace of drains: %w", err)
 	}
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter))
-	return &Tracer{tracer: provider.Tracer("lemonmoor/drain"), spans: map[string]trace.Span{}}, nil
+	return &Tracer{tracer: provider.Tracer(tracerName), spans: map[string]trace.Span{}}, nil
 }
 
+// span returns the span of a drain, which is begun if need be.
 func (t *Tracer) span(drainID string) trace.Span {
 	span := t.spans[drainID]
 	if span == nil {
-		_, span = t.tracer.Start(context.Background(), "drain", trace.WithAttributes(attribute.String("drain", drainID)))
+		_, span = t.tracer.Start(context.Background(), spanName, trace.WithAttributes(attribute.String("drain", drainID)))
 		t.spans[drainID] = span
 	}
 	return span
 }
 
-// Step records a step, and how the teams' budgets stand after it.
+// Step records a step of a drain, and how the teams' budgets stand after it.
 func (t *Tracer) Step(step step, usage *usage) {
 	if t == nil {
 		return
@@ -70,7 +74,7 @@
 			attribute.Float64("team."+name+".cpus", team.Disturbed().CPUs))
 	}
 	span := t.span(step.drainID)
-	span.AddEvent(step.name, trace.WithAttributes(attributes...))
+	span.AddEvent(string(step.name), trace.WithAttributes(attributes...))
 	if step.name == stepDone {
 		span.End()
 		delete(t.spans, step.drainID)
@@ -82,10 +86,10 @@
 	if t == nil {
 		return
 	}
-	t.span(drainID).AddEvent("waits", trace.WithAttributes(attribute.StringSlice("reasons", reasons)))
+	t.span(drainID).AddEvent(waitsEvent, trace.WithAttributes(attribute.StringSlice("reasons", reasons)))
 }
 
-// End ends all spans: the lead is lost.
+// End ends all spans: the leadership is lost.
 func (t *Tracer) End() {
 	if t == nil {
 		return
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -1,94 +1,89 @@
 package drain
 
 import (
-	"time"
-
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/taskstate"
-	"lemonmoor/internal/tuning"
 )
 
-// receivedReport is the newest report of a block's owner.
-type receivedReport struct {
-	token, sequence uint64
-	receivedAt      time.Duration
-	report          *ShardReport
+// disturbances tells, from the records and the shard owners' reports, which tasks are
+// disturbed now.
+type disturbances struct {
+	cluster Cluster
+	records *Records
+	reports *shardReports
 }
 
-// HandleShardReport takes what an owner reports; nil from one that knows no drains, or as
-// long as it knows of none.
-func (c *Coordinator) HandleShardReport(shardIndex int, token, sequence uint64, report *ShardReport) {
-	if c.token == 0 || shardIndex < 0 || shardIndex >= len(c.reports) {
-		return
-	}
-	last := &c.reports[shardIndex]
-	if token < last.token || (token == last.token && sequence <= last.sequence) {
-		return // held back on its way
-	}
-	*last = receivedReport{token, sequence, c.rt.Now(), report}
-	if report == nil {
-		return
-	}
-	budgetFreed := false
-	for _, task := range report.Granted {
-		if task.Runs && task.Attempt > c.ranAttempts[task.Name()] {
-			c.ranAttempts[task.Name()], budgetFreed = task.Attempt, true
-		}
-	}
-	if budgetFreed {
-		c.Tick() // a budget has become free
-	}
-}
-
-// shardWithoutReport is a block of which too little is known to grant anything, -1 if there is
-// none.
-func (c *Coordinator) shardWithoutReport() int {
-	for shardIndex := range c.reports {
-		last := &c.reports[shardIndex]
-		if last.report == nil || c.rt.Now()-last.receivedAt > tuning.StatusStaleAfter {
-			return shardIndex
-		}
-	}
-	return -1
-}
-
-// isSettled tells whether a granted task is disturbed no more: it runs again, has ended,
+// isSettled reports whether a granted task is disturbed no more: it runs again, has ended,
 // or its job is over.
-func (c *Coordinator) isSettled(ref TaskRef) bool {
-	if _, open := c.cluster.Job(ref.Job); !open {
+func (d *disturbances) isSettled(ref TaskRef) bool {
+	if _, isOpen := d.cluster.Job(ref.Job); !isOpen {
 		return true
 	}
-	if c.ranAttempts[ref.Name()] > ref.Attempt {
+	if d.reports.ranAttempts[ref.Name()] > ref.Attempt {
 		return true
 	}
 	if ref.Gang > 0 {
 		return false
 	}
-	status, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-	return known && status.State == taskstate.StateDone
+	status, isKnown := d.cluster.TaskStatus(ref.Job, ref.Index)
+	return isKnown && status.State == taskstate.StateDone
 }
 
-// shardReportingUntouched finds the block whose owner reports that a task was never stopped and will
-// not be, with the token under which that was said.
-func (c *Coordinator) shardReportingUntouched(ref TaskRef) (shardIndex int, token uint64, found bool) {
-	for shardIndex := range c.reports {
-		last := &c.reports[shardIndex]
-		if last.report == nil {
-			continue
+// eachUnsettled calls fn for each task that is granted and disturbed.
+func (d *disturbances) eachUnsettled(fn func(spec *jobs.Spec, ref TaskRef)) {
+	counted := map[TaskRef]bool{} // two drains may name the same machine
+	for _, drain := range d.records.Drains() {
+		for _, grant := range drain.Grants {
+			for _, ref := range grant.Tasks {
+				if counted[ref] || d.isSettled(ref) {
+					continue
+				}
+				counted[ref] = true
+				if spec, isOpen := d.cluster.Job(ref.Job); isOpen {
+					fn(spec, ref)
+				}
+			}
 		}
-		for _, task := range last.report.Granted {
-			if task.Void && task.TaskRef == ref {
-				return shardIndex, last.token, true
+	}
+}
+
+// unsettledTasks counts the tasks that a drain has disturbed.
+func (d *disturbances) unsettledTasks(drain *Drain) int {
+	count := 0
+	for _, grant := range drain.Grants {
+		for _, ref := range grant.Tasks {
+			if !d.isSettled(ref) {
+				count += max(1, ref.Gang)
 			}
 		}
 	}
-	return 0, 0, false
+	return count
 }
 
-// disturbanceOf is what the disturbance of a granted task takes of its team's budget.
-func disturbanceOf(spec *jobs.Spec, ref TaskRef) Amount {
-	tasks := max(1, ref.Gang)
-	return Amount{tasks, float64(tasks) * spec.CPUs}
+// usage counts what is disturbed now.
+func (d *disturbances) usage() *usage {
+	total := &usage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
+	for shardIndex := range d.reports.latest {
+		if report := d.reports.latest[shardIndex].report; report != nil {
+			total.addReport(report)
+		}
+	}
+	d.cluster.EachInterrupted(func(spec *jobs.Spec, tasks int) {
+		team := total.team(spec.Team)
+		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * spec.CPUs})
+	})
+	d.eachUnsettled(func(spec *jobs.Spec, ref TaskRef) {
+		total.addGrant(spec, ref)
+		status, isKnown := d.cluster.TaskStatus(ref.Job, ref.Index)
+		isPlaced := isKnown && status.State == taskstate.StatePlaced
+		if ref.Gang == 0 && isPlaced {
+			total.replicasDown[ref.Job]++
+		}
+		if !isPlaced || status.Attempt <= ref.Attempt || ref.Gang > 0 {
+			total.movingCPUs += disturbanceOf(spec, ref).CPUs
+		}
+	})
+	return total
 }
 
 // usage is how the teams' budgets stand.
@@ -96,11 +91,13 @@
 	teams map[string]*TeamUsage
 	// movingCPUs is the processors of granted tasks that have no new place yet.
 	movingCPUs float64
-	// replicasDown is, by service, the replicas that are granted or were lost.
+	// replicasDown is, by service, the replicas that are granted or were lost. It is
+	// incomplete with replicasUnknown, and then no replica counts as up.
 	replicasDown    map[string]int
 	replicasUnknown bool
 }
 
+// team returns a team's part, which is made if need be.
 func (u *usage) team(name string) *TeamUsage {
 	team := u.teams[name]
 	if team == nil {
@@ -110,63 +107,27 @@
 	return team
 }
 
-// addGrant counts a grant.
-func (u *usage) addGrant(spec *jobs.Spec, ref TaskRef) {
-	requested := disturbanceOf(spec, ref)
-	team := u.team(spec.Team)
-	team.Chosen = team.Chosen.Plus(requested)
+// addReport counts what a shard owner reports.
+func (u *usage) addReport(report *ShardReport) {
+	u.replicasUnknown = u.replicasUnknown || report.Partial
+	for name, work := range report.Teams {
+		team := u.team(name)
+		team.Running = team.Running.Plus(work.Running)
+		team.Unchosen = team.Unchosen.Plus(work.Disturbed)
+	}
+	for job, down := range report.Down {
+		u.replicasDown[job] += down
+	}
 }
 
-// currentUsage counts what is disturbed, from the records and the owners' reports.
-func (c *Coordinator) currentUsage() *usage {
-	total := &usage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
-	for shardIndex := range c.reports {
-		report := c.reports[shardIndex].report
-		if report == nil {
-			continue
-		}
-		total.replicasUnknown = total.replicasUnknown || report.Partial
-		for name, work := range report.Teams {
-			team := total.team(name)
-			team.Running = team.Running.Plus(work.Running)
-			team.Unchosen = team.Unchosen.Plus(work.Disturbed)
-		}
-		for job, down := range report.Down {
-			total.replicasDown[job] += down
-		}
-	}
-	c.cluster.EachInterrupted(func(spec *jobs.Spec, tasks int) {
-		team := total.team(spec.Team)
-		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * spec.CPUs})
-	})
-	c.eachUnsettled(func(spec *jobs.Spec, ref TaskRef) {
-		total.addGrant(spec, ref)
-		status, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-		isPlaced := known && status.State == taskstate.StatePlaced
-		if ref.Gang == 0 && isPlaced {
-			total.replicasDown[ref.Job]++
-		}
-		if !isPlaced || status.Attempt <= ref.Attempt || ref.Gang > 0 {
-			total.movingCPUs += disturbanceOf(spec, ref).CPUs
-		}
-	})
-	return total
+// addGrant counts a granted task or gang against its team's budget.
+func (u *usage) addGrant(spec *jobs.Spec, ref TaskRef) {
+	team := u.team(spec.Team)
+	team.Chosen = team.Chosen.Plus(disturbanceOf(spec, ref))
 }
 
-// eachUnsettled calls fn for each task that is granted and disturbed.
-func (c *Coordinator) eachUnsettled(fn func(drain *jobs.Spec, ref TaskRef)) {
-	counted := map[TaskRef]bool{} // two drains may name the same machine
-	for _, drain := range c.records.Drains() {
-		for _, grant := range drain.Grants {
-			for _, ref := range grant.Tasks {
-				if counted[ref] || c.isSettled(ref) {
-					continue
-				}
-				counted[ref] = true
-				if spec, open := c.cluster.Job(ref.Job); open {
-					fn(spec, ref)
-				}
-			}
-		}
-	}
+// disturbanceOf is what the disturbance of a task or gang takes of its team's budget.
+func disturbanceOf(spec *jobs.Spec, ref TaskRef) Amount {
+	tasks := max(1, ref.Gang)
+	return Amount{tasks, float64(tasks) * spec.CPUs}
 }
