--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -37,7 +37,7 @@
 			n.log.Error("drains are not traced", "err", err)
 		}
 	}
-	book := drain.NewRecords(n.rt, n.state, n.log)
+	book := drain.NewRecords(n.rt, n.state, n.log, n.actOnDrains)
 	cluster := &drainCluster{n, book}
 	n.drains = &drains{book, drain.NewCoordinator(drain.Dependencies{
 		Runtime: n.rt, State: n.state, Lease: n.leases, Records: book, Cluster: cluster, Settings: n.set, Tracer: tracer, Log: n.log,
@@ -48,7 +48,6 @@
 			return o.token != 0 && o.tasks.IsLoaded() && o.LeaseValid()
 		})
 	}
-	book.OnChange = n.actOnDrains
 }
 
 // actOnDrains has the owners here carry out what is granted.
--- a/internal/drain/advance.go
+++ b/internal/drain/advance.go
@@ -66,11 +66,11 @@
 
 // markReleasedMachines notes the machines that are gone, and counts the others.
 func (r *round) markReleasedMachines(drain *Drain) (machinesLeft int) {
-	drain.EachMachine(func(at entryPosition, machine *Machine) {
+	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State == MachineReleased {
 			return
 		}
-		if r.cluster.IsGone(machine.ID) && r.editMachine(drain, at, stepReleased, func(m *Machine) { m.State = MachineReleased }) {
+		if r.cluster.IsGone(machine.ID) && r.editMachine(drain, position, stepReleased, func(m *Machine) { m.State = MachineReleased }) {
 			return
 		}
 		machinesLeft++
@@ -83,7 +83,7 @@
 	head := drain.Head
 	head.Phase, head.Ended, head.Released = PhaseDone, r.rt.WallClock().UnixMilli(), head.Machines
 	if r.changes.put(HeadKey(drain.ID), drain.Revision, head) {
-		r.steps = append(r.steps, step{drainID: drain.ID, name: stepDone})
+		r.steps = append(r.steps, drainStep{drainID: drain.ID, name: stepDone})
 	}
 }
 
@@ -95,27 +95,27 @@
 
 // advanceReplacements follows the replacements from the request until they are up.
 func (r *round) advanceReplacements(drain *Drain) {
-	drain.EachMachine(func(at entryPosition, machine *Machine) {
+	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State != MachineReplacing || r.cluster.IsGone(machine.ID) {
 			return
 		}
 		if machine.Replacement == "" {
-			r.rentReplacement(drain, at, machine)
+			r.rentReplacement(drain, position, machine)
 			return
 		}
 		info, isKnown := r.cluster.Machine(machine.Replacement)
 		switch {
 		case isKnown && info.HasReported && info.AcceptsTasks:
-			r.editMachine(drain, at, stepClosed, r.closeMachine)
+			r.editMachine(drain, position, stepClosed, r.closeMachine)
 		case r.cluster.IsGone(machine.Replacement):
-			r.editMachine(drain, at, stepReplacementLost, func(m *Machine) { m.Replacement, m.Tries = "", m.Tries+1 })
+			r.editMachine(drain, position, stepReplacementLost, func(m *Machine) { m.Replacement, m.Tries = "", m.Tries+1 })
 		default:
 			r.addWaitReason(drain, fmt.Sprintf("replacement %s of %s is booting", machine.Replacement, machine.ID))
 		}
 	})
 }
 
-func (r *round) rentReplacement(drain *Drain, at entryPosition, machine *Machine) {
+func (r *round) rentReplacement(drain *Drain, position entryPosition, machine *Machine) {
 	info, isKnown := r.cluster.Machine(machine.ID)
 	if !isKnown {
 		r.addWaitReason(drain, unknownMachineReason(machine))
@@ -126,7 +126,7 @@
 		r.addWaitReason(drain, fmt.Sprintf("no replacement for %s yet: the cloud has not given one", machine.ID))
 		return
 	}
-	r.editMachine(drain, at, stepReplacementRented, func(m *Machine) { m.Replacement = replacement })
+	r.editMachine(drain, position, stepReplacementRented, func(m *Machine) { m.Replacement = replacement })
 }
 
 func unknownMachineReason(machine *Machine) string {
@@ -140,7 +140,7 @@
 
 // candidate is a machine that could be the next to be drained.
 type candidate struct {
-	at         entryPosition
+	position   entryPosition
 	info       MachineInfo
 	placedCPUs float64 // processors of the tasks on it
 }
@@ -203,12 +203,12 @@
 // taken.
 func (r *round) candidates(drain *Drain) []candidate {
 	var candidates []candidate
-	drain.EachMachine(func(at entryPosition, machine *Machine) {
+	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State != MachineWaiting {
 			return
 		}
 		if info, isKnown := r.cluster.Machine(machine.ID); isKnown && info.HasReported {
-			candidates = append(candidates, candidate{at, info, r.cluster.CPUsPlacedOn(machine.ID)})
+			candidates = append(candidates, candidate{position, info, r.cluster.CPUsPlacedOn(machine.ID)})
 		}
 	})
 	slices.SortFunc(candidates, func(a, b candidate) int {
@@ -220,9 +220,9 @@
 // beginMachine takes a machine in hand.
 func (r *round) beginMachine(drain *Drain, next candidate) bool {
 	if drain.Head.Replace {
-		return r.editMachine(drain, next.at, stepReplacing, func(m *Machine) { m.State = MachineReplacing })
+		return r.editMachine(drain, next.position, stepReplacing, func(m *Machine) { m.State = MachineReplacing })
 	}
-	return r.editMachine(drain, next.at, stepClosed, r.closeMachine)
+	return r.editMachine(drain, next.position, stepClosed, r.closeMachine)
 }
 
 // collectGarbage removes what is left of drains that are over, and of requests that were
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -68,7 +68,7 @@
 }
 
 // Plus returns the sum of two amounts.
-func (a Amount) Plus(b Amount) Amount { return Amount{a.Tasks + b.Tasks, a.CPUs + b.CPUs} }
+func (a Amount) Plus(other Amount) Amount { return Amount{a.Tasks + other.Tasks, a.CPUs + other.CPUs} }
 
 // TeamUsage is how a team's budget stands.
 type TeamUsage struct {
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -53,7 +53,7 @@
 
 // NewCoordinator returns a coordinator that does not lead.
 func NewCoordinator(deps Dependencies) *Coordinator {
-	c := &Coordinator{
+	coordinator := &Coordinator{
 		rt: deps.Runtime, state: deps.State, lease: deps.Lease, records: deps.Records, cluster: deps.Cluster,
 		settings: deps.Settings.Operator.Drains, budgets: NewBudgets(deps.Settings.Operator.Drains),
 		committer: &committer{rt: deps.Runtime, state: deps.State, records: deps.Records},
@@ -61,15 +61,15 @@
 		writes:    writeBudget{rate: deps.Settings.Deployment.State.WriteRPS * tuning.DrainWriteShare},
 		stuck:     &stuckMachines{rt: deps.Runtime},
 	}
-	c.disturbances = &disturbances{cluster: c.cluster, records: c.records, reports: c.reports}
-	c.progress = &progressLog{log: deps.Log, tracer: deps.Tracer, cluster: c.cluster, budgets: c.budgets}
-	c.requests = &requestHandler{
-		rt: c.rt, state: c.state, cluster: c.cluster, records: c.records, budgets: c.budgets,
-		committer: c.committer, disturbances: c.disturbances, progress: c.progress,
+	coordinator.disturbances = &disturbances{cluster: coordinator.cluster, records: coordinator.records, reports: coordinator.reports}
+	coordinator.progress = &progressLog{log: deps.Log, tracer: deps.Tracer, cluster: coordinator.cluster, budgets: coordinator.budgets}
+	coordinator.requests = &requestHandler{
+		rt: coordinator.rt, state: coordinator.state, cluster: coordinator.cluster, records: coordinator.records, budgets: coordinator.budgets,
+		committer: coordinator.committer, disturbances: coordinator.disturbances, progress: coordinator.progress,
 		node: deps.Settings.Node, log: deps.Log,
 	}
-	c.EndTerm()
-	return c
+	coordinator.EndTerm()
+	return coordinator
 }
 
 // BeginTerm starts a term of leadership under a fencing token: earlier leaders' commits
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
 	"log/slog"
 	"strings"
 	"testing"
@@ -16,15 +15,15 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// fakeRuntime is a clock that a test moves, and a state service whose answers to commits
-// a test gives.
+// fakeRuntime is a clock that a test moves, and an empty state service whose answers to
+// commits a test gives.
 type fakeRuntime struct {
 	now     time.Duration
 	timers  []func()
-	commits []pendingCall
+	commits []pendingCommit
 }
 
-type pendingCall struct {
+type pendingCommit struct {
 	body   string
 	answer func(http1.Response, error)
 }
@@ -41,7 +40,7 @@
 func (r *fakeRuntime) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	switch {
 	case c.Target == "/commit":
-		r.commits = append(r.commits, pendingCall{string(c.Body), fn})
+		r.commits = append(r.commits, pendingCommit{string(c.Body), fn})
 	case strings.HasPrefix(c.Target, "/keys"):
 		fn(http1.Response{Status: 200, Body: []byte(`{"rows":[],"epoch":1}`)}, nil)
 	case strings.Contains(c.Target, "waitMs=0"):
@@ -49,8 +48,8 @@
 	}
 }
 
-// fire lets all timers run that are set now.
-func (r *fakeRuntime) fire() {
+// runTimers moves the clock by a second and runs all timers that are set now.
+func (r *fakeRuntime) runTimers() {
 	timers := r.timers
 	r.timers = nil
 	r.now += time.Second
@@ -82,56 +81,68 @@
 func (emptyCluster) ShardCount() int                                      { return 1 }
 func (emptyCluster) LeaseValid() bool                                     { return true }
 
+// testCluster is a cluster and the leader's lease.
+type testCluster interface {
+	Cluster
+	LeaderLease
+}
+
+// newTestCoordinator returns a coordinator on a state service of which the limits are not
+// set, with empty records that follow it.
+func newTestCoordinator(runtime *fakeRuntime, cluster testCluster, writesPerSecond float64) *Coordinator {
+	log := slog.New(slog.DiscardHandler)
+	state := statestore.New(runtime, "state", log)
+	records := NewRecords(runtime, state, log, func() {})
+	records.Start()
+	nodeSettings := &settings.Settings{}
+	nodeSettings.Deployment.State.WriteRPS = writesPerSecond
+	nodeSettings.Operator.Drains = &settings.Drains{}
+	return NewCoordinator(Dependencies{
+		Runtime: runtime, State: state, Lease: cluster, Records: records, Cluster: cluster, Settings: nodeSettings, Log: log,
+	})
+}
+
 // TestCommitIsRepeatedUntilItsOutcomeIsKnown: a commit without an answer may be carried
 // out at any time. Until it is known whether it was, the same is sent again, nothing else
 // is, and nothing is taken for done or not done; a later term has nothing to do with it.
 func TestCommitIsRepeatedUntilItsOutcomeIsKnown(t *testing.T) {
-	rt := &fakeRuntime{}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	state := statestore.New(rt, "state", log)
-	book := NewRecords(rt, state, log)
-	book.Start()
-	set := &settings.Settings{}
-	set.Deployment.State.WriteRPS = 100
-	set.Operator.Drains = &settings.Drains{}
-	c := NewCoordinator(Dependencies{
-		Runtime: rt, State: state, Lease: emptyCluster{}, Records: book, Cluster: emptyCluster{}, Settings: set, Log: log,
-	})
-	c.BeginTerm(7)
+	runtime := &fakeRuntime{}
+	coordinator := newTestCoordinator(runtime, emptyCluster{}, 100)
+	coordinator.BeginTerm(7)
 	for range 3 {
-		rt.fire()
+		runtime.runTimers()
 	}
 	outcomes := []bool{}
-	c.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("a"), Value: json.RawMessage(`{}`)}}, func(ok bool) { outcomes = append(outcomes, ok) })
-	for try, answer := range []func(func(http1.Response, error)){
+	coordinator.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("a"), Value: json.RawMessage(`{}`)}}, func(ok bool) { outcomes = append(outcomes, ok) })
+	for attempt, answer := range []func(func(http1.Response, error)){
 		func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNoAnswer) },
 		func(fn func(http1.Response, error)) { fn(http1.Response{Status: 503}, nil) },
 		func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNotSent) },
 		func(fn func(http1.Response, error)) { fn(http1.Response{}, eventloop.ErrNoAnswer) },
 	} {
-		c.Tick()
-		if len(rt.commits) != try+1 || rt.commits[try].body != rt.commits[0].body || !c.committer.inFlight || len(outcomes) > 0 {
-			t.Fatalf("after %d answers: %d commits, flying %v, outcomes %v", try, len(rt.commits), c.committer.inFlight, outcomes)
+		coordinator.Tick()
+		if len(runtime.commits) != attempt+1 || runtime.commits[attempt].body != runtime.commits[0].body || !coordinator.committer.inFlight || len(outcomes) > 0 {
+			t.Fatalf("after %d answers: %d commits, in flight %v, outcomes %v", attempt, len(runtime.commits), coordinator.committer.inFlight, outcomes)
 		}
-		answer(rt.commits[try].answer)
-		rt.fire()
+		answer(runtime.commits[attempt].answer)
+		runtime.runTimers()
 	}
-	if !strings.Contains(rt.commits[0].body, `{"key":"lease/lead","stamp":7}`) {
-		t.Errorf("not guarded by the lead: %s", rt.commits[0].body)
+	if !strings.Contains(runtime.commits[0].body, `{"key":"lease/lead","stamp":7}`) {
+		t.Errorf("not conditional on the leadership: %s", runtime.commits[0].body)
 	}
-	rt.commits[4].answer(http1.Response{Status: 409, Body: []byte(`{"failed":["drain/a/head"],"epoch":9}`)}, nil)
+	runtime.commits[4].answer(http1.Response{Status: 409, Body: []byte(`{"failed":["drain/a/head"],"epoch":9}`)}, nil)
 	for range 3 {
-		rt.fire()
+		runtime.runTimers()
 	}
-	if len(outcomes) != 1 || outcomes[0] || c.committer.inFlight {
-		t.Errorf("outcomes %v, flying %v", outcomes, c.committer.inFlight)
+	if len(outcomes) != 1 || outcomes[0] || coordinator.committer.inFlight {
+		t.Errorf("outcomes %v, in flight %v", outcomes, coordinator.committer.inFlight)
 	}
-	c.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
-	c.BeginTerm(8)
-	sent := len(rt.commits)
-	rt.commits[sent-1].answer(http1.Response{}, eventloop.ErrNoAnswer)
-	rt.fire()
-	if len(rt.commits) != sent {
+	coordinator.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
+	coordinator.BeginTerm(8)
+	sent := len(runtime.commits)
+	runtime.commits[sent-1].answer(http1.Response{}, eventloop.ErrNoAnswer)
+	runtime.runTimers()
+	if len(runtime.commits) != sent {
 		t.Error("a commit of an earlier term is repeated")
 	}
 }
--- a/internal/drain/grants.go
+++ b/internal/drain/grants.go
@@ -16,8 +16,8 @@
 // can be granted either, one is rented in its place.
 var errNoRoom = errors.New("no room")
 
-// move is a task, or a gang as a whole, that has to leave a closed machine.
-type move struct {
+// pendingMove is a task, or a gang as a whole, that has to leave a closed machine.
+type pendingMove struct {
 	spec            *jobs.Spec
 	ref             TaskRef
 	runningFor      time.Duration // 0 if it has not begun to run
@@ -27,7 +27,7 @@
 }
 
 // lostCPUSeconds is how much work is lost when it is halted, in seconds of a processor.
-func (m *move) lostCPUSeconds() float64 {
+func (m *pendingMove) lostCPUSeconds() float64 {
 	seconds := m.runningFor.Seconds()
 	if m.spec.CheckpointIntervalSeconds > 0 {
 		seconds = m.spec.CheckpointSeconds
@@ -36,11 +36,11 @@
 }
 
 // requiredCPUs is the processors of the room that it needs on open machines.
-func (m *move) requiredCPUs() float64 { return float64(m.tasksOnClosed) * m.spec.CPUs }
+func (m *pendingMove) requiredCPUs() float64 { return float64(m.tasksOnClosed) * m.spec.CPUs }
 
 // isAboutToEnd reports whether it should end so soon that it is waited for, for at most
 // maxWait from the closing of the machine on.
-func (m *move) isAboutToEnd(maxWait time.Duration) bool {
+func (m *pendingMove) isAboutToEnd(maxWait time.Duration) bool {
 	wait := maxWait - m.closedFor
 	remainingSeconds := m.spec.EstimateSeconds - m.runningFor.Seconds()
 	return wait > 0 && m.runningFor > 0 && !m.spec.IsService() && remainingSeconds > 0 && remainingSeconds <= wait.Seconds()
@@ -48,13 +48,13 @@
 
 // grantMoves lets tasks of the closed machines be halted, as far as budgets and room go.
 func (r *round) grantMoves(drain *Drain) {
-	drain.EachMachine(func(at entryPosition, machine *Machine) {
+	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State != MachineClosed {
 			return
 		}
 		r.grantMachine(drain, machine)
 		if r.withoutRoom[machine.ID] && machine.Tries < tuning.MaxDrainRentalAttempts && r.stuck.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
-			r.editMachine(drain, at, stepReopened, reopenMachine)
+			r.editMachine(drain, position, stepReopened, reopenMachine)
 		}
 	})
 }
@@ -95,14 +95,14 @@
 	}
 	grant := Grant{Machine: machine.ID, Tasks: granted}
 	if r.changes.put(GrantKey(drain.ID, r.nextGrantNumber(drain)), 0, grant) {
-		r.steps = append(r.steps, step{drainID: drain.ID, machineID: machine.ID, name: stepGranted, grant: &grant})
+		r.steps = append(r.steps, drainStep{drainID: drain.ID, machineID: machine.ID, name: stepGranted, grant: &grant})
 	}
 }
 
 // grantableMoves reserves the budget and room for those of the moves that may happen now,
 // and notes what the others wait for. What does not fit into one record is left to the
 // next round.
-func (r *round) grantableMoves(drain *Drain, machine *Machine, moves []move) []TaskRef {
+func (r *round) grantableMoves(drain *Drain, machine *Machine, moves []pendingMove) []TaskRef {
 	var granted []TaskRef
 	for i := range moves {
 		if err := r.refusal(machine, &moves[i]); err != nil {
@@ -146,16 +146,16 @@
 }
 
 // pendingMoves lists what has to leave a machine and is not granted, the cheapest first.
-func (r *round) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []move {
+func (r *round) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []pendingMove {
 	closedFor := time.Duration(max(0, r.rt.WallClock().UnixMilli()-machine.Since)) * time.Millisecond
 	gangs := map[string]bool{}
-	var moves []move
+	var moves []pendingMove
 	for _, task := range closed.Tasks {
 		spec, isOpen := r.cluster.Job(task.Job)
 		if !isOpen || gangs[task.Job] {
 			continue
 		}
-		next := move{
+		next := pendingMove{
 			spec: spec, ref: TaskRef{Job: task.Job, Index: task.Index, Attempt: task.Attempt},
 			runningFor: time.Duration(task.RunsMS) * time.Millisecond, destinationZone: spec.Zone, tasksOnClosed: 1, closedFor: closedFor,
 		}
@@ -173,7 +173,7 @@
 			moves = append(moves, next)
 		}
 	}
-	slices.SortStableFunc(moves, func(a, b move) int { return cmp.Compare(a.lostCPUSeconds(), b.lostCPUSeconds()) })
+	slices.SortStableFunc(moves, func(a, b pendingMove) int { return cmp.Compare(a.lostCPUSeconds(), b.lostCPUSeconds()) })
 	return moves
 }
 
@@ -183,7 +183,7 @@
 }
 
 // reserve counts a move as granted.
-func (r *round) reserve(move *move) {
+func (r *round) reserve(move *pendingMove) {
 	r.usage.addGrant(move.spec, move.ref)
 	r.usage.movingCPUs += move.requiredCPUs()
 	if move.ref.Gang == 0 {
@@ -193,7 +193,7 @@
 }
 
 // refusal is why a move has to wait, nil if it need not. The texts are for operators.
-func (r *round) refusal(machine *Machine, move *move) error {
+func (r *round) refusal(machine *Machine, move *pendingMove) error {
 	if move.isAboutToEnd(r.settings.WaitOrDefault()) {
 		return fmt.Errorf("tasks of %s are about to end", move.spec.ID)
 	}
@@ -211,17 +211,17 @@
 }
 
 // checkReplicas returns a *ShortageError if too few replicas of a service would stay up.
-func (r *round) checkReplicas(move *move, budget Budget) error {
-	up := r.cluster.PlacedReplicas(move.ref.Job) - r.usage.replicasDown[move.ref.Job] - 1
+func (r *round) checkReplicas(move *pendingMove, budget Budget) error {
+	replicasUp := r.cluster.PlacedReplicas(move.ref.Job) - r.usage.replicasDown[move.ref.Job] - 1
 	if r.usage.replicasUnknown {
-		up = 0
+		replicasUp = 0
 	}
-	if up >= budget.ReplicasUp {
+	if replicasUp >= budget.ReplicasUp {
 		return nil
 	}
 	return &ShortageError{
 		Team: move.spec.Team, Limit: limitReplicasUp, Service: move.spec.ID,
-		Requested: float64(up), Max: float64(budget.ReplicasUp),
+		Requested: float64(replicasUp), Max: float64(budget.ReplicasUp),
 	}
 }
 
@@ -229,7 +229,7 @@
 // machine might be rented for it is not enough: what the cloud has shows only when it is
 // asked. Work of a higher priority goes first, but for the room of the machine's own
 // replacement: if it takes that, there is none.
-func (r *round) checkRoom(machine *Machine, move *move) error {
+func (r *round) checkRoom(machine *Machine, move *pendingMove) error {
 	if machine.Replacement == "" && r.cluster.HasUrgentWaiting(move.spec.Priority()) {
 		return fmt.Errorf("work of a higher priority than %s waits for room", move.spec.ID)
 	}
--- a/internal/drain/keys_test.go
+++ b/internal/drain/keys_test.go
@@ -6,8 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestKeys: what a key is made of is read from it, and no other key is taken for one.
-func TestKeys(t *testing.T) {
+// TestParseKeyInvertsKeys: what a key is made of is read from it, and no other key is
+// taken for one.
+func TestParseKeyInvertsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,39}`).Draw(t, "id")
 		number := rapid.Uint64Range(0, 1<<30).Draw(t, "number")
@@ -21,8 +22,8 @@
 			}
 		}
 		other := rapid.StringMatching(`drain/[A-Z/]{0,9}(/head|/page|/grant/x)?`).Draw(t, "other")
-		if k, err := parseKey(other); err == nil {
-			t.Fatalf("%s is taken for %+v", other, k)
+		if key, err := parseKey(other); err == nil {
+			t.Fatalf("%s is taken for %+v", other, key)
 		}
 	})
 }
--- a/internal/drain/operator_changes.go
+++ b/internal/drain/operator_changes.go
@@ -83,23 +83,23 @@
 }
 
 // writePages commits the pages from one number on, then the head.
-func (c *startCommit) writePages(first int) {
-	if first == len(c.pages) {
+func (c *startCommit) writePages(firstPage int) {
+	if firstPage == len(c.pages) {
 		c.writeHead()
 		return
 	}
 	existing := c.records.drains[c.request.ID]
 	conditions := []statestore.Condition{{Key: HeadKey(c.request.ID)}}
 	var operations []statestore.Operation
-	valueBytes, next := 0, first
-	for ; next < len(c.pages) && len(operations) < c.state.MaxOperations(); next++ {
-		raw, err := encode(c.pages[next])
+	valueBytes, nextPage := 0, firstPage
+	for ; nextPage < len(c.pages) && len(operations) < c.state.MaxOperations(); nextPage++ {
+		raw, err := encode(c.pages[nextPage])
 		if err != nil || (len(operations) > 0 && valueBytes+len(raw) > tuning.MaxCommitBytes) {
 			break
 		}
-		condition := statestore.Condition{Key: PageKey(c.request.ID, next)}
-		if existing != nil && existing.Pages[next] != nil { // of a request that came to nothing
-			condition.Revision = existing.Pages[next].Revision
+		condition := statestore.Condition{Key: PageKey(c.request.ID, nextPage)}
+		if existing != nil && existing.Pages[nextPage] != nil { // of a request that came to nothing
+			condition.Revision = existing.Pages[nextPage].Revision
 		}
 		valueBytes += len(raw)
 		conditions = append(conditions, condition)
@@ -110,7 +110,7 @@
 			c.reply(c.superseded())
 			return
 		}
-		c.writePages(next)
+		c.writePages(nextPage)
 	})
 }
 
--- a/internal/drain/progress.go
+++ b/internal/drain/progress.go
@@ -21,8 +21,8 @@
 	stepReleased          stepName = "released"
 )
 
-// step is something to be logged and traced once it is durable.
-type step struct {
+// drainStep is something to be logged and traced once it is durable.
+type drainStep struct {
 	drainID   string
 	machineID string // "" for a step of the drain as a whole
 	name      stepName
@@ -63,7 +63,7 @@
 
 // stepsCommitted tells of the steps of a round that are durable; usage is how the budgets
 // stand with them.
-func (p *progressLog) stepsCommitted(steps []step, usage *usage) {
+func (p *progressLog) stepsCommitted(steps []drainStep, usage *budgetUsage) {
 	for _, step := range steps {
 		if step.grant == nil {
 			p.log.Info("drain step", "drain", step.drainID, "machine", step.machineID, "step", string(step.name))
@@ -75,7 +75,7 @@
 }
 
 // logGrant tells how the budgets of the teams concerned stand after a grant.
-func (p *progressLog) logGrant(granted step, usage *usage) {
+func (p *progressLog) logGrant(granted drainStep, usage *budgetUsage) {
 	teams := map[string]bool{}
 	for _, ref := range granted.grant.Tasks {
 		if spec, isOpen := p.cluster.Job(ref.Job); isOpen {
--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -48,7 +48,7 @@
 
 // EachMachine calls fn for the machines, in the order of the pages. The entries must not
 // be changed.
-func (d *Drain) EachMachine(fn func(at entryPosition, machine *Machine)) {
+func (d *Drain) EachMachine(fn func(position entryPosition, machine *Machine)) {
 	for number := range d.Head.Pages {
 		if page := d.Pages[number]; page != nil {
 			for i := range page.Machines {
@@ -67,9 +67,6 @@
 
 // Records is a node's copy of all drains, fed by a watch.
 type Records struct {
-	// OnChange is called after the records have changed.
-	OnChange func()
-
 	mirror         *statestore.Mirror
 	log            *slog.Logger
 	drains         map[string]*Drain // by ID, also those that have pages alone
@@ -85,13 +82,14 @@
 	grants        map[TaskName][]TaskRef
 }
 
-// NewRecords returns an empty copy, which Start has filled and kept up to date.
-func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Records {
-	records := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
+// NewRecords returns an empty copy, which Start has filled and kept up to date. onChange
+// is called after the records have changed.
+func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger, onChange func()) *Records {
+	records := &Records{log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
 	records.clear()
 	records.mirror.Reset = func([]statestore.KeyValue) { records.clear() }
 	records.mirror.Apply = records.apply
-	records.mirror.Updated = func() { records.OnChange() }
+	records.mirror.Updated = onChange
 	return records
 }
 
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -13,9 +13,9 @@
 type round struct {
 	*Coordinator
 
-	usage   *usage // of the teams' budgets, with what this round grants
+	usage   *budgetUsage // of the teams' budgets, with what this round grants
 	changes *changeSet
-	steps   []step // to be logged when the changes are durable
+	steps   []drainStep // to be logged when the changes are durable
 
 	// Of these nothing may be granted: with an unreadable record it is not known what is
 	// granted already, without a shard's report how its tasks are.
@@ -47,10 +47,10 @@
 
 // editMachine changes a machine's entry and notes the step; false if the commit has no
 // room for it.
-func (r *round) editMachine(drain *Drain, at entryPosition, name stepName, edit func(*Machine)) bool {
-	machineID, isEdited := r.changes.editMachine(drain, at, edit)
+func (r *round) editMachine(drain *Drain, position entryPosition, name stepName, edit func(*Machine)) bool {
+	machineID, isEdited := r.changes.editMachine(drain, position, edit)
 	if isEdited {
-		r.steps = append(r.steps, step{drainID: drain.ID, machineID: machineID, name: name})
+		r.steps = append(r.steps, drainStep{drainID: drain.ID, machineID: machineID, name: name})
 	}
 	return isEdited
 }
@@ -109,18 +109,18 @@
 
 // editMachine changes an entry of a stored page, of which the commit then writes a copy,
 // and returns the name of the machine; false if the commit has no room.
-func (s *changeSet) editMachine(drain *Drain, at entryPosition, change func(*Machine)) (machineID string, isEdited bool) {
-	key := PageKey(drain.ID, at.page)
+func (s *changeSet) editMachine(drain *Drain, position entryPosition, change func(*Machine)) (machineID string, isEdited bool) {
+	key := PageKey(drain.ID, position.page)
 	edit := s.pageEdits[key]
 	if edit == nil {
-		stored := drain.Pages[at.page]
+		stored := drain.Pages[position.page]
 		edit = &pageEdit{page: Page{slices.Clone(stored.Machines)}, operationIndex: len(s.operations)}
 		if !s.put(key, stored.Revision, edit.page) {
 			return "", false
 		}
 		s.pageEdits[key] = edit
 	}
-	machine := &edit.page.Machines[at.index]
+	machine := &edit.page.Machines[position.index]
 	change(machine)
 	raw, err := encode(edit.page)
 	if err != nil {
--- a/internal/drain/scale_test.go
+++ b/internal/drain/scale_test.go
@@ -3,23 +3,20 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
-	"log/slog"
 	"strings"
 	"testing"
 
 	"lemonmoor/internal/http1"
-	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
 	"lemonmoor/internal/tuning"
 )
 
-// largeCluster has so many machines, all up and without tasks, and counts how often it is
-// asked about them.
+// largeCluster has a number of machines, all up and without tasks, and counts how often it
+// is asked about them.
 type largeCluster struct {
 	emptyCluster
 	machines int
-	asked    int
+	queries  int
 }
 
 func (c *largeCluster) EachMachine(fn func(*MachineInfo)) {
@@ -30,63 +27,54 @@
 }
 
 func (c *largeCluster) Machine(id string) (MachineInfo, bool) {
-	c.asked++
+	c.queries++
 	return MachineInfo{ID: id, Zone: "a", Type: "small", HasReported: true, AcceptsTasks: true}, true
 }
 
 func (c *largeCluster) IsGone(string) bool {
-	c.asked++
+	c.queries++
 	return false
 }
 
 // TestDrainOfFourThousandMachines: it is accepted in commits and values that the state
 // service takes, and a round asks a few times about each machine, no more.
 func TestDrainOfFourThousandMachines(t *testing.T) {
-	const machines, ops, valueBytes = 4000, 12, 7000
-	rt := &fakeRuntime{}
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	state := statestore.New(rt, "state", log)
-	state.SetLimits(statestore.Limits{MaxOperations: ops, MaxValueBytes: valueBytes, FutureWriteShare: 1})
-	book := NewRecords(rt, state, log)
-	book.Start()
-	set := &settings.Settings{}
-	set.Deployment.State.WriteRPS = 15
-	set.Operator.Drains = &settings.Drains{}
+	const machines, maxOperations, maxValueBytes = 4000, 12, 7000
+	runtime := &fakeRuntime{}
 	cluster := &largeCluster{machines: machines}
-	c := NewCoordinator(Dependencies{
-		Runtime: rt, State: state, Lease: cluster, Records: book, Cluster: cluster, Settings: set, Log: log,
-	})
-	c.BeginTerm(7)
-	rt.fire()
+	coordinator := newTestCoordinator(runtime, cluster, 15)
+	coordinator.state.SetLimits(statestore.Limits{MaxOperations: maxOperations, MaxValueBytes: maxValueBytes, FutureWriteShare: 1})
+	coordinator.BeginTerm(7)
+	runtime.runTimers()
 	var answer *Response
-	c.Handle(&Request{Verb: VerbStart, ID: "all", Selection: Selection{Types: []string{"small"}}}, func(r Response) { answer = &r })
-	stamp, changes := uint64(10), 0
-	for done := 0; answer == nil && done < 100; done++ {
-		if len(rt.commits) <= done {
-			rt.fire()
+	coordinator.Handle(&Request{Verb: VerbStart, ID: "all", Selection: Selection{Types: []string{"small"}}}, func(r Response) { answer = &r })
+	revision, changes := uint64(10), 0
+	for answered := 0; answer == nil && answered < 100; answered++ {
+		if len(runtime.commits) <= answered {
+			runtime.runTimers()
 			continue
 		}
-		changes += carryOut(t, book, rt.commits[done].body, stamp, ops, valueBytes)
-		rt.commits[done].answer(http1.Response{Status: 200, Body: []byte(fmt.Sprintf(`{"epoch":%d}`, stamp))}, nil)
-		stamp++
-		rt.fire()
+		changes += applyCommit(t, coordinator.records, runtime.commits[answered].body, revision, maxOperations, maxValueBytes)
+		runtime.commits[answered].answer(http1.Response{Status: 200, Body: []byte(fmt.Sprintf(`{"epoch":%d}`, revision))}, nil)
+		revision++
+		runtime.runTimers()
 	}
-	if answer == nil || answer.Status != StatusOK || book.Get("all").CountByState()[MachineWaiting] != machines {
+	if answer == nil || answer.Status != StatusOK || coordinator.records.Get("all").CountByState()[MachineWaiting] != machines {
 		t.Fatalf("%+v", answer)
 	}
-	if most := machines/(valueBytes/maxMachineBytes) + 2; changes > most {
-		t.Errorf("%d changes, not %d", changes, most)
+	if maxChanges := machines/(maxValueBytes/maxMachineBytes) + 2; changes > maxChanges {
+		t.Errorf("%d changes, not %d", changes, maxChanges)
 	}
-	c.committer.inFlight, cluster.asked = false, 0
-	c.writes.bucket.Reset(rt.now, 3)
-	c.Tick()
-	if cluster.asked < machines || cluster.asked > 4*machines {
-		t.Errorf("a round asks %d times about %d machines", cluster.asked, machines)
+	coordinator.committer.inFlight, cluster.queries = false, 0
+	coordinator.writes.bucket.Reset(runtime.now, 3)
+	coordinator.Tick()
+	if cluster.queries < machines || cluster.queries > 4*machines {
+		t.Errorf("a round asks %d times about %d machines", cluster.queries, machines)
 	}
 }
 
-// carryOut does what the state service does with a commit, and checks its limits.
-func carryOut(t *testing.T, book *Records, body string, stamp uint64, ops, valueBytes int) int {
+// applyCommit does what the state service does with a commit, and checks its limits.
+func applyCommit(t *testing.T, records *Records, body string, revision uint64, maxOperations, maxValueBytes int) int {
 	t.Helper()
 	var commit struct {
 		Apply []statestore.Operation `json:"apply"`
@@ -94,14 +82,14 @@
 	if err := json.Unmarshal([]byte(body), &commit); err != nil {
 		t.Fatal(err)
 	}
-	if len(commit.Apply) > ops || len(body) > tuning.MaxCommitBytes+8<<10 {
+	if len(commit.Apply) > maxOperations || len(body) > tuning.MaxCommitBytes+8<<10 {
 		t.Errorf("a commit of %d changes and %d bytes", len(commit.Apply), len(body))
 	}
-	for _, a := range commit.Apply {
-		if len(a.Value) > valueBytes || !strings.HasPrefix(a.PutKey, KeyPrefix) {
-			t.Errorf("%s has %d bytes", a.PutKey, len(a.Value))
+	for _, operation := range commit.Apply {
+		if len(operation.Value) > maxValueBytes || !strings.HasPrefix(operation.PutKey, KeyPrefix) {
+			t.Errorf("%s has %d bytes", operation.PutKey, len(operation.Value))
 		}
-		book.apply(a.PutKey, a.Value, stamp)
+		records.apply(operation.PutKey, operation.Value, revision)
 	}
 	return len(commit.Apply)
 }
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -37,15 +37,15 @@
 	return Selection{sortedSet(s.Machines), sortedSet(s.Zones), sortedSet(s.Types), s.Kind, sortedSet(s.Prefixes)}
 }
 
-// matcher is a selection made ready to be applied.
-type matcher struct {
+// machineMatcher is a selection made ready to be applied.
+type machineMatcher struct {
 	selection   Selection
 	foundByName map[string]bool // by name, whether a machine of it was found
 	prefixes    *netipx.IPSet   // nil for any address
 }
 
 // newMatcher checks what a selection says by itself.
-func newMatcher(selection Selection) (*matcher, *RequestError) {
+func newMatcher(selection Selection) (*machineMatcher, *RequestError) {
 	if len(selection.Machines)+len(selection.Zones)+len(selection.Types)+len(selection.Prefixes) == 0 && selection.Kind == AnyKind {
 		return nil, &RequestError{fieldSelection, "empty: name machines, zones, types, prefixes or a kind"}
 	}
@@ -56,7 +56,7 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	m := &matcher{selection: selection, prefixes: prefixes}
+	m := &machineMatcher{selection: selection, prefixes: prefixes}
 	if len(selection.Machines) > 0 {
 		m.foundByName = map[string]bool{}
 		for _, name := range selection.Machines {
@@ -88,7 +88,7 @@
 }
 
 // matches reports whether a machine is selected.
-func (m *matcher) matches(machine *MachineInfo) bool {
+func (m *machineMatcher) matches(machine *MachineInfo) bool {
 	if m.foundByName != nil {
 		if _, isNamed := m.foundByName[machine.ID]; !isNamed {
 			return false
@@ -112,7 +112,7 @@
 }
 
 // missingMachine returns a named machine that does not exist, "" if there is none.
-func (m *matcher) missingMachine() string {
+func (m *machineMatcher) missingMachine() string {
 	for _, name := range m.selection.Machines {
 		if !m.foundByName[name] {
 			return name
@@ -123,17 +123,17 @@
 
 // selectMachines lists the machines of the cluster that a selection names.
 func selectMachines(cluster Cluster, selection Selection) ([]MachineInfo, *RequestError) {
-	m, refusal := newMatcher(selection)
+	matcher, refusal := newMatcher(selection)
 	if refusal != nil {
 		return nil, refusal
 	}
 	var machines []MachineInfo
 	cluster.EachMachine(func(info *MachineInfo) {
-		if m.matches(info) {
+		if matcher.matches(info) {
 			machines = append(machines, *info)
 		}
 	})
-	if name := m.missingMachine(); name != "" {
+	if name := matcher.missingMachine(); name != "" {
 		return nil, &RequestError{fieldMachine, fmt.Sprintf("there is no machine %q", name)}
 	}
 	if len(machines) == 0 {
--- a/internal/drain/selection_test.go
+++ b/internal/drain/selection_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// TestSelection: each criterion picks what it says, and all of them together what each
+// TestSelectionMatchesAllItsCriteria: each criterion picks what it says, and all of them together what each
 // of them picks.
-func TestSelection(t *testing.T) {
+func TestSelectionMatchesAllItsCriteria(t *testing.T) {
 	machines := []MachineInfo{
 		{ID: "vm-1", Addr: "10.1.0.1:9000", Zone: "a", Type: "small", Spot: true},
 		{ID: "vm-2", Addr: "10.1.0.2:9000", Zone: "b", Type: "small"},
 		{ID: "vm-3", Addr: "10.1.1.3:9000", Zone: "b", Type: "big"},
 		{ID: "vm-4", Addr: "", Zone: "b", Type: "big", Spot: true},
 	}
-	for want, s := range map[string]Selection{
+	for want, selection := range map[string]Selection{
 		"vm-1 vm-3":      {Machines: []string{"vm-3", "vm-1"}},
 		"vm-2 vm-3 vm-4": {Zones: []string{"b"}},
 		"vm-3 vm-4":      {Zones: []string{"b"}, Types: []string{"big"}},
@@ -24,24 +24,31 @@
 		"vm-2":           {Prefixes: []string{"10.1.0.2/31", "10.9.0.0/16"}},
 		"":               {Prefixes: []string{"fd00::/8"}},
 	} {
-		m, refusal := newMatcher(s)
+		matcher, refusal := newMatcher(selection)
 		if refusal != nil {
 			t.Fatal(refusal)
 		}
 		var got []string
 		for i := range machines {
-			if m.matches(&machines[i]) {
+			if matcher.matches(&machines[i]) {
 				got = append(got, machines[i].ID)
 			}
 		}
 		if strings.Join(got, " ") != want {
-			t.Errorf("%+v picks %v, not %s", s, got, want)
+			t.Errorf("%+v picks %v, not %s", selection, got, want)
 		}
 	}
-	a := Request{Selection: Selection{Machines: []string{"x", "y"}}}
-	b := Request{Selection: Selection{Machines: []string{"y", "x", "x"}}, ID: "other", Forwarded: true}
-	c := Request{Selection: a.Selection, Replace: true}
-	if a.Digest() != b.Digest() || a.Digest() == c.Digest() {
-		t.Error("digests do not tell what is asked")
+}
+
+// TestDigestTellsWhatIsAsked: not in which order, how often, for which drain or by whom.
+func TestDigestTellsWhatIsAsked(t *testing.T) {
+	request := Request{Selection: Selection{Machines: []string{"x", "y"}}}
+	same := Request{Selection: Selection{Machines: []string{"y", "x", "x"}}, ID: "other", Forwarded: true}
+	withReplacement := Request{Selection: request.Selection, Replace: true}
+	if request.Digest() != same.Digest() {
+		t.Error("the same is asked under different digests")
+	}
+	if request.Digest() == withReplacement.Digest() {
+		t.Error("something else is asked under the same digest")
 	}
 }
--- a/internal/drain/surface_test.go
+++ b/internal/drain/surface_test.go
@@ -6,6 +6,26 @@
 	"testing"
 )
 
+// traceAttribute is an attribute of a span or event as the exporter writes it.
+type traceAttribute struct {
+	Key   string
+	Value struct{ Value any }
+}
+
+// valuesByKey returns the attributes as JSON, in the order of their keys.
+func valuesByKey(t *testing.T, attributes []traceAttribute) string {
+	t.Helper()
+	values := map[string]any{}
+	for _, attribute := range attributes {
+		values[attribute.Key] = attribute.Value.Value
+	}
+	raw, err := json.Marshal(values)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
 // TestSurfaceTrace: the names in the trace, by which operators' tools read it.
 func TestSurfaceTrace(t *testing.T) {
 	var out bytes.Buffer
@@ -13,38 +33,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	use := &usage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1.5}}}}
-	tracer.Step(step{drainID: "d-1", machineID: "vm-1", name: stepGranted, grant: &Grant{Tasks: []TaskRef{{Job: "wk-1"}, {Job: "wk-2"}}}}, use)
+	usage := &budgetUsage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1.5}}}}
+	tracer.Step(drainStep{drainID: "d-1", machineID: "vm-1", name: stepGranted, grant: &Grant{Tasks: []TaskRef{{Job: "wk-1"}, {Job: "wk-2"}}}}, usage)
 	tracer.Waits("d-1", []string{"no room"})
-	tracer.Step(step{drainID: "d-1", name: stepDone}, use)
-	type attribute struct {
-		Key   string
-		Value struct{ Value any }
-	}
+	tracer.Step(drainStep{drainID: "d-1", name: stepDone}, usage)
 	var span struct {
 		Name       string
-		Attributes []attribute
+		Attributes []traceAttribute
 		Events     []struct {
 			Name       string
-			Attributes []attribute
+			Attributes []traceAttribute
 		}
 		InstrumentationScope struct{ Name string }
 	}
 	if err := json.Unmarshal(out.Bytes(), &span); err != nil {
 		t.Fatal(err)
 	}
-	values := func(list []attribute) string {
-		all := map[string]any{}
-		for _, a := range list {
-			all[a.Key] = a.Value.Value
-		}
-		raw, err := json.Marshal(all) // in the order of the keys
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(raw)
-	}
-	if span.Name != "drain" || span.InstrumentationScope.Name != "lemonmoor/drain" || values(span.Attributes) != `{"drain":"d-1"}` {
+	if span.Name != "drain" || span.InstrumentationScope.Name != "lemonmoor/drain" || valuesByKey(t, span.Attributes) != `{"drain":"d-1"}` {
 		t.Errorf("%+v", span)
 	}
 	events := [][2]string{
@@ -56,8 +61,8 @@
 		t.Fatalf("%d events", len(span.Events))
 	}
 	for i, want := range events {
-		if e := span.Events[i]; e.Name != want[0] || values(e.Attributes) != want[1] {
-			t.Errorf("event %s %s, not %s %s", e.Name, values(e.Attributes), want[0], want[1])
+		if event := span.Events[i]; event.Name != want[0] || valuesByKey(t, event.Attributes) != want[1] {
+			t.Errorf("event %s %s, not %s %s", event.Name, valuesByKey(t, event.Attributes), want[0], want[1])
 		}
 	}
 }
--- a/internal/drain/trace.go
+++ b/internal/drain/trace.go
@@ -59,7 +59,7 @@
 }
 
 // Step records a step of a drain, and how the teams' budgets stand after it.
-func (t *Tracer) Step(step step, usage *usage) {
+func (t *Tracer) Step(step drainStep, usage *budgetUsage) {
 	if t == nil {
 		return
 	}
--- a/internal/drain/trace_test.go
+++ b/internal/drain/trace_test.go
@@ -7,27 +7,27 @@
 	"testing"
 )
 
-// TestTrace: steps, waits and budgets can be read from the spans; without a tracer
-// nothing happens.
-func TestTrace(t *testing.T) {
+// TestTraceTellsStepsWaitsAndBudgets: steps, waits and budgets can be read from the spans;
+// without a tracer nothing happens.
+func TestTraceTellsStepsWaitsAndBudgets(t *testing.T) {
 	var out bytes.Buffer
 	tracer, err := NewTracer(&out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	use := &usage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1}}}}
-	for _, tr := range []*Tracer{tracer, nil} {
-		tr.Step(step{drainID: "d", machineID: "vm-1", name: stepGranted, grant: &Grant{}}, use)
-		tr.Waits("d", []string{"no room"})
-		tr.Step(step{drainID: "d", name: stepDone}, use)
-		tr.End()
+	usage := &budgetUsage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1}}}}
+	for _, tracer := range []*Tracer{tracer, nil} {
+		tracer.Step(drainStep{drainID: "d", machineID: "vm-1", name: stepGranted, grant: &Grant{}}, usage)
+		tracer.Waits("d", []string{"no room"})
+		tracer.Step(drainStep{drainID: "d", name: stepDone}, usage)
+		tracer.End()
 	}
 	for _, want := range []string{`"granted"`, "vm-1", "team.red.chosen", "team.red.unchosen", "no room", `"done"`} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%s is not in the trace: %s", want, out.String())
 		}
 	}
-	if n := strings.Count(out.String(), `"TraceID"`); n == 0 || !json.Valid(out.Bytes()) {
-		t.Errorf("%d spans in %s", n, out.String())
+	if spans := strings.Count(out.String(), `"TraceID"`); spans == 0 || !json.Valid(out.Bytes()) {
+		t.Errorf("%d spans in %s", spans, out.String())
 	}
 }
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -61,8 +61,8 @@
 }
 
 // usage counts what is disturbed now.
-func (d *disturbances) usage() *usage {
-	total := &usage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
+func (d *disturbances) usage() *budgetUsage {
+	total := &budgetUsage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
 	for shardIndex := range d.reports.latest {
 		if report := d.reports.latest[shardIndex].report; report != nil {
 			total.addReport(report)
@@ -86,8 +86,8 @@
 	return total
 }
 
-// usage is how the teams' budgets stand.
-type usage struct {
+// budgetUsage is how the teams' budgets stand.
+type budgetUsage struct {
 	teams map[string]*TeamUsage
 	// movingCPUs is the processors of granted tasks that have no new place yet.
 	movingCPUs float64
@@ -98,7 +98,7 @@
 }
 
 // team returns a team's part, which is made if need be.
-func (u *usage) team(name string) *TeamUsage {
+func (u *budgetUsage) team(name string) *TeamUsage {
 	team := u.teams[name]
 	if team == nil {
 		team = &TeamUsage{}
@@ -108,7 +108,7 @@
 }
 
 // addReport counts what a shard owner reports.
-func (u *usage) addReport(report *ShardReport) {
+func (u *budgetUsage) addReport(report *ShardReport) {
 	u.replicasUnknown = u.replicasUnknown || report.Partial
 	for name, work := range report.Teams {
 		team := u.team(name)
@@ -121,7 +121,7 @@
 }
 
 // addGrant counts a granted task or gang against its team's budget.
-func (u *usage) addGrant(spec *jobs.Spec, ref TaskRef) {
+func (u *budgetUsage) addGrant(spec *jobs.Spec, ref TaskRef) {
 	team := u.team(spec.Team)
 	team.Chosen = team.Chosen.Plus(disturbanceOf(spec, ref))
 }
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -47,8 +47,8 @@
 	wiretest.Written(t, []ResponseStatus{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
 }
 
-// TestWireBlockReport: what a block's owner tells the leader of its drains.
-func TestWireBlockReport(t *testing.T) {
+// TestWireShardReport: what a shard's owner tells the leader of its drains.
+func TestWireShardReport(t *testing.T) {
 	wiretest.Same(t, `{"machines":[{"id":"vm-1","tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],`+
 		`"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
 		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}`, &ShardReport{})
