--- /dev/null
+++ b/internal/jobs/machine_type.go
@@ -0,0 +1,65 @@
+package jobs
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"lemonmoor/internal/resource"
+	"lemonmoor/internal/settings"
+)
+
+// MachineType is what the cloud tells of a kind of machine. Prices are per hour.
+type MachineType struct {
+	Name             string   `json:"label"`
+	CPUs             float64  `json:"cpus"`
+	GPUs             float64  `json:"cards"`
+	MemoryGB         float64  `json:"memoryGb"`
+	CacheGB          float64  `json:"cacheGb"` // for images
+	ImageGBPerSecond float64  `json:"pullGbPerS"`
+	Price            float64  `json:"price"`
+	SpotPrice        float64  `json:"spotPrice"`
+	BootSeconds      float64  `json:"startupS"` // nominal
+	Zones            []string `json:"yards"`
+}
+
+// Resources returns what an empty machine of the type offers.
+func (m *MachineType) Resources() resource.Vector {
+	return resource.Vector{CPUs: m.CPUs, GPUs: m.GPUs, MemoryGB: m.MemoryGB}
+}
+
+// CanRun reports whether one task of the job fits an empty machine of the type.
+func (m *MachineType) CanRun(spec *Spec) bool {
+	return (spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, m.Name)) &&
+		(spec.Zone == "" || slices.Contains(m.Zones, spec.Zone)) &&
+		spec.CPUs <= m.CPUs && spec.GPUs <= m.GPUs && spec.MemoryGB <= m.MemoryGB
+}
+
+// The reasons for which a job can never run.
+var (
+	ErrUnknownTeam   = errors.New("unknown team")
+	ErrNoMachineType = errors.New("a task fits no allowed machine type")
+	ErrAboveQuota    = errors.New("needs more than the team's limit")
+)
+
+// Feasible returns ErrUnknownTeam, ErrNoMachineType or ErrAboveQuota if the job can never
+// run. The texts go to users.
+func Feasible(spec *Spec, types []MachineType, teams []settings.Team) error {
+	i := slices.IndexFunc(teams, func(team settings.Team) bool { return team.Name == spec.Team })
+	if i < 0 {
+		return fmt.Errorf("%w %q", ErrUnknownTeam, spec.Team)
+	}
+	if !slices.ContainsFunc(types, func(machineType MachineType) bool { return machineType.CanRun(spec) }) {
+		return ErrNoMachineType
+	}
+	tasksAtOnce := 1.0
+	if spec.IsService() || spec.IsGang() {
+		tasksAtOnce = float64(spec.Tasks)
+	}
+	// A limit of 0 means that none may be used: "The value 0 means none" (PROTOCOL).
+	needed := spec.Resources().Times(tasksAtOnce)
+	if needed.CPUs > teams[i].CPUsMax+resource.Epsilon || needed.GPUs > teams[i].GPUsMax+resource.Epsilon {
+		return ErrAboveQuota
+	}
+	return nil
+}
--- a/internal/jobs/wire_test.go
+++ b/internal/jobs/wire_test.go
@@ -8,19 +8,19 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// submission is a job as users send it, with every field set.
-const submission = `{"id":"wk-000412","lane":"batch","crew":"red","shape":"gang","urgency":"urgent","pieces":7,"cpus":1.5,` +
+// fullSubmission is a job as users send it, with every field set.
+const fullSubmission = `{"id":"wk-000412","lane":"batch","crew":"red","shape":"gang","urgency":"urgent","pieces":7,"cpus":1.5,` +
 	`"cards":2,"memoryGb":3.5,"kit":"image-1","pullGb":4.5,"builds":["g8","g16"],"yard":"yard-b","samePlace":true,"spread":true,` +
 	`"loaners":true,"expectS":60.5,"snapshotS":30.5,"flushS":2.5,"dueS":600.5}`
 
 // TestWireSubmission: every field of a submission is read, and stored under the same name.
 func TestWireSubmission(t *testing.T) {
-	wiretest.Same(t, submission, &Spec{})
-	parsed, err := Parse([]byte(submission))
+	wiretest.Same(t, fullSubmission, &Spec{})
+	parsed, err := Parse([]byte(fullSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, submission)
+	wiretest.Written(t, parsed, fullSubmission)
 }
 
 // TestWireSubmissionNulls: what may be null is left out of what is stored.
@@ -42,13 +42,13 @@
 		"id", "lane", "crew", "shape", "urgency", "pieces", "cpus", "cards", "memoryGb", "kit", "pullGb",
 		"samePlace", "spread", "loaners", "expectS", "snapshotS", "flushS",
 	} {
-		without := strings.Replace(submission, `"`+name+`":`, `"novel":`, 1)
+		without := strings.Replace(fullSubmission, `"`+name+`":`, `"novel":`, 1)
 		if _, err := Parse([]byte(without)); err == nil || err.Error() != `field "`+name+`": missing` {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for _, name := range []string{"builds", "yard", "dueS"} {
-		if _, err := Parse([]byte(strings.Replace(submission, `"`+name+`":`, `"novel":`, 1))); err != nil {
+		if _, err := Parse([]byte(strings.Replace(fullSubmission, `"`+name+`":`, `"novel":`, 1))); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -57,7 +57,7 @@
 // TestWireWords: the values of the fields that hold words.
 func TestWireWords(t *testing.T) {
 	for _, shape := range []string{"array", "daemon", "gang", "flock"} {
-		spec, err := Parse([]byte(strings.Replace(submission, `"gang"`, `"`+shape+`"`, 1)))
+		spec, err := Parse([]byte(strings.Replace(fullSubmission, `"gang"`, `"`+shape+`"`, 1)))
 		if (err == nil) != (shape != "flock") {
 			t.Errorf("shape %s: %v", shape, err)
 		}
@@ -67,13 +67,13 @@
 	}
 	before := Priority(-1)
 	for _, urgency := range []string{"low", "standard", "urgent", "critical"} {
-		spec, err := Parse([]byte(strings.Replace(submission, `"urgent"`, `"`+urgency+`"`, 1)))
+		spec, err := Parse([]byte(strings.Replace(fullSubmission, `"urgent"`, `"`+urgency+`"`, 1)))
 		if err != nil || spec.Priority() <= before {
 			t.Fatalf("urgency %s: %v", urgency, err)
 		}
 		before = spec.Priority()
 	}
-	if _, err := Parse([]byte(strings.Replace(submission, `"urgent"`, `"novel"`, 1))); err == nil {
+	if _, err := Parse([]byte(strings.Replace(fullSubmission, `"urgent"`, `"novel"`, 1))); err == nil {
 		t.Error("an unknown urgency is taken")
 	}
 }
@@ -85,7 +85,8 @@
 }
 
 // TestWireNonObject: users are told by this text, to the letter, that a submission is not
-// an object. It names a type of an earlier version.
+// an object. The type that it names had this name in the first versions; it is a constant
+// now, so that renaming the type can't change what users get.
 func TestWireNonObject(t *testing.T) {
 	for body, want := range map[string]string{
 		`[]`:                   `field "": want jobs.wire, not array`,
@@ -130,7 +131,7 @@
 		{`"builds":["g8","g16"]`, `"builds":[]`, `field "builds": empty`},
 		{`"yard":"yard-b"`, `"yard":""`, `field "yard": empty`},
 	} {
-		if _, err := Parse([]byte(strings.Replace(submission, test.old, test.new, 1))); err == nil || err.Error() != test.want {
+		if _, err := Parse([]byte(strings.Replace(fullSubmission, test.old, test.new, 1))); err == nil || err.Error() != test.want {
 			t.Errorf("%s: %v, not %s", test.new, err, test.want)
 		}
 	}
@@ -151,7 +152,7 @@
 		{`"shape":"gang","urgency":"urgent","pieces":7`, `"shape":"array","urgency":"urgent","pieces":100`, ``},
 		{`"shape":"gang","urgency":"urgent","pieces":7`, `"shape":"daemon","urgency":"urgent","pieces":8`, `needs more than the team's limit`},
 	} {
-		spec, err := Parse([]byte(strings.Replace(submission, test.old, test.new, 1)))
+		spec, err := Parse([]byte(strings.Replace(fullSubmission, test.old, test.new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/workers/registry_test.go
+++ b/internal/workers/registry_test.go
@@ -316,7 +316,7 @@
 // run on.
 func TestDrainedMachineMovesWork(t *testing.T) {
 	for name, c := range map[string]struct {
-		shape     string
+		shape     jobs.Shape
 		saveEvery float64
 		notice    float64
 		moves     bool
