--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -59,60 +59,60 @@
 	return tuning.DefaultDrainWait
 }
 
-// drainFault is a setting that makes no sense.
-type drainFault struct {
+// drainError is a setting that makes no sense.
+type drainError struct {
 	block string // text that its block begins with, as it stands in the file
 	key   string
-	why   string
+	reason   string
 }
 
-// fault finds a setting that makes no sense; nil if there is none.
-func (d *Drains) fault() *drainFault {
-	if n := d.MachinesAtOnceOrDefault(); n < 1 || n > tuning.MaxDrainMachinesAtOnce {
-		return &drainFault{key: "machines_at_once", why: fmt.Sprintf("%d is outside 1 to %d", n, tuning.MaxDrainMachinesAtOnce)}
+// check finds a setting that makes no sense; nil if there is none.
+func (d *Drains) check() *drainError {
+	if machines := d.MachinesAtOnceOrDefault(); machines < 1 || machines > tuning.MaxDrainMachinesAtOnce {
+		return &drainError{key: "machines_at_once", reason: fmt.Sprintf("%d is outside 1 to %d", machines, tuning.MaxDrainMachinesAtOnce)}
 	}
-	if s := d.WaitOrDefault().Seconds(); s < 0 || s > 86400 || math.IsNaN(s) {
-		return &drainFault{key: "wait_s", why: fmt.Sprintf("%g is outside 0 to 86400", s)}
+	if waitSeconds := d.WaitOrDefault().Seconds(); waitSeconds < 0 || waitSeconds > 86400 || math.IsNaN(waitSeconds) {
+		return &drainError{key: "wait_s", reason: fmt.Sprintf("%g is outside 0 to 86400", waitSeconds)}
 	}
 	if d.Default != nil {
-		if f := d.Default.Limits.fault(); f != nil {
+		if f := d.Default.Limits.check(); f != nil {
 			f.block = "default"
 			return f
 		}
 	}
-	named := map[string]bool{}
+	seenTeams := map[string]bool{}
 	for i := range d.Teams {
 		label := fmt.Sprintf("team %q", d.Teams[i].Name)
-		if named[label] {
-			return &drainFault{key: label, why: "the team is named twice"}
+		if seenTeams[label] {
+			return &drainError{key: label, reason: "the team is named twice"}
 		}
-		named[label] = true
-		if f := d.Teams[i].Limits.fault(); f != nil {
-			f.block, f.why = label, label+": "+f.why
+		seenTeams[label] = true
+		if f := d.Teams[i].Limits.check(); f != nil {
+			f.block, f.reason = label, label+": "+f.reason
 			return f
 		}
 	}
 	return nil
 }
 
-// fault finds a limit below zero, or one under which nothing could ever move.
-func (l *DrainLimits) fault() *drainFault {
+// check finds a limit below zero, or one under which nothing could ever move.
+func (l *DrainLimits) check() *drainError {
 	const never = "0: under it nothing could ever move"
 	switch {
 	case l.Tasks != nil && *l.Tasks < 0:
-		return &drainFault{key: "tasks", why: fmt.Sprintf("%d is below 0", *l.Tasks)}
+		return &drainError{key: "tasks", reason: fmt.Sprintf("%d is below 0", *l.Tasks)}
 	case l.Tasks != nil && *l.Tasks == 0:
-		return &drainFault{key: "tasks", why: never}
+		return &drainError{key: "tasks", reason: never}
 	case l.CPUs != nil && (*l.CPUs < 0 || math.IsNaN(*l.CPUs)):
-		return &drainFault{key: "cpus", why: fmt.Sprintf("%g is below 0", *l.CPUs)}
+		return &drainError{key: "cpus", reason: fmt.Sprintf("%g is below 0", *l.CPUs)}
 	case l.CPUs != nil && *l.CPUs == 0:
-		return &drainFault{key: "cpus", why: never}
+		return &drainError{key: "cpus", reason: never}
 	case l.Share != nil && (*l.Share < 0 || *l.Share > 1 || math.IsNaN(*l.Share)):
-		return &drainFault{key: "share", why: fmt.Sprintf("%g is outside 0 to 1", *l.Share)}
+		return &drainError{key: "share", reason: fmt.Sprintf("%g is outside 0 to 1", *l.Share)}
 	case l.Share != nil && *l.Share == 0:
-		return &drainFault{key: "share", why: never}
+		return &drainError{key: "share", reason: never}
 	case l.ReplicasUp != nil && *l.ReplicasUp < 0:
-		return &drainFault{key: "replicas_up", why: fmt.Sprintf("%d is below 0", *l.ReplicasUp)}
+		return &drainError{key: "replicas_up", reason: fmt.Sprintf("%d is below 0", *l.ReplicasUp)}
 	}
 	return nil
 }
@@ -124,8 +124,8 @@
 		return ""
 	}
 	known := map[string]bool{}
-	for _, t := range s.Deployment.Teams {
-		known[t.Name] = true
+	for _, team := range s.Deployment.Teams {
+		known[team.Name] = true
 	}
 	for i := range s.Operator.Drains.Teams {
 		if name := s.Operator.Drains.Teams[i].Name; !known[name] {
--- a/internal/settings/drains_test.go
+++ b/internal/settings/drains_test.go
@@ -10,15 +10,15 @@
 // TestDeployedDrains: the file that turns drains on is in order.
 func TestDeployedDrains(t *testing.T) {
 	const path = "../../deploy/drains.hcl"
-	src, err := os.ReadFile(path)
+	source, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	op, err := ParseOperator(path, src)
-	if err != nil || op.Drains == nil || op.Drains.Default == nil {
-		t.Fatalf("%+v, %v", op, err)
+	operator, err := ParseOperator(path, source)
+	if err != nil || operator.Drains == nil || operator.Drains.Default == nil {
+		t.Fatalf("%+v, %v", operator, err)
 	}
-	if l := op.Drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
+	if l := operator.Drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(platform, good)
+	write(platform, validSettings)
 	write(operator, "drains {\n  team \"nobody\" {\n    tasks = 1\n  }\n}\n")
 	if _, err := Load(platform, operator); err == nil || !strings.Contains(err.Error(), "o.hcl:2: drains: team: there is no team \"nobody\"") {
 		t.Error(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,7 +98,7 @@
 	// Operator holds what the operators set themselves.
 	Operator Operator `json:"-"`
 
-	blocks int // see SetShardCount
+	storedShardCount int // see SetShardCount
 }
 
 // Operator is the operators' own settings. Every one has a default.
@@ -119,43 +119,43 @@
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
 	}
-	s, err := Parse(raw)
+	settings, err := Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if hclPath != "" {
-		src, err := os.ReadFile(hclPath)
+		source, err := os.ReadFile(hclPath)
 		if err != nil {
 			return nil, fmt.Errorf("read operators' settings: %w", err)
 		}
-		if s.Operator, err = ParseOperator(hclPath, src); err != nil {
+		if settings.Operator, err = ParseOperator(hclPath, source); err != nil {
 			return nil, err
 		}
-		if team := s.unknownTeam(); team != "" {
-			return nil, fmt.Errorf("%s:%d: drains: team: there is no team %q", hclPath, lineOf(src, `"`+team+`"`), team)
+		if team := settings.unknownTeam(); team != "" {
+			return nil, fmt.Errorf("%s:%d: drains: team: there is no team %q", hclPath, lineOf(source, `"`+team+`"`), team)
 		}
 	}
-	return s, nil
+	return settings, nil
 }
 
 // Parse reads the platform's settings; unknown fields are ignored.
 func Parse(raw []byte) (*Settings, error) {
-	var s Settings
-	if err := json.Unmarshal(raw, &s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("settings: field %q: want %s, not %s", te.Field, te.Type, te.Value)
+	var settings Settings
+	if err := json.Unmarshal(raw, &settings); err != nil {
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			return nil, fmt.Errorf("settings: field %q: want %s, not %s", typeError.Field, typeError.Type, typeError.Value)
 		}
 		return nil, fmt.Errorf("settings: not valid JSON: %w", err)
 	}
-	if err := s.check(); err != nil {
+	if err := settings.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &s, nil
+	return &settings, nil
 }
 
 func (s *Settings) check() error {
-	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.checkTeams, s.checkAmounts, s.checkNext, s.checkWorkers} {
+	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.checkTeams, s.checkAmounts, s.checkNextLimits, s.checkWorkers} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -163,40 +163,40 @@
 	return nil
 }
 
-// fault says what is wrong with a field.
-func fault(name, problem string) error { return fmt.Errorf("field %q: %s", name, problem) }
+// fieldError says what is wrong with a field.
+func fieldError(name, reason string) error { return fmt.Errorf("field %q: %s", name, reason) }
 
 func (s *Settings) checkAddresses() error {
 	if s.Node == "" {
-		return fault("node", "missing")
+		return fieldError("node", "missing")
 	}
 	for name, addr := range map[string]string{
 		"serve_on": s.ServeOn, "peer_bind": s.PeerBind,
 		"external.cloud": s.External.Cloud, "external.state": s.External.State,
 	} {
 		if addr == "" {
-			return fault(name, "missing")
+			return fieldError(name, "missing")
 		}
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return fault(name, "not an address of the form host:port: "+addr)
+			return fieldError(name, "not an address of the form host:port: "+addr)
 		}
 	}
 	return nil
 }
 
 func (s *Settings) checkPeers() error {
-	seen := map[string]bool{s.Node: true}
-	for i, p := range s.Seeds {
+	seenNodes := map[string]bool{s.Node: true}
+	for i, peer := range s.Seeds {
 		name := fmt.Sprintf("seeds[%d]", i)
-		if p.Node == "" {
-			return fault(name+".node", "missing")
+		if peer.Node == "" {
+			return fieldError(name+".node", "missing")
 		}
-		if seen[p.Node] {
-			return fault(name+".node", "named twice: "+p.Node)
+		if seenNodes[peer.Node] {
+			return fieldError(name+".node", "named twice: "+peer.Node)
 		}
-		seen[p.Node] = true
-		if _, _, err := net.SplitHostPort(p.Endpoint); err != nil {
-			return fault(name+".endpoint", "not an address of the form host:port: "+p.Endpoint)
+		seenNodes[peer.Node] = true
+		if _, _, err := net.SplitHostPort(peer.Endpoint); err != nil {
+			return fieldError(name+".endpoint", "not an address of the form host:port: "+peer.Endpoint)
 		}
 	}
 	return nil
@@ -204,132 +204,132 @@
 
 func (s *Settings) checkTeams() error {
 	if len(s.Deployment.Teams) == 0 {
-		return fault("deployment.teams", "missing or empty")
+		return fieldError("deployment.teams", "missing or empty")
 	}
-	teams := map[string]bool{}
-	for i, t := range s.Deployment.Teams {
+	seenTeams := map[string]bool{}
+	for i, team := range s.Deployment.Teams {
 		name := fmt.Sprintf("deployment.teams[%d]", i)
 		switch {
-		case t.Name == "":
-			return fault(name+".name", "missing")
-		case teams[t.Name]:
-			return fault(name+".name", "named twice: "+t.Name)
-		case t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0:
-			return fault(name, "negative amount")
-		case t.CPUsMax > 0 && t.CPUs > t.CPUsMax:
-			return fault(name+".cpus", "above cpus_max")
-		case t.GPUsMax > 0 && t.GPUs > t.GPUsMax:
-			return fault(name+".gpus", "above gpus_max")
+		case team.Name == "":
+			return fieldError(name+".name", "missing")
+		case seenTeams[team.Name]:
+			return fieldError(name+".name", "named twice: "+team.Name)
+		case team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0:
+			return fieldError(name, "negative amount")
+		case team.CPUsMax > 0 && team.CPUs > team.CPUsMax:
+			return fieldError(name+".cpus", "above cpus_max")
+		case team.GPUsMax > 0 && team.GPUs > team.GPUsMax:
+			return fieldError(name+".gpus", "above gpus_max")
 		}
-		teams[t.Name] = true
+		seenTeams[team.Name] = true
 	}
 	return nil
 }
 
 func (s *Settings) checkAmounts() error {
-	d := &s.Deployment
-	for _, f := range []struct {
+	deployment := &s.Deployment
+	for _, amount := range []struct {
 		name  string
 		value float64
 	}{
-		{"deployment.workers.report_s", d.Workers.ReportS},
-		{"deployment.workers.lease_s", d.Workers.LeaseS},
-		{"deployment.workers.cancel_s", d.Workers.CancelS},
-		{"deployment.state.rps", d.State.RPS},
-		{"deployment.state.write_rps", d.State.WriteRPS},
-		{"deployment.state.value_kb", d.State.ValueKB},
-		{"deployment.state.txn_ops", float64(d.State.TxnOps)},
-		{"deployment.cloud.rps", d.Cloud.RPS},
-		{"deployment.quota.core_share", d.Quota.CoreShare},
-		{"deployment.quota.mem_mb", d.Quota.MemMB},
+		{"deployment.workers.report_s", deployment.Workers.ReportS},
+		{"deployment.workers.lease_s", deployment.Workers.LeaseS},
+		{"deployment.workers.cancel_s", deployment.Workers.CancelS},
+		{"deployment.state.rps", deployment.State.RPS},
+		{"deployment.state.write_rps", deployment.State.WriteRPS},
+		{"deployment.state.value_kb", deployment.State.ValueKB},
+		{"deployment.state.txn_ops", float64(deployment.State.TxnOps)},
+		{"deployment.cloud.rps", deployment.Cloud.RPS},
+		{"deployment.quota.core_share", deployment.Quota.CoreShare},
+		{"deployment.quota.mem_mb", deployment.Quota.MemMB},
 	} {
-		if f.value <= 0 || math.IsInf(f.value, 0) {
-			return fault(f.name, "missing or not above 0")
+		if amount.value <= 0 || math.IsInf(amount.value, 0) {
+			return fieldError(amount.name, "missing or not above 0")
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkNext() error {
-	n := s.Deployment.State.Next
-	if n == nil {
+func (s *Settings) checkNextLimits() error {
+	next := s.Deployment.State.Next
+	if next == nil {
 		return nil
 	}
-	ops := 1.0
-	if n.TxnOps != nil {
-		ops = float64(*n.TxnOps)
+	operations := 1.0
+	if next.TxnOps != nil {
+		operations = float64(*next.TxnOps)
 	}
-	for _, f := range []struct {
+	for _, limit := range []struct {
 		name  string
 		value *float64
 		least float64
 	}{
-		{"rps", n.RPS, 0}, {"write_rps", n.WriteRPS, 0}, {"txn_ops", &ops, 0}, {"value_kb", n.ValueKB, tuning.MinValueLimitKB},
+		{"rps", next.RPS, 0}, {"write_rps", next.WriteRPS, 0}, {"txn_ops", &operations, 0}, {"value_kb", next.ValueKB, tuning.MinValueLimitKB},
 	} {
-		if f.value != nil && (*f.value <= f.least || math.IsInf(*f.value, 0)) {
-			return fault("deployment.state.next."+f.name, fmt.Sprintf("not above %g", f.least))
+		if limit.value != nil && (*limit.value <= limit.least || math.IsInf(*limit.value, 0)) {
+			return fieldError("deployment.state.next."+limit.name, fmt.Sprintf("not above %g", limit.least))
 		}
 	}
 	return nil
 }
 
 func (s *Settings) checkWorkers() error {
-	w := &s.Deployment.Workers
-	if w.GangWaitS < 0 || w.GangPeerS < 0 {
-		return fault("deployment.workers", "gang_wait_s or gang_peer_s is negative")
+	workers := &s.Deployment.Workers
+	if workers.GangWaitS < 0 || workers.GangPeerS < 0 {
+		return fieldError("deployment.workers", "gang_wait_s or gang_peer_s is negative")
 	}
-	if w.ReportS >= w.LeaseS {
-		return fault("deployment.workers.report_s", "not below lease_s")
+	if workers.ReportS >= workers.LeaseS {
+		return fieldError("deployment.workers.report_s", "not below lease_s")
 	}
-	if room := s.MaxKnowledgeAge(); room < tuning.MinKnowledgeAgeLimit {
-		return fault("deployment.workers.cancel_s", fmt.Sprintf("leaves %.1f s above lease_s for the owner of a machine to learn of a cancellation, and %.1f s of margin; it takes %.1f s, "+
-			"and a task of a machine that was answered before and is cut off then would outlive cancel_s", room.Seconds(), s.knowSlack().Seconds(), tuning.MinKnowledgeAgeLimit.Seconds()))
+	if maxAge := s.MaxKnowledgeAge(); maxAge < tuning.MinKnowledgeAgeLimit {
+		return fieldError("deployment.workers.cancel_s", fmt.Sprintf("leaves %.1f s above lease_s for the owner of a machine to learn of a cancellation, and %.1f s of margin; it takes %.1f s, "+
+			"and a task of a machine that was answered before and is cut off then would outlive cancel_s", maxAge.Seconds(), s.knowledgeReserve().Seconds(), tuning.MinKnowledgeAgeLimit.Seconds()))
 	}
 	return nil
 }
 
 // ParseOperator reads the operators' settings; an unknown or out-of-range one
 // is refused with file, line and reason.
-func ParseOperator(name string, src []byte) (Operator, error) {
-	var op Operator
-	if err := hclsimple.Decode(name, src, nil, &op); err != nil {
-		var diags hcl.Diagnostics
-		if errors.As(err, &diags) && len(diags) > 0 && diags[0].Subject != nil {
-			d := diags[0]
-			return op, fmt.Errorf("%s:%d: %s: %s", name, d.Subject.Start.Line, d.Summary, d.Detail)
+func ParseOperator(name string, source []byte) (Operator, error) {
+	var operator Operator
+	if err := hclsimple.Decode(name, source, nil, &operator); err != nil {
+		var diagnostics hcl.Diagnostics
+		if errors.As(err, &diagnostics) && len(diagnostics) > 0 && diagnostics[0].Subject != nil {
+			first := diagnostics[0]
+			return operator, fmt.Errorf("%s:%d: %s: %s", name, first.Subject.Start.Line, first.Summary, first.Detail)
 		}
-		return op, fmt.Errorf("%s: %w", name, err)
+		return operator, fmt.Errorf("%s: %w", name, err)
 	}
 	for _, f := range []struct {
 		key      string
 		value    *float64
 		min, max float64
 	}{
-		{"wait_bound_s", op.WaitBoundS, 0, 86400},
-		{"idle_keep_s", op.IdleKeepS, 0, 86400},
+		{"wait_bound_s", operator.WaitBoundS, 0, 86400},
+		{"idle_keep_s", operator.IdleKeepS, 0, 86400},
 	} {
 		if f.value != nil && (*f.value < f.min || *f.value > f.max || math.IsNaN(*f.value)) {
-			return op, fmt.Errorf("%s:%d: %s: %g is outside %g to %g", name, lineOf(src, f.key), f.key, *f.value, f.min, f.max)
+			return operator, fmt.Errorf("%s:%d: %s: %g is outside %g to %g", name, lineOf(source, f.key), f.key, *f.value, f.min, f.max)
 		}
 	}
-	if op.Drains != nil {
-		if f := op.Drains.fault(); f != nil {
-			start := max(0, bytes.Index(src, []byte(f.block)))
-			line := bytes.Count(src[:start], []byte("\n")) + lineOf(src[start:], f.key)
-			return op, fmt.Errorf("%s:%d: drains: %s: %s", name, line, f.key, f.why)
+	if operator.Drains != nil {
+		if f := operator.Drains.check(); f != nil {
+			start := max(0, bytes.Index(source, []byte(f.block)))
+			line := bytes.Count(source[:start], []byte("\n")) + lineOf(source[start:], f.key)
+			return operator, fmt.Errorf("%s:%d: drains: %s: %s", name, line, f.key, f.reason)
 		}
 	}
-	return op, nil
+	return operator, nil
 }
 
 // lineOf finds the line that sets a key.
-func lineOf(src []byte, key string) int {
+func lineOf(source []byte, key string) int {
 	line := 1
-	for i := 0; i+len(key) <= len(src); i++ {
-		if src[i] == '\n' {
+	for i := 0; i+len(key) <= len(source); i++ {
+		if source[i] == '\n' {
 			line++
 		}
-		if string(src[i:i+len(key)]) == key && (i == 0 || src[i-1] == '\n' || src[i-1] == ' ' || src[i-1] == '\t') {
+		if string(source[i:i+len(key)]) == key && (i == 0 || source[i-1] == '\n' || source[i-1] == ' ' || source[i-1] == '\t') {
 			return line
 		}
 	}
@@ -349,9 +349,9 @@
 
 // OwnerSilenceLimit is how long an owner of so many machines hears none of them before
 // it is the owner that is cut off.
-func (s *Settings) OwnerSilenceLimit(hosts int) time.Duration {
+func (s *Settings) OwnerSilenceLimit(machines int) time.Duration {
 	intervals := tuning.OwnerSilenceIntervals
-	if hosts >= tuning.ManyWorkers {
+	if machines >= tuning.ManyWorkers {
 		intervals /= 2
 	}
 	return time.Duration(intervals*float64(s.HeartbeatInterval())) + tuning.OwnerSilenceSlack
@@ -372,18 +372,18 @@
 
 // GangWaitTimeout is how long a task of a gang waits for the others before it gives up.
 func (s *Settings) GangWaitTimeout() time.Duration {
-	return seconds(orElse(s.Deployment.Workers.GangWaitS, tuning.DefaultGangWaitTimeout.Seconds()))
+	return seconds(positiveOr(s.Deployment.Workers.GangWaitS, tuning.DefaultGangWaitTimeout.Seconds()))
 }
 
 // GangPeerTimeout is how soon the tasks of a gang notice that one of them is gone, and
 // within which all must be told to save.
 func (s *Settings) GangPeerTimeout() time.Duration {
-	return seconds(orElse(s.Deployment.Workers.GangPeerS, tuning.DefaultGangPeerTimeout.Seconds()))
+	return seconds(positiveOr(s.Deployment.Workers.GangPeerS, tuning.DefaultGangPeerTimeout.Seconds()))
 }
 
-func orElse(v, other float64) float64 {
-	if v > 0 {
-		return v
+func positiveOr(value, other float64) float64 {
+	if value > 0 {
+		return value
 	}
 	return other
 }
@@ -391,27 +391,27 @@
 // MaxValueBytes is the most that a value in the state service may hold, now and
 // after its limits have changed.
 func (s *Settings) MaxValueBytes() int {
-	kb := s.Deployment.State.ValueKB
-	if n := s.Deployment.State.Next; n != nil && n.ValueKB != nil {
-		kb = min(kb, *n.ValueKB)
+	kilobytes := s.Deployment.State.ValueKB
+	if next := s.Deployment.State.Next; next != nil && next.ValueKB != nil {
+		kilobytes = min(kilobytes, *next.ValueKB)
 	}
-	return int(kb * 1024 * tuning.ValueLimitShare)
+	return int(kilobytes * 1024 * tuning.ValueLimitShare)
 }
 
 // MaxOperations is the most changes in a commit, now and after the limits have changed.
 func (s *Settings) MaxOperations() int {
-	ops := s.Deployment.State.TxnOps
-	if n := s.Deployment.State.Next; n != nil && n.TxnOps != nil {
-		ops = min(ops, *n.TxnOps)
+	operations := s.Deployment.State.TxnOps
+	if next := s.Deployment.State.Next; next != nil && next.TxnOps != nil {
+		operations = min(operations, *next.TxnOps)
 	}
-	return ops
+	return operations
 }
 
 // FutureWriteShare is the part of the changes a second that may be left after the
 // limits have changed, 1 if they will not.
 func (s *Settings) FutureWriteShare() float64 {
-	if n := s.Deployment.State.Next; n != nil && n.WriteRPS != nil {
-		return min(1, *n.WriteRPS/s.Deployment.State.WriteRPS)
+	if next := s.Deployment.State.Next; next != nil && next.WriteRPS != nil {
+		return min(1, *next.WriteRPS/s.Deployment.State.WriteRPS)
 	}
 	return 1
 }
@@ -419,8 +419,8 @@
 // AnswerGracePeriod is how long an owner past its lease may answer reports: lease, hold
 // and the workers' lease together stay below the cancellation limit.
 func (s *Settings) AnswerGracePeriod() time.Duration {
-	room := seconds(s.Deployment.Workers.CancelS) - tuning.LeaseTTL - s.WorkerLease() - tuning.CancellationReserve
-	return max(0, min(room, tuning.MaxAnswerGracePeriod))
+	available := seconds(s.Deployment.Workers.CancelS) - tuning.LeaseTTL - s.WorkerLease() - tuning.CancellationReserve
+	return max(0, min(available, tuning.MaxAnswerGracePeriod))
 }
 
 // MaxKnowledgeAge is how long after a cancellation a machine that may have a task of
@@ -429,13 +429,13 @@
 // time even if nothing reaches the worker after it.
 func (s *Settings) MaxKnowledgeAge() time.Duration {
 	lease := s.WorkerLease()
-	return seconds(s.Deployment.Workers.CancelS) - lease - lease*tuning.DriftPerMille/1000 - s.knowSlack()
+	return seconds(s.Deployment.Workers.CancelS) - lease - lease*tuning.DriftPerMille/1000 - s.knowledgeReserve()
 }
 
-// knowSlack is what is kept free of that: less where the times are short.
-func (s *Settings) knowSlack() time.Duration {
-	room := seconds(s.Deployment.Workers.CancelS) - s.WorkerLease()
-	return min(tuning.KnowledgeReserve, time.Duration(float64(room)*tuning.KnowledgeReserveShare))
+// knowledgeReserve is what is kept free of that: less where the times are short.
+func (s *Settings) knowledgeReserve() time.Duration {
+	available := seconds(s.Deployment.Workers.CancelS) - s.WorkerLease()
+	return min(tuning.KnowledgeReserve, time.Duration(float64(available)*tuning.KnowledgeReserveShare))
 }
 
 // ClockSkew bounds the difference of two nodes' times of day.
@@ -444,20 +444,20 @@
 }
 
 // SetShardCount sets the number of blocks to the one that was found stored.
-func (s *Settings) SetShardCount(blocks int) { s.blocks = blocks }
+func (s *Settings) SetShardCount(count int) { s.storedShardCount = count }
 
 // ShardCount is the number of blocks that the machines are divided into: one for
 // so many guaranteed processors, at most one for each controller. It follows
 // from what all controllers are given alike, unless another one is stored.
 func (s *Settings) ShardCount() int {
-	if s.blocks > 0 {
-		return s.blocks
+	if s.storedShardCount > 0 {
+		return s.storedShardCount
 	}
-	cpus := 0.0
-	for _, t := range s.Deployment.Teams {
-		cpus += t.CPUs
+	guaranteedCPUs := 0.0
+	for _, team := range s.Deployment.Teams {
+		guaranteedCPUs += team.CPUs
 	}
-	return max(1, min(int(cpus/tuning.CPUsPerShard), len(s.Seeds)+1))
+	return max(1, min(int(guaranteedCPUs/tuning.CPUsPerShard), len(s.Seeds)+1))
 }
 
 // FreshnessCheckInterval is the least time between two freshness checks of one node: all
@@ -470,22 +470,22 @@
 // before it watches on, for the same reason; the leader and every owner keep
 // two copies current.
 func (s *Settings) WatchPause() time.Duration {
-	active := 2 * min(s.ShardCount()+1, len(s.Seeds)+1)
-	return seconds(float64(active) / (tuning.WatchRequestShare * s.Deployment.State.RPS))
+	watchers := 2 * min(s.ShardCount()+1, len(s.Seeds)+1)
+	return seconds(float64(watchers) / (tuning.WatchRequestShare * s.Deployment.State.RPS))
 }
 
 // EachObjectiveDeadline calls fn for each aim of a class of jobs with the latest age, in seconds,
 // at which a task may start that takes so long, for the aim to be met.
-func (s *Settings) EachObjectiveDeadline(class string, estimateS float64, deadlineS *float64, fn func(latest float64)) {
-	for _, o := range s.Deployment.Objectives {
+func (s *Settings) EachObjectiveDeadline(class string, estimateSeconds float64, deadlineSeconds *float64, fn func(latestStartSeconds float64)) {
+	for _, objective := range s.Deployment.Objectives {
 		switch {
-		case o.Class != class:
-		case o.Kind == "finished":
-			fn(o.WithinS - estimateS)
-		case o.Kind == "wait":
-			fn(o.WithinS)
-		case o.Kind == "deadline" && deadlineS != nil:
-			fn(*deadlineS*max(o.Times, 1) - estimateS)
+		case objective.Class != class:
+		case objective.Kind == "finished":
+			fn(objective.WithinS - estimateSeconds)
+		case objective.Kind == "wait":
+			fn(objective.WithinS)
+		case objective.Kind == "deadline" && deadlineSeconds != nil:
+			fn(*deadlineSeconds*max(objective.Times, 1) - estimateSeconds)
 		}
 	}
 }
@@ -493,8 +493,8 @@
 // StartsPromptly tells whether the users expect the tasks of a class to start so soon that
 // a machine that is rented when they come is too late.
 func (s *Settings) StartsPromptly(class string) bool {
-	for _, o := range s.Deployment.Objectives {
-		if o.Kind == "wait" && o.Class == class && o.WithinS < tuning.PromptStartWithin.Seconds() {
+	for _, objective := range s.Deployment.Objectives {
+		if objective.Kind == "wait" && objective.Class == class && objective.WithinS < tuning.PromptStartWithin.Seconds() {
 			return true
 		}
 	}
@@ -503,16 +503,16 @@
 
 // WaitBound is the longest wait in the extra queue before a task goes first.
 func (s *Settings) WaitBound() time.Duration {
-	if v := s.Operator.WaitBoundS; v != nil {
-		return seconds(*v)
+	if bound := s.Operator.WaitBoundS; bound != nil {
+		return seconds(*bound)
 	}
 	return tuning.WaitBound
 }
 
 // MachineIdleTimeout is how long a machine without tasks is kept.
 func (s *Settings) MachineIdleTimeout() time.Duration {
-	if v := s.Operator.IdleKeepS; v != nil {
-		return seconds(*v)
+	if timeout := s.Operator.IdleKeepS; timeout != nil {
+		return seconds(*timeout)
 	}
 	return tuning.MachineIdleTimeout
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-const good = `{"node":"worker-0","area":"a","serve_on":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081","novel":true,
+const validSettings = `{"node":"worker-0","area":"a","serve_on":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081","novel":true,
 "seeds":[{"node":"worker-1","area":"b","endpoint":"10.0.0.2:8081"}],
 "external":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "deployment":{"initial_size":3,"zones":["a"],"teams":[{"name":"t","cpus":64,"cpus_max":192,"gpus":0,"gpus_max":0}],
@@ -21,7 +21,7 @@
 // TestFaultsNameTheirField: each setting, taken away or spoilt, is refused with
 // its name.
 func TestFaultsNameTheirField(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range []string{
@@ -32,7 +32,7 @@
 	} {
 		for _, spoilt := range []any{nil, []string{"x"}} {
 			var tree map[string]any
-			if err := json.Unmarshal([]byte(good), &tree); err != nil {
+			if err := json.Unmarshal([]byte(validSettings), &tree); err != nil {
 				t.Fatal(err)
 			}
 			at, parts := tree, strings.Split(path, ".")
@@ -52,9 +52,9 @@
 }
 
 func TestOperatorSettings(t *testing.T) {
-	op, err := ParseOperator("x.hcl", []byte("wait_bound_s = 12.5\n"))
-	if err != nil || op.WaitBoundS == nil || *op.WaitBoundS != 12.5 {
-		t.Fatalf("%+v, %v", op, err)
+	operator, err := ParseOperator("x.hcl", []byte("wait_bound_s = 12.5\n"))
+	if err != nil || operator.WaitBoundS == nil || *operator.WaitBoundS != 12.5 {
+		t.Fatalf("%+v, %v", operator, err)
 	}
 	for src, want := range map[string]string{
 		"# c\nunheard_of = 1\n":     "x.hcl:2",
@@ -72,17 +72,17 @@
 // counted in seconds measured where workers report every 3 s, and machines that
 // report every 10 s were returned as dead, with their tasks.
 func TestSilenceFollowsReports(t *testing.T) {
-	for _, report := range []float64{1, 3, 5, 10, 30} {
-		var s Settings
-		s.Deployment.Workers.ReportS = report
+	for _, heartbeatSeconds := range []float64{1, 3, 5, 10, 30} {
+		var settings Settings
+		settings.Deployment.Workers.ReportS = heartbeatSeconds
 		// A quarter late, its answer lost for 4 s, then another controller tried
 		// a second later: alive all the same.
-		if late := seconds(1.25*report + 4 + 1 + 0.5); s.WorkerDeadAfter() <= late {
-			t.Errorf("reports every %g s: dead after %v, alive within %v", report, s.WorkerDeadAfter(), late)
+		if late := seconds(1.25*heartbeatSeconds + 4 + 1 + 0.5); settings.WorkerDeadAfter() <= late {
+			t.Errorf("reports every %g s: dead after %v, alive within %v", heartbeatSeconds, settings.WorkerDeadAfter(), late)
 		}
-		for _, hosts := range []int{1, 9, 10, 2000} {
-			if longest := seconds(1.25 * report); s.OwnerSilenceLimit(hosts) <= longest {
-				t.Errorf("reports every %g s: %d machines unheard for %v mean nothing", report, hosts, s.OwnerSilenceLimit(hosts))
+		for _, machines := range []int{1, 9, 10, 2000} {
+			if longest := seconds(1.25 * heartbeatSeconds); settings.OwnerSilenceLimit(machines) <= longest {
+				t.Errorf("reports every %g s: %d machines unheard for %v mean nothing", heartbeatSeconds, machines, settings.OwnerSilenceLimit(machines))
 			}
 		}
 	}
@@ -92,17 +92,17 @@
 // more than controllers.
 func TestBlocksFollowSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Settings
-		s.Seeds = make([]Peer, rapid.IntRange(0, 6).Draw(t, "seeds"))
+		var settings Settings
+		settings.Seeds = make([]Peer, rapid.IntRange(0, 6).Draw(t, "seeds"))
 		sum := 0.0
 		for range rapid.IntRange(1, 6).Draw(t, "teams") {
 			cpus := rapid.Float64Range(0, 30000).Draw(t, "cpus")
 			sum += cpus
-			s.Deployment.Teams = append(s.Deployment.Teams, Team{CPUs: cpus})
+			settings.Deployment.Teams = append(settings.Deployment.Teams, Team{CPUs: cpus})
 		}
-		n := s.ShardCount()
-		if n < 1 || n > len(s.Seeds)+1 || (sum < 2*tuning.CPUsPerShard && n > 1) || (sum >= 2*tuning.CPUsPerShard && len(s.Seeds) > 0 && n == 1) {
-			t.Fatalf("%d blocks for %g processors and %d controllers", n, sum, len(s.Seeds)+1)
+		shards := settings.ShardCount()
+		if shards < 1 || shards > len(settings.Seeds)+1 || (sum < 2*tuning.CPUsPerShard && shards > 1) || (sum >= 2*tuning.CPUsPerShard && len(settings.Seeds) > 0 && shards == 1) {
+			t.Fatalf("%d blocks for %g processors and %d controllers", shards, sum, len(settings.Seeds)+1)
 		}
 	})
 }
@@ -111,7 +111,7 @@
 // start; without it, or a part of it, nothing changes; nonsense is refused.
 func TestLimitsToCome(t *testing.T) {
 	parse := func(next string) (*Settings, error) {
-		return Parse([]byte(strings.Replace(good, `"txn_ops":12`, `"txn_ops":12,"next":`+next, 1)))
+		return Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12,"next":`+next, 1)))
 	}
 	for next, want := range map[string]struct {
 		ops  int
@@ -122,13 +122,13 @@
 		`{"value_kb":16,"txn_ops":24,"write_rps":30}`:        {12, 8, 1},
 		`{"value_kb":2,"txn_ops":1,"write_rps":12,"rps":40}`: {1, 2, 0.8},
 	} {
-		s, err := parse(next)
+		settings, err := parse(next)
 		if err != nil {
 			t.Errorf("%s: %v", next, err)
 			continue
 		}
-		if bytes := int(want.kb * 1024 * tuning.ValueLimitShare); s.MaxOperations() != want.ops || s.MaxValueBytes() != bytes || s.FutureWriteShare() != want.fall {
-			t.Errorf("%s: %d changes, %d bytes, %g", next, s.MaxOperations(), s.MaxValueBytes(), s.FutureWriteShare())
+		if bytes := int(want.kb * 1024 * tuning.ValueLimitShare); settings.MaxOperations() != want.ops || settings.MaxValueBytes() != bytes || settings.FutureWriteShare() != want.fall {
+			t.Errorf("%s: %d changes, %d bytes, %g", next, settings.MaxOperations(), settings.MaxValueBytes(), settings.FutureWriteShare())
 		}
 	}
 	for next, name := range map[string]string{
@@ -147,14 +147,14 @@
 // lease with its drift and the slack still fit into cancel_s.
 func TestCancelLeavesRoomToKnow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lease := float64(rapid.IntRange(5, 120).Draw(t, "lease"))
-		cancel := lease + float64(rapid.IntRange(-50, 600).Draw(t, "tenths more"))/10
-		raw := strings.Replace(good, `"lease_s":36,"cancel_s":66`, fmt.Sprintf(`"lease_s":%g,"cancel_s":%g`, lease, cancel), 1)
-		s, err := Parse([]byte(raw))
-		drift := lease * tuning.DriftPerMille / 1000
-		slack := min(tuning.KnowledgeReserve.Seconds(), (cancel-lease)*tuning.KnowledgeReserveShare)
-		if left := cancel - lease - drift - slack - tuning.MinKnowledgeAgeLimit.Seconds(); (err != nil) != (left < 0) && (left < -1e-6 || left > 1e-6) {
-			t.Fatalf("lease %g, cancel %g: %v", lease, cancel, err)
+		leaseSeconds := float64(rapid.IntRange(5, 120).Draw(t, "lease"))
+		cancelSeconds := leaseSeconds + float64(rapid.IntRange(-50, 600).Draw(t, "tenths more"))/10
+		raw := strings.Replace(validSettings, `"lease_s":36,"cancel_s":66`, fmt.Sprintf(`"lease_s":%g,"cancel_s":%g`, leaseSeconds, cancelSeconds), 1)
+		settings, err := Parse([]byte(raw))
+		driftSeconds := leaseSeconds * tuning.DriftPerMille / 1000
+		reserveSeconds := min(tuning.KnowledgeReserve.Seconds(), (cancelSeconds-leaseSeconds)*tuning.KnowledgeReserveShare)
+		if leftSeconds := cancelSeconds - leaseSeconds - driftSeconds - reserveSeconds - tuning.MinKnowledgeAgeLimit.Seconds(); (err != nil) != (leftSeconds < 0) && (leftSeconds < -1e-6 || leftSeconds > 1e-6) {
+			t.Fatalf("lease %g, cancel %g: %v", leaseSeconds, cancelSeconds, err)
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), "cancel_s") {
@@ -162,8 +162,8 @@
 			}
 			return
 		}
-		if end := s.MaxKnowledgeAge().Seconds() + lease + drift; end > cancel-slack+1e-6 || slack <= 0 {
-			t.Fatalf("lease %g, cancel %g: tasks may last %g s", lease, cancel, end)
+		if end := settings.MaxKnowledgeAge().Seconds() + leaseSeconds + driftSeconds; end > cancelSeconds-reserveSeconds+1e-6 || reserveSeconds <= 0 {
+			t.Fatalf("lease %g, cancel %g: tasks may last %g s", leaseSeconds, cancelSeconds, end)
 		}
 	})
 }
