--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -61,9 +61,9 @@
 
 // drainError is a setting that makes no sense.
 type drainError struct {
-	block string // text that its block begins with, as it stands in the file
-	key   string
-	reason   string
+	block  string // text that its block begins with, as it stands in the file
+	key    string
+	reason string
 }
 
 // check finds a setting that makes no sense; nil if there is none.
