--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -8,6 +8,16 @@
 	"lemonmoor/internal/tuning"
 )
 
+// FieldError says what is wrong with a field of the platform's settings.
+type FieldError struct {
+	Field  string // with the names above it, such as deployment.state.rps
+	Reason string
+}
+
+// Error names the field and the reason in one line.
+func (e *FieldError) Error() string { return fmt.Sprintf("field %q: %s", e.Field, e.Reason) }
+
+// check returns a *FieldError for the first field that is missing or makes no sense.
 func (s *Settings) check() error {
 	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.checkTeams, s.checkAmounts, s.checkNextLimits, s.checkWorkers} {
 		if err := check(); err != nil {
@@ -17,40 +27,46 @@
 	return nil
 }
 
-// fieldError says what is wrong with a field.
-func fieldError(name, reason string) error { return fmt.Errorf("field %q: %s", name, reason) }
-
 func (s *Settings) checkAddresses() error {
 	if s.Node == "" {
-		return fieldError("node", "missing")
+		return &FieldError{"node", "missing"}
 	}
-	for name, addr := range map[string]string{
-		"serve_on": s.ServeOn, "peer_bind": s.PeerBind,
-		"external.cloud": s.External.Cloud, "external.state": s.External.State,
+	for _, address := range []struct{ name, value string }{
+		{"serve_on", s.ServeOn},
+		{"peer_bind", s.PeerBind},
+		{"external.cloud", s.External.Cloud},
+		{"external.state", s.External.State},
 	} {
-		if addr == "" {
-			return fieldError(name, "missing")
+		if address.value == "" {
+			return &FieldError{address.name, "missing"}
 		}
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return fieldError(name, "not an address of the form host:port: "+addr)
+		if err := checkHostPort(address.name, address.value); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
+func checkHostPort(name, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return &FieldError{name, "not an address of the form host:port: " + address}
+	}
+	return nil
+}
+
 func (s *Settings) checkPeers() error {
 	seenNodes := map[string]bool{s.Node: true}
 	for i, peer := range s.Seeds {
 		name := fmt.Sprintf("seeds[%d]", i)
 		if peer.Node == "" {
-			return fieldError(name+".node", "missing")
+			return &FieldError{name + ".node", "missing"}
 		}
 		if seenNodes[peer.Node] {
-			return fieldError(name+".node", "named twice: "+peer.Node)
+			return &FieldError{name + ".node", "named twice: " + peer.Node}
 		}
 		seenNodes[peer.Node] = true
-		if _, _, err := net.SplitHostPort(peer.Endpoint); err != nil {
-			return fieldError(name+".endpoint", "not an address of the form host:port: "+peer.Endpoint)
+		if err := checkHostPort(name+".endpoint", peer.Endpoint); err != nil {
+			return err
 		}
 	}
 	return nil
@@ -58,22 +74,22 @@
 
 func (s *Settings) checkTeams() error {
 	if len(s.Deployment.Teams) == 0 {
-		return fieldError("deployment.teams", "missing or empty")
+		return &FieldError{"deployment.teams", "missing or empty"}
 	}
 	seenTeams := map[string]bool{}
 	for i, team := range s.Deployment.Teams {
 		name := fmt.Sprintf("deployment.teams[%d]", i)
 		switch {
 		case team.Name == "":
-			return fieldError(name+".name", "missing")
+			return &FieldError{name + ".name", "missing"}
 		case seenTeams[team.Name]:
-			return fieldError(name+".name", "named twice: "+team.Name)
+			return &FieldError{name + ".name", "named twice: " + team.Name}
 		case team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0:
-			return fieldError(name, "negative amount")
+			return &FieldError{name, "negative amount"}
 		case team.CPUsMax > 0 && team.CPUs > team.CPUsMax:
-			return fieldError(name+".cpus", "above cpus_max")
+			return &FieldError{name + ".cpus", "above cpus_max"}
 		case team.GPUsMax > 0 && team.GPUs > team.GPUsMax:
-			return fieldError(name+".gpus", "above gpus_max")
+			return &FieldError{name + ".gpus", "above gpus_max"}
 		}
 		seenTeams[team.Name] = true
 	}
@@ -98,12 +114,14 @@
 		{"deployment.quota.mem_mb", deployment.Quota.MemMB},
 	} {
 		if amount.value <= 0 || math.IsInf(amount.value, 0) {
-			return fieldError(amount.name, "missing or not above 0")
+			return &FieldError{amount.name, "missing or not above 0"}
 		}
 	}
 	return nil
 }
 
+// checkNextLimits checks what the state service will allow later: limits under which
+// nothing could be stored are refused at the start, not when they come into force.
 func (s *Settings) checkNextLimits() error {
 	next := s.Deployment.State.Next
 	if next == nil {
@@ -116,28 +134,31 @@
 	for _, limit := range []struct {
 		name  string
 		value *float64
-		least float64
+		bound float64 // which the value must be above
 	}{
 		{"rps", next.RPS, 0}, {"write_rps", next.WriteRPS, 0}, {"txn_ops", &operations, 0}, {"value_kb", next.ValueKB, tuning.MinValueLimitKB},
 	} {
-		if limit.value != nil && (*limit.value <= limit.least || math.IsInf(*limit.value, 0)) {
-			return fieldError("deployment.state.next."+limit.name, fmt.Sprintf("not above %g", limit.least))
+		if limit.value != nil && (*limit.value <= limit.bound || math.IsInf(*limit.value, 0)) {
+			return &FieldError{"deployment.state.next." + limit.name, fmt.Sprintf("not above %g", limit.bound)}
 		}
 	}
 	return nil
 }
 
+// checkWorkers refuses times with which a cancelled task could outlive cancel_s.
 func (s *Settings) checkWorkers() error {
 	workers := &s.Deployment.Workers
 	if workers.GangWaitS < 0 || workers.GangPeerS < 0 {
-		return fieldError("deployment.workers", "gang_wait_s or gang_peer_s is negative")
+		return &FieldError{"deployment.workers", "gang_wait_s or gang_peer_s is negative"}
 	}
 	if workers.ReportS >= workers.LeaseS {
-		return fieldError("deployment.workers.report_s", "not below lease_s")
+		return &FieldError{"deployment.workers.report_s", "not below lease_s"}
 	}
 	if maxAge := s.MaxKnowledgeAge(); maxAge < tuning.MinKnowledgeAgeLimit {
-		return fieldError("deployment.workers.cancel_s", fmt.Sprintf("leaves %.1f s above lease_s for the owner of a machine to learn of a cancellation, and %.1f s of margin; it takes %.1f s, "+
-			"and a task of a machine that was answered before and is cut off then would outlive cancel_s", maxAge.Seconds(), s.knowledgeReserve().Seconds(), tuning.MinKnowledgeAgeLimit.Seconds()))
+		return &FieldError{"deployment.workers.cancel_s", fmt.Sprintf(
+			"leaves %.1f s above lease_s for the owner of a machine to learn of a cancellation, and %.1f s of margin; it takes %.1f s, "+
+				"and a task of a machine that was answered before and is cut off then would outlive cancel_s",
+			maxAge.Seconds(), s.knowledgeReserve().Seconds(), tuning.MinKnowledgeAgeLimit.Seconds())}
 	}
 	return nil
 }
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"bytes"
 	"fmt"
 	"math"
 	"time"
@@ -33,17 +34,17 @@
 	Limits DrainLimits `hcl:",remain"`
 }
 
-// DrainLimits is how much of a team's work may be disturbed at once.
+// DrainLimits is how much of a team's work may be disturbed at once; nil for no limit.
 type DrainLimits struct {
 	Tasks *int     `hcl:"tasks,optional"`
-	CPUs  *float64 `hcl:"cpus,optional"`
-	// Share is the part of the processors of its running work.
+	CPUs  *float64 `hcl:"cpus,optional"` // processors of the disturbed tasks
+	// Share is of the processors of the team's running work, the disturbed included, 0 to 1.
 	Share *float64 `hcl:"share,optional"`
 	// ReplicasUp is the fewest replicas of each service that stay up.
 	ReplicasUp *int `hcl:"replicas_up,optional"`
 }
 
-// MachinesAtOnceOrDefault is how many machines of a drain are emptied at a time.
+// MachinesAtOnceOrDefault returns how many machines of a drain are emptied at a time.
 func (d *Drains) MachinesAtOnceOrDefault() int {
 	if d.MachinesAtOnce != nil {
 		return *d.MachinesAtOnce
@@ -51,7 +52,7 @@
 	return tuning.DefaultDrainMachinesAtOnce
 }
 
-// WaitOrDefault is how long tasks that are about to end are waited for.
+// WaitOrDefault returns how long tasks that are about to end are waited for.
 func (d *Drains) WaitOrDefault() time.Duration {
 	if d.WaitS != nil {
 		return seconds(*d.WaitS)
@@ -59,25 +60,31 @@
 	return tuning.DefaultDrainWait
 }
 
-// drainError is a setting that makes no sense.
+// drainError is a setting of the drains block that makes no sense.
 type drainError struct {
-	block  string // text that its block begins with, as it stands in the file
+	block  string // text that its inner block begins with, as it stands in the file; "" for none
 	key    string
 	reason string
 }
 
-// check finds a setting that makes no sense; nil if there is none.
+// line returns the line of the setting in the file.
+func (e *drainError) line(source []byte) int {
+	start := max(0, bytes.Index(source, []byte(e.block)))
+	return bytes.Count(source[:start], []byte("\n")) + lineOf(source[start:], e.key)
+}
+
+// check finds the first setting that makes no sense; nil if there is none.
 func (d *Drains) check() *drainError {
 	if machines := d.MachinesAtOnceOrDefault(); machines < 1 || machines > tuning.MaxDrainMachinesAtOnce {
 		return &drainError{key: "machines_at_once", reason: fmt.Sprintf("%d is outside 1 to %d", machines, tuning.MaxDrainMachinesAtOnce)}
 	}
-	if waitSeconds := d.WaitOrDefault().Seconds(); waitSeconds < 0 || waitSeconds > 86400 || math.IsNaN(waitSeconds) {
-		return &drainError{key: "wait_s", reason: fmt.Sprintf("%g is outside 0 to 86400", waitSeconds)}
+	if waitSeconds := d.WaitOrDefault().Seconds(); !isOperatorTime(waitSeconds) {
+		return &drainError{key: "wait_s", reason: fmt.Sprintf("%g is outside 0 to %d", waitSeconds, maxOperatorSeconds)}
 	}
 	if d.Default != nil {
-		if f := d.Default.Limits.check(); f != nil {
-			f.block = "default"
-			return f
+		if err := d.Default.Limits.check(); err != nil {
+			err.block = "default"
+			return err
 		}
 	}
 	seenTeams := map[string]bool{}
@@ -87,9 +94,9 @@
 			return &drainError{key: label, reason: "the team is named twice"}
 		}
 		seenTeams[label] = true
-		if f := d.Teams[i].Limits.check(); f != nil {
-			f.block, f.reason = label, label+": "+f.reason
-			return f
+		if err := d.Teams[i].Limits.check(); err != nil {
+			err.block, err.reason = label, label+": "+err.reason
+			return err
 		}
 	}
 	return nil
@@ -97,27 +104,27 @@
 
 // check finds a limit below zero, or one under which nothing could ever move.
 func (l *DrainLimits) check() *drainError {
-	const never = "0: under it nothing could ever move"
+	const neverMoves = "0: under it nothing could ever move"
 	switch {
 	case l.Tasks != nil && *l.Tasks < 0:
 		return &drainError{key: "tasks", reason: fmt.Sprintf("%d is below 0", *l.Tasks)}
 	case l.Tasks != nil && *l.Tasks == 0:
-		return &drainError{key: "tasks", reason: never}
+		return &drainError{key: "tasks", reason: neverMoves}
 	case l.CPUs != nil && (*l.CPUs < 0 || math.IsNaN(*l.CPUs)):
 		return &drainError{key: "cpus", reason: fmt.Sprintf("%g is below 0", *l.CPUs)}
 	case l.CPUs != nil && *l.CPUs == 0:
-		return &drainError{key: "cpus", reason: never}
+		return &drainError{key: "cpus", reason: neverMoves}
 	case l.Share != nil && (*l.Share < 0 || *l.Share > 1 || math.IsNaN(*l.Share)):
 		return &drainError{key: "share", reason: fmt.Sprintf("%g is outside 0 to 1", *l.Share)}
 	case l.Share != nil && *l.Share == 0:
-		return &drainError{key: "share", reason: never}
+		return &drainError{key: "share", reason: neverMoves}
 	case l.ReplicasUp != nil && *l.ReplicasUp < 0:
 		return &drainError{key: "replicas_up", reason: fmt.Sprintf("%d is below 0", *l.ReplicasUp)}
 	}
 	return nil
 }
 
-// unknownTeam is a team with a budget that the platform's settings do not name, "" if
+// unknownTeam returns a team with a budget that the platform's settings do not name, "" if
 // there is none.
 func (s *Settings) unknownTeam() string {
 	if s.Operator.Drains == nil {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -1,19 +1,16 @@
 package settings
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
-	"math"
 
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclsimple"
 )
 
-// Operator is the operators' own settings. Every one has a default.
+// Operator is the operators' own settings (HCL). Every one has a default.
 type Operator struct {
-	// WaitBoundS is the wait in the extra queue after which a task goes
-	// first, in seconds.
+	// WaitBoundS is the wait in the extra queue after which a task goes first, in seconds.
 	WaitBoundS *float64 `hcl:"wait_bound_s,optional"`
 	// IdleKeepS is how long a machine without tasks is kept, in seconds.
 	IdleKeepS *float64 `hcl:"idle_keep_s,optional"`
@@ -21,41 +18,60 @@
 	Drains *Drains `hcl:"drains,block"`
 }
 
-// ParseOperator reads the operators' settings; an unknown or out-of-range one
-// is refused with file, line and reason.
-func ParseOperator(name string, source []byte) (Operator, error) {
+// maxOperatorSeconds bounds the times that the operators set: a day.
+const maxOperatorSeconds = 86400
+
+// OperatorError says what is wrong with a setting of the operators' file.
+type OperatorError struct {
+	File    string
+	Line    int    // counted from 1
+	Setting string // its name, with "drains: " before it in that block, or what the HCL reader says
+	Reason  string
+}
+
+// Error names file, line, setting and reason in one line.
+func (e *OperatorError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Setting, e.Reason)
+}
+
+// ParseOperator reads the operators' settings. An unknown setting, or one out of range, is
+// an *OperatorError.
+func ParseOperator(file string, source []byte) (Operator, error) {
 	var operator Operator
-	if err := hclsimple.Decode(name, source, nil, &operator); err != nil {
+	if err := hclsimple.Decode(file, source, nil, &operator); err != nil {
 		var diagnostics hcl.Diagnostics
 		if errors.As(err, &diagnostics) && len(diagnostics) > 0 && diagnostics[0].Subject != nil {
 			first := diagnostics[0]
-			return operator, fmt.Errorf("%s:%d: %s: %s", name, first.Subject.Start.Line, first.Summary, first.Detail)
+			return operator, &OperatorError{file, first.Subject.Start.Line, first.Summary, first.Detail}
 		}
-		return operator, fmt.Errorf("%s: %w", name, err)
+		return operator, fmt.Errorf("%s: %w", file, err)
 	}
-	for _, f := range []struct {
-		key      string
-		value    *float64
-		min, max float64
+	for _, setting := range []struct {
+		name    string
+		seconds *float64
 	}{
-		{"wait_bound_s", operator.WaitBoundS, 0, 86400},
-		{"idle_keep_s", operator.IdleKeepS, 0, 86400},
+		{"wait_bound_s", operator.WaitBoundS},
+		{"idle_keep_s", operator.IdleKeepS},
 	} {
-		if f.value != nil && (*f.value < f.min || *f.value > f.max || math.IsNaN(*f.value)) {
-			return operator, fmt.Errorf("%s:%d: %s: %g is outside %g to %g", name, lineOf(source, f.key), f.key, *f.value, f.min, f.max)
+		if value := setting.seconds; value != nil && !isOperatorTime(*value) {
+			return operator, &OperatorError{file, lineOf(source, setting.name), setting.name, fmt.Sprintf("%g is outside 0 to %d", *value, maxOperatorSeconds)}
 		}
 	}
 	if operator.Drains != nil {
-		if f := operator.Drains.check(); f != nil {
-			start := max(0, bytes.Index(source, []byte(f.block)))
-			line := bytes.Count(source[:start], []byte("\n")) + lineOf(source[start:], f.key)
-			return operator, fmt.Errorf("%s:%d: drains: %s: %s", name, line, f.key, f.reason)
+		if err := operator.Drains.check(); err != nil {
+			return operator, &OperatorError{file, err.line(source), "drains: " + err.key, err.reason}
 		}
 	}
 	return operator, nil
 }
 
-// lineOf finds the line that sets a key.
+// isOperatorTime reports whether a number of seconds may be set by the operators.
+func isOperatorTime(seconds float64) bool {
+	return seconds >= 0 && seconds <= maxOperatorSeconds // false for NaN
+}
+
+// lineOf returns the first line, counted from 1, on which a key begins a word; 1 if there is
+// none.
 func lineOf(source []byte, key string) int {
 	line := 1
 	for i := 0; i+len(key) <= len(source); i++ {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,10 @@
-// Package settings reads the platform's settings file (JSON) and the
-// operators' own (HCL).
+// Package settings reads the platform's settings file (JSON) and the operators' own (HCL),
+// checks them, and derives the durations and limits that the other packages go by.
+//
+// It holds no state but what is in the files, and the number of shards that was found
+// stored. A node must not start on settings that are refused here: a wrong amount of time
+// would break what the leases and fencing tokens guarantee. Constants that are not in a
+// file are in internal/tuning.
 package settings
 
 import (
@@ -13,10 +18,11 @@
 type Peer struct {
 	Node     string `json:"node"`
 	Area     string `json:"area"`
-	Endpoint string `json:"endpoint"`
+	Endpoint string `json:"endpoint"` // host:port
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team is a team's quota of processors and GPUs: CPUs and GPUs are guaranteed, CPUsMax and
+// GPUsMax the most that it may use. The value 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -25,16 +31,17 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective repeats one of the users' aims.
+// Objective is a service-level objective of the users.
 type Objective struct {
-	Kind    string  `json:"kind"`
+	Kind    string  `json:"kind"` // see objectiveFinished and those beside it
 	Class   string  `json:"class"`
-	WithinS float64 `json:"within_s"`
-	Share   float64 `json:"share"`
-	Times   float64 `json:"times"`
+	WithinS float64 `json:"within_s"` // seconds
+	Share   float64 `json:"share"`    // of the class that must meet it
+	Times   float64 `json:"times"`    // of the deadline
 }
 
-// NextLimits are the limits that the state service will have later.
+// NextLimits are the limits that the state service will have later; nil for those that do
+// not change.
 type NextLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -42,16 +49,16 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Settings is the platform's file.
+// Settings is the platform's file, and the operators' settings beside it.
 type Settings struct {
-	Node     string `json:"node"`
+	Node     string `json:"node"` // name of this controller
 	Area     string `json:"area"`
-	ServeOn  string `json:"serve_on"`
-	PeerBind string `json:"peer_bind"`
-	Seeds    []Peer `json:"seeds"`
+	ServeOn  string `json:"serve_on"`  // address for users and workers
+	PeerBind string `json:"peer_bind"` // address for the other controllers
+	Seeds    []Peer `json:"seeds"`     // the other controllers
 	External struct {
-		Cloud string `json:"cloud"`
-		State string `json:"state"`
+		Cloud string `json:"cloud"` // address
+		State string `json:"state"` // address
 	} `json:"external"`
 	Deployment struct {
 		InitialSize int         `json:"initial_size"`
@@ -59,31 +66,31 @@
 		Teams       []Team      `json:"teams"`
 		Objectives  []Objective `json:"objectives"`
 		Workers     struct {
-			ReportS   float64 `json:"report_s"`
-			LeaseS    float64 `json:"lease_s"`
-			CancelS   float64 `json:"cancel_s"`
+			ReportS   float64 `json:"report_s"` // seconds between heartbeats
+			LeaseS    float64 `json:"lease_s"`  // seconds that a worker goes on without an answer
+			CancelS   float64 `json:"cancel_s"` // seconds within which a cancelled task is gone
 			GangWaitS float64 `json:"gang_wait_s"`
 			GangPeerS float64 `json:"gang_peer_s"`
 		} `json:"workers"`
 		State struct {
-			RPS      float64 `json:"rps"`
-			WriteRPS float64 `json:"write_rps"`
+			RPS      float64 `json:"rps"`       // requests a second
+			WriteRPS float64 `json:"write_rps"` // changes a second
 			ValueKB  float64 `json:"value_kb"`
-			TxnOps   int     `json:"txn_ops"`
+			TxnOps   int     `json:"txn_ops"` // operations in a commit
 			// Next is what the service will allow from some moment on; nil, in
 			// whole or in part, means no change.
 			Next *NextLimits `json:"next"`
 		} `json:"state"`
 		Cloud struct {
-			RPS      float64 `json:"rps"`
+			RPS      float64 `json:"rps"` // requests a second
 			ListLagS float64 `json:"list_lag_s"`
 		} `json:"cloud"`
-		Quota struct {
+		Quota struct { // of this process
 			CoreShare float64 `json:"core_share"`
 			MemMB     float64 `json:"mem_mb"`
 			Sockets   int     `json:"sockets"`
 		} `json:"quota"`
-		SkewMS float64 `json:"skew_ms"`
+		SkewMS float64 `json:"skew_ms"` // that a clock may be off, in milliseconds
 	} `json:"deployment"`
 
 	// Operator holds what the operators set themselves.
@@ -92,9 +99,9 @@
 	storedShardCount int // see SetShardCount
 }
 
-// Load reads the platform's file and, if hclPath is not empty, the
-// operators'.
-func Load(path, hclPath string) (*Settings, error) {
+// Load reads the platform's file and, if operatorPath is not empty, the operators'. What is
+// wrong in a file is a *FieldError or an *OperatorError, with the file named in the text.
+func Load(path, operatorPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read settings: %w", err)
@@ -103,28 +110,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if hclPath != "" {
-		source, err := os.ReadFile(hclPath)
-		if err != nil {
-			return nil, fmt.Errorf("read operators' settings: %w", err)
-		}
-		if settings.Operator, err = ParseOperator(hclPath, source); err != nil {
-			return nil, err
-		}
-		if team := settings.unknownTeam(); team != "" {
-			return nil, fmt.Errorf("%s:%d: drains: team: there is no team %q", hclPath, lineOf(source, `"`+team+`"`), team)
-		}
+	if operatorPath == "" {
+		return settings, nil
+	}
+	if err := settings.loadOperator(operatorPath); err != nil {
+		return nil, err
 	}
 	return settings, nil
 }
 
-// Parse reads the platform's settings; unknown fields are ignored.
+func (s *Settings) loadOperator(path string) error {
+	source, err := os.ReadFile(path)
+	if err != nil {
+		return fmt.Errorf("read operators' settings: %w", err)
+	}
+	if s.Operator, err = ParseOperator(path, source); err != nil {
+		return err
+	}
+	if team := s.unknownTeam(); team != "" {
+		return &OperatorError{path, lineOf(source, `"`+team+`"`), "drains: team", fmt.Sprintf("there is no team %q", team)}
+	}
+	return nil
+}
+
+// Parse reads the platform's settings; unknown fields are ignored. What is wrong with a
+// field is a *FieldError.
 func Parse(raw []byte) (*Settings, error) {
 	var settings Settings
 	if err := json.Unmarshal(raw, &settings); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, fmt.Errorf("settings: field %q: want %s, not %s", typeError.Field, typeError.Type, typeError.Value)
+			err = &FieldError{typeError.Field, fmt.Sprintf("want %s, not %s", typeError.Type, typeError.Value)}
+			return nil, fmt.Errorf("settings: %w", err)
 		}
 		return nil, fmt.Errorf("settings: not valid JSON: %w", err)
 	}
