--- a/internal/settings/drains_test.go
+++ b/internal/settings/drains_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDeployedDrains: the file that turns drains on is in order.
-func TestDeployedDrains(t *testing.T) {
+// TestDeployedDrainSettingsAreValid: the file that turns drains on is in order.
+func TestDeployedDrainSettingsAreValid(t *testing.T) {
 	const path = "../../deploy/drains.hcl"
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestDrainSettingsThatMakeNoSense: each is refused with file, line and reason.
-func TestDrainSettingsThatMakeNoSense(t *testing.T) {
+// TestInvalidDrainSettingsAreRefused: each is refused with file, line and reason.
+func TestInvalidDrainSettingsAreRefused(t *testing.T) {
 	for src, want := range map[string]string{
 		"drains {\n  default {\n    tasks = -1\n  }\n}\n":                                    "x.hcl:3: drains: tasks: -1 is below 0",
 		"drains {\n  default {\n    tasks = 0\n  }\n}\n":                                     "x.hcl:3: drains: tasks: 0: under it nothing could ever move",
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestDrainBudgetOfAnUnknownTeam: refused when the files are read together.
-func TestDrainBudgetOfAnUnknownTeam(t *testing.T) {
+// TestDrainBudgetOfUnknownTeamIsRefused: refused when the files are read together.
+func TestDrainBudgetOfUnknownTeamIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	platform, operator := filepath.Join(dir, "s.json"), filepath.Join(dir, "o.hcl")
 	write := func(path, text string) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -18,9 +19,9 @@
 "workers":{"report_s":3,"lease_s":36,"cancel_s":66},"state":{"rps":80,"write_rps":15,"value_kb":8,"txn_ops":12},
 "cloud":{"rps":3,"list_lag_s":10},"quota":{"core_share":0.096,"mem_mb":98,"sockets":700},"skew_ms":250}}`
 
-// TestFaultsNameTheirField: each setting, taken away or spoilt, is refused with
+// TestErrorsNameTheField: each setting, taken away or spoilt, is refused with
 // its name.
-func TestFaultsNameTheirField(t *testing.T) {
+func TestErrorsNameTheField(t *testing.T) {
 	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
@@ -35,11 +36,11 @@
 			if err := json.Unmarshal([]byte(validSettings), &tree); err != nil {
 				t.Fatal(err)
 			}
-			at, parts := tree, strings.Split(path, ".")
-			for _, p := range parts[:len(parts)-1] {
-				at = at[p].(map[string]any)
+			parent, names := tree, strings.Split(path, ".")
+			for _, name := range names[:len(names)-1] {
+				parent = parent[name].(map[string]any)
 			}
-			at[parts[len(parts)-1]] = spoilt
+			parent[names[len(names)-1]] = spoilt
 			raw, err := json.Marshal(tree)
 			if err != nil {
 				t.Fatal(err)
@@ -51,7 +52,7 @@
 	}
 }
 
-func TestOperatorSettings(t *testing.T) {
+func TestOperatorSettingsAreParsedOrRefused(t *testing.T) {
 	operator, err := ParseOperator("x.hcl", []byte("wait_bound_s = 12.5\n"))
 	if err != nil || operator.WaitBoundS == nil || *operator.WaitBoundS != 12.5 {
 		t.Fatalf("%+v, %v", operator, err)
@@ -68,29 +69,29 @@
 	}
 }
 
-// TestSilenceFollowsReports guards against a fault of an incident: silence was
-// counted in seconds measured where workers report every 3 s, and machines that
-// report every 10 s were returned as dead, with their tasks.
-func TestSilenceFollowsReports(t *testing.T) {
+// TestSilenceLimitsFollowTheHeartbeatInterval guards against the fault of an incident:
+// silence was counted in seconds measured where workers send a heartbeat every 3 s, and
+// machines that send one every 10 s were returned as dead, with their tasks.
+func TestSilenceLimitsFollowTheHeartbeatInterval(t *testing.T) {
 	for _, heartbeatSeconds := range []float64{1, 3, 5, 10, 30} {
 		var settings Settings
 		settings.Deployment.Workers.ReportS = heartbeatSeconds
 		// A quarter late, its answer lost for 4 s, then another controller tried
 		// a second later: alive all the same.
 		if late := seconds(1.25*heartbeatSeconds + 4 + 1 + 0.5); settings.WorkerDeadAfter() <= late {
-			t.Errorf("reports every %g s: dead after %v, alive within %v", heartbeatSeconds, settings.WorkerDeadAfter(), late)
+			t.Errorf("heartbeats every %g s: dead after %v, alive within %v", heartbeatSeconds, settings.WorkerDeadAfter(), late)
 		}
 		for _, machines := range []int{1, 9, 10, 2000} {
 			if longest := seconds(1.25 * heartbeatSeconds); settings.OwnerSilenceLimit(machines) <= longest {
-				t.Errorf("reports every %g s: %d machines unheard for %v mean nothing", heartbeatSeconds, machines, settings.OwnerSilenceLimit(machines))
+				t.Errorf("heartbeats every %g s: %d machines silent for %v mean nothing", heartbeatSeconds, machines, settings.OwnerSilenceLimit(machines))
 			}
 		}
 	}
 }
 
-// TestBlocksFollowSize: small deployments keep one block, large ones have no
-// more than controllers.
-func TestBlocksFollowSize(t *testing.T) {
+// TestShardCountFollowsTheDeploymentSize: small deployments keep one shard, large ones have
+// no more than controllers.
+func TestShardCountFollowsTheDeploymentSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var settings Settings
 		settings.Seeds = make([]Peer, rapid.IntRange(0, 6).Draw(t, "seeds"))
@@ -102,21 +103,21 @@
 		}
 		shards := settings.ShardCount()
 		if shards < 1 || shards > len(settings.Seeds)+1 || (sum < 2*tuning.CPUsPerShard && shards > 1) || (sum >= 2*tuning.CPUsPerShard && len(settings.Seeds) > 0 && shards == 1) {
-			t.Fatalf("%d blocks for %g processors and %d controllers", shards, sum, len(settings.Seeds)+1)
+			t.Fatalf("%d shards for %g processors and %d controllers", shards, sum, len(settings.Seeds)+1)
 		}
 	})
 }
 
-// TestLimitsToCome: what the state service will allow later counts from the
+// TestNextLimitsCountFromTheStart: what the state service will allow later counts from the
 // start; without it, or a part of it, nothing changes; nonsense is refused.
-func TestLimitsToCome(t *testing.T) {
+func TestNextLimitsCountFromTheStart(t *testing.T) {
 	parse := func(next string) (*Settings, error) {
 		return Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12,"next":`+next, 1)))
 	}
 	for next, want := range map[string]struct {
-		ops  int
-		kb   float64
-		fall float64
+		operations int
+		kilobytes  float64
+		writeShare float64
 	}{
 		`null`: {12, 8, 1}, `{}`: {12, 8, 1}, `{"txn_ops":4}`: {4, 8, 1}, `{"value_kb":2,"novel":1}`: {12, 2, 1},
 		`{"value_kb":16,"txn_ops":24,"write_rps":30}`:        {12, 8, 1},
@@ -127,7 +128,7 @@
 			t.Errorf("%s: %v", next, err)
 			continue
 		}
-		if bytes := int(want.kb * 1024 * tuning.ValueLimitShare); settings.MaxOperations() != want.ops || settings.MaxValueBytes() != bytes || settings.FutureWriteShare() != want.fall {
+		if bytes := int(want.kilobytes * 1024 * tuning.ValueLimitShare); settings.MaxOperations() != want.operations || settings.MaxValueBytes() != bytes || settings.FutureWriteShare() != want.writeShare {
 			t.Errorf("%s: %d changes, %d bytes, %g", next, settings.MaxOperations(), settings.MaxValueBytes(), settings.FutureWriteShare())
 		}
 	}
@@ -141,11 +142,11 @@
 	}
 }
 
-// TestCancelLeavesRoomToKnow: settings under which no owner could learn of a
+// TestCancelLimitLeavesTimeToLearnOfCancellations: settings under which no owner could learn of a
 // cancellation in time are refused with the field and the reason, and under all others
 // the answers end in time: the newest answer on the oldest knowledge, the worker's
 // lease with its drift and the slack still fit into cancel_s.
-func TestCancelLeavesRoomToKnow(t *testing.T) {
+func TestCancelLimitLeavesTimeToLearnOfCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaseSeconds := float64(rapid.IntRange(5, 120).Draw(t, "lease"))
 		cancelSeconds := leaseSeconds + float64(rapid.IntRange(-50, 600).Draw(t, "tenths more"))/10
@@ -167,3 +168,21 @@
 		}
 	})
 }
+
+// TestErrorsAreTyped: a caller can tell which field or setting is wrong.
+func TestErrorsAreTyped(t *testing.T) {
+	_, err := Parse([]byte(strings.Replace(validSettings, `"rps":80`, `"rps":0`, 1)))
+	var field *FieldError
+	if !errors.As(err, &field) || field.Field != "deployment.state.rps" || err.Error() != `settings: field "deployment.state.rps": missing or not above 0` {
+		t.Errorf("a field out of range: %v", err)
+	}
+	_, err = Parse([]byte(strings.Replace(validSettings, `"rps":80`, `"rps":"80"`, 1)))
+	if !errors.As(err, &field) || err.Error() != `settings: field "deployment.state.rps": want float64, not string` {
+		t.Errorf("a field of another type: %v", err)
+	}
+	_, err = ParseOperator("x.hcl", []byte("\nidle_keep_s = 86401\n"))
+	var setting *OperatorError
+	if !errors.As(err, &setting) || setting.Line != 2 || err.Error() != "x.hcl:2: idle_keep_s: 86401 is outside 0 to 86400" {
+		t.Errorf("a setting out of range: %v", err)
+	}
+}
