--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -43,7 +43,6 @@
 		Runtime: n.rt, State: n.state, Lease: n.leases, Records: book, Cluster: cluster, Settings: n.set, Tracer: tracer, Log: n.log,
 	})}
 	for _, o := range n.owners {
-		o.workers.ClosedByDrain = book.IsClosed
 		o.drains = drain.NewExecutor(n.rt, book, o.workers, o.tasks, func() bool {
 			return o.token != 0 && o.tasks.IsLoaded() && o.LeaseValid()
 		})
--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -85,11 +85,13 @@
 // NewRecords returns an empty copy, which Start has filled and kept up to date. onChange
 // is called after the records have changed.
 func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger, onChange func()) *Records {
-	records := &Records{log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
+	records := &Records{log: log}
 	records.clear()
-	records.mirror.Reset = func([]statestore.KeyValue) { records.clear() }
-	records.mirror.Apply = records.apply
-	records.mirror.Updated = onChange
+	records.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{
+		Reset:   func([]statestore.KeyValue) { records.clear() },
+		Apply:   records.apply,
+		Updated: onChange,
+	})
 	return records
 }
 
