--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -202,8 +202,8 @@
 		for _, state := range slices.Sorted(maps.Keys(d.States)) {
 			fmt.Fprintf(out, ", %d %s", d.States[state], state)
 		}
-		fmt.Fprintf(out, "; %d tasks disturbed\n", d.Grants)
-		for _, why := range d.Waits {
+		fmt.Fprintf(out, "; %d tasks disturbed\n", d.DisturbedTasks)
+		for _, why := range d.WaitReasons {
 			fmt.Fprintf(out, "  waits: %s\n", why)
 		}
 	}
--- a/internal/drain/advance.go
+++ b/internal/drain/advance.go
@@ -81,7 +81,7 @@
 // finish ends a drain all of whose machines are gone.
 func (r *round) finish(drain *Drain) {
 	head := drain.Head
-	head.Phase, head.Ended, head.Released = PhaseDone, r.rt.WallClock().UnixMilli(), head.Machines
+	head.Phase, head.EndedAtMS, head.Released = PhaseDone, r.rt.WallClock().UnixMilli(), head.Machines
 	if r.changes.put(HeadKey(drain.ID), drain.Revision, head) {
 		r.steps = append(r.steps, drainStep{drainID: drain.ID, name: stepDone})
 	}
@@ -90,7 +90,7 @@
 // rentalName names the request for a machine's replacement. It is never used for
 // another one: the time of creation tells drains of the same name apart.
 func rentalName(drain *Drain, machine *Machine) string {
-	return fmt.Sprintf("drain-%s-%d-%s-%d", drain.ID, drain.Head.Created, machine.ID, machine.Tries)
+	return fmt.Sprintf("drain-%s-%d-%s-%d", drain.ID, drain.Head.CreatedAtMS, machine.ID, machine.RentalAttempts)
 }
 
 // advanceReplacements follows the replacements from the request until they are up.
@@ -108,7 +108,7 @@
 		case isKnown && info.HasReported && info.AcceptsTasks:
 			r.editMachine(drain, position, stepClosed, r.closeMachine)
 		case r.cluster.IsGone(machine.Replacement):
-			r.editMachine(drain, position, stepReplacementLost, func(m *Machine) { m.Replacement, m.Tries = "", m.Tries+1 })
+			r.editMachine(drain, position, stepReplacementLost, func(m *Machine) { m.Replacement, m.RentalAttempts = "", m.RentalAttempts+1 })
 		default:
 			r.addWaitReason(drain, fmt.Sprintf("replacement %s of %s is booting", machine.Replacement, machine.ID))
 		}
@@ -135,7 +135,7 @@
 
 // closeMachine is the edit that closes a machine to new work.
 func (r *round) closeMachine(m *Machine) {
-	m.State, m.Since = MachineClosed, r.rt.WallClock().UnixMilli()
+	m.State, m.ClosedAtMS = MachineClosed, r.rt.WallClock().UnixMilli()
 }
 
 // candidate is a machine that could be the next to be drained.
@@ -241,7 +241,7 @@
 			ended = append(ended, drain)
 		}
 	}
-	slices.SortFunc(ended, func(a, b *Drain) int { return cmp.Compare(a.Head.Ended, b.Head.Ended) })
+	slices.SortFunc(ended, func(a, b *Drain) int { return cmp.Compare(a.Head.EndedAtMS, b.Head.EndedAtMS) })
 	for _, drain := range ended[:max(0, len(ended)-tuning.MaxFinishedDrains)] {
 		r.changes.remove(HeadKey(drain.ID), drain.Revision)
 	}
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -135,15 +135,15 @@
 	if c.writes.available() == 0 {
 		return
 	}
-	r := c.newRound()
+	next := c.newRound()
 	for _, drain := range c.records.Drains() {
-		r.advance(drain)
+		next.advance(drain)
 	}
-	r.collectGarbage()
-	c.progress.setWaitReasons(r.waitReasons)
-	if changes := r.changes; !changes.isEmpty() {
+	next.collectGarbage()
+	c.progress.setWaitReasons(next.waitReasons)
+	if changes := next.changes; !changes.isEmpty() {
 		c.writes.spend(len(changes.operations))
-		c.committer.commit(changes.conditions, changes.operations, func(bool) { c.progress.stepsCommitted(r.steps, r.usage) })
+		c.committer.commit(changes.conditions, changes.operations, func(bool) { c.progress.stepsCommitted(next.steps, next.usage) })
 	}
 }
 
--- a/internal/drain/executor_report.go
+++ b/internal/drain/executor_report.go
@@ -24,7 +24,7 @@
 	if r.records.IsIdle() {
 		return nil
 	}
-	report := &ShardReport{Teams: map[string]TeamWork{}, Down: map[string]int{}}
+	report := &ShardReport{Teams: map[string]TeamWork{}, ReplicasDown: map[string]int{}}
 	// The granted tasks go first: which of them run again decides what the others count.
 	r.addGranted(report)
 	r.addMachines(report)
@@ -58,12 +58,12 @@
 	}
 	granted := GrantedTask{TaskRef: ref}
 	granted.Attempt = attempt
-	granted.Runs = attempt > ref.Attempt
-	granted.Void = isCancelled && attempt == ref.Attempt && isUntouched
-	if granted.Runs {
+	granted.RunsAgain = attempt > ref.Attempt
+	granted.IsUntouched = isCancelled && attempt == ref.Attempt && isUntouched
+	if granted.RunsAgain {
 		r.ranAttempts[ref.Name()] = max(r.ranAttempts[ref.Name()], attempt)
 	}
-	if granted.Runs || granted.Void {
+	if granted.RunsAgain || granted.IsUntouched {
 		report.Granted = append(report.Granted, granted)
 	}
 }
@@ -117,7 +117,7 @@
 		placed.Attempt = task.WireAttempt()
 	}
 	if task.Running {
-		placed.RunsMS = max(1, (now - task.RunningSince).Milliseconds())
+		placed.RunningMS = max(1, (now - task.RunningSince).Milliseconds())
 	}
 	return placed
 }
@@ -145,11 +145,11 @@
 // addReplicaDown counts a replica that is not up, for so many services that the report
 // stays small.
 func addReplicaDown(report *ShardReport, job string) {
-	if _, isListed := report.Down[job]; !isListed && len(report.Down) >= tuning.MaxReportedDownServices {
-		report.Partial = true
+	if _, isListed := report.ReplicasDown[job]; !isListed && len(report.ReplicasDown) >= tuning.MaxReportedDownServices {
+		report.ReplicasDownIsPartial = true
 		return
 	}
-	report.Down[job]++
+	report.ReplicasDown[job]++
 }
 
 // isUp reports whether a task surely runs.
--- a/internal/drain/grants.go
+++ b/internal/drain/grants.go
@@ -53,7 +53,7 @@
 			return
 		}
 		r.grantMachine(drain, machine)
-		if r.withoutRoom[machine.ID] && machine.Tries < tuning.MaxDrainRentalAttempts && r.stuck.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
+		if r.withoutRoom[machine.ID] && machine.RentalAttempts < tuning.MaxDrainRentalAttempts && r.stuck.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
 			r.editMachine(drain, position, stepReopened, reopenMachine)
 		}
 	})
@@ -64,7 +64,7 @@
 func reopenMachine(m *Machine) {
 	m.State = MachineReplacing
 	if m.Replacement != "" {
-		m.Replacement, m.Tries = "", m.Tries+1
+		m.Replacement, m.RentalAttempts = "", m.RentalAttempts+1
 	}
 }
 
@@ -147,7 +147,7 @@
 
 // pendingMoves lists what has to leave a machine and is not granted, the cheapest first.
 func (r *round) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []pendingMove {
-	closedFor := time.Duration(max(0, r.rt.WallClock().UnixMilli()-machine.Since)) * time.Millisecond
+	closedFor := time.Duration(max(0, r.rt.WallClock().UnixMilli()-machine.ClosedAtMS)) * time.Millisecond
 	gangs := map[string]bool{}
 	var moves []pendingMove
 	for _, task := range closed.Tasks {
@@ -157,7 +157,7 @@
 		}
 		next := pendingMove{
 			spec: spec, ref: TaskRef{Job: task.Job, Index: task.Index, Attempt: task.Attempt},
-			runningFor: time.Duration(task.RunsMS) * time.Millisecond, destinationZone: spec.Zone, tasksOnClosed: 1, closedFor: closedFor,
+			runningFor: time.Duration(task.RunningMS) * time.Millisecond, destinationZone: spec.Zone, tasksOnClosed: 1, closedFor: closedFor,
 		}
 		if spec.SameZone || spec.Spread {
 			next.destinationZone = info.Zone
--- a/internal/drain/operator_changes.go
+++ b/internal/drain/operator_changes.go
@@ -38,7 +38,7 @@
 	}
 	pages := h.paginate(machines)
 	head := Head{
-		Phase: PhaseRunning, Created: h.rt.WallClock().UnixMilli(), Digest: request.Digest(), Replace: request.Replace,
+		Phase: PhaseRunning, CreatedAtMS: h.rt.WallClock().UnixMilli(), Digest: request.Digest(), Replace: request.Replace,
 		Machines: len(machines), Pages: len(pages),
 	}
 	commit := &startCommit{requestHandler: h, request: request, head: head, pages: pages}
@@ -167,7 +167,7 @@
 	head := drain.Head
 	head.Phase = change.to
 	if head.Phase == PhaseCancelled {
-		head.Ended, head.Released = h.rt.WallClock().UnixMilli(), drain.CountByState()[MachineReleased]
+		head.EndedAtMS, head.Released = h.rt.WallClock().UnixMilli(), drain.CountByState()[MachineReleased]
 	}
 	raw, err := encode(head)
 	if err != nil {
--- a/internal/drain/operator_requests.go
+++ b/internal/drain/operator_requests.go
@@ -108,7 +108,7 @@
 	}
 	return View{
 		ID: drain.ID, Phase: drain.Head.Phase, Replace: drain.Head.Replace, Machines: drain.Head.Machines,
-		States: states, Grants: h.disturbances.unsettledTasks(drain), Waits: h.progress.waitReasons[drain.ID],
+		States: states, DisturbedTasks: h.disturbances.unsettledTasks(drain), WaitReasons: h.progress.waitReasons[drain.ID],
 	}
 }
 
--- a/internal/drain/progress.go
+++ b/internal/drain/progress.go
@@ -56,7 +56,7 @@
 		for _, reason := range reasons {
 			p.log.Info("drain waits", "drain", drainID, "reason", reason)
 		}
-		p.tracer.Waits(drainID, reasons)
+		p.tracer.RecordWaitReasons(drainID, reasons)
 	}
 	p.waitReasons = waitReasons
 }
@@ -70,7 +70,7 @@
 		} else {
 			p.logGrant(step, usage)
 		}
-		p.tracer.Step(step, usage)
+		p.tracer.RecordStep(step, usage)
 	}
 }
 
--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -134,7 +134,7 @@
 		}
 	}
 	slices.SortFunc(drains, func(a, b *Drain) int {
-		return cmp.Or(cmp.Compare(a.Head.Created, b.Head.Created), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Head.CreatedAtMS, b.Head.CreatedAtMS), cmp.Compare(a.ID, b.ID))
 	})
 	return drains
 }
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -29,7 +29,7 @@
 	ID        string    `json:"id,omitempty"`
 	Selection Selection `json:"selection"`
 	Replace   bool      `json:"replace,omitempty"`
-	// Forwarded: it comes from another controller, which took this one to lead.
+	// Forwarded says that another controller has sent it on, which took this one to lead.
 	Forwarded bool `json:"forwarded,omitempty"`
 }
 
@@ -99,10 +99,10 @@
 	Replace  bool           `json:"replace"`
 	Machines int            `json:"machines"`
 	States   map[string]int `json:"states"`
-	// Grants are the tasks that are disturbed now.
-	Grants int `json:"disturbed"`
-	// Waits is what it waits for, one line for each reason.
-	Waits []string `json:"waits,omitempty"`
+	// DisturbedTasks are the tasks that are disturbed now.
+	DisturbedTasks int `json:"disturbed"`
+	// WaitReasons is what it waits for, one line for each reason.
+	WaitReasons []string `json:"waits,omitempty"`
 }
 
 // TeamState is a team's budget and how it stands.
--- a/internal/drain/shard_report.go
+++ b/internal/drain/shard_report.go
@@ -9,10 +9,10 @@
 	Granted []GrantedTask `json:"granted,omitempty"`
 	// Teams is the work of the shard that runs, or was disturbed by nobody's choice.
 	Teams map[string]TeamWork `json:"teams,omitempty"`
-	// Down is, by service, how many replicas are placed but not up.
-	Down map[string]int `json:"down,omitempty"`
-	// Partial says that Down was cut short, so no replica may be counted as up.
-	Partial bool `json:"partial,omitempty"`
+	// ReplicasDown is, by service, how many replicas are placed but not up.
+	ReplicasDown map[string]int `json:"down,omitempty"`
+	// ReplicasDownIsPartial says that ReplicasDown was cut short, so no replica may be counted as up.
+	ReplicasDownIsPartial bool `json:"partial,omitempty"`
 }
 
 // TeamWork is a team's work in a shard.
@@ -32,16 +32,16 @@
 	Job     string `json:"job"`
 	Index   int    `json:"index,omitempty"`
 	Attempt uint64 `json:"attempt"`
-	// RunsMS is how long it has been running, in milliseconds, 0 if it has not begun.
-	RunsMS int64 `json:"runsMs,omitempty"`
+	// RunningMS is how long it has been running, in milliseconds, 0 if it has not begun.
+	RunningMS int64 `json:"runsMs,omitempty"`
 }
 
 // GrantedTask is how a granted task, or gang, is.
 type GrantedTask struct {
 	TaskRef
-	// Runs says that a heartbeat under the present fencing token shows it running under the
+	// RunsAgain says that a heartbeat under the present fencing token shows it running under the
 	// Attempt given here, which is later than the grant's.
-	Runs bool `json:"runs,omitempty"`
-	// Void says that the owner has not halted it, and knows that its drain was cancelled.
-	Void bool `json:"void,omitempty"`
+	RunsAgain bool `json:"runs,omitempty"`
+	// IsUntouched says that the owner has not halted it, and knows that its drain was cancelled.
+	IsUntouched bool `json:"void,omitempty"`
 }
--- a/internal/drain/shard_reports.go
+++ b/internal/drain/shard_reports.go
@@ -47,7 +47,7 @@
 		return false
 	}
 	for _, task := range report.Granted {
-		if task.Runs && task.Attempt > s.ranAttempts[task.Name()] {
+		if task.RunsAgain && task.Attempt > s.ranAttempts[task.Name()] {
 			s.ranAttempts[task.Name()], tasksRunAgain = task.Attempt, true
 		}
 	}
@@ -75,7 +75,7 @@
 			continue
 		}
 		for _, task := range last.report.Granted {
-			if task.Void && task.TaskRef == ref {
+			if task.IsUntouched && task.TaskRef == ref {
 				return shardIndex, last.token, true
 			}
 		}
--- a/internal/drain/stored.go
+++ b/internal/drain/stored.go
@@ -22,19 +22,19 @@
 // Head is the stored record of a drain as a whole, under HeadKey.
 type Head struct {
 	Phase Phase `json:"phase"`
-	// Created is when it was accepted, in ms since the epoch by the leader's clock.
-	Created int64 `json:"created"`
-	// Digest tells requests of the same id apart, see Request.Digest.
+	// CreatedAtMS is when it was accepted, in milliseconds since the epoch by the leader's clock.
+	CreatedAtMS int64 `json:"created"`
+	// Digest tells requests of the same ID apart, see Request.Digest.
 	Digest string `json:"digest"`
 	// Replace: a replacement is rented for each machine before it is closed.
 	Replace bool `json:"replace,omitempty"`
 	// Machines is how many the drain names, Pages how many pages list them.
 	Machines int `json:"machines"`
 	Pages    int `json:"pages"`
-	// Released is how many were given back, as of the end.
+	// Released is how many machines were released, as of the end.
 	Released int `json:"released,omitempty"`
-	// Ended is when it reached its final phase, 0 before.
-	Ended int64 `json:"ended,omitempty"`
+	// EndedAtMS is when it reached its final phase, in milliseconds since the epoch; 0 before.
+	EndedAtMS int64 `json:"ended,omitempty"`
 }
 
 // MachineState is how far a machine of a drain is. It is stored; MachineWaiting is left out.
@@ -45,19 +45,19 @@
 	MachineWaiting   MachineState = ""
 	MachineReplacing MachineState = "replacing" // a replacement was asked for, or is booting
 	MachineClosed    MachineState = "closed"    // takes no new tasks
-	MachineReleased  MachineState = "released"  // given back, or gone by itself
+	MachineReleased  MachineState = "released"  // returned to the cloud, or gone by itself
 )
 
 // Machine is an entry of a page.
 type Machine struct {
 	ID    string       `json:"i"`
 	State MachineState `json:"s,omitempty"`
-	// Tries counts the rental requests for a replacement, each under another name.
-	Tries int `json:"n,omitempty"`
+	// RentalAttempts counts the rental requests for a replacement, each under another name.
+	RentalAttempts int `json:"n,omitempty"`
 	// Replacement is the machine rented for it.
 	Replacement string `json:"r,omitempty"`
-	// Since is when it was closed, in ms since the epoch by the leader's clock.
-	Since int64 `json:"t,omitempty"`
+	// ClosedAtMS is when it was closed, in milliseconds since the epoch by the leader's clock.
+	ClosedAtMS int64 `json:"t,omitempty"`
 }
 
 // maxMachineBytes is the most bytes that an entry of a page takes, with names of up to
--- a/internal/drain/stored_test.go
+++ b/internal/drain/stored_test.go
@@ -8,7 +8,7 @@
 
 // TestRecordsFitTheirBounds: pages and grants stay below what is reckoned for them.
 func TestRecordsFitTheirBounds(t *testing.T) {
-	machine, err := encode(Machine{ID: strings.Repeat("m", 40), State: MachineReplacing, Tries: 3, Replacement: strings.Repeat("r", 40), Since: math.MaxInt64 / 1000})
+	machine, err := encode(Machine{ID: strings.Repeat("m", 40), State: MachineReplacing, RentalAttempts: 3, Replacement: strings.Repeat("r", 40), ClosedAtMS: math.MaxInt64 / 1000})
 	if err != nil || len(machine) > maxMachineBytes {
 		t.Errorf("%d bytes: %s", len(machine), machine)
 	}
--- a/internal/drain/surface_test.go
+++ b/internal/drain/surface_test.go
@@ -34,9 +34,9 @@
 		t.Fatal(err)
 	}
 	usage := &budgetUsage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1.5}}}}
-	tracer.Step(drainStep{drainID: "d-1", machineID: "vm-1", name: stepGranted, grant: &Grant{Tasks: []TaskRef{{Job: "wk-1"}, {Job: "wk-2"}}}}, usage)
-	tracer.Waits("d-1", []string{"no room"})
-	tracer.Step(drainStep{drainID: "d-1", name: stepDone}, usage)
+	tracer.RecordStep(drainStep{drainID: "d-1", machineID: "vm-1", name: stepGranted, grant: &Grant{Tasks: []TaskRef{{Job: "wk-1"}, {Job: "wk-2"}}}}, usage)
+	tracer.RecordWaitReasons("d-1", []string{"no room"})
+	tracer.RecordStep(drainStep{drainID: "d-1", name: stepDone}, usage)
 	var span struct {
 		Name       string
 		Attributes []traceAttribute
--- a/internal/drain/trace.go
+++ b/internal/drain/trace.go
@@ -58,8 +58,8 @@
 	return span
 }
 
-// Step records a step of a drain, and how the teams' budgets stand after it.
-func (t *Tracer) Step(step drainStep, usage *budgetUsage) {
+// RecordStep records a step of a drain, and how the teams' budgets stand after it.
+func (t *Tracer) RecordStep(step drainStep, usage *budgetUsage) {
 	if t == nil {
 		return
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// Waits records what a drain waits for.
-func (t *Tracer) Waits(drainID string, reasons []string) {
+// RecordWaitReasons records what a drain waits for.
+func (t *Tracer) RecordWaitReasons(drainID string, reasons []string) {
 	if t == nil {
 		return
 	}
--- a/internal/drain/trace_test.go
+++ b/internal/drain/trace_test.go
@@ -17,9 +17,9 @@
 	}
 	usage := &budgetUsage{teams: map[string]*TeamUsage{"red": {Chosen: Amount{2, 3}, Unchosen: Amount{1, 1}}}}
 	for _, tracer := range []*Tracer{tracer, nil} {
-		tracer.Step(drainStep{drainID: "d", machineID: "vm-1", name: stepGranted, grant: &Grant{}}, usage)
-		tracer.Waits("d", []string{"no room"})
-		tracer.Step(drainStep{drainID: "d", name: stepDone}, usage)
+		tracer.RecordStep(drainStep{drainID: "d", machineID: "vm-1", name: stepGranted, grant: &Grant{}}, usage)
+		tracer.RecordWaitReasons("d", []string{"no room"})
+		tracer.RecordStep(drainStep{drainID: "d", name: stepDone}, usage)
 		tracer.End()
 	}
 	for _, want := range []string{`"granted"`, "vm-1", "team.red.chosen", "team.red.unchosen", "no room", `"done"`} {
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -109,14 +109,14 @@
 
 // addReport counts what a shard owner reports.
 func (u *budgetUsage) addReport(report *ShardReport) {
-	u.replicasUnknown = u.replicasUnknown || report.Partial
+	u.replicasUnknown = u.replicasUnknown || report.ReplicasDownIsPartial
 	for name, work := range report.Teams {
 		team := u.team(name)
 		team.Running = team.Running.Plus(work.Running)
 		team.Unchosen = team.Unchosen.Plus(work.Disturbed)
 	}
-	for job, down := range report.Down {
-		u.replicasDown[job] += down
+	for job, replicas := range report.ReplicasDown {
+		u.replicasDown[job] += replicas
 	}
 }
 
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -95,8 +95,8 @@
 // TestWireReplacementName: the name of the rental of a replacement, by which a later
 // leader, of another version perhaps, gets the same machine.
 func TestWireReplacementName(t *testing.T) {
-	d := &Drain{ID: "d-1", Head: Head{Created: 1700000000001}}
-	if got := rentalName(d, &Machine{ID: "vm-000001", Tries: 2}); got != "drain-d-1-1700000000001-vm-000001-2" {
+	d := &Drain{ID: "d-1", Head: Head{CreatedAtMS: 1700000000001}}
+	if got := rentalName(d, &Machine{ID: "vm-000001", RentalAttempts: 2}); got != "drain-d-1-1700000000001-vm-000001-2" {
 		t.Error(got)
 	}
 }
