--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -5,10 +5,6 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
-	"net/netip"
-	"slices"
-
-	"go4.org/netipx"
 )
 
 // RequestPath is where controllers take operators' requests on drains.
@@ -17,7 +13,7 @@
 // Verb is what an operator asks for.
 type Verb string
 
-// The verbs.
+// The verbs. VerbPlan and VerbStatus change nothing.
 const (
 	VerbPlan   Verb = "plan"
 	VerbStart  Verb = "start"
@@ -33,18 +29,19 @@
 	ID        string    `json:"id,omitempty"`
 	Selection Selection `json:"selection"`
 	Replace   bool      `json:"replace,omitempty"`
-	// Forwarded: it comes from another controller, which took this one to lead.
+	// Forwarded says that another controller has sent it on, which took this one to lead.
 	Forwarded bool `json:"forwarded,omitempty"`
 }
 
-// Digest tells whether two requests of the same id ask for the same.
+// Digest returns a text that is the same for two requests of a drain if, and only if, they
+// ask for the same.
 func (r *Request) Digest() string {
-	// Digests are stored and compared across versions: these names must stay.
-	contents := struct {
+	// Digests are stored and compared across versions: the names of these fields must stay.
+	content := struct {
 		Selection Selection `json:"Selection"`
 		Replace   bool      `json:"Replace"`
-	}{r.Selection.sorted(), r.Replace}
-	raw, err := json.Marshal(contents)
+	}{r.Selection.normalized(), r.Replace}
+	raw, err := json.Marshal(content)
 	if err != nil {
 		return ""
 	}
@@ -52,41 +49,23 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// MachineKind tells spot machines from ordinary ones.
-type MachineKind string
-
-// The kinds; AnyKind is both.
-const (
-	AnyKind      MachineKind = ""
-	SpotKind     MachineKind = "spot"
-	OrdinaryKind MachineKind = "ordinary"
-)
-
-// Selection picks machines. A machine must match each of the fields that are given.
-type Selection struct {
-	Machines []string    `json:"machines,omitempty"`
-	Zones    []string    `json:"zones,omitempty"`
-	Types    []string    `json:"types,omitempty"`
-	Kind     MachineKind `json:"kind,omitempty"`
-	Prefixes []string    `json:"prefixes,omitempty"` // of the workers' addresses
-}
-
-// sorted is the selection in a form that does not depend on the order of naming.
-func (s Selection) sorted() Selection {
-	order := func(list []string) []string {
-		list = slices.Clone(list)
-		slices.Sort(list)
-		return slices.Compact(list)
-	}
-	return Selection{order(s.Machines), order(s.Zones), order(s.Types), s.Kind, order(s.Prefixes)}
-}
-
-// RequestError is a request that is refused for good.
+// RequestError is why a request is refused for good: sent again, it would be refused again.
 type RequestError struct {
-	Field  string
+	Field  string // of the request, or what of the cluster forbids it, as operators read it
 	Reason string
 }
 
+// The fields that a RequestError names.
+const (
+	fieldVerb      = "verb"
+	fieldID        = "id"
+	fieldSelection = "selection"
+	fieldMachine   = "machine"
+	fieldKind      = "kind"
+	fieldPrefix    = "prefix"
+	fieldBudget    = "budget"
+)
+
 // Error names the field and the reason in one line.
 func (e *RequestError) Error() string { return e.Field + ": " + e.Reason }
 
@@ -103,32 +82,32 @@
 // Response answers a request.
 type Response struct {
 	Status ResponseStatus `json:"status"`
-	Node   string         `json:"node"` // which answers
+	Node   string         `json:"node"` // the controller that answers
 	Field  string         `json:"field,omitempty"`
 	Reason string         `json:"reason,omitempty"`
-	// RetryMS is when to ask again, with StatusUnavailable.
+	// RetryMS is the milliseconds after which to ask again, with StatusUnavailable.
 	RetryMS int64                `json:"retryMs,omitempty"`
-	Drains  []DrainView          `json:"drains,omitempty"`
+	Drains  []View               `json:"drains,omitempty"`
 	Teams   map[string]TeamState `json:"teams,omitempty"`
 	Plan    *Plan                `json:"plan,omitempty"`
 }
 
-// DrainView is a drain as operators see it.
-type DrainView struct {
+// View is a drain as operators see it.
+type View struct {
 	ID       string         `json:"id"`
 	Phase    Phase          `json:"phase"`
 	Replace  bool           `json:"replace"`
 	Machines int            `json:"machines"`
 	States   map[string]int `json:"states"`
-	// Grants are the tasks that are disturbed now.
-	Grants int `json:"disturbed"`
-	// Waits is what it waits for, one line for each reason.
-	Waits []string `json:"waits,omitempty"`
+	// DisturbedTasks are the tasks that are disturbed now.
+	DisturbedTasks int `json:"disturbed"`
+	// WaitReasons is what it waits for, one line for each reason.
+	WaitReasons []string `json:"waits,omitempty"`
 }
 
 // TeamState is a team's budget and how it stands.
 type TeamState struct {
-	TeamUse
+	TeamUsage
 	// Budget as text, since limits may be infinite.
 	Budget string `json:"budget"`
 }
@@ -148,77 +127,27 @@
 	Budget string `json:"budget"`
 }
 
-// matcher is a selection made ready to be applied.
-type matcher struct {
-	selection Selection
-	named     map[string]bool // by name, whether a machine of it was found
-	prefixes  *netipx.IPSet   // nil for any address
-}
-
-// newMatcher checks what a selection says by itself.
-func newMatcher(s Selection) (*matcher, *RequestError) {
-	if len(s.Machines)+len(s.Zones)+len(s.Types)+len(s.Prefixes) == 0 && s.Kind == AnyKind {
-		return nil, &RequestError{"selection", "empty: name machines, zones, types, prefixes or a kind"}
-	}
-	if s.Kind != AnyKind && s.Kind != SpotKind && s.Kind != OrdinaryKind {
-		return nil, &RequestError{"kind", fmt.Sprintf("%q is neither spot nor ordinary", s.Kind)}
-	}
-	m := &matcher{selection: s}
-	if len(s.Machines) > 0 {
-		m.named = map[string]bool{}
-		for _, name := range s.Machines {
-			m.named[name] = false
+// Validate finds what is wrong with a request by itself, without regard to the cluster;
+// nil if nothing is.
+func (r *Request) Validate() *RequestError {
+	if r.Verb == VerbPlan || r.Verb == VerbStart {
+		if _, refusal := newMatcher(r.Selection); refusal != nil {
+			return refusal
 		}
 	}
-	if len(s.Prefixes) > 0 {
-		var builder netipx.IPSetBuilder
-		for _, text := range s.Prefixes {
-			prefix, err := netip.ParsePrefix(text)
-			if err != nil {
-				return nil, &RequestError{"prefix", fmt.Sprintf("%q is not an IP prefix such as 10.1.0.0/24", text)}
-			}
-			builder.AddPrefix(prefix)
-		}
-		set, err := builder.IPSet()
-		if err != nil {
-			return nil, &RequestError{"prefix", err.Error()}
-		}
-		m.prefixes = set
-	}
-	return m, nil
-}
-
-// match tells whether a machine is selected.
-func (m *matcher) match(machine *MachineInfo) bool {
-	s := &m.selection
-	if m.named != nil {
-		if _, named := m.named[machine.ID]; !named {
-			return false
+	switch r.Verb {
+	case VerbPlan:
+		return nil
+	case VerbStatus:
+		if r.ID == "" {
+			return nil
 		}
-		m.named[machine.ID] = true
+	case VerbStart, VerbPause, VerbResume, VerbCancel:
+	default:
+		return &RequestError{fieldVerb, fmt.Sprintf("%q is not known", r.Verb)}
 	}
-	if len(s.Zones) > 0 && !slices.Contains(s.Zones, machine.Zone) {
-		return false
-	}
-	if len(s.Types) > 0 && !slices.Contains(s.Types, machine.Type) {
-		return false
-	}
-	if (s.Kind == SpotKind && !machine.Spot) || (s.Kind == OrdinaryKind && machine.Spot) {
-		return false
-	}
-	if m.prefixes == nil {
-		return true
-	}
-	address, err := netip.ParseAddrPort(machine.Addr)
-	return err == nil && m.prefixes.Contains(address.Addr().Unmap())
-}
-
-// missing is a named machine that does not exist, "" if there is none.
-func (m *matcher) missing() string {
-	for _, name := range m.selection.Machines {
-		if !m.named[name] {
-			return name
-		}
+	if !ValidID(r.ID) {
+		return &RequestError{fieldID, fmt.Sprintf("%q is not 1 to 40 of a-z, 0-9 and -, the first a letter or digit", r.ID)}
 	}
-	return ""
+	return nil
 }
