--- a/internal/controller/sim_state_test.go
+++ b/internal/controller/sim_state_test.go
@@ -126,6 +126,8 @@
 	switch {
 	case target.Path == "/commit":
 		reply(s.commit(request.Body))
+	case target.Path == "/watch" && s.sim.silentWatchPrefix != "" && query.Get("under") == s.sim.silentWatchPrefix:
+		// no answer
 	case target.Path == "/watch":
 		response, any := s.changes(query.Get("under"), since)
 		wait, _ := strconv.Atoi(query.Get("waitMs"))
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -46,6 +46,7 @@
 	valueBytes              int                // bytes of a value
 	undeclared              bool               // these limits are not told: breaking them is no fault
 	refusedControllers      map[string]bool    // nodes that the state service refuses alone
+	silentWatchPrefix string // a prefix of keys: the state service answers no watch of it
 	lateCommitShare         float64            // of transactions without an answer, carried out 2 to 12 s later
 	lostAnswerShare         float64            // of transactions carried out at once of which the answer is lost
 	retainedShare           float64            // of reports of which a copy is kept until a lease has changed hands
