--- a/internal/controller/drain_scenarios_test.go
+++ b/internal/controller/drain_scenarios_test.go
@@ -86,7 +86,7 @@
 			sim.after(time.Duration(i)*15*second, func() {
 				sim.whenever(func() bool { return sim.countGrants() > 0 }, func() {
 					sim.after(time.Duration(sim.rng.IntN(1500))*ms, func() {
-						if leader, other := sim.leader(), sim.shardOwner(0); leader != nil && other != nil {
+						if leader, other := sim.leader(), sim.ownerOfShard0(); leader != nil && other != nil {
 							leader.crash(300 * ms)
 							other.crash(400 * ms)
 						}
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -1,177 +1,219 @@
 package controller
 
-import (
-	"time"
-)
+import "time"
 
-// busy is a machine with tasks, or any.
-func (s *simulation) busyWorker(which int) *simWorker {
-	list := s.cloud.workers
-	for i := range list {
-		if worker := list[(which+i)%len(list)]; !worker.dead && len(worker.tasks) > 0 {
-			return worker
-		}
-	}
-	if len(list) > 0 && !list[which%len(list)].dead {
-		return list[which%len(list)]
-	}
-	return nil
-}
+// The faults that are drawn or meet in scenarios. Each lasts from its injection on for a
+// while; the faults of single messages are shares in networkFaults, stateFaults and
+// heartbeatFaults.
 
-// each does something to so many busy machines.
-func (s *simulation) forBusyWorkers(number, which int, fn func(*simWorker)) {
-	seen := map[*simWorker]bool{}
-	for i := range number {
-		if worker := s.busyWorker(which + i); worker != nil && !seen[worker] {
-			seen[worker] = true
-			fn(worker)
-		}
-	}
-}
+// faultName names a fault of the table.
+type faultName string
 
-// apart cuts a node from the state service and the other nodes, not from workers
-// and users.
-func (s *simulation) isolate(name string, d time.Duration) {
-	others := []string{"state"}
-	for _, controller := range s.controllers {
-		if controller.name != name {
-			others = append(others, controller.name)
-		}
-	}
-	for _, o := range others {
-		s.network.partitions[name+"|"+o] = true
-	}
-	s.after(d, func() {
-		for _, o := range others {
-			delete(s.network.partitions, name+"|"+o)
-		}
-	})
-}
+const (
+	leaderCrashes             faultName = "leader crashes"
+	ownerCrashes              faultName = "owner crashes"
+	leaderRestartsAtOnce      faultName = "leader restarts at once"
+	allCrashOneRestarts       faultName = "all controllers crash, one is back within a second"
+	allControllersDown        faultName = "all controllers are down"
+	leaderChangesRepeatedly   faultName = "leader changes five times"
+	stateRefusesLeader        faultName = "state service refuses the leader"
+	stateRefusesOwner         faultName = "state service refuses the owner"
+	stateOutage               faultName = "state service is down"
+	leaderIsolated            faultName = "leader is isolated from state service and peers"
+	ownerIsolated             faultName = "owner is isolated from state service and peers"
+	stateSlow                 faultName = "state service is slow"
+	commitsLate               faultName = "transactions are applied late"
+	commitAnswersLost         faultName = "answers to transactions are lost"
+	heartbeatCopiesLate       faultName = "copies of heartbeats arrive late"
+	heartbeatCopiesAtTakeover faultName = "copies of heartbeats arrive when a lease changes hands"
+	machinesHang              faultName = "machines hang"
+	workersDeaf               faultName = "workers are deaf"
+	workersMute               faultName = "workers reach no controller"
+	machinesPartitioned       faultName = "machines are partitioned"
+	machinesDie               faultName = "machines die"
+	workersCutFromOwner       faultName = "workers are partitioned from the owner"
+	jobsCancelled             faultName = "jobs are cancelled"
+	jobsCancelledRepeatedly   faultName = "jobs are cancelled one after the other"
+	commandsHeldUp            faultName = "commands are held up"
+)
 
-// trouble is one of them: it lasts from now on for a while.
+// fault is something that goes wrong.
 type fault struct {
-	name   string
-	inject func(sim *simulation, which int, d time.Duration)
+	name   faultName
+	inject func(sim *simulation, drawn injection)
+}
+
+// injection is one occurrence of a fault.
+type injection struct {
+	variant  int // picks a machine, a number or a length, as the fault has them
+	duration time.Duration
 }
 
+// faults are all faults. Drawn days pick them by their places in the table.
 var faults = []fault{
-	{"leader crashes", func(sim *simulation, which int, d time.Duration) {
+	{leaderCrashes, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
-			controller.crash(d / 4)
+			controller.crash(drawn.duration / 4)
 		}
 	}},
-	{"owner crashes", func(sim *simulation, which int, d time.Duration) {
-		if controller := sim.shardOwner(0); controller != nil {
-			controller.crash(d / 4)
+	{ownerCrashes, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			controller.crash(drawn.duration / 4)
 		}
 	}},
-	{"leader back at once", func(sim *simulation, which int, d time.Duration) {
+	{leaderRestartsAtOnce, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
-			controller.crash(time.Duration(100+which*50) * ms)
+			controller.crash(time.Duration(100+drawn.variant*50) * ms)
 		}
 	}},
-	{"all crash, one is back within a second", func(sim *simulation, which int, d time.Duration) {
+	{allCrashOneRestarts, func(sim *simulation, drawn injection) {
 		for i, controller := range sim.controllers {
-			controller.crash(time.Duration(300+which*40)*ms + time.Duration(i)*d/2)
+			controller.crash(time.Duration(300+drawn.variant*40)*ms + time.Duration(i)*drawn.duration/2)
 		}
 	}},
-	{"all are away", func(sim *simulation, which int, d time.Duration) {
+	{allControllersDown, func(sim *simulation, drawn injection) {
 		for _, controller := range sim.controllers {
-			controller.crash(d)
+			controller.crash(drawn.duration)
 		}
 	}},
-	{"leaders change", func(sim *simulation, which int, d time.Duration) {
+	{leaderChangesRepeatedly, func(sim *simulation, drawn injection) {
 		for i := range 5 {
-			sim.after(time.Duration(i)*d/5, func() {
+			sim.after(time.Duration(i)*drawn.duration/5, func() {
 				if controller := sim.leader(); controller != nil {
-					controller.crash(time.Duration(200+which*100) * ms)
+					controller.crash(time.Duration(200+drawn.variant*100) * ms)
 				}
 			})
 		}
 	}},
-	{"leader refused", func(sim *simulation, which int, d time.Duration) {
+	{stateRefusesLeader, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
-			sim.refuseControllerFor(controller.name, d)
+			sim.refuseControllerFor(controller.name, drawn.duration)
 		}
 	}},
-	{"owner refused", func(sim *simulation, which int, d time.Duration) {
-		if controller := sim.shardOwner(0); controller != nil {
-			sim.refuseControllerFor(controller.name, d)
+	{stateRefusesOwner, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			sim.refuseControllerFor(controller.name, drawn.duration)
 		}
 	}},
-	{"outage", func(sim *simulation, which int, d time.Duration) { sim.outageFor(d) }},
-	{"leader apart", func(sim *simulation, which int, d time.Duration) {
+	{stateOutage, func(sim *simulation, drawn injection) { sim.outageFor(drawn.duration) }},
+	{leaderIsolated, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
-			sim.isolate(controller.name, d)
+			sim.isolate(controller.name, drawn.duration)
 		}
 	}},
-	{"owner apart", func(sim *simulation, which int, d time.Duration) {
-		if controller := sim.shardOwner(0); controller != nil {
-			sim.isolate(controller.name, d)
+	{ownerIsolated, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			sim.isolate(controller.name, drawn.duration)
 		}
 	}},
-	{"slow state", func(sim *simulation, which int, d time.Duration) {
-		sim.stateFaults.latency = time.Duration(40+which*10) * ms
-		sim.after(d, func() { sim.stateFaults.latency = 0 })
+	{stateSlow, func(sim *simulation, drawn injection) {
+		sim.stateFaults.latency = time.Duration(40+drawn.variant*10) * ms
+		sim.after(drawn.duration, func() { sim.stateFaults.latency = 0 })
 	}},
-	{"late writes", func(sim *simulation, which int, d time.Duration) {
+	{commitsLate, func(sim *simulation, drawn injection) {
 		sim.stateFaults.lateCommitShare = 0.3
-		sim.after(d, func() { sim.stateFaults.lateCommitShare = 0 })
+		sim.after(drawn.duration, func() { sim.stateFaults.lateCommitShare = 0 })
 	}},
-	{"unheard writes", func(sim *simulation, which int, d time.Duration) {
+	{commitAnswersLost, func(sim *simulation, drawn injection) {
 		sim.stateFaults.lostAnswerShare = 0.3
-		sim.after(d, func() { sim.stateFaults.lostAnswerShare = 0 })
+		sim.after(drawn.duration, func() { sim.stateFaults.lostAnswerShare = 0 })
 	}},
-	{"late reports", func(sim *simulation, which int, d time.Duration) {
+	{heartbeatCopiesLate, func(sim *simulation, drawn injection) {
 		sim.heartbeats.lateCopyShare = 0.3
-		sim.after(d, func() { sim.heartbeats.lateCopyShare = 0 })
+		sim.after(drawn.duration, func() { sim.heartbeats.lateCopyShare = 0 })
 	}},
-	{"reports kept for the next", func(sim *simulation, which int, d time.Duration) {
+	{heartbeatCopiesAtTakeover, func(sim *simulation, drawn injection) {
 		sim.heartbeats.retainedShare = 0.3
-		sim.after(d, func() { sim.heartbeats.retainedShare = 0 })
+		sim.after(drawn.duration, func() { sim.heartbeats.retainedShare = 0 })
 	}},
-	{"machines hang", func(sim *simulation, which int, d time.Duration) {
-		sim.forBusyWorkers(3, which, func(worker *simWorker) { worker.faults.hungUntil = sim.now + d*2/3 })
+	{machinesHang, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.hungUntil = sim.now + drawn.duration*2/3 })
 	}},
-	{"machines deaf", func(sim *simulation, which int, d time.Duration) {
-		sim.forBusyWorkers(3, which, func(worker *simWorker) {
+	{workersDeaf, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) {
 			worker.faults.deaf = true
-			sim.after(d, func() { worker.faults.deaf = false })
+			sim.after(drawn.duration, func() { worker.faults.deaf = false })
 		})
 	}},
-	{"machines mute", func(sim *simulation, which int, d time.Duration) {
-		sim.forBusyWorkers(3, which, func(worker *simWorker) { worker.faults.muteUntil = sim.now + d })
+	{workersMute, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.muteUntil = sim.now + drawn.duration })
 	}},
-	{"machines cut off", func(sim *simulation, which int, d time.Duration) {
-		sim.forBusyWorkers(3, which, func(worker *simWorker) { worker.faults.partitionedUntil = sim.now + d })
+	{machinesPartitioned, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.partitionedUntil = sim.now + drawn.duration })
 	}},
-	{"machines die", func(sim *simulation, which int, d time.Duration) {
-		sim.forBusyWorkers(2, which, func(worker *simWorker) { worker.die() })
+	{machinesDie, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(2, drawn.variant, func(worker *simWorker) { worker.die() })
 	}},
-	{"workers cut from the owner", func(sim *simulation, which int, d time.Duration) {
-		if controller := sim.shardOwner(0); controller != nil {
+	{workersCutFromOwner, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
 			sim.network.partitions["workers|"+controller.name] = true
-			sim.after(d, func() { delete(sim.network.partitions, "workers|"+controller.name) })
+			sim.after(drawn.duration, func() { delete(sim.network.partitions, "workers|"+controller.name) })
 		}
 	}},
-	{"jobs called off", func(sim *simulation, which int, d time.Duration) { sim.cancelRunningJobs(1 + which) }},
-	{"jobs called off for a while", func(sim *simulation, which int, d time.Duration) {
+	{jobsCancelled, func(sim *simulation, drawn injection) { sim.cancelRunningJobs(1 + drawn.variant) }},
+	{jobsCancelledRepeatedly, func(sim *simulation, drawn injection) {
 		for i := range 6 {
-			sim.after(time.Duration(i)*d/6, func() { sim.cancelRunningJobs(1) })
+			sim.after(time.Duration(i)*drawn.duration/6, func() { sim.cancelRunningJobs(1) })
 		}
 	}},
-	{"orders held up", func(sim *simulation, which int, d time.Duration) {
+	{commandsHeldUp, func(sim *simulation, drawn injection) {
 		sim.network.lateShare = 0.05
-		sim.after(d, func() { sim.network.lateShare = 0 })
+		sim.after(drawn.duration, func() { sim.network.lateShare = 0 })
 	}},
 }
 
-// doing finds a trouble by its name.
-func faultNamed(name string) func(sim *simulation, which int, d time.Duration) {
-	for _, t := range faults {
-		if t.name == name {
-			return t.inject
+// inject has a fault happen now.
+func (s *simulation) inject(name faultName, variant int, duration time.Duration) {
+	for _, fault := range faults {
+		if fault.name == name {
+			fault.inject(s, injection{variant, duration})
+			return
 		}
 	}
-	panic("no trouble " + name)
+	panic("no fault " + name)
+}
+
+// busyWorker is a worker with tasks, or any that is alive; variant picks where the search
+// begins.
+func (s *simulation) busyWorker(variant int) *simWorker {
+	workers := s.cloud.workers
+	for i := range workers {
+		if worker := workers[(variant+i)%len(workers)]; !worker.dead && len(worker.tasks) > 0 {
+			return worker
+		}
+	}
+	if len(workers) > 0 && !workers[variant%len(workers)].dead {
+		return workers[variant%len(workers)]
+	}
+	return nil
+}
+
+// forBusyWorkers does something to up to so many busy workers.
+func (s *simulation) forBusyWorkers(number, variant int, fn func(*simWorker)) {
+	seen := map[*simWorker]bool{}
+	for i := range number {
+		if worker := s.busyWorker(variant + i); worker != nil && !seen[worker] {
+			seen[worker] = true
+			fn(worker)
+		}
+	}
+}
+
+// isolate cuts a controller from the state service and the other controllers, but not from
+// workers and users.
+func (s *simulation) isolate(name string, duration time.Duration) {
+	others := []string{"state"}
+	for _, controller := range s.controllers {
+		if controller.name != name {
+			others = append(others, controller.name)
+		}
+	}
+	for _, other := range others {
+		s.network.partitions[name+"|"+other] = true
+	}
+	s.after(duration, func() {
+		for _, other := range others {
+			delete(s.network.partitions, name+"|"+other)
+		}
+	})
 }
--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"lemonmoor/internal/http1"
-	"lemonmoor/internal/tuning"
 )
 
 // TestGangRunsTogether: on a quiet day each gang starts once, whole, with one
@@ -126,9 +125,8 @@
 func TestGangInSeveralBlocks(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		sim := newSimulation(34)
-		sim.settings.Deployment.Teams[0].CPUs = 2 * tuning.CPUsPerShard
 		sim.cloud.perKind = 2
-		sim.restart()
+		sim.divideIntoShards()
 		job := newGang(1, 4, 4) // four machines of four processors, two in each block
 		job.zone = "b"
 		sim.after(2*time.Second, func() { sim.submitAndPoll(job, 0) })
--- a/internal/controller/incidents_test.go
+++ b/internal/controller/incidents_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"lemonmoor/internal/settings"
-	"lemonmoor/internal/tuning"
 )
 
 // TestSlowStateIsNoOutage guards against a fault of an incident: commits that
@@ -56,8 +55,7 @@
 func TestStoredLayoutStays(t *testing.T) {
 	for _, stored := range []bool{true, false} {
 		sim := newSimulation(11)
-		sim.settings.Deployment.Teams[0].CPUs = 2 * tuning.CPUsPerShard
-		sim.restart()
+		sim.divideIntoShards()
 		for i := range 8 {
 			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 6, cpus: 1, runTime: 25 * time.Second, spot: true})
 			sim.after(time.Duration(i*2)*time.Second, func() { sim.submitAndPoll(job, 0) })
@@ -97,8 +95,7 @@
 // up, and the idle machines returned meanwhile.
 func TestBacklogAfterAnOutage(t *testing.T) {
 	sim := newSimulation(12)
-	sim.stateLimits.writesPerSecond = 10
-	sim.settings.Deployment.State.WriteRPS = 10
+	sim.limitWrites(10)
 	sim.restart()
 	submit := func(i int, at, length time.Duration) *simJob {
 		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 3, cpus: 1, runTime: length, spot: true})
@@ -131,7 +128,7 @@
 	sim.run(over + 40*time.Second)
 	finished := 0
 	for _, job := range sim.jobs {
-		if job.reportedPhase != "" {
+		if job.over() {
 			finished++
 		}
 	}
@@ -153,8 +150,7 @@
 // as idle while others were rented for the work that waited.
 func TestManyJobsAtTheStart(t *testing.T) {
 	sim := newSimulation(14)
-	sim.stateLimits.writesPerSecond = 12
-	sim.settings.Deployment.State.WriteRPS = 12
+	sim.limitWrites(12)
 	for i := range sim.settings.Deployment.Teams {
 		sim.settings.Deployment.Teams[i].CPUsMax = 24
 	}
--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	sim := newSimulation(1)
 	sim.run(15 * time.Second)
-	n := sim.shardOwner(0).node
+	n := sim.ownerOfShard0().node
 	if o := n.owners[0]; !n.answering(o) {
 		t.Fatal("the owner answers nobody")
 	}
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -8,74 +8,81 @@
 	"lemonmoor/internal/tuning"
 )
 
-// outlived is the longest outage of the state service that surely ends no task: owners
-// answer workers until their lease and the hold after it run out, or their knowledge of
-// cancellations is too old; a worker's lease then runs from its last answered report,
-// and after the outage an owner needs a moment until it answers again.
+// longestHarmlessOutage is the longest outage of the state service that surely ends no
+// task: owners answer workers until their lease and the answer grace period after it run
+// out, or their knowledge of cancellations is too old; a worker's lease then runs from its
+// last answered heartbeat, and after the outage an owner needs a moment until it answers
+// again.
 func (s *simulation) longestHarmlessOutage() time.Duration {
-	const recovery = 3500 * ms // a proof, a renewal, and the next reports
+	const recovery = 3500 * ms // a verification, a renewal, and the next heartbeats
 	byLease := tuning.LeaseTTL - tuning.LeaseRenewInterval - tuning.LeaseMargin + s.settings.AnswerGracePeriod()
-	byProof := s.settings.MaxKnowledgeAge() - tuning.KnowledgeVerifyInterval
-	return min(byLease, byProof) + s.settings.WorkerLease() - s.settings.HeartbeatInterval()*5/4 - recovery
+	byKnowledge := s.settings.MaxKnowledgeAge() - tuning.KnowledgeVerifyInterval
+	return min(byLease, byKnowledge) + s.settings.WorkerLease() - s.settings.HeartbeatInterval()*5/4 - recovery
 }
 
-// TestOutageEndsNoReplica: an outage just below that length ends no replica, whatever
-// the moment at which it begins. One that is longer than any answer and lease may end
-// all of them, and breaks no rule even when services are called off meanwhile.
+// TestOutageEndsNoReplica: an outage just below longestHarmlessOutage ends no replica,
+// whatever the moment at which it begins. One that is longer than any answer and lease may
+// end all of them, and breaks no rule even when services are cancelled meanwhile.
 func TestOutageEndsNoReplica(t *testing.T) {
-	for name, c := range map[string]struct {
+	for _, test := range []struct {
+		name    string
 		longer  time.Duration
 		survive bool
-	}{"just below": {0, true}, "above": {tuning.LeaseRenewInterval + 12*second, false}} {
+	}{
+		{"just below", 0, true},
+		{"above", tuning.LeaseRenewInterval + 12*second, false},
+	} {
 		for seed := uint64(1); seed <= 6; seed++ {
-			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(test.name, " seed ", seed), func(t *testing.T) {
 				sim := newSimulation(seed)
-				for i := range 6 {
-					job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 2, cpus: 1, service: true, urgent: true})
-					sim.after(time.Duration(i)*second, func() { sim.submitAndPoll(job, 0) })
-				}
-				at := 25*second + time.Duration(seed)*500*ms
-				outage := sim.longestHarmlessOutage() + c.longer
-				sim.after(at, func() { sim.outageFor(outage) })
-				sim.after(at+outage-5*second, func() {
-					if !c.survive {
-						sim.cancelRunningJobs(2)
-					}
-				})
-				replicas := 0
-				sim.after(at, func() {
-					for _, worker := range sim.workers {
-						replicas += len(worker.tasks)
-					}
-				})
-				sim.after(at+outage+20*second, func() {
-					sim.checker.faultsOverAt = sim.now
-					sim.expectAnswersWithin(75 * second)
-				})
-				sim.run(at + outage + 15*second)
-				ended := 0
-				for _, worker := range sim.workers {
-					if worker.session > 1 && !worker.dead {
-						ended++
-					}
-				}
+				begin := 25*second + time.Duration(seed)*500*ms
+				end := begin + sim.longestHarmlessOutage() + test.longer
+				replicas, ended := sim.playOutageOfServices(begin, end, !test.survive)
 				if replicas != 12 {
 					t.Errorf("%d replicas run when the outage begins, not 12", replicas)
 				}
-				if c.survive && ended > 0 {
-					t.Errorf("an outage of %v ends the session of %d workers", outage, ended)
+				if test.survive && ended > 0 {
+					t.Errorf("an outage of %v ends the session of %d workers", end-begin, ended)
 				}
-				if !c.survive && ended == 0 {
-					t.Errorf("an outage of %v ends no session: the formula is too short", outage)
+				if !test.survive && ended == 0 {
+					t.Errorf("an outage of %v ends no session: the formula is too short", end-begin)
 				}
 				sim.cancelServicesAt(10 * second)
-				sim.run(at + outage + 150*second)
+				sim.run(end + 150*second)
 				sim.checkRulesAndCompletion(t)
 			})
 		}
 	}
 }
 
+// playOutageOfServices plays six services and an outage, until 15 s after it. It returns
+// how many replicas ran when the outage began, and how many workers' sessions have ended.
+func (s *simulation) playOutageOfServices(begin, end time.Duration, cancel bool) (replicas, ended int) {
+	for i := range 6 {
+		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 2, cpus: 1, service: true, urgent: true})
+		s.after(time.Duration(i)*second, func() { s.submitAndPoll(job, 0) })
+	}
+	s.after(begin, func() { s.outageFor(end - begin) })
+	s.after(end-5*second, func() {
+		if cancel {
+			s.cancelRunningJobs(2)
+		}
+	})
+	s.after(begin, func() {
+		for _, worker := range s.workers {
+			replicas += len(worker.tasks)
+		}
+	})
+	s.after(end+20*second, func() { s.faultsAreOver(75 * second) })
+	s.run(end + 15*second)
+	for _, worker := range s.workers {
+		if worker.session > 1 && !worker.dead {
+			ended++
+		}
+	}
+	return replicas, ended
+}
+
 // TestHealthInAnOutage: in an outage of the state service the nodes stay
 // healthy, since none is better than another; a node that is refused alone does
 // not.
--- a/internal/controller/production_state_test.go
+++ b/internal/controller/production_state_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"os"
+	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -12,77 +12,95 @@
 	"lemonmoor/internal/userapi"
 )
 
-// TestProductionState: the version before has left jobs, records, pages, leases
+// largeProductionJob is a job of the recording whose stored spec is larger than the limit.
+const largeProductionJob = "wk-000102"
+
+// productionSnapshot is what the state service held at some moment, by key.
+type productionSnapshot struct {
+	Keys map[string]json.RawMessage `json:"keys"`
+}
+
+// TestProductionStateIsTakenOver: the version before has left jobs, records, pages, leases
 // and half-done work, some of it larger than the state service takes by now. All
 // of it is taken over, done and cancelled, and nothing too large is written back.
-func TestProductionState(t *testing.T) {
-	raw, err := os.ReadFile("../taskstate/testdata/production.json")
-	if err != nil {
-		t.Fatal(err)
+func TestProductionStateIsTakenOver(t *testing.T) {
+	var recording struct {
+		Snapshots []productionSnapshot `json:"snapshots"`
+	}
+	readProductionRecording(t, &recording)
+	for i, snapshot := range recording.Snapshots {
+		for _, declared := range []bool{true, false} {
+			t.Run(fmt.Sprintf("snapshot %d, limits declared %v", i, declared), func(t *testing.T) {
+				sim := newSimulation(uint64(50 + i))
+				large := sim.continueFrom(snapshot, declared)
+				sim.run(400 * time.Second)
+				sim.checkRulesAndCompletion(t)
+				if i == 2 && large == 0 {
+					t.Error("nothing stored is larger than the limit")
+				}
+				if job := sim.jobs[largeProductionJob]; job != nil && job.reportedPhase != "cancelled" {
+					t.Errorf("a job with a large spec is %q, not cancelled", job.reportedPhase)
+				}
+			})
+		}
 	}
-	var p struct {
-		Snapshots []struct {
-			Keys map[string]json.RawMessage `json:"keys"`
-		} `json:"snapshots"`
+}
+
+// continueFrom starts the controllers on a snapshot, with low limits of the state service
+// that the settings declare or don't, and has the users of its unfinished jobs go on. It
+// returns how many of these jobs are stored in values that are larger than the limit.
+func (s *simulation) continueFrom(snapshot productionSnapshot, limitsDeclared bool) (large int) {
+	s.stateLimits = stateLimits{operations: 3, valueBytes: 1024, writesPerSecond: 12, undeclared: !limitsDeclared}
+	if limitsDeclared {
+		operations, kilobytes, rate := 3, 1.0, 12.0
+		s.settings.Deployment.State.Next = &settings.NextLimits{TxnOps: &operations, ValueKB: &kilobytes, WriteRPS: &rate}
 	}
-	if err := json.Unmarshal(raw, &p); err != nil {
-		t.Fatal(err)
+	s.restart()
+	for key, value := range snapshot.Keys {
+		if !strings.HasPrefix(key, "lease/") { // leases ended with the processes
+			s.state.put(key, value)
+		}
 	}
-	for n, snap := range p.Snapshots {
-		for _, told := range []bool{true, false} {
-			sim := newSimulation(uint64(50 + n))
-			sim.stateLimits.operations, sim.stateLimits.valueBytes, sim.stateLimits.writesPerSecond, sim.stateLimits.undeclared = 3, 1024, 12, !told
-			if told {
-				ops, kb, rate := 3, 1.0, 12.0
-				sim.settings.Deployment.State.Next = &settings.NextLimits{TxnOps: &ops, ValueKB: &kb, WriteRPS: &rate}
-			}
-			sim.restart()
-			for key, value := range snap.Keys {
-				if strings.HasPrefix(key, "lease/") {
-					continue // ended with the processes
-				}
-				sim.state.revision++
-				sim.state.keys[key] = &storedValue{value, sim.state.revision, 0}
+	for key, value := range snapshot.Keys {
+		id, isJob := strings.CutPrefix(key, userapi.KeyPrefix)
+		var record userapi.Record
+		if !isJob || json.Unmarshal(value, &record) != nil || record.Phase != "" {
+			continue
+		}
+		cancelAfter := time.Duration(0)
+		if len(value) > s.stateLimits.valueBytes {
+			large++
+			if id == largeProductionJob {
+				cancelAfter = 6 * time.Second
 			}
-			big := 0
-			for key, value := range snap.Keys {
-				id, ok := strings.CutPrefix(key, userapi.KeyPrefix)
-				var r userapi.Record
-				if !ok || json.Unmarshal(value, &r) != nil || r.Phase != "" {
-					continue
-				}
-				job := newJob(jobSpec{
-					id: id, team: r.Spec.Team, tasks: r.Spec.Tasks, cpus: r.Spec.CPUs, runTime: 100 * time.Millisecond, spot: r.Spec.Spot,
-					spread: r.Spec.Spread, sameZone: r.Spec.SameZone, machineTypes: r.Spec.MachineTypes,
-				})
-				cancel := time.Duration(0)
-				if len(value) > sim.stateLimits.valueBytes {
-					big++
-					if id == "wk-000102" {
-						cancel = 6 * time.Second
-					}
+		}
+		job := jobOfRecord(id, &record)
+		s.after(time.Second, func() {
+			s.markCompletedTasks(job)
+			s.submitAndPoll(job, cancelAfter)
+		})
+	}
+	return large
+}
+
+// jobOfRecord is a stored job, with short tasks.
+func jobOfRecord(id string, record *userapi.Record) *simJob {
+	spec := record.Spec
+	return newJob(jobSpec{
+		id: id, team: spec.Team, tasks: spec.Tasks, cpus: spec.CPUs, runTime: 100 * time.Millisecond, spot: spec.Spot,
+		spread: spec.Spread, sameZone: spec.SameZone, machineTypes: spec.MachineTypes,
+	})
+}
+
+// markCompletedTasks notes which tasks of a job are done by the stored records.
+func (s *simulation) markCompletedTasks(job *simJob) {
+	for _, controller := range s.controllers {
+		controller.node.store.EachRecord(func(record *taskstate.Record) {
+			for i, status := range record.Statuses {
+				if record.Job == job.id && status.State == taskstate.StateDone {
+					job.completed[record.TaskIndexes[i]] = true
 				}
-				sim.after(time.Second, func() {
-					for _, controller := range sim.controllers {
-						controller.node.store.EachRecord(func(record *taskstate.Record) {
-							for k, status := range record.Statuses {
-								if record.Job == id && status.State == taskstate.StateDone {
-									job.completed[record.TaskIndexes[k]] = true
-								}
-							}
-						})
-					}
-					sim.submitAndPoll(job, cancel)
-				})
-			}
-			sim.run(400 * time.Second)
-			sim.checkRulesAndCompletion(t)
-			if n == 2 && big == 0 {
-				t.Error("nothing stored is larger than the limit")
 			}
-			if job := sim.jobs["wk-000102"]; job != nil && job.reportedPhase != "cancelled" {
-				t.Errorf("a job with a large description is %q, not cancelled", job.reportedPhase)
-			}
-		}
+		})
 	}
 }
--- a/internal/controller/relinquished_shard_test.go
+++ b/internal/controller/relinquished_shard_test.go
@@ -17,7 +17,7 @@
 			sim.after(time.Duration(i)*time.Second, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.run(20 * time.Second)
-		first := sim.shardOwner(0)
+		first := sim.ownerOfShard0()
 		for _, controller := range sim.controllers {
 			sim.network.partitions["workers|"+first.name] = true
 			if controller != first {
@@ -35,7 +35,7 @@
 				t.Fatalf("seed %d: answers under a token that is given up", seed)
 			}
 		}
-		for sim.shardOwner(0) == first || sim.shardOwner(0) == nil {
+		for sim.ownerOfShard0() == first || sim.ownerOfShard0() == nil {
 			if sim.run(sim.now + 100*time.Millisecond); sim.now > 70*time.Second {
 				t.Fatalf("seed %d: given up at %v, nobody else has the block at %v", seed, given, sim.now)
 			}
--- a/internal/controller/rule_checker_test.go
+++ b/internal/controller/rule_checker_test.go
@@ -3,18 +3,16 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
 	"lemonmoor/internal/userapi"
 )
 
-// The checker of the simulated deployment is itself tried: a play that breaks a rule
-// must be caught, by that rule's name.
-
-// begun is a deployment with one job of so many tasks that run, and two machines
-// besides, on which a play may start what it likes.
-func newCheckerTrial(tasks int, change func(*simJob)) (sim *simulation, job *simJob, a, b *simWorker) {
+// newCheckerTrial is a deployment with one job of so many tasks that run, and two machines
+// besides, one of them a spot machine in another zone, on which a trial starts what it likes.
+func newCheckerTrial(tasks int, change func(*simJob)) (sim *simulation, job *simJob, inZoneA, spotInZoneB *simWorker) {
 	sim = newSimulation(1)
 	job = newJob(jobSpec{id: "wk-000001", team: "red", tasks: tasks, cpus: 1, runTime: time.Hour, spot: true})
 	if change != nil {
@@ -32,6 +30,7 @@
 	return sim, job, machine("a", false), machine("b", true)
 }
 
+// startTask starts a task that no controller knows of.
 func (w *simWorker) startTask(job *simJob, index, attempt int) {
 	w.launch(command{Verb: "launch", Task: fmt.Sprintf("%s/%d", job.id, index), Attempt: uint64(attempt)})
 }
@@ -50,155 +49,157 @@
 	if err != nil {
 		panic(err)
 	}
-	s.state.revision++
-	s.state.keys[key] = &storedValue{raw, s.state.revision, 0}
+	s.state.put(key, raw)
 }
 
-func TestTheCheckerCatches(t *testing.T) {
-	type play struct {
-		rule rule
-		do   func() *simulation
-	}
-	for _, p := range []play{
-		{ruleRanTwice, func() *simulation {
-			sim, job, a, b := newCheckerTrial(1, nil)
-			a.startTask(job, 0, 8)
-			b.startTask(job, 0, 9)
-			return sim
-		}},
-		{ruleQuota, func() *simulation {
-			sim, job, a, _ := newCheckerTrial(1, nil)
-			for i := range 24 {
-				a.startTask(job, 10+i, 1)
-			}
-			return sim
-		}},
-		{ruleWrongPlace, func() *simulation { // the zone
-			sim, job, _, b := newCheckerTrial(1, func(job *simJob) { job.zone = "a" })
-			b.startTask(job, 5, 1)
-			return sim
-		}},
-		{ruleWrongPlace, func() *simulation { // a spot machine
-			sim, job, _, b := newCheckerTrial(1, func(job *simJob) { job.spot = false })
-			b.startTask(job, 5, 1)
-			return sim
-		}},
-		{ruleWrongPlace, func() *simulation { // the type
-			sim, job, _, b := newCheckerTrial(1, func(job *simJob) { job.machineTypes = []string{"small"} })
-			b.startTask(job, 5, 1)
-			return sim
-		}},
-		{ruleWrongPlace, func() *simulation { // one zone for all
-			sim, job, a, b := newCheckerTrial(1, func(job *simJob) { job.sameZone = true })
-			a.startTask(job, 5, 1)
-			b.startTask(job, 6, 1)
-			return sim
-		}},
-		{ruleWrongPlace, func() *simulation { // half in a zone at most
-			sim, job, a, _ := newCheckerTrial(2, func(job *simJob) { job.spread = true })
-			a.startTask(job, 5, 1)
-			a.startTask(job, 6, 1)
-			return sim
-		}},
-		{ruleRanCancelled, func() *simulation { // it stays
-			sim, job, _, b := newCheckerTrial(1, nil) // nobody is told of b, so nobody halts it there
-			job.cancel()
-			sim.run(25 * time.Second)
-			b.tasks = append(b.tasks, &simTask{name: job.id + "/0", attempt: 7, phase: "running"})
-			sim.run(75 * time.Second)
-			return sim
-		}},
-		{ruleRanCancelled, func() *simulation { // it starts
-			sim, job, a, _ := newCheckerTrial(1, nil)
-			job.cancel()
-			sim.run(70 * time.Second)
-			a.startTask(job, 0, 9)
-			return sim
-		}},
-		{ruleRanCancelled, func() *simulation { // it starts, where no order can have been late
-			sim, job, a, _ := newCheckerTrial(1, nil)
-			sim.checker.commandsPrompt = true
-			job.cancel()
-			sim.run(30 * time.Second)
-			a.startTask(job, 0, 9)
-			return sim
-		}},
-		{ruleForgotten, func() *simulation {
-			sim, job, _, _ := newCheckerTrial(1, nil)
-			sim.rewrite(job, nil)
-			sim.run(40 * time.Second)
-			return sim
-		}},
-		{ruleForgotten, func() *simulation { // nobody answers
-			sim, _, _, _ := newCheckerTrial(1, nil)
-			sim.stateFaults.outage = true
-			sim.expectAnswersWithin(75 * time.Second)
-			sim.run(100 * time.Second)
-			return sim
-		}},
-		{ruleNotDone, func() *simulation {
-			sim, job, _, _ := newCheckerTrial(2, nil)
-			sim.rewrite(job, userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: 1, TaskCount: 2})
-			sim.run(40 * time.Second)
-			return sim
-		}},
-		{ruleWentBack, func() *simulation { // called cancelled unasked
-			sim, job, _, _ := newCheckerTrial(1, nil)
-			sim.rewrite(job, userapi.Record{Phase: userapi.PhaseCancelled, SubmittedMS: 1})
-			sim.run(40 * time.Second)
-			return sim
-		}},
-		{ruleWentBack, func() *simulation { // pending after it was cancelled
-			sim, job, _, _ := newCheckerTrial(1, nil)
-			var before userapi.Record
-			if err := json.Unmarshal(sim.state.keys[userapi.KeyPrefix+job.id].value, &before); err != nil {
-				panic(err)
-			}
-			job.cancel()
-			sim.run(30 * time.Second)
-			sim.rewrite(job, before)
-			sim.run(50 * time.Second)
-			return sim
-		}},
-		{ruleInvented, func() *simulation {
-			sim, job, _, _ := newCheckerTrial(1, nil)
-			value := sim.state.keys[userapi.KeyPrefix+job.id].value
-			sim.state.revision++
-			sim.state.keys[userapi.KeyPrefix+"wk-999999"] = &storedValue{value, sim.state.revision, 0}
-			sim.state.log = append(sim.state.log, storedChange{userapi.KeyPrefix + "wk-999999", value, sim.state.revision})
-			sim.state.notifyWatches()
-			sim.sendMistakenRequests(time.Second)
-			sim.run(25 * time.Second)
-			return sim
-		}},
-		{ruleNeglected, func() *simulation {
-			sim, _, a, _ := newCheckerTrial(1, nil)
-			sim.checker.faultsOverAt = sim.now
-			unknown := newJob(jobSpec{id: "wk-000002", team: "red", tasks: 1, cpus: 1}) // no controller knows of it
-			unknown.accepted = true
-			sim.jobs[unknown.id] = unknown
-			a.tasks = nil
-			sim.run(sim.now + 120*time.Second)
-			return sim
-		}},
-		{ruleInvalidAccepted, func() *simulation {
-			sim, _, _, _ := newCheckerTrial(1, nil)
-			sim.settings.Deployment.Teams[0].CPUsMax = 100 // the users' word is 24
-			for _, controller := range sim.controllers {
-				controller.crash(100 * time.Millisecond)
-			}
-			sim.after(15*time.Second, func() { sim.sendMistakenRequests(time.Second) })
-			sim.run(45 * time.Second)
-			return sim
-		}},
-	} {
-		caught := false
-		sim := p.do()
-		for _, broken := range sim.checker.violations {
-			caught = caught || broken.rule == p.rule
+// checkerTrials are days on which a rule is broken on purpose.
+var checkerTrials = []struct {
+	rule rule
+	name string
+	play func() *simulation
+}{
+	{ruleRanTwice, "a task starts on two machines", func() *simulation {
+		sim, job, inZoneA, spotInZoneB := newCheckerTrial(1, nil)
+		inZoneA.startTask(job, 0, 8)
+		spotInZoneB.startTask(job, 0, 9)
+		return sim
+	}},
+	{ruleQuota, "a team exceeds its limit", func() *simulation {
+		sim, job, inZoneA, _ := newCheckerTrial(1, nil)
+		for i := range 24 {
+			inZoneA.startTask(job, 10+i, 1)
 		}
-		if !caught {
-			t.Errorf("%s is not caught; found: %v", p.rule, sim.checker.violations)
+		return sim
+	}},
+	{ruleWrongPlace, "in a zone that is not allowed", func() *simulation {
+		sim, job, _, spotInZoneB := newCheckerTrial(1, func(job *simJob) { job.zone = "a" })
+		spotInZoneB.startTask(job, 5, 1)
+		return sim
+	}},
+	{ruleWrongPlace, "on a spot machine that is not allowed", func() *simulation {
+		sim, job, _, spotInZoneB := newCheckerTrial(1, func(job *simJob) { job.spot = false })
+		spotInZoneB.startTask(job, 5, 1)
+		return sim
+	}},
+	{ruleWrongPlace, "on a machine type that is not allowed", func() *simulation {
+		sim, job, _, spotInZoneB := newCheckerTrial(1, func(job *simJob) { job.machineTypes = []string{"small"} })
+		spotInZoneB.startTask(job, 5, 1)
+		return sim
+	}},
+	{ruleWrongPlace, "in two zones where one is demanded", func() *simulation {
+		sim, job, inZoneA, spotInZoneB := newCheckerTrial(1, func(job *simJob) { job.sameZone = true })
+		inZoneA.startTask(job, 5, 1)
+		spotInZoneB.startTask(job, 6, 1)
+		return sim
+	}},
+	{ruleWrongPlace, "more than half in one zone", func() *simulation {
+		sim, job, inZoneA, _ := newCheckerTrial(2, func(job *simJob) { job.spread = true })
+		inZoneA.startTask(job, 5, 1)
+		inZoneA.startTask(job, 6, 1)
+		return sim
+	}},
+	{ruleRanCancelled, "a cancelled task stays", func() *simulation {
+		sim, job, _, spotInZoneB := newCheckerTrial(1, nil) // no controller is told of this machine, so nobody halts it there
+		job.cancel()
+		sim.run(25 * time.Second)
+		spotInZoneB.tasks = append(spotInZoneB.tasks, &simTask{name: job.id + "/0", attempt: 7, phase: "running"})
+		sim.run(75 * time.Second)
+		return sim
+	}},
+	{ruleRanCancelled, "a cancelled task starts", func() *simulation {
+		sim, job, inZoneA, _ := newCheckerTrial(1, nil)
+		job.cancel()
+		sim.run(70 * time.Second)
+		inZoneA.startTask(job, 0, 9)
+		return sim
+	}},
+	{ruleRanCancelled, "a cancelled task starts though no command can have been late", func() *simulation {
+		sim, job, inZoneA, _ := newCheckerTrial(1, nil)
+		sim.checker.commandsPrompt = true
+		job.cancel()
+		sim.run(30 * time.Second)
+		inZoneA.startTask(job, 0, 9)
+		return sim
+	}},
+	{ruleForgotten, "an accepted job is unknown", func() *simulation {
+		sim, job, _, _ := newCheckerTrial(1, nil)
+		sim.rewrite(job, nil)
+		sim.run(40 * time.Second)
+		return sim
+	}},
+	{ruleForgotten, "nobody answers for a job", func() *simulation {
+		sim, _, _, _ := newCheckerTrial(1, nil)
+		sim.stateFaults.outage = true
+		sim.expectAnswersWithin(75 * time.Second)
+		sim.run(100 * time.Second)
+		return sim
+	}},
+	{ruleNotDone, "a job is called done too early", func() *simulation {
+		sim, job, _, _ := newCheckerTrial(2, nil)
+		sim.rewrite(job, userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: 1, TaskCount: 2})
+		sim.run(40 * time.Second)
+		return sim
+	}},
+	{ruleWentBack, "a job is called cancelled unasked", func() *simulation {
+		sim, job, _, _ := newCheckerTrial(1, nil)
+		sim.rewrite(job, userapi.Record{Phase: userapi.PhaseCancelled, SubmittedMS: 1})
+		sim.run(40 * time.Second)
+		return sim
+	}},
+	{ruleWentBack, "a cancelled job is called pending again", func() *simulation {
+		sim, job, _, _ := newCheckerTrial(1, nil)
+		var before userapi.Record
+		if err := json.Unmarshal(sim.state.keys[userapi.KeyPrefix+job.id].value, &before); err != nil {
+			panic(err)
 		}
+		job.cancel()
+		sim.run(30 * time.Second)
+		sim.rewrite(job, before)
+		sim.run(50 * time.Second)
+		return sim
+	}},
+	{ruleInvented, "a job that nobody submitted is known", func() *simulation {
+		sim, job, _, _ := newCheckerTrial(1, nil)
+		value := sim.state.keys[userapi.KeyPrefix+job.id].value
+		sim.state.put(userapi.KeyPrefix+"wk-999999", value)
+		sim.state.log = append(sim.state.log, storedChange{userapi.KeyPrefix + "wk-999999", value, sim.state.revision})
+		sim.state.notifyWatches()
+		sim.sendMistakenRequests(time.Second)
+		sim.run(25 * time.Second)
+		return sim
+	}},
+	{ruleNeglected, "a job waits beside free machines", func() *simulation {
+		sim, _, inZoneA, _ := newCheckerTrial(1, nil)
+		sim.checker.faultsOverAt = sim.now
+		unknown := newJob(jobSpec{id: "wk-000002", team: "red", tasks: 1, cpus: 1}) // no controller knows of it
+		unknown.accepted = true
+		sim.jobs[unknown.id] = unknown
+		inZoneA.tasks = nil
+		sim.run(sim.now + 120*time.Second)
+		return sim
+	}},
+	{ruleInvalidAccepted, "a job above its team's limit is accepted", func() *simulation {
+		sim, _, _, _ := newCheckerTrial(1, nil)
+		sim.settings.Deployment.Teams[0].CPUsMax = 100 // users know of 24
+		for _, controller := range sim.controllers {
+			controller.crash(100 * time.Millisecond)
+		}
+		sim.after(15*time.Second, func() { sim.sendMistakenRequests(time.Second) })
+		sim.run(45 * time.Second)
+		return sim
+	}},
+}
+
+// TestCheckerCatchesViolations tries the rule checker itself: a day that breaks a rule must
+// be caught, by that rule's name.
+func TestCheckerCatchesViolations(t *testing.T) {
+	for _, trial := range checkerTrials {
+		t.Run(fmt.Sprintf("%s: %s", trial.rule, trial.name), func(t *testing.T) {
+			checker := trial.play().checker
+			caught := slices.ContainsFunc(checker.violations, func(broken violation) bool { return broken.rule == trial.rule })
+			if !caught {
+				t.Errorf("%s is not caught; found: %v", trial.rule, checker.violations)
+			}
+		})
 	}
 }
--- a/internal/controller/sim_budget_checker_test.go
+++ b/internal/controller/sim_budget_checker_test.go
@@ -37,7 +37,7 @@
 
 // over tells whether a task, or a gang, is disturbed no more by itself.
 func (c *budgetChecker) restored(name string, disturbed disturbance) bool {
-	if disturbed.job.cancelRequested || disturbed.job.reportedPhase != "" {
+	if disturbed.job.cancelRequested || disturbed.job.over() {
 		return true
 	}
 	_, index, single := strings.Cut(name, "/")
--- a/internal/controller/sim_controller_test.go
+++ b/internal/controller/sim_controller_test.go
@@ -140,6 +140,7 @@
 	}, fn)
 }
 
+// leader is the controller that leads, or nil.
 func (s *simulation) leader() *simController {
 	for _, controller := range s.controllers {
 		if controller.node != nil && controller.node.leases.LeaderToken() != 0 {
@@ -149,13 +150,12 @@
 	return nil
 }
 
-func (s *simulation) shardOwner(block int) *simController {
+// ownerOfShard0 is the controller that owns shard 0, or nil.
+func (s *simulation) ownerOfShard0() *simController {
 	for _, controller := range s.controllers {
-		if controller.node != nil && controller.node.leases.ShardToken(block) != 0 {
+		if controller.node != nil && controller.node.leases.ShardToken(0) != 0 {
 			return controller
 		}
 	}
 	return nil
 }
-
-func (s *simulation) ownerOfShard0() *simController { return s.shardOwner(0) }
--- a/internal/controller/sim_dump_test.go
+++ b/internal/controller/sim_dump_test.go
@@ -17,7 +17,7 @@
 		}
 		fmt.Println(controller.name, "lead", controller.node.leases.LeaderToken(), "leader", controller.node.leases.LeaderNode(), "valid", controller.node.leases.LeaseValid())
 		for _, job := range s.jobs {
-			if job.reportedPhase != "" {
+			if job.over() {
 				continue
 			}
 			for key, record := range controller.node.store.JobRecords(job.id) {
--- a/internal/controller/sim_rule_checker_test.go
+++ b/internal/controller/sim_rule_checker_test.go
@@ -85,7 +85,7 @@
 	t.Helper()
 	s.checkRules(t)
 	for _, job := range s.jobs {
-		if job.reportedPhase == "" {
+		if !job.over() {
 			s.dump()
 			t.Errorf("%s is not over: accepted %v, %d of %d tasks done, %d starts", job.id, job.accepted, len(job.completed), job.tasks, job.gangStarts)
 		}
--- a/internal/controller/sim_user_test.go
+++ b/internal/controller/sim_user_test.go
@@ -92,12 +92,12 @@
 	if job.reportedPhase != "" && phase != job.reportedPhase && askedAt < u.lastPendingAt {
 		return // on its way while the other was
 	}
-	if job.reportedPhase == "" {
+	if !job.over() {
 		u.lastPendingAt = u.sim.now
 	} else if phase != job.reportedPhase {
 		checker.violated(ruleWentBack, "%s was %s, now %s", job.id, job.reportedPhase, phase)
 	}
-	if job.reportedPhase == "" && (phase == "done" || phase == "cancelled") {
+	if !job.over() && (phase == "done" || phase == "cancelled") {
 		defer u.askAllRepeatedly()
 	}
 	switch phase {
--- a/internal/controller/sim_workload_test.go
+++ b/internal/controller/sim_workload_test.go
@@ -36,16 +36,15 @@
 	})
 }
 
-// callOff has users call off so many running jobs that have long to go.
-func (s *simulation) cancelRunningJobs(number int) int {
-	n := 0
+// cancelRunningJobs has users cancel so many running jobs.
+func (s *simulation) cancelRunningJobs(number int) {
+	cancelled := 0
 	for i := range 1000 {
-		if job := s.jobs[fmt.Sprintf("wk-%06d", i)]; job != nil && n < number && job.cancel != nil && !job.cancelRequested && job.reportedPhase == "" && job.startedAt > 0 {
+		if job := s.jobs[fmt.Sprintf("wk-%06d", i)]; job != nil && cancelled < number && job.cancel != nil && !job.cancelRequested && !job.over() && job.startedAt > 0 {
 			job.cancel()
-			n++
+			cancelled++
 		}
 	}
-	return n
 }
 
 // cancelledBetween counts the jobs that users were told are cancelled in a time.
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"lemonmoor/internal/settings"
+	"lemonmoor/internal/tuning"
 )
 
 // simulation is a simulated deployment on a fake clock: the real controllers, and
@@ -55,6 +56,26 @@
 	}
 }
 
+// divideIntoShards has the machines divided into two shards.
+func (s *simulation) divideIntoShards() {
+	s.settings.Deployment.Teams[0].CPUs = 2 * tuning.CPUsPerShard
+	s.restart()
+}
+
+// limitWrites has the state service take so many puts and deletes a second, as the settings
+// of controllers that start from now on tell.
+func (s *simulation) limitWrites(perSecond float64) {
+	s.stateLimits.writesPerSecond = perSecond
+	s.settings.Deployment.State.WriteRPS = perSecond
+}
+
+// faultsAreOver has it checked that nobody is neglected from now on, and that every
+// controller answers about every job within a time.
+func (s *simulation) faultsAreOver(answersWithin time.Duration) {
+	s.checker.faultsOverAt = s.now
+	s.expectAnswersWithin(answersWithin)
+}
+
 // newSimulation is a deployment of three controllers. All random draws come from the seed.
 func newSimulation(seed uint64) *simulation {
 	sim := &simulation{
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -53,7 +53,7 @@
 		t.Errorf("a state service that has not answered yet: %s", answer)
 	}
 	sim.run(15 * time.Second)
-	leader, owner := sim.leader(), sim.shardOwner(0)
+	leader, owner := sim.leader(), sim.ownerOfShard0()
 	if leader == nil || owner == nil {
 		t.Fatal("no leader or owner")
 	}
@@ -103,7 +103,7 @@
 	}
 	expect(sim.controllers[0], "GET", "/up", "", 503, `{"error":"not ready"}`)
 	sim.run(15 * time.Second)
-	owner := sim.shardOwner(0)
+	owner := sim.ownerOfShard0()
 	if owner == nil {
 		t.Fatal("no owner")
 	}
