--- a/internal/controller/drain_measurement_test.go
+++ b/internal/controller/drain_measurement_test.go
@@ -31,13 +31,13 @@
 	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(budget, 1000, 0), "blue": teamBudget(budget, 1000, 0)}, atOnce, 0)
 	for i, team := range []string{"red", "blue"} {
 		job := newJob(jobSpec{
-			id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, runTime: 10 * time.Hour, estimateSeconds: 3600, spot: true, urgent: true,
+			id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: 10 * time.Hour, estimateSeconds: 3600, spot: true, urgent: true,
 			machineTypes: []string{"small"},
 		})
 		sim.after(0, func() { sim.submitAndPoll(job, 0) })
 	}
 	sim.run(30 * second)
-	names := sim.workerIDs(func(worker *simWorker) bool { return len(worker.tasks) > 0 })
+	names := sim.workerIDs(hasTasks)
 	sim.cloud.available += 2 * tasks
 	began := sim.now
 	sim.requestDrain(startDrain("a", names, replace), func(drain.Response) {})
@@ -60,7 +60,7 @@
 	sim.withDrains(nil, 1, 0)
 	for i, team := range []string{"red", "blue"} {
 		job := newJob(jobSpec{
-			id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, runTime: 10 * time.Hour, estimateSeconds: 3600, spot: true, urgent: true,
+			id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: 10 * time.Hour, estimateSeconds: 3600, spot: true, urgent: true,
 			machineTypes: []string{"small"},
 		})
 		sim.after(0, func() { sim.submitAndPoll(job, 0) })
--- a/internal/controller/drain_requests_test.go
+++ b/internal/controller/drain_requests_test.go
@@ -10,14 +10,14 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestDrainRequestsThatAreRefused: each with the field that is at fault, and nothing is
+// TestDrainRequestsAreRefusedWithTheirField: each with the field that is at fault, and nothing is
 // half accepted.
-func TestDrainRequestsThatAreRefused(t *testing.T) {
-	sim := newDrainSimulation(11, 4, nil)
+func TestDrainRequestsAreRefusedWithTheirField(t *testing.T) {
+	sim := newDrainSimulation(11, 4)
 	one := sim.workerIDs(hasTasks)[:1]
 	sim.requestDrain(startDrain("known", one, false), func(drain.Response) {})
 	sim.run(sim.now + 5*second)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		request      drain.Request
 		field, words string
 	}{
@@ -34,13 +34,13 @@
 		{drain.Request{Verb: "burn", ID: "a"}, "verb", "burn"},
 	} {
 		var got *drain.Response
-		sim.requestDrain(c.request, func(response drain.Response) { got = &response })
+		sim.requestDrain(test.request, func(response drain.Response) { got = &response })
 		sim.run(sim.now + 4*second)
-		if c.request.ID == "known" && c.request.Verb == drain.VerbResume && got != nil && got.Status == drain.StatusOK {
+		if test.request.ID == "known" && test.request.Verb == drain.VerbResume && got != nil && got.Status == drain.StatusOK {
 			continue // it is running: a repeat
 		}
-		if got == nil || got.Status != drain.StatusRefused || got.Field != c.field || !strings.Contains(got.Reason, c.words) {
-			t.Errorf("%+v: %+v", c.request, got)
+		if got == nil || got.Status != drain.StatusRefused || got.Field != test.field || !strings.Contains(got.Reason, test.words) {
+			t.Errorf("%+v: %+v", test.request, got)
 		}
 	}
 	for key := range sim.state.keys {
@@ -51,8 +51,8 @@
 	sim.checkRules(t)
 }
 
-// TestDrainBudgetUnderWhichNothingMoves: refused at the start, naming the job.
-func TestDrainBudgetUnderWhichNothingMoves(t *testing.T) {
+// TestDrainIsRefusedWhereBudgetAllowsNothing: refused at the start, naming the job.
+func TestDrainIsRefusedWhereBudgetAllowsNothing(t *testing.T) {
 	sim := newSimulation(12)
 	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 1, 0), "blue": teamBudget(2, 2, 0)}, 3, 0)
 	job := newJob(jobSpec{id: "wk-000001", team: "red", tasks: 1, cpus: 2, runTime: time.Hour, spot: true})
@@ -67,10 +67,10 @@
 	sim.checkRules(t)
 }
 
-// TestDrainRepeatedStart: the same request again, at any node and after a lost answer,
+// TestRepeatedDrainStartIsIdempotent: the same request again, at any node and after a lost answer,
 // starts one drain.
-func TestDrainRepeatedStart(t *testing.T) {
-	sim := newDrainSimulation(13, 4, nil)
+func TestRepeatedDrainStartIsIdempotent(t *testing.T) {
+	sim := newDrainSimulation(13, 4)
 	sim.stateFaults.lostAnswerShare = 0.5
 	request := startDrain("a", sim.workerIDs(hasTasks), false)
 	answers := 0
@@ -103,9 +103,9 @@
 	sim.checkRules(t)
 }
 
-// TestDrainCancelledHalfway: the machines take tasks again and no task is lost.
-func TestDrainCancelledHalfway(t *testing.T) {
-	sim := newDrainSimulation(7, 10, nil)
+// TestDrainCancelledHalfwayReopensMachines: the machines take tasks again and no task is lost.
+func TestDrainCancelledHalfwayReopensMachines(t *testing.T) {
+	sim := newDrainSimulation(7, 10)
 	names := sim.startDrainOf(t, "a", nil)
 	sim.run(sim.now + 12*second)
 	sim.requestDrain(drain.Request{Verb: drain.VerbCancel, ID: "a"}, func(response drain.Response) {
@@ -138,10 +138,10 @@
 	sim.checkRules(t)
 }
 
-// TestDrainLateHaltOfACancelledDrain: a halt that is still on its way when its drain is
+// TestLateHaltOfCancelledDrainUsesBudget: a halt that is still on its way when its drain is
 // cancelled goes on using the budget up.
-func TestDrainLateHaltOfACancelledDrain(t *testing.T) {
-	sim := newDrainSimulation(8, 3, nil)
+func TestLateHaltOfCancelledDrainUsesBudget(t *testing.T) {
+	sim := newDrainSimulation(8, 3)
 	busy := map[string]bool{} // machines with tasks of blue, one of which may be disturbed
 	for _, worker := range sim.cloud.workers {
 		for _, existing := range worker.tasks {
@@ -196,8 +196,8 @@
 	})
 }
 
-func TestDrainTwoOfTheSameMachine(t *testing.T) {
-	sim := newDrainSimulation(6, 8, nil)
+func TestTwoDrainsOfTheSameMachine(t *testing.T) {
+	sim := newDrainSimulation(6, 8)
 	names := sim.startDrainOf(t, "a", nil)
 	sim.run(sim.now + 3*second)
 	sim.startDrainOf(t, "b", nil)
--- a/internal/controller/drain_scenarios_test.go
+++ b/internal/controller/drain_scenarios_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -63,8 +62,8 @@
 	s.checkRules(t)
 }
 
-func TestDrainOutageBetweenGrantAndHalt(t *testing.T) {
-	sim := newDrainSimulation(2, 6, nil)
+func TestDrainSurvivesOutageBetweenGrantAndHalt(t *testing.T) {
+	sim := newDrainSimulation(2, 6)
 	names := sim.startDrainOf(t, "a", nil)
 	met := false
 	sim.whenever(func() bool { return sim.countGrants() > 0 }, func() {
@@ -78,9 +77,9 @@
 	sim.checkAllGone(t, names)
 }
 
-func TestDrainLeaderAndOwnerChangeAtOnce(t *testing.T) {
+func TestDrainSurvivesLeaderAndOwnerChange(t *testing.T) {
 	for seed := range uint64(4) {
-		sim := newDrainSimulation(10+seed, 6, nil)
+		sim := newDrainSimulation(10+seed, 6)
 		names := sim.startDrainOf(t, "a", nil)
 		for i := range 6 { // at various moments after a grant
 			sim.after(time.Duration(i)*15*second, func() {
@@ -99,11 +98,11 @@
 	}
 }
 
-// TestDrainLostAnswers: commits get no answer and are carried out late, also after
+// TestDrainSurvivesLostAnswers: commits get no answer and are carried out late, also after
 // their leader has ended.
-func TestDrainLostAnswers(t *testing.T) {
+func TestDrainSurvivesLostAnswers(t *testing.T) {
 	for seed := range uint64(6) {
-		sim := newDrainSimulation(20+seed, 6, nil)
+		sim := newDrainSimulation(20+seed, 6)
 		names := sim.startDrainOf(t, "a", nil)
 		sim.after(2*second, func() { sim.stateFaults.lateCommitShare = 0.5 })
 		for i := range 5 {
@@ -119,8 +118,8 @@
 	}
 }
 
-func TestDrainUrgentWorkTakesTheRoom(t *testing.T) {
-	sim := newDrainSimulation(3, 6, nil)
+func TestDrainWaitsForCapacityTakenByUrgentWork(t *testing.T) {
+	sim := newDrainSimulation(3, 6)
 	sim.cloud.available = 0 // nothing more can be rented
 	sim.exhaustCloud()
 	names := sim.startDrainOf(t, "a", nil)
@@ -141,9 +140,9 @@
 	sim.checkAllGone(t, names)
 }
 
-// TestDrainWithoutRoom: where nothing is free and nothing can be rented, nothing is
+// TestDrainWaitsWithoutCapacity: where nothing is free and nothing can be rented, nothing is
 // stopped, and the drain says why; it goes on when machines can be had.
-func TestDrainWithoutRoom(t *testing.T) {
+func TestDrainWaitsWithoutCapacity(t *testing.T) {
 	sim := newSimulation(14)
 	sim.cloud.available = 6
 	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(9, 99, 0), "blue": teamBudget(9, 99, 0)}, 3, 0)
@@ -191,9 +190,9 @@
 	}
 }
 
-// TestDrainWhileUrgentWorkAlwaysWaits: with replacements a drain takes no room away, and
+// TestDrainWithReplacementsProceedsWhileUrgentWorkWaits: with replacements a drain takes no room away, and
 // goes on although urgent work that the daemon lets queue waits for room all the time.
-func TestDrainWhileUrgentWorkAlwaysWaits(t *testing.T) {
+func TestDrainWithReplacementsProceedsWhileUrgentWorkWaits(t *testing.T) {
 	sim := newSimulation(16)
 	sim.cloud.available = 1
 	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 9, 0), "blue": teamBudget(2, 9, 0)}, 3, 0)
@@ -219,15 +218,15 @@
 // withNothingRentable has the nodes find out that the cloud has no machines left.
 func (s *simulation) exhaustCloud() {
 	for i := range 3 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", 60+i), team: "blue", tasks: 5, cpus: 2, runTime: 2 * second, estimateSeconds: 300, spot: i%2 == 0, urgent: true})
+		job := newJob(jobSpec{id: jobID(60 + i), team: "blue", tasks: 5, cpus: 2, runTime: 2 * second, estimateSeconds: 300, spot: i%2 == 0, urgent: true})
 		s.submitAndPoll(job, 0)
 	}
 	s.run(s.now + 5*second)
 }
 
-// TestDrainBudgetUsedUpByOthers: what nobody chose to disturb uses the budget up, and
+// TestDrainBudgetCountsOtherDisturbances: what nobody chose to disturb uses the budget up, and
 // the drain goes on by itself when that is over.
-func TestDrainBudgetUsedUpByOthers(t *testing.T) {
+func TestDrainBudgetCountsOtherDisturbances(t *testing.T) {
 	sim := newSimulation(4)
 	sim.cloud.available = 30
 	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 4, 1), "blue": teamBudget(1, 4, 1)}, 3, 0)
@@ -243,7 +242,7 @@
 		}
 	}
 	sim.run(sim.now + 25*second)
-	names := sim.startDrainOf(t, "a", func(worker *simWorker) bool { return len(worker.tasks) > 0 })
+	names := sim.startDrainOf(t, "a", hasTasks)
 	sim.run(sim.now + 15*second)
 	if lost != 2 || sim.drainChecker.halts > 0 || !sim.drainWaitsFor("budget of team red") {
 		t.Errorf("%d lost, %d halts; %s", lost, sim.drainChecker.halts, sim.describeDrains())
@@ -253,24 +252,24 @@
 	sim.checkAllGone(t, names)
 }
 
-func TestDrainMachinesInTrouble(t *testing.T) {
-	for name, do := range map[string]func(sim *simulation, worker *simWorker){
+func TestDrainOfFaultyMachines(t *testing.T) {
+	for name, breakMachine := range map[string]func(sim *simulation, worker *simWorker){
 		"hangs": func(sim *simulation, worker *simWorker) { worker.faults.hungUntil = sim.now + 25*second },
 		"deaf": func(sim *simulation, worker *simWorker) {
 			worker.faults.deaf = true
 			sim.after(30*second, func() { worker.faults.deaf = false })
 		},
 		"cut off":        func(sim *simulation, worker *simWorker) { worker.faults.partitionedUntil = sim.now + 30*second },
-		"dies":           func(sim *simulation, worker *simWorker) { worker.die() },
-		"is taken":       func(sim *simulation, worker *simWorker) { worker.takeAfterNotice(8 * second) },
+		"dies":           func(_ *simulation, worker *simWorker) { worker.die() },
+		"is taken":       func(_ *simulation, worker *simWorker) { worker.takeAfterNotice(8 * second) },
 		"hangs for ever": func(sim *simulation, worker *simWorker) { worker.faults.hungUntil = sim.now + time.Hour },
 	} {
-		sim := newDrainSimulation(5, 6, nil)
+		sim := newDrainSimulation(5, 6)
 		names := sim.startDrainOf(t, "a", nil)
 		sim.whenever(func() bool { return sim.countGrants() > 0 }, func() {
 			for _, worker := range sim.cloud.workers {
 				if !worker.dead && len(worker.tasks) > 0 {
-					do(sim, worker)
+					breakMachine(sim, worker)
 				}
 			}
 		})
@@ -284,9 +283,9 @@
 	}
 }
 
-// TestDrainLastReplica: the only place of a service's last replica is not emptied, and
+// TestDrainKeepsLastReplica: the only place of a service's last replica is not emptied, and
 // the drain says why; with a budget that allows it, it is.
-func TestDrainLastReplica(t *testing.T) {
+func TestDrainKeepsLastReplica(t *testing.T) {
 	for _, replicasUp := range []int{1, 0} {
 		sim := newSimulation(9)
 		sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 2, replicasUp), "blue": teamBudget(2, 2, 1)}, 3, 0)
@@ -305,11 +304,11 @@
 	}
 }
 
-// TestDrainBesideOtherVersions: nodes that know no drains serve beside those that do,
+// TestDrainBesideVersionWithoutDrains: nodes that know no drains serve beside those that do,
 // and alone afterwards; no rule breaks and no budget is exceeded.
-func TestDrainBesideOtherVersions(t *testing.T) {
+func TestDrainBesideVersionWithoutDrains(t *testing.T) {
 	for seed := range uint64(3) {
-		sim := newDrainSimulation(30+seed, 8, nil)
+		sim := newDrainSimulation(30+seed, 8)
 		names := sim.startDrainOf(t, "a", nil)
 		for i := range 3 { // one after the other goes back to the other version
 			sim.after(time.Duration(8+10*i)*second, func() {
@@ -331,22 +330,21 @@
 	}
 }
 
-// drainWorld is a deployment with drains on and so many long tasks of each team.
-func newDrainSimulation(seed uint64, tasks int, change func(*simJob)) *simulation {
+// newDrainSimulation is a deployment with drains on and one array of so many long tasks of
+// each team, at a moment when all of them run.
+func newDrainSimulation(seed uint64, tasks int) *simulation {
 	sim := newSimulation(seed)
 	sim.cloud.available = 30
 	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 2, 1), "blue": teamBudget(1, 4, 1)}, 3, 0)
 	for i, team := range []string{"red", "blue"} {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 1, runTime: time.Hour, estimateSeconds: 3600, spot: true})
-		if change != nil {
-			change(job)
-		}
+		job := newJob(jobSpec{id: jobID(i + 1), team: team, tasks: tasks, cpus: 1, runTime: time.Hour, estimateSeconds: 3600, spot: true})
 		sim.after(0, func() { sim.submitAndPoll(job, 0) })
 	}
 	sim.run(25 * second)
 	return sim
 }
 
+// startDrain is an operator's request to start a drain of some machines.
 func startDrain(id string, names []string, replace bool) drain.Request {
 	return drain.Request{Verb: drain.VerbStart, ID: id, Selection: drain.Selection{Machines: names}, Replace: replace}
 }
@@ -355,7 +353,7 @@
 // budgets, and the work runs on.
 func TestDrainEmptiesAllMachines(t *testing.T) {
 	for _, replace := range []bool{false, true} {
-		sim := newDrainSimulation(1, 10, nil)
+		sim := newDrainSimulation(1, 10)
 		names := sim.workerIDs(hasTasks)
 		sim.requestDrain(startDrain("rack-1", names, replace), func(response drain.Response) {
 			if response.Status != drain.StatusOK {
--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -7,9 +7,9 @@
 	"lemonmoor/internal/http1"
 )
 
-// TestGangRunsTogether: on a quiet day each gang starts once, whole, with one
+// TestGangStartsOnceAndWhole: on a quiet day each gang starts once, whole, with one
 // attempt, and is pending until it runs.
-func TestGangRunsTogether(t *testing.T) {
+func TestGangStartsOnceAndWhole(t *testing.T) {
 	sim := newSimulation(31)
 	for i := range 6 {
 		job := newGang(i, 2+i, 1)
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestTwoGangsTooLittleRoom: two gangs, each of which takes most of the machines
+// TestGangsHoldNoCapacityAgainstEachOther: two gangs, each of which takes most of the machines
 // that can be had, do not wait for each other's places.
-func TestTwoGangsTooLittleRoom(t *testing.T) {
+func TestGangsHoldNoCapacityAgainstEachOther(t *testing.T) {
 	sim := newSimulation(32)
 	sim.cloud.available = 3
 	for i := range 2 {
@@ -52,9 +52,9 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestLostBeforeTheStart: a task of a gang that waits is replaced under the same
+// TestGangMemberLostBeforeStartIsReplaced: a task of a gang that waits is replaced under the same
 // number when its machine dies; the gang starts without a second attempt.
-func TestLostBeforeTheStart(t *testing.T) {
+func TestGangMemberLostBeforeStartIsReplaced(t *testing.T) {
 	for seed := range uint64(8) {
 		sim := newSimulation(40 + seed)
 		job := newGang(1, 4, 4) // one on each machine
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestOrderlyStop: a gang on a machine that the cloud takes saves, all its tasks
+// TestGangSavesWhenItsMachineIsTaken: a gang on a machine that the cloud takes saves, all its tasks
 // in time, and goes on from there.
-func TestOrderlyStop(t *testing.T) {
+func TestGangSavesWhenItsMachineIsTaken(t *testing.T) {
 	sim := newSimulation(33)
 	job := newGang(1, 4, 4)
 	job.runTime, job.checkpointSeconds = 40*time.Second, 2
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestGangInSeveralBlocks: a gang that no single block would hold runs all the
+// TestGangSpansShards: a gang that no single block would hold runs all the
 // same, divided under one attempt, also when its owners change on the way.
-func TestGangInSeveralBlocks(t *testing.T) {
+func TestGangSpansShards(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		sim := newSimulation(34)
 		sim.cloud.perKind = 2
@@ -145,13 +145,13 @@
 	}
 }
 
-// TestGangAboveTheLimit: 422, but never for one that has been accepted.
-func TestGangAboveTheLimit(t *testing.T) {
+// TestGangAboveTeamLimitIsRefused: 422, but never for one that has been accepted.
+func TestGangAboveTeamLimitIsRefused(t *testing.T) {
 	sim := newSimulation(35)
 	sim.run(12 * time.Second)
 	ask := func(job *simJob) (status int) {
 		sim.jobs[job.id] = job
-		sim.controllers[0].request("users", "POST", "/work", job.body(), 5*time.Second, func(response http1.Response, err error) { status = response.Status })
+		sim.controllers[0].request("users", "POST", "/work", job.body(), 5*time.Second, func(response http1.Response, _ error) { status = response.Status })
 		sim.run(sim.now + 2*time.Second)
 		return status
 	}
--- a/internal/controller/incidents_test.go
+++ b/internal/controller/incidents_test.go
@@ -8,13 +8,13 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestSlowStateIsNoOutage guards against a fault of an incident: commits that
+// TestSlowStateServiceKeepsShardOwners guards against a fault of an incident: commits that
 // a slow state service answered late were given up, each at the price of a new
 // token and a reading of all records, so that hardly anything was placed.
-func TestSlowStateIsNoOutage(t *testing.T) {
+func TestSlowStateServiceKeepsShardOwners(t *testing.T) {
 	sim := newSimulation(8)
 	for i := range 20 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 4, cpus: 1, runTime: 3 * time.Second, spot: true})
+		job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 4, cpus: 1, runTime: 3 * time.Second, spot: true})
 		sim.after(time.Duration(i*3)*time.Second, func() { sim.submitAndPoll(job, 0) })
 	}
 	token := func() (sum uint64) {
@@ -42,22 +42,18 @@
 	sim.stateFaults.latency = 0
 	sim.run(100 * time.Second)
 	sim.checkRules(t)
-	for _, job := range sim.jobs {
-		if job.reportedPhase != "done" {
-			t.Errorf("%s is %q", job.id, job.reportedPhase)
-		}
-	}
+	sim.checkAllDone(t)
 }
 
-// TestStoredLayoutStays: the number of blocks that work is stored under stays,
+// TestStoredShardCountOutlivesSettings: the number of blocks that work is stored under stays,
 // whatever the settings of a later process say, also of work from before it was
 // stored. Read under another number, tasks on machines would look lost.
-func TestStoredLayoutStays(t *testing.T) {
+func TestStoredShardCountOutlivesSettings(t *testing.T) {
 	for _, stored := range []bool{true, false} {
 		sim := newSimulation(11)
 		sim.divideIntoShards()
 		for i := range 8 {
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 6, cpus: 1, runTime: 25 * time.Second, spot: true})
+			job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 6, cpus: 1, runTime: 25 * time.Second, spot: true})
 			sim.after(time.Duration(i*2)*time.Second, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.run(30 * time.Second)
@@ -80,25 +76,21 @@
 			t.Errorf("stored %v: %d blocks after settings that make it one", stored, n)
 		}
 		sim.checkRules(t)
-		for _, job := range sim.jobs {
-			if job.reportedPhase != "done" {
-				t.Errorf("%s is %q", job.id, job.reportedPhase)
-			}
-		}
+		sim.checkAllDone(t)
 	}
 }
 
-// TestBacklogAfterAnOutage guards against a fault of a day with a long outage:
+// TestBacklogIsWorkedOffAfterOutage guards against a fault of a day with a long outage:
 // with few changes a second, the ends of jobs and the removal of their records
 // came before all hand-outs, and commits too large for what was left were refused
 // again and again. Nothing was handed out for twenty seconds, submissions given
 // up, and the idle machines returned meanwhile.
-func TestBacklogAfterAnOutage(t *testing.T) {
+func TestBacklogIsWorkedOffAfterOutage(t *testing.T) {
 	sim := newSimulation(12)
 	sim.limitWrites(10)
 	sim.restart()
 	submit := func(i int, at, length time.Duration) *simJob {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 3, cpus: 1, runTime: length, spot: true})
+		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 3, cpus: 1, runTime: length, spot: true})
 		sim.after(at, func() { sim.submitAndPoll(job, 0) })
 		return job
 	}
@@ -137,18 +129,14 @@
 	}
 	sim.run(200 * time.Second)
 	sim.checkRules(t)
-	for _, job := range sim.jobs {
-		if job.reportedPhase != "done" {
-			t.Errorf("%s is %q", job.id, job.reportedPhase)
-		}
-	}
+	sim.checkAllDone(t)
 }
 
-// TestManyJobsAtTheStart guards against a fault of a platform whose machines are up at
+// TestSubmissionFloodLeavesWritesForDispatch guards against a fault of a platform whose machines are up at
 // the start: the submissions of hundreds of jobs took all changes that the state
 // service allows, nothing was handed out for half a minute, and the machines went back
 // as idle while others were rented for the work that waited.
-func TestManyJobsAtTheStart(t *testing.T) {
+func TestSubmissionFloodLeavesWritesForDispatch(t *testing.T) {
 	sim := newSimulation(14)
 	sim.limitWrites(12)
 	for i := range sim.settings.Deployment.Teams {
@@ -161,7 +149,7 @@
 		sim.after(0, worker.boot)
 	}
 	for i := range 160 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 1, cpus: 1, runTime: 60 * time.Second, estimateSeconds: 60, urgent: true})
+		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 1, cpus: 1, runTime: 60 * time.Second, estimateSeconds: 60, urgent: true})
 		sim.after(time.Duration(i)*20*time.Millisecond, func() { sim.submitAndPoll(job, 0) })
 	}
 	sim.run(22 * time.Second)
@@ -178,10 +166,10 @@
 	sim.checkRules(t)
 }
 
-// TestLoneMachineDies guards against a fault of a generated day: the only machine
+// TestDeathOfLoneMachineIsNoticed guards against a fault of a generated day: the only machine
 // died, every owner heard nothing and gave the block up, the next one likewise,
 // and no lease ever ran out: the work on it waited for ever.
-func TestLoneMachineDies(t *testing.T) {
+func TestDeathOfLoneMachineIsNoticed(t *testing.T) {
 	for seed := uint64(30); seed < 45; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { loneMachineDies(t, newSimulation(seed)) })
 	}
@@ -222,10 +210,10 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestLimitsFallInMidRun: the state service takes less from some moment on. What
+// TestStateLimitsFallDuringWork: the state service takes less from some moment on. What
 // waits is not lost, and nothing is written over the limits that the settings
 // tell.
-func TestLimitsFallInMidRun(t *testing.T) {
+func TestStateLimitsFallDuringWork(t *testing.T) {
 	sim := newSimulation(36)
 	ops, kb, rate := 1, 1.0, 8.0
 	sim.settings.Deployment.State.WriteRPS = 15
@@ -246,9 +234,9 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestBadLayoutStopsAll: a stored number of blocks that makes no sense is never
+// TestInvalidLayoutStopsAllWork: a stored number of blocks that makes no sense is never
 // guessed at: nothing is state, owned or accepted until it is put right.
-func TestBadLayoutStopsAll(t *testing.T) {
+func TestInvalidLayoutStopsAllWork(t *testing.T) {
 	sim := newSimulation(13)
 	sim.restart()
 	for _, bad := range []string{`{"blocks":0}`, `"x"`, `{}`} {
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -59,7 +59,7 @@
 // how many replicas ran when the outage began, and how many workers' sessions have ended.
 func (s *simulation) playOutageOfServices(begin, end time.Duration, cancel bool) (replicas, ended int) {
 	for i := range 6 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 2, cpus: 1, service: true, urgent: true})
+		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 2, cpus: 1, service: true, urgent: true})
 		s.after(time.Duration(i)*second, func() { s.submitAndPoll(job, 0) })
 	}
 	s.after(begin, func() { s.outageFor(end - begin) })
@@ -83,10 +83,10 @@
 	return replicas, ended
 }
 
-// TestHealthInAnOutage: in an outage of the state service the nodes stay
+// TestSharedOutageKeepsNodesHealthy: in an outage of the state service the nodes stay
 // healthy, since none is better than another; a node that is refused alone does
 // not.
-func TestHealthInAnOutage(t *testing.T) {
+func TestSharedOutageKeepsNodesHealthy(t *testing.T) {
 	sim := newSimulation(4)
 	sim.run(20 * time.Second)
 	sim.stateFaults.outage = true
--- a/internal/controller/processes_drain_report_test.go
+++ b/internal/controller/processes_drain_report_test.go
@@ -29,29 +29,29 @@
 
 // table lists the moments at which a budget's use, or the number of machines, changed.
 func (r *drainReport) table() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "# Log of budgets: %d stand-in workers drained and replaced on loopback\n\n", r.Machines)
-	fmt.Fprintf(&b, "Real processes: three controllers; stand-ins of state service, cloud, workers, users.\n")
-	fmt.Fprintf(&b, "Written by `TestLiveDrain` from what the workers did; looked at every 50 ms.\n\n")
-	fmt.Fprintf(&b, "- leader killed after %.1f s; all machines gone and all tasks running after %.1f s\n", float64(r.LeaderKilled)/1000, float64(r.EndedMS)/1000)
-	fmt.Fprintf(&b, "- %d tasks stopped by choice; %d changes of the drains' records\n\n", r.Moves, r.Changes)
-	fmt.Fprintf(&b, "| seconds | red disturbed (of %d) | blue disturbed (of %d) | machines gone |\n| --- | --- | --- | --- |\n", r.Limits["red"], r.Limits["blue"])
+	var text strings.Builder
+	fmt.Fprintf(&text, "# Log of budgets: %d stand-in workers drained and replaced on loopback\n\n", r.Machines)
+	fmt.Fprintf(&text, "Real processes: three controllers; stand-ins of state service, cloud, workers, users.\n")
+	fmt.Fprintf(&text, "Written by `TestDrainOfRealProcesses` from what the workers did; looked at every 50 ms.\n\n")
+	fmt.Fprintf(&text, "- leader killed after %.1f s; all machines gone and all tasks running after %.1f s\n", float64(r.LeaderKilled)/1000, float64(r.EndedMS)/1000)
+	fmt.Fprintf(&text, "- %d tasks stopped by choice; %d changes of the drains' records\n\n", r.Moves, r.Changes)
+	fmt.Fprintf(&text, "| seconds | red disturbed (of %d) | blue disturbed (of %d) | machines gone |\n| --- | --- | --- | --- |\n", r.Limits["red"], r.Limits["blue"])
 	last := ""
 	for _, s := range r.Samples {
 		row := fmt.Sprintf("| %d | %d | %d |\n", s.Disturbed["red"], s.Disturbed["blue"], s.Gone)
 		if row != last {
-			fmt.Fprintf(&b, "| %.1f %s", float64(s.AtMS)/1000, row)
+			fmt.Fprintf(&text, "| %.1f %s", float64(s.AtMS)/1000, row)
 		}
 		last = row
 	}
-	return b.String()
+	return text.String()
 }
 
 // plot draws what is disturbed over time, beside the limits.
 func (r *drainReport) plot(path string) error {
-	p := plot.New()
-	p.Title.Text = "Tasks disturbed by a drain, and the budgets"
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "tasks"
+	figure := plot.New()
+	figure.Title.Text = "Tasks disturbed by a drain, and the budgets"
+	figure.X.Label.Text, figure.Y.Label.Text = "seconds", "tasks"
 	var lines []any
 	for _, team := range []string{"red", "blue"} {
 		var used, limit plotter.XYs
@@ -62,12 +62,12 @@
 		}
 		lines = append(lines, team+", disturbed", used, team+", budget", limit)
 	}
-	if err := plotutil.AddLines(p, lines...); err != nil {
+	if err := plotutil.AddLines(figure, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
-	p.Y.Min, p.Y.Max = 0, 4
-	p.Legend.Top = true
-	if err := p.Save(22*vg.Centimeter, 9*vg.Centimeter, path); err != nil {
+	figure.Y.Min, figure.Y.Max = 0, 4
+	figure.Legend.Top = true
+	if err := figure.Save(22*vg.Centimeter, 9*vg.Centimeter, path); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
 	return nil
--- a/internal/controller/processes_drain_test.go
+++ b/internal/controller/processes_drain_test.go
@@ -38,7 +38,7 @@
 	Gone      int            `json:"machinesGone"`
 }
 
-// liveDrain is what TestLiveDrain has measured.
+// liveDrain is what TestDrainOfRealProcesses has measured.
 type drainReport struct {
 	Machines     int            `json:"machines"`
 	LeaderKilled int64          `json:"leaderKilledAtMs"`
@@ -49,10 +49,10 @@
 	Samples      []budgetSample `json:"samples"`
 }
 
-// TestLiveDrain drains and replaces all machines of a deployment of real processes on
+// TestDrainOfRealProcesses drains and replaces all machines of a deployment of real processes on
 // loopback, while two teams' work runs, with the leader killed midway. With
 // LEMONMOOR_LIVE_DRAIN=DIR there are twenty machines, and DIR gets the log of budgets.
-func TestLiveDrain(t *testing.T) {
+func TestDrainOfRealProcesses(t *testing.T) {
 	report := os.Getenv("LEMONMOOR_LIVE_DRAIN")
 	tasks := 2
 	if report != "" {
@@ -61,10 +61,7 @@
 	deployment := newProcessDeployment(t, func(sim *simulation) {
 		sim.cloud.available = 2 * tasks
 		sim.imageFetchTime = 2 * time.Second
-		sim.drainChecker = &budgetChecker{
-			sim: sim, limits: map[string]settings.DrainLimits{"red": teamBudget(2, 5, 1), "blue": teamBudget(1, 100, 0)},
-			namedMachines: map[string]bool{}, disturbed: map[string]disturbance{}, maxDisturbed: map[string]int{},
-		}
+		sim.drainChecker = newBudgetChecker(sim, map[string]settings.DrainLimits{"red": teamBudget(2, 5, 1), "blue": teamBudget(1, 100, 0)})
 	})
 	program := buildProgram(t, deployment.dir)
 	trace := filepath.Join(deployment.dir, "trace.json")
@@ -72,9 +69,9 @@
 	deployment.submit(tasks)
 	deployment.waitFor(t, "all tasks run", 30*time.Second, func() bool { return deployment.running() == 2*tasks })
 	var names []string
-	deployment.do(func() { names = deployment.workerIDs(func(worker *simWorker) bool { return len(worker.tasks) > 0 }) })
+	deployment.do(func() { names = deployment.workerIDs(hasTasks) })
 	deployment.nameMachines(names)
-	deployment.do(func() { deployment.simulation.cloud.available += 4 * tasks }) // for the replacements
+	deployment.do(func() { deployment.cloud.available += 4 * tasks }) // for the replacements
 
 	result := drainReport{Machines: len(names), Limits: map[string]int{"red": 2, "blue": 1}}
 	began := time.Now()
@@ -109,7 +106,7 @@
 	d.do(func() {
 		for i, team := range []string{"red", "blue"} {
 			job := newJob(jobSpec{
-				id: fmt.Sprintf("wk-%06d", i+1), team: team, tasks: tasks, cpus: 2.3, runTime: time.Hour, estimateSeconds: 3600,
+				id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: time.Hour, estimateSeconds: 3600,
 				spot: true, urgent: true, machineTypes: []string{"small"},
 			})
 			d.submitAndPoll(job, 0)
@@ -119,7 +116,7 @@
 
 func (d *processDeployment) running() int {
 	n := 0
-	for _, worker := range d.simulation.cloud.workers {
+	for _, worker := range d.cloud.workers {
 		for _, task := range worker.tasks {
 			if task.phase == "running" && !worker.dead {
 				n++
@@ -142,7 +139,7 @@
 	var h struct {
 		Node string `json:"node"`
 	}
-	stored := d.simulation.state.keys["lease/lead"]
+	stored := d.state.keys["lease/lead"]
 	if stored == nil || json.Unmarshal(stored.value, &h) != nil {
 		return nil
 	}
@@ -175,7 +172,7 @@
 // lookAtTools tries the commands on the deployment, one of whose controllers is dead.
 func (d *processDeployment) checkCommands(t *testing.T, program string, killed *controllerProcess) {
 	t.Helper()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		status int
 		args   []string
 		words  string
@@ -189,9 +186,9 @@
 		{2, []string{"cancel"}, "id: "},
 		{2, []string{"pause", "--id", "rack-2"}, "id: "},
 	} {
-		out := d.drainCLI(t, program, c.status, c.args...)
-		if !strings.Contains(out, c.words) || (c.status != 0 && strings.Count(out, "\n") != 1) {
-			t.Errorf("%v prints %q, without %q", c.args, out, c.words)
+		out := d.drainCLI(t, program, test.status, test.args...)
+		if !strings.Contains(out, test.words) || (test.status != 0 && strings.Count(out, "\n") != 1) {
+			t.Errorf("%v prints %q, without %q", test.args, out, test.words)
 		}
 	}
 	for _, process := range d.processes {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
@@ -121,7 +120,7 @@
 // drawJob draws a job.
 func drawJob(t *rapid.T, i int) *simJob {
 	job := newJob(jobSpec{
-		id:      fmt.Sprintf("wk-%06d", i),
+		id:      jobID(i),
 		team:    rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
 		tasks:   rapid.IntRange(1, 14).Draw(t, "tasks"),
 		cpus:    rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "cpus"),
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -1,17 +1,16 @@
 package controller
 
 import (
-	"fmt"
 	"testing"
 	"time"
 )
 
-// TestOwnerBehindARelay: an owner that no worker reaches directly keeps its
+// TestOwnerKeepsShardBehindRelay: an owner that no worker reaches directly keeps its
 // block while reports are passed on to it, and its work gets done.
-func TestOwnerBehindARelay(t *testing.T) {
+func TestOwnerKeepsShardBehindRelay(t *testing.T) {
 	sim := newSimulation(3)
 	for i := range 4 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 4, cpus: 2, runTime: 2 * time.Second, spot: true})
+		job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 4, cpus: 2, runTime: 2 * time.Second, spot: true})
 		sim.after(time.Duration(i*15)*time.Second, func() { sim.submitAndPoll(job, 0) })
 	}
 	var relayed *simController
@@ -26,11 +25,7 @@
 	})
 	sim.run(110 * time.Second)
 	sim.checkRules(t)
-	for _, job := range sim.jobs {
-		if job.reportedPhase != "done" {
-			t.Errorf("%s is %q", job.id, job.reportedPhase)
-		}
-	}
+	sim.checkAllDone(t)
 	if relayed == nil || relayed.node.leases.ShardToken(0) == 0 {
 		t.Errorf("the owner of token %d gave its block up", token)
 	}
--- a/internal/controller/relinquished_shard_test.go
+++ b/internal/controller/relinquished_shard_test.go
@@ -1,19 +1,18 @@
 package controller
 
 import (
-	"fmt"
 	"testing"
 	"time"
 )
 
-// TestGivenUpUnderRefusals: a block that its owner gives up because no worker reaches
+// TestRelinquishedShardFindsOwnerUnderRefusals: a block that its owner gives up because no worker reaches
 // it is not answered for any more, and is another's soon, also when the state service
 // refuses most changes at that moment.
-func TestGivenUpUnderRefusals(t *testing.T) {
+func TestRelinquishedShardFindsOwnerUnderRefusals(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		sim := newSimulation(seed)
 		for i := range 6 {
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 3, cpus: 1, runTime: 30 * time.Second, spot: true})
+			job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 3, cpus: 1, runTime: 30 * time.Second, spot: true})
 			sim.after(time.Duration(i)*time.Second, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.run(20 * time.Second)
--- a/internal/controller/scenarios_test.go
+++ b/internal/controller/scenarios_test.go
@@ -1,29 +1,24 @@
 package controller
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"lemonmoor/internal/taskstate"
 )
 
-// TestQuietDay: without faults everything runs once.
-func TestQuietDay(t *testing.T) {
+// TestQuietDayStartsEachTaskOnce: without faults everything runs once.
+func TestQuietDayStartsEachTaskOnce(t *testing.T) {
 	sim := newSimulation(1)
 	total := 0
 	for i := range 6 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 5, cpus: 2, runTime: 3 * time.Second, spot: true})
+		job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 5, cpus: 2, runTime: 3 * time.Second, spot: true})
 		total += job.tasks
 		sim.after(time.Duration(i)*time.Second, func() { sim.submitAndPoll(job, 0) })
 	}
 	sim.run(90 * time.Second)
 	sim.checkRules(t)
-	for _, job := range sim.jobs {
-		if job.reportedPhase != "done" {
-			t.Errorf("%s is %q", job.id, job.reportedPhase)
-		}
-	}
+	sim.checkAllDone(t)
 	if sim.checker.starts != total {
 		t.Errorf("%d starts for %d tasks", sim.checker.starts, total)
 	}
@@ -38,14 +33,14 @@
 	}
 }
 
-// TestLargestJobBegins: a large job whose team is crowded out by a flood of
+// TestLargeJobStartsDespiteUrgentFlood: a large job whose team is crowded out by a flood of
 // urgent work begins within four minutes all the same.
-func TestLargestJobBegins(t *testing.T) {
+func TestLargeJobStartsDespiteUrgentFlood(t *testing.T) {
 	sim := newSimulation(5)
 	big := newJob(jobSpec{id: "wk-900000", team: "red", tasks: 6, cpus: 4, runTime: 20 * time.Second, spot: true})
 	sim.after(20*time.Second, func() { sim.submitAndPoll(big, 0) })
 	for i := range 150 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "blue", tasks: 20, cpus: 2, runTime: 8 * time.Second, spot: true, urgent: true})
+		job := newJob(jobSpec{id: jobID(i), team: "blue", tasks: 20, cpus: 2, runTime: 8 * time.Second, spot: true, urgent: true})
 		if i%2 == 0 {
 			job.team = "red"
 		}
@@ -61,12 +56,12 @@
 	}
 }
 
-// TestDeafMachine: a machine whose reports arrive but which hears nothing gets
+// TestDeafMachineGetsFewTasksAndIsReturned: a machine whose reports arrive but which hears nothing gets
 // no stream of tasks; those that it had run elsewhere, and it is returned.
-func TestDeafMachine(t *testing.T) {
+func TestDeafMachineGetsFewTasksAndIsReturned(t *testing.T) {
 	sim := newSimulation(6)
 	for i := range 12 {
-		job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 6, cpus: 1, runTime: 3 * time.Second, spot: true})
+		job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 6, cpus: 1, runTime: 3 * time.Second, spot: true})
 		sim.after(time.Duration(i*5)*time.Second, func() { sim.submitAndPoll(job, 0) })
 	}
 	var worker *simWorker
@@ -76,11 +71,7 @@
 	})
 	sim.run(100 * time.Second)
 	sim.checkRules(t)
-	for _, job := range sim.jobs {
-		if job.reportedPhase != "done" {
-			t.Errorf("%s is %q", job.id, job.reportedPhase)
-		}
-	}
+	sim.checkAllDone(t)
 	if worker == nil || !worker.released {
 		t.Error("the machine is still rented")
 	}
--- a/internal/controller/sim_budget_checker_test.go
+++ b/internal/controller/sim_budget_checker_test.go
@@ -165,6 +165,14 @@
 	return settings.DrainLimits{Tasks: &tasks, CPUs: &cpus, ReplicasUp: &replicas}
 }
 
+// newBudgetChecker checks the budgets of the teams.
+func newBudgetChecker(sim *simulation, limits map[string]settings.DrainLimits) *budgetChecker {
+	return &budgetChecker{
+		sim: sim, limits: limits,
+		namedMachines: map[string]bool{}, disturbed: map[string]disturbance{}, maxDisturbed: map[string]int{},
+	}
+}
+
 // withDrains turns drains on, with budgets for red and blue, and starts the nodes anew.
 func (s *simulation) withDrains(limits map[string]settings.DrainLimits, atOnce int, wait float64) {
 	d := &settings.Drains{MachinesAtOnce: &atOnce, WaitS: &wait}
@@ -172,7 +180,7 @@
 		d.Teams = append(d.Teams, settings.TeamBudget{Name: team, Limits: limits[team]})
 	}
 	s.settings.Operator.Drains = d
-	s.drainChecker = &budgetChecker{sim: s, limits: limits, namedMachines: map[string]bool{}, disturbed: map[string]disturbance{}, maxDisturbed: map[string]int{}}
+	s.drainChecker = newBudgetChecker(s, limits)
 	s.restart()
 }
 
--- a/internal/controller/sim_gang_test.go
+++ b/internal/controller/sim_gang_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"time"
 )
 
@@ -191,7 +190,7 @@
 // aGang is a gang of the simulated deployment.
 func newGang(i, tasks int, cpus float64) *simJob {
 	return newJob(jobSpec{
-		id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: tasks, cpus: cpus,
+		id: jobID(i), team: teamOf(i), tasks: tasks, cpus: cpus,
 		runTime: 4 * time.Second, spot: true, gang: true,
 	})
 }
--- a/internal/controller/sim_job_test.go
+++ b/internal/controller/sim_job_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"time"
 )
 
@@ -51,6 +52,12 @@
 	reportedPhase   string        // "done", "cancelled", or "" while it is neither
 }
 
+// jobID is the ID of the job of a number.
+func jobID(number int) string { return fmt.Sprintf("wk-%06d", number) }
+
+// teamOf has jobs belong to the teams in turn.
+func teamOf(number int) string { return []string{"red", "blue"}[number%2] }
+
 func newJob(spec jobSpec) *simJob {
 	return &simJob{jobSpec: spec, jobProgress: jobProgress{completed: map[int]bool{}}}
 }
--- a/internal/controller/sim_rule_checker_test.go
+++ b/internal/controller/sim_rule_checker_test.go
@@ -92,6 +92,16 @@
 	}
 }
 
+// checkAllDone fails a test on whose day any job is not done.
+func (s *simulation) checkAllDone(t reporter) {
+	t.Helper()
+	for _, job := range s.jobs {
+		if job.reportedPhase != "done" {
+			t.Errorf("%s is %q", job.id, job.reportedPhase)
+		}
+	}
+}
+
 // startSituation is what the machines show at the start of a task.
 type startSituation struct {
 	elsewhere   []*simWorker   // other machines that have the task
--- a/internal/controller/sim_state_service_test.go
+++ b/internal/controller/sim_state_service_test.go
@@ -266,38 +266,38 @@
 }
 
 // commit carries a transaction out, if its conditions hold.
-func (s *simStateService) commit(body []byte) http1.Response {
-	var t transaction
-	err := json.Unmarshal(body, &t)
+func (s *simStateService) commit(raw []byte) http1.Response {
+	var body transaction
+	err := json.Unmarshal(raw, &body)
 	limits := s.sim.stateLimits
-	if err != nil || len(t.Operations) > limits.operations || len(t.Conditions) > 4*limits.operations || len(body) > 64<<10 {
+	if err != nil || len(body.Operations) > limits.operations || len(body.Conditions) > 4*limits.operations || len(raw) > 64<<10 {
 		if limits.undeclared && err == nil {
 			return jsonResponse(400, map[string]string{"error": "too many changes in a commit"})
 		}
-		s.sim.checker.violated(ruleStateLimit, "a commit of %d changes, %d guards, %d bytes", len(t.Operations), len(t.Conditions), len(body))
+		s.sim.checker.violated(ruleStateLimit, "a commit of %d changes, %d guards, %d bytes", len(body.Operations), len(body.Conditions), len(raw))
 		return jsonResponse(400, nil)
 	}
-	if refusal := s.refuseOperations(&t); refusal != nil {
+	if refusal := s.refuseOperations(&body); refusal != nil {
 		return *refusal
 	}
-	if !s.takeWriteTokens(len(t.Operations)) {
+	if !s.takeWriteTokens(len(body.Operations)) {
 		return jsonResponse(429, map[string]string{"error": "too many changes"})
 	}
-	if failed := s.failedConditions(&t); len(failed) > 0 {
+	if failed := s.failedConditions(&body); len(failed) > 0 {
 		return jsonResponse(409, map[string]any{"failed": failed, "epoch": s.revision})
 	}
-	s.apply(&t)
+	s.apply(&body)
 	return jsonResponse(200, map[string]uint64{"epoch": s.revision})
 }
 
 // refuseOperations finds operations that are refused whatever the conditions; nil: none.
-func (s *simStateService) refuseOperations(t *transaction) *http1.Response {
+func (s *simStateService) refuseOperations(body *transaction) *http1.Response {
 	limits := s.sim.stateLimits
 	refuse := func(body any) *http1.Response {
 		response := jsonResponse(400, body)
 		return &response
 	}
-	for _, operation := range t.Operations {
+	for _, operation := range body.Operations {
 		if operation.LeaseID != 0 && s.leases[operation.LeaseID] == nil {
 			return refuse(map[string]string{"error": "no such lease"})
 		}
@@ -329,9 +329,9 @@
 }
 
 // failedConditions lists the keys that have another revision than a transaction demands.
-func (s *simStateService) failedConditions(t *transaction) []string {
+func (s *simStateService) failedConditions(body *transaction) []string {
 	var failed []string
-	for _, condition := range t.Conditions {
+	for _, condition := range body.Conditions {
 		revision := uint64(0)
 		if stored := s.keys[condition.Key]; stored != nil {
 			revision = stored.revision
@@ -344,12 +344,12 @@
 }
 
 // apply carries out the operations of a transaction whose conditions hold.
-func (s *simStateService) apply(t *transaction) {
-	if len(t.Operations) == 0 {
+func (s *simStateService) apply(body *transaction) {
+	if len(body.Operations) == 0 {
 		return
 	}
 	s.revision++
-	for _, operation := range t.Operations {
+	for _, operation := range body.Operations {
 		if operation.Remove != "" {
 			delete(s.keys, operation.Remove)
 			s.log = append(s.log, storedChange{operation.Remove, nil, s.revision})
--- a/internal/controller/sim_user_test.go
+++ b/internal/controller/sim_user_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"time"
 
 	"lemonmoor/internal/http1"
@@ -174,7 +173,7 @@
 	user.askForUnknownJob()
 	user.submitImpossibleJobs()
 	for i := range 40 {
-		if job := s.jobs[fmt.Sprintf("wk-%06d", i)]; job != nil && job.accepted {
+		if job := s.jobs[jobID(i)]; job != nil && job.accepted {
 			user.repeat(job)
 		}
 	}
--- a/internal/controller/sim_workload_test.go
+++ b/internal/controller/sim_workload_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"time"
 )
 
@@ -10,7 +9,7 @@
 func (s *simulation) submitMixedJobs(number int, length time.Duration) {
 	for i := range number {
 		job := newJob(jobSpec{
-			id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 1 + s.rng.IntN(3), cpus: 1, runTime: length,
+			id: jobID(i), team: teamOf(i), tasks: 1 + s.rng.IntN(3), cpus: 1, runTime: length,
 			spot: s.rng.IntN(2) == 0, urgent: i%3 == 0,
 		})
 		switch i % 6 {
@@ -40,7 +39,7 @@
 func (s *simulation) cancelRunningJobs(number int) {
 	cancelled := 0
 	for i := range 1000 {
-		if job := s.jobs[fmt.Sprintf("wk-%06d", i)]; job != nil && cancelled < number && job.cancel != nil && !job.cancelRequested && !job.over() && job.startedAt > 0 {
+		if job := s.jobs[jobID(i)]; job != nil && cancelled < number && job.cancel != nil && !job.cancelRequested && !job.over() && job.startedAt > 0 {
 			job.cancel()
 			cancelled++
 		}
--- a/internal/controller/two_faults_test.go
+++ b/internal/controller/two_faults_test.go
@@ -59,14 +59,14 @@
 
 // meetingScenarios are all others.
 var meetingScenarios = []scenario{
-	{"state service refuses the owner while launches wait for heartbeats and their jobs are cancelled", func(sim *simulation, seed int) func() bool {
+	{"state service refuses the owner while launches wait for heartbeats and their jobs are cancelled", func(sim *simulation, _ int) func() bool {
 		sim.checker.commandsPrompt = true
 		sim.heartbeats.slowdown = 5
 		sim.settings.Deployment.Workers.ReportS = 5
 		sim.restart()
 		sim.submitMixedJobs(6, 60*second)
 		for i := range 8 { // placed just before the refusal
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", 100+i), team: "red", tasks: 2, cpus: 1, runTime: 30 * second, spot: true, urgent: true})
+			job := newJob(jobSpec{id: jobID(100 + i), team: "red", tasks: 2, cpus: 1, runTime: 30 * second, spot: true, urgent: true})
 			sim.after(29*second+500*ms, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.after(29*second, func() { sim.commandsRefused = true })
@@ -91,7 +91,7 @@
 			sim.refuseControllerFor(controller.name, 9*second)
 			sim.network.partitions["users|"+controller.name] = true
 			for i := range 8 {
-				if job := sim.jobs[fmt.Sprintf("wk-%06d", 100+i)]; job.cancel != nil {
+				if job := sim.jobs[jobID(100+i)]; job.cancel != nil {
 					job.cancel()
 				}
 			}
@@ -147,7 +147,7 @@
 		full := false
 		sim.cloud.available = 30
 		for i := range 30 {
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 4, cpus: 1, runTime: 25 * second, estimateSeconds: 25, urgent: true, spot: true})
+			job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 4, cpus: 1, runTime: 25 * second, estimateSeconds: 25, urgent: true, spot: true})
 			sim.after(time.Duration(i*100)*ms, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.after(15*second, func() {
@@ -200,15 +200,15 @@
 		sim.settings.Deployment.State.WriteRPS, sim.settings.Deployment.State.RPS = 25, 70
 		sim.restart()
 		sim.cloud.available = 40
-		n := 0
+		cancelled := 0
 		for i := range 240 {
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 1, cpus: 1, runTime: time.Duration(2+sim.rng.IntN(6)) * second, spot: true})
-			off := time.Duration(0)
+			job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 1, cpus: 1, runTime: time.Duration(2+sim.rng.IntN(6)) * second, spot: true})
+			cancelAfter := time.Duration(0)
 			if i%4 == 0 {
-				off = time.Duration(300+sim.rng.IntN(4000)) * ms
-				n++
+				cancelAfter = time.Duration(300+sim.rng.IntN(4000)) * ms
+				cancelled++
 			}
-			sim.after(time.Duration(i)*250*ms, func() { sim.submitAndPoll(job, off) })
+			sim.after(time.Duration(i)*250*ms, func() { sim.submitAndPoll(job, cancelAfter) })
 		}
 		sim.after(30*second, func() {
 			sim.inject([]faultName{leaderCrashes, stateRefusesOwner, stateOutage}[seed%3], seed, 12*second)
@@ -220,7 +220,7 @@
 					pages++
 				}
 			}
-			return sim.cancelledBetween(0, 200*second) > n/2 && pages < 2*tuning.LogCompactionPages
+			return sim.cancelledBetween(0, 200*second) > cancelled/2 && pages < 2*tuning.LogCompactionPages
 		}
 	}},
 	{"all controllers are down for longer than a lease while jobs are cancelled", func(sim *simulation, seed int) func() bool {
@@ -234,7 +234,7 @@
 	{"tasks of small jobs end far apart across a change of leader or owner", func(sim *simulation, seed int) func() bool {
 		over := 0
 		for i := range 12 {
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: "red", tasks: 2 + i%2, cpus: 1, runTime: 3 * second, runTimeStep: 8 * second, spot: true})
+			job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 2 + i%2, cpus: 1, runTime: 3 * second, runTimeStep: 8 * second, spot: true})
 			sim.after(time.Duration(i*700)*ms, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.after(14*second, func() {
@@ -289,7 +289,7 @@
 		sim.cancelServicesAt(80 * second)
 		return func() bool { return sim.cancelledBetween(18*second, 60*second) > 0 }
 	}},
-	{"users poll closely and cancel at the end of a job's last task", func(sim *simulation, seed int) func() bool {
+	{"users poll closely and cancel at the end of a job's last task", func(sim *simulation, _ int) func() bool {
 		sim.users.pollClosely = true
 		sim.users.cancelAtCompletion = true
 		sim.submitMixedJobs(24, 4*second)
@@ -345,7 +345,7 @@
 	{"machines of jobs bound to zones die while leader and owner crash", func(sim *simulation, seed int) func() bool {
 		dead := 0
 		for i := range 10 {
-			job := newJob(jobSpec{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 4, cpus: 1, runTime: 12 * second, spot: true})
+			job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 4, cpus: 1, runTime: 12 * second, spot: true})
 			switch i % 3 {
 			case 0:
 				job.zone = "b"
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -147,8 +147,8 @@
 		job.gang, job.runTime = i > 0, 100*time.Second
 		sim.after(time.Duration(2+i)*time.Second, func() { sim.submitAndPoll(job, 0) })
 	}
-	for at := time.Duration(1); at <= 120; at++ {
-		sim.run(at * time.Second)
+	for elapsed := time.Duration(1); elapsed <= 120; elapsed++ {
+		sim.run(elapsed * time.Second)
 		for key := range sim.state.keys {
 			known := false
 			for prefix := range prefixes {
@@ -160,7 +160,7 @@
 				t.Fatalf("a key of another form: %s", key)
 			}
 		}
-		if at == 20 {
+		if elapsed == 20 {
 			sim.startDrainOf(t, "all", func(*simWorker) bool { return true })
 		}
 	}
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -73,9 +73,11 @@
 func (f *registryFixture) CancellationsVerifiedSince(since time.Duration) bool {
 	return !f.needsVerification || (f.verifiedAt >= since && f.now-f.verifiedAt <= tuning.MaxLaunchKnowledgeAge)
 }
+
 func (f *registryFixture) PreviousOwnerAnswersUntil() time.Duration {
 	return f.previousOwnerAnswersUntil
 }
+
 func (f *registryFixture) CancellationAge(string) (time.Duration, bool) {
 	return f.now - f.cancelledAt, f.job.Cancelled
 }
