--- a/internal/controller/drain_requests_test.go
+++ b/internal/controller/drain_requests_test.go
@@ -185,18 +185,6 @@
 	sim.checkRules(t)
 }
 
-// startDrainAtLeader starts a drain at the leader itself, whatever becomes of other
-// messages.
-func (s *simulation) startDrainAtLeader(t *testing.T, id string, worker *simWorker) {
-	s.drainChecker.namedMachines[worker.id] = true
-	request := startDrain(id, []string{worker.id}, false)
-	s.leader().node.drains.coordinator.Handle(&request, func(response drain.Response) {
-		if response.Status != drain.StatusOK {
-			t.Errorf("start: %+v", response)
-		}
-	})
-}
-
 // TestTwoDrainsOfTheSameMachine: two drains name the same machines, and one of them is
 // cancelled; the machines are emptied all the same, within the budgets.
 func TestTwoDrainsOfTheSameMachine(t *testing.T) {
--- a/internal/controller/drain_scenarios_test.go
+++ b/internal/controller/drain_scenarios_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -13,58 +12,6 @@
 
 // The hard cases of drains. Each fails without the guard that it is about.
 
-// startDrainOf starts a drain of all machines that have tasks, or of those picked. The
-// daemon may return idle ones in the same moment.
-func (s *simulation) startDrainOf(t *testing.T, id string, pick func(*simWorker) bool) []string {
-	t.Helper()
-	if pick == nil {
-		pick = hasTasks
-	}
-	names := s.workerIDs(pick)
-	s.requestDrain(startDrain(id, names, false), func(response drain.Response) {
-		if response.Status != drain.StatusOK {
-			t.Errorf("start of %s: %+v", id, response)
-		}
-	})
-	return names
-}
-
-// countGrants counts the grants that the state service holds now.
-func (s *simulation) countGrants() int {
-	n := 0
-	for key := range s.state.keys {
-		if strings.HasPrefix(key, drain.KeyPrefix) && strings.Contains(key, "/grant/") {
-			n++
-		}
-	}
-	return n
-}
-
-// whenever calls fn as soon as something holds.
-func (s *simulation) whenever(holds func() bool, fn func()) {
-	if holds() {
-		fn()
-		return
-	}
-	s.after(ms, func() { s.whenever(holds, fn) })
-}
-
-// drainWaitsFor tells whether the leader gives a reason with these words for a drain's
-// waiting.
-func (s *simulation) drainWaitsFor(words string) bool {
-	return strings.Contains(s.describeDrains(), words)
-}
-
-// checkAllGone checks that a drain has ended well: its machines are gone, and no rule was
-// broken.
-func (s *simulation) checkAllGone(t *testing.T, names []string) {
-	t.Helper()
-	if n := s.countGone(names); n != len(names) {
-		t.Errorf("%d of %d machines are gone; %s", n, len(names), s.describeDrains())
-	}
-	s.checkRules(t)
-}
-
 // TestDrainSurvivesOutageBetweenGrantAndHalt: the state service is down from the first
 // grant on, before anything was halted.
 func TestDrainSurvivesOutageBetweenGrantAndHalt(t *testing.T) {
@@ -352,25 +299,6 @@
 	}
 }
 
-// newDrainSimulation is a deployment with drains on and one array of so many long tasks of
-// each team, at a moment when all of them run.
-func newDrainSimulation(seed uint64, tasks int) *simulation {
-	sim := newSimulation(seed)
-	sim.cloud.available = 30
-	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 2, 1), "blue": teamBudget(1, 4, 1)}, 3, 0)
-	for i, team := range []string{"red", "blue"} {
-		job := newJob(jobSpec{id: jobID(i + 1), team: team, tasks: tasks, cpus: 1, runTime: time.Hour, estimateSeconds: 3600, spot: true})
-		sim.after(0, func() { sim.submitAndPoll(job, 0) })
-	}
-	sim.run(25 * second)
-	return sim
-}
-
-// startDrain is an operator's request to start a drain of some machines.
-func startDrain(id string, names []string, replace bool) drain.Request {
-	return drain.Request{Verb: drain.VerbStart, ID: id, Selection: drain.Selection{Machines: names}, Replace: replace}
-}
-
 // TestDrainEmptiesAllMachines: every machine is emptied and replaced, within the
 // budgets, and the work runs on.
 func TestDrainEmptiesAllMachines(t *testing.T) {
--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -70,7 +70,7 @@
 				}
 				for _, worker := range sim.cloud.workers {
 					for _, existing := range worker.tasks {
-						if existing.phase == "fetching" && len(gang.members) > 0 {
+						if existing.phase == phaseFetching && len(gang.members) > 0 {
 							worker.takeAfterNotice(10 * time.Millisecond) // and its machine is gone
 							killed = true
 						}
--- a/internal/controller/processes_drain_test.go
+++ b/internal/controller/processes_drain_test.go
@@ -119,7 +119,7 @@
 	n := 0
 	for _, worker := range d.cloud.workers {
 		for _, task := range worker.tasks {
-			if task.phase == "running" && !worker.dead {
+			if task.phase == phaseRunning && !worker.dead {
 				n++
 			}
 		}
--- a/internal/controller/rule_checker_test.go
+++ b/internal/controller/rule_checker_test.go
@@ -102,7 +102,7 @@
 		sim, job, _, spotInZoneB := newCheckerTrial(1, nil) // no controller is told of this machine, so nobody halts it there
 		job.cancel()
 		sim.run(25 * time.Second)
-		spotInZoneB.tasks = append(spotInZoneB.tasks, &simTask{name: job.id + "/0", attempt: 7, phase: "running"})
+		spotInZoneB.tasks = append(spotInZoneB.tasks, &simTask{name: job.id + "/0", attempt: 7, phase: phaseRunning})
 		sim.run(75 * time.Second)
 		return sim
 	}},
--- a/internal/controller/sim_budget_checker_test.go
+++ b/internal/controller/sim_budget_checker_test.go
@@ -81,7 +81,7 @@
 
 // taskHalted notes that a worker is told to end a task.
 func (c *budgetChecker) taskHalted(worker *simWorker, task *simTask) {
-	if c == nil || task.phase != "running" {
+	if c == nil || task.phase != phaseRunning {
 		return
 	}
 	id, _, _ := strings.Cut(task.name, "/")
--- a/internal/controller/sim_clock_test.go
+++ b/internal/controller/sim_clock_test.go
@@ -59,3 +59,12 @@
 	*q = (*q)[:len(*q)-1]
 	return e
 }
+
+// whenever calls fn as soon as something holds.
+func (c *clock) whenever(holds func() bool, fn func()) {
+	if holds() {
+		fn()
+		return
+	}
+	c.after(ms, func() { c.whenever(holds, fn) })
+}
--- a/internal/controller/sim_gang_test.go
+++ b/internal/controller/sim_gang_test.go
@@ -35,7 +35,7 @@
 		gang = &simGang{sim: w.sim, job: job, members: map[int]*gangMember{}}
 		job.attempts[task.attempt] = gang
 	}
-	task.gang, task.phase = gang, "fetching"
+	task.gang, task.phase = gang, phaseFetching
 	index := task.index()
 	ends := task.ending
 	live := func() bool { return task.ending == ends && !w.dead }
@@ -51,11 +51,11 @@
 				task.end("done")
 				return
 			}
-			task.phase = "waiting"
+			task.phase = phaseWaiting
 			gang.members[index] = &gangMember{w, task}
 			gang.startIfComplete()
 			w.sim.after(w.sim.settings.GangWaitTimeout(), func() {
-				if live() && task.phase == "waiting" {
+				if live() && task.phase == phaseWaiting {
 					task.end("alone")
 				}
 			})
@@ -64,7 +64,7 @@
 }
 
 // inPhase tells whether a member is on its machine, in a phase, and able to speak.
-func (m *gangMember) inPhase(phase string) bool {
+func (m *gangMember) inPhase(phase taskPhase) bool {
 	return !m.worker.dead && m.worker.sim.now >= m.worker.faults.hungUntil && m.task.phase == phase && m.worker.has(m.task)
 }
 
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, member := range g.members {
-		if !member.inPhase("waiting") {
+		if !member.inPhase(phaseWaiting) {
 			return
 		}
 	}
@@ -92,7 +92,7 @@
 	g.job.gangStarts++
 	g.sim.drainChecker.taskRuns(g.job.id)
 	for _, member := range g.members {
-		member.task.phase = "running"
+		member.task.phase = phaseRunning
 	}
 	g.checkMembers()
 }
@@ -106,7 +106,7 @@
 		return
 	}
 	for _, member := range g.members {
-		if !member.inPhase("running") && !member.inPhase("saving") {
+		if !member.inPhase(phaseRunning) && !member.inPhase(phaseSaving) {
 			g.loseMember()
 			return
 		}
@@ -150,10 +150,10 @@
 
 // halt stops a running member; false lets it exit at once.
 func (g *simGang) halt(task *simTask, windDown float64) bool {
-	if task.phase == "saving" && windDown >= 1 {
+	if task.phase == phaseSaving && windDown >= 1 {
 		return true // a repeat
 	}
-	if g.startedAt == 0 || g.ended || task.phase != "running" {
+	if g.startedAt == 0 || g.ended || task.phase != phaseRunning {
 		return false
 	}
 	if windDown < 1 || g.job.checkpointSeconds == 0 || g.broken {
@@ -165,17 +165,17 @@
 		g.sim.after(g.sim.settings.GangPeerTimeout(), func() {
 			// Those that were not told in time notice, and the save fails.
 			for _, member := range g.members {
-				if !g.checkpointed && (member.task.saveCommandAt == 0 || !member.inPhase("saving")) {
+				if !g.checkpointed && (member.task.saveCommandAt == 0 || !member.inPhase(phaseSaving)) {
 					g.loseMember()
 					return
 				}
 			}
 		})
 	}
-	task.phase, task.saveCommandAt = "saving", g.sim.now
+	task.phase, task.saveCommandAt = phaseSaving, g.sim.now
 	g.sim.after(time.Second, func() {
 		for _, member := range g.members {
-			if g.broken || !member.inPhase("saving") || g.sim.now < member.task.saveCommandAt+time.Second {
+			if g.broken || !member.inPhase(phaseSaving) || g.sim.now < member.task.saveCommandAt+time.Second {
 				return
 			}
 		}
--- a/internal/controller/sim_operator_test.go
+++ b/internal/controller/sim_operator_test.go
@@ -4,10 +4,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"strings"
+	"testing"
 	"time"
 
 	"lemonmoor/internal/drain"
 	"lemonmoor/internal/http1"
+	"lemonmoor/internal/settings"
 )
 
 // requestDrain has an operator send a request, to any controller, until there is a final
@@ -91,3 +94,77 @@
 	}
 	return text
 }
+
+// startDrain is an operator's request to start a drain of some machines.
+func startDrain(id string, names []string, replace bool) drain.Request {
+	return drain.Request{Verb: drain.VerbStart, ID: id, Selection: drain.Selection{Machines: names}, Replace: replace}
+}
+
+// startDrainOf starts a drain of all machines that have tasks, or of those picked. The
+// daemon may return idle ones in the same moment.
+func (s *simulation) startDrainOf(t *testing.T, id string, pick func(*simWorker) bool) []string {
+	t.Helper()
+	if pick == nil {
+		pick = hasTasks
+	}
+	names := s.workerIDs(pick)
+	s.requestDrain(startDrain(id, names, false), func(response drain.Response) {
+		if response.Status != drain.StatusOK {
+			t.Errorf("start of %s: %+v", id, response)
+		}
+	})
+	return names
+}
+
+// startDrainAtLeader starts a drain at the leader itself, whatever becomes of other
+// messages.
+func (s *simulation) startDrainAtLeader(t *testing.T, id string, worker *simWorker) {
+	s.drainChecker.namedMachines[worker.id] = true
+	request := startDrain(id, []string{worker.id}, false)
+	s.leader().node.drains.coordinator.Handle(&request, func(response drain.Response) {
+		if response.Status != drain.StatusOK {
+			t.Errorf("start: %+v", response)
+		}
+	})
+}
+
+// countGrants counts the grants that the state service holds now.
+func (s *simulation) countGrants() int {
+	n := 0
+	for key := range s.state.keys {
+		if strings.HasPrefix(key, drain.KeyPrefix) && strings.Contains(key, "/grant/") {
+			n++
+		}
+	}
+	return n
+}
+
+// drainWaitsFor tells whether the leader gives a reason with these words for a drain's
+// waiting.
+func (s *simulation) drainWaitsFor(words string) bool {
+	return strings.Contains(s.describeDrains(), words)
+}
+
+// checkAllGone checks that a drain has ended well: its machines are gone, and no rule was
+// broken.
+func (s *simulation) checkAllGone(t *testing.T, names []string) {
+	t.Helper()
+	if n := s.countGone(names); n != len(names) {
+		t.Errorf("%d of %d machines are gone; %s", n, len(names), s.describeDrains())
+	}
+	s.checkRules(t)
+}
+
+// newDrainSimulation is a deployment with drains on and one array of so many long tasks of
+// each team, at a moment when all of them run.
+func newDrainSimulation(seed uint64, tasks int) *simulation {
+	sim := newSimulation(seed)
+	sim.cloud.available = 30
+	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(2, 2, 1), "blue": teamBudget(1, 4, 1)}, 3, 0)
+	for i, team := range []string{"red", "blue"} {
+		job := newJob(jobSpec{id: jobID(i + 1), team: team, tasks: tasks, cpus: 1, runTime: time.Hour, estimateSeconds: 3600, spot: true})
+		sim.after(0, func() { sim.submitAndPoll(job, 0) })
+	}
+	sim.run(25 * second)
+	return sim
+}
--- a/internal/controller/sim_rule_checker_test.go
+++ b/internal/controller/sim_rule_checker_test.go
@@ -117,7 +117,7 @@
 			continue
 		}
 		for _, existing := range other.tasks {
-			if existing.phase == "ended" {
+			if existing.phase == phaseEnded {
 				continue
 			}
 			id := existing.jobID()
@@ -211,7 +211,7 @@
 	for _, worker := range c.sim.workers {
 		for _, task := range worker.tasks {
 			job := c.sim.jobs[task.jobID()]
-			if task.phase != "ended" && !worker.dead && job != nil && job.cancelledAt > 0 && c.sim.now > job.cancelledAt+limit {
+			if task.phase != phaseEnded && !worker.dead && job != nil && job.cancelledAt > 0 && c.sim.now > job.cancelledAt+limit {
 				c.violated(ruleRanCancelled, "%s is on %s %v after", task.name, worker.id, c.sim.now-job.cancelledAt)
 			}
 		}
@@ -243,7 +243,7 @@
 func (c *ruleChecker) couldStart(worker *simWorker, job *simJob) bool {
 	used := 0.0
 	for _, task := range worker.tasks {
-		if owner := c.sim.jobs[task.jobID()]; owner != nil && task.phase != "ended" {
+		if owner := c.sim.jobs[task.jobID()]; owner != nil && task.phase != phaseEnded {
 			used += owner.cpus
 		}
 	}
--- a/internal/controller/sim_worker_test.go
+++ b/internal/controller/sim_worker_test.go
@@ -40,11 +40,23 @@
 	commandsHeldUntil time.Duration // until then direct commands are held up, and executed then
 }
 
+// taskPhase is the state of a task as its worker reports it.
+type taskPhase string
+
+const (
+	phaseFetching taskPhase = "fetching" // waits for its image
+	phaseWaiting  taskPhase = "waiting"  // of a gang: waits for the other members
+	phaseRunning  taskPhase = "running"
+	phaseSaving   taskPhase = "saving" // was told to stop and saves
+	phaseEnded    taskPhase = "ended"
+)
+
 // simTask is one attempt of a task on a machine.
 type simTask struct {
 	name          string // job/index
 	attempt       uint64
-	phase, cause  string
+	phase         taskPhase
+	cause         string        // with which it ended
 	saved         bool          // its progress, when it was stopped
 	ending        int           // counts ends and kills: a timer of before counts for nothing
 	gang          *simGang      // nil: of an array or a service
@@ -170,11 +182,11 @@
 				w.launch(command)
 			}
 		case "halt":
-			if i >= 0 && w.tasks[i].phase != "ended" {
+			if i >= 0 && w.tasks[i].phase != phaseEnded {
 				w.halt(w.tasks[i], command.WindDown)
 			}
 		case "forget":
-			if i >= 0 && w.tasks[i].phase == "ended" {
+			if i >= 0 && w.tasks[i].phase == phaseEnded {
 				w.tasks = slices.Delete(w.tasks, i, i+1)
 			}
 		}
@@ -192,11 +204,11 @@
 
 // launch starts a task, or refuses it.
 func (w *simWorker) launch(command command) {
-	task := &simTask{name: command.Task, attempt: command.Attempt, phase: "running"}
+	task := &simTask{name: command.Task, attempt: command.Attempt, phase: phaseRunning}
 	w.tasks = append(w.tasks, task)
 	job := w.sim.jobs[task.jobID()]
 	if cause := w.refusal(task, job); cause != "" {
-		task.phase, task.cause = "ended", cause
+		task.phase, task.cause = phaseEnded, cause
 		return
 	}
 	w.sim.checker.checkStart(w, task, job)
@@ -208,11 +220,11 @@
 		w.runTask(task, job)
 		return
 	}
-	task.phase = "fetching"
+	task.phase = phaseFetching
 	ending := task.ending
 	w.sim.after(w.sim.imageFetchTime/2+time.Duration(w.sim.rng.Int64N(int64(w.sim.imageFetchTime))), func() {
 		if task.ending == ending && !w.dead {
-			task.phase = "running"
+			task.phase = phaseRunning
 			w.runTask(task, job)
 		}
 	})
@@ -222,7 +234,7 @@
 func (w *simWorker) refusal(task *simTask, job *simJob) string {
 	used := 0.0
 	for _, existing := range w.tasks {
-		if existing.phase == "ended" || existing == task {
+		if existing.phase == phaseEnded || existing == task {
 			continue
 		}
 		if existing.name == task.name {
@@ -264,7 +276,7 @@
 		if w.expireLease(); task.ending != ending {
 			return
 		}
-		task.phase, task.cause = "ended", "done"
+		task.phase, task.cause = phaseEnded, "done"
 		job.completed[index] = true
 		if w.sim.users.cancelAtCompletion && len(job.completed) == job.tasks && job.cancel != nil {
 			job.cancel()
@@ -302,5 +314,5 @@
 // end ends a task that has not been killed.
 func (t *simTask) end(cause string) {
 	t.ending++
-	t.phase, t.cause = "ended", cause
+	t.phase, t.cause = phaseEnded, cause
 }
--- a/internal/controller/sim_workload_test.go
+++ b/internal/controller/sim_workload_test.go
@@ -63,7 +63,7 @@
 	sum := 0.0
 	for _, worker := range s.workers {
 		for _, task := range worker.tasks {
-			if job := s.jobs[task.name[:len("wk-000000")]]; task.phase != "ended" && !worker.dead && job.team == team {
+			if job := s.jobs[task.jobID()]; task.phase != phaseEnded && !worker.dead && job.team == team {
 				sum += job.cpus
 			}
 		}
