--- a/internal/controller/drain_measurement_test.go
+++ b/internal/controller/drain_measurement_test.go
@@ -42,7 +42,7 @@
 	began := sim.now
 	sim.requestDrain(startDrain("a", names, replace), func(drain.Response) {})
 	for sim.now < began+time.Hour && (sim.countGone(names) < len(names) || len(sim.drainChecker.disturbed) > 0) {
-		sim.run(sim.now + 100*ms)
+		sim.run(sim.now + 100*millisecond)
 	}
 	t := drainMeasurement{duration: sim.now - began, halts: sim.drainChecker.halts, maxDisturbed: sim.drainChecker.maxDisturbed, changes: sim.countDrainChanges()}
 	if sim.drainChecker.halts > 0 {
@@ -75,7 +75,7 @@
 	}
 	lost := 2 * tasks
 	for sim.now < began+time.Hour && sim.usedCPUs("red")+sim.usedCPUs("blue") < 2*float64(tasks)*2.3-0.01 {
-		sim.run(sim.now + 100*ms)
+		sim.run(sim.now + 100*millisecond)
 	}
 	return drainMeasurement{duration: sim.now - began, halts: lost, maxDisturbed: map[string]int{"red": tasks, "blue": tasks}}
 }
--- a/internal/controller/drain_random_faults_test.go
+++ b/internal/controller/drain_random_faults_test.go
@@ -93,7 +93,7 @@
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "faults") {
 			fault := rapid.SampledFrom(faults).Draw(t, "fault")
-			begin := time.Duration(rapid.IntRange(18000, 60000).Draw(t, "at")) * ms
+			begin := time.Duration(rapid.IntRange(18000, 60000).Draw(t, "at")) * millisecond
 			duration := time.Duration(rapid.IntRange(2, 30).Draw(t, "span")) * second
 			variant := rapid.IntRange(0, 7).Draw(t, "which")
 			sim.after(begin, func() { fault.inject(sim, injection{variant, duration}) })
--- a/internal/controller/drain_requests_test.go
+++ b/internal/controller/drain_requests_test.go
@@ -75,7 +75,7 @@
 	request := startDrain("a", sim.workerIDs(hasTasks), false)
 	answers := 0
 	for i := range 6 {
-		sim.after(time.Duration(i)*700*ms, func() {
+		sim.after(time.Duration(i)*700*millisecond, func() {
 			sim.requestDrain(request, func(response drain.Response) {
 				answers++
 				if response.Status != drain.StatusOK {
@@ -160,7 +160,7 @@
 	first.faults.commandsHeldUntil = sim.now + 25*second // and direct commands are held up
 	sim.startDrainAtLeader(t, "a", first)
 	sim.whenever(func() bool { return sim.countGrants() > 0 }, func() {
-		sim.after(1500*ms, func() {
+		sim.after(1500*millisecond, func() {
 			sim.requestDrain(drain.Request{Verb: drain.VerbCancel, ID: "a"}, func(drain.Response) {})
 		})
 	})
--- a/internal/controller/drain_scenarios_test.go
+++ b/internal/controller/drain_scenarios_test.go
@@ -39,10 +39,10 @@
 			for i := range 6 { // at various moments after a grant
 				sim.after(time.Duration(i)*15*second, func() {
 					sim.whenever(func() bool { return sim.countGrants() > 0 }, func() {
-						sim.after(time.Duration(sim.rng.IntN(1500))*ms, func() {
+						sim.after(time.Duration(sim.rng.IntN(1500))*millisecond, func() {
 							if leader, other := sim.leader(), sim.ownerOfShard0(); leader != nil && other != nil {
-								leader.crash(300 * ms)
-								other.crash(400 * ms)
+								leader.crash(300 * millisecond)
+								other.crash(400 * millisecond)
 							}
 						})
 					})
@@ -65,7 +65,7 @@
 			for i := range 5 {
 				sim.after(time.Duration(10+8*i)*second, func() {
 					if leader := sim.leader(); leader != nil {
-						leader.crash(500 * ms)
+						leader.crash(500 * millisecond)
 					}
 				})
 			}
@@ -282,7 +282,7 @@
 				sim.after(time.Duration(8+10*i)*second, func() {
 					controller := sim.controllers[(int(seed)+i)%3]
 					controller.withoutDrains = true
-					controller.crash(500 * ms)
+					controller.crash(500 * millisecond)
 				})
 			}
 			sim.run(sim.now + 60*second)
@@ -291,7 +291,7 @@
 			}
 			for _, controller := range sim.controllers { // and forward again: the drain is resumed
 				controller.withoutDrains = false
-				controller.crash(500 * ms)
+				controller.crash(500 * millisecond)
 			}
 			sim.run(sim.now + 260*second)
 			sim.checkAllGone(t, names)
--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -63,12 +63,12 @@
 	}},
 	{leaderRestartsAtOnce, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
-			controller.crash(time.Duration(100+drawn.variant*50) * ms)
+			controller.crash(time.Duration(100+drawn.variant*50) * millisecond)
 		}
 	}},
 	{allCrashOneRestarts, func(sim *simulation, drawn injection) {
 		for i, controller := range sim.controllers {
-			controller.crash(time.Duration(300+drawn.variant*40)*ms + time.Duration(i)*drawn.duration/2)
+			controller.crash(time.Duration(300+drawn.variant*40)*millisecond + time.Duration(i)*drawn.duration/2)
 		}
 	}},
 	{allControllersDown, func(sim *simulation, drawn injection) {
@@ -80,7 +80,7 @@
 		for i := range 5 {
 			sim.after(time.Duration(i)*drawn.duration/5, func() {
 				if controller := sim.leader(); controller != nil {
-					controller.crash(time.Duration(200+drawn.variant*100) * ms)
+					controller.crash(time.Duration(200+drawn.variant*100) * millisecond)
 				}
 			})
 		}
@@ -107,7 +107,7 @@
 		}
 	}},
 	{stateSlow, func(sim *simulation, drawn injection) {
-		sim.stateFaults.latency = time.Duration(40+drawn.variant*10) * ms
+		sim.stateFaults.latency = time.Duration(40+drawn.variant*10) * millisecond
 		sim.after(drawn.duration, func() { sim.stateFaults.latency = 0 })
 	}},
 	{commitsLate, func(sim *simulation, drawn injection) {
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -14,7 +14,7 @@
 // last answered heartbeat, and after the outage an owner needs a moment until it answers
 // again.
 func (s *simulation) longestHarmlessOutage() time.Duration {
-	const recovery = 3500 * ms // a verification, a renewal, and the next heartbeats
+	const recovery = 3500 * millisecond // a verification, a renewal, and the next heartbeats
 	byLease := tuning.LeaseTTL - tuning.LeaseRenewInterval - tuning.LeaseMargin + s.settings.AnswerGracePeriod()
 	byKnowledge := s.settings.MaxKnowledgeAge() - tuning.KnowledgeVerifyInterval
 	return min(byLease, byKnowledge) + s.settings.WorkerLease() - s.settings.HeartbeatInterval()*5/4 - recovery
@@ -35,7 +35,7 @@
 		for seed := uint64(1); seed <= 6; seed++ {
 			t.Run(fmt.Sprint(test.name, " seed ", seed), func(t *testing.T) {
 				sim := newSimulation(seed)
-				begin := 25*second + time.Duration(seed)*500*ms
+				begin := 25*second + time.Duration(seed)*500*millisecond
 				end := begin + sim.longestHarmlessOutage() + test.longer
 				replicas, ended := sim.playOutageOfServices(begin, end, !test.survive)
 				if replicas != 12 {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -218,13 +218,13 @@
 		sim.cloud.bootsFast = rapid.Bool().Draw(t, "boots fast")
 		sim.users.cancelAtCompletion = rapid.IntRange(0, 3).Draw(t, "cancel at completion") == 0
 		sim.submitMixedJobs(rapid.IntRange(6, 16).Draw(t, "jobs"), time.Duration(rapid.IntRange(5, 50).Draw(t, "run time"))*second)
-		begin := time.Duration(rapid.IntRange(8000, 20000).Draw(t, "at")) * ms
+		begin := time.Duration(rapid.IntRange(8000, 20000).Draw(t, "at")) * millisecond
 		for range rapid.IntRange(2, 4).Draw(t, "faults") {
 			fault := faults[rapid.IntRange(0, len(faults)-1).Draw(t, "which fault")]
 			variant := rapid.IntRange(0, 7).Draw(t, "which")
-			duration := time.Duration(rapid.IntRange(500, 50000).Draw(t, "for")) * ms
+			duration := time.Duration(rapid.IntRange(500, 50000).Draw(t, "for")) * millisecond
 			sim.after(begin, func() { fault.inject(sim, injection{variant, duration}) })
-			begin += time.Duration(rapid.IntRange(0, 4000).Draw(t, "later")) * ms
+			begin += time.Duration(rapid.IntRange(0, 4000).Draw(t, "later")) * millisecond
 		}
 		sim.cancelServicesAt(110 * second)
 		sim.after(150*second, func() { sim.faultsAreOver(75 * second) })
--- a/internal/controller/sim_clock_test.go
+++ b/internal/controller/sim_clock_test.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	second = time.Second
-	ms     = time.Millisecond
+	second      = time.Second
+	millisecond = time.Millisecond
 )
 
 // clock is the simulated time, and what is to happen at which moment.
@@ -66,5 +66,5 @@
 		fn()
 		return
 	}
-	c.after(ms, func() { c.whenever(holds, fn) })
+	c.after(millisecond, func() { c.whenever(holds, fn) })
 }
--- a/internal/controller/sim_workload_test.go
+++ b/internal/controller/sim_workload_test.go
@@ -20,7 +20,7 @@
 		case 3:
 			job.zone = []string{"a", "b"}[s.rng.IntN(2)]
 		}
-		s.after(time.Duration(s.rng.IntN(8000))*ms, func() { s.submitAndPoll(job, 0) })
+		s.after(time.Duration(s.rng.IntN(8000))*millisecond, func() { s.submitAndPoll(job, 0) })
 	}
 }
 
--- a/internal/controller/two_faults_refusal_test.go
+++ b/internal/controller/two_faults_refusal_test.go
@@ -21,8 +21,8 @@
 		})
 		sim.after(refusedAt+before/4, func() { sim.cancelRunningJobs(8) })
 		sim.after(refusedAt+before, func() { sim.outageFor(outage) })
-		sim.after(refusedAt+before+100*ms, func() { sim.cancelRunningJobs(1) })
-		sim.after(refusedAt+before+outage+100*ms, func() { sim.cancelRunningJobs(1) })
+		sim.after(refusedAt+before+100*millisecond, func() { sim.cancelRunningJobs(1) })
+		sim.after(refusedAt+before+outage+100*millisecond, func() { sim.cancelRunningJobs(1) })
 		sim.cancelServicesAt(refusedAt + before + outage + 40*second)
 		return func() bool { return sim.cancelledBetween(refusedAt, refusedAt+before) >= 2 }
 	}
--- a/internal/controller/two_faults_test.go
+++ b/internal/controller/two_faults_test.go
@@ -26,7 +26,7 @@
 		sim.submitMixedJobs(6, 60*second)
 		for i := range 8 { // placed just before the refusal
 			job := newJob(jobSpec{id: jobID(100 + i), team: "red", tasks: 2, cpus: 1, runTime: 30 * second, spot: true, urgent: true})
-			sim.after(29*second+500*ms, func() { sim.submitAndPoll(job, 0) })
+			sim.after(29*second+500*millisecond, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.after(29*second, func() { sim.commandsRefused = true })
 		// The refusal comes when there are placements whose launches wait; how soon
@@ -43,7 +43,7 @@
 				}
 			}
 			if placed == 0 && sim.now < 38*second {
-				sim.after(100*ms, refuse)
+				sim.after(100*millisecond, refuse)
 				return
 			}
 			refused = sim.now
@@ -55,7 +55,7 @@
 				}
 			}
 		}
-		sim.after(30*second+300*ms, refuse)
+		sim.after(30*second+300*millisecond, refuse)
 		sim.after(50*second, func() { sim.commandsRefused = false; clear(sim.network.partitions) })
 		sim.cancelServicesAt(80 * second)
 		return func() bool { return placed > 0 && sim.cancelledBetween(refused, refused+4*second) > 0 }
@@ -65,14 +65,14 @@
 		sim.stateFaults.lostAnswerShare = []float64{0, 0.2}[seed%2]
 		sim.submitMixedJobs(20, 6*second)
 		for i := range 40 {
-			sim.after(time.Duration(2000+i*500)*ms, func() { sim.cancelRunningJobs(1) })
+			sim.after(time.Duration(2000+i*500)*millisecond, func() { sim.cancelRunningJobs(1) })
 		}
 		sim.cancelServicesAt(40 * second)
 		return func() bool { return sim.cancelledBetween(0, 60*second) > 5 }
 	}},
 	{"mistaken requests while leaders change", func(sim *simulation, seed int) func() bool {
 		sim.submitMixedJobs(24, 5*second)
-		sim.sendMistakenRequests(700 * ms)
+		sim.sendMistakenRequests(700 * millisecond)
 		for i := range 5 {
 			sim.after(time.Duration(12+i*8)*second, func() {
 				sim.inject([]faultName{leaderCrashes, stateRefusesOwner, stateOutage, commitAnswersLost}[(seed+i)%4], seed, 6*second)
@@ -107,14 +107,14 @@
 		sim.cloud.available = 30
 		for i := range 30 {
 			job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 4, cpus: 1, runTime: 25 * second, estimateSeconds: 25, urgent: true, spot: true})
-			sim.after(time.Duration(i*100)*ms, func() { sim.submitAndPoll(job, 0) })
+			sim.after(time.Duration(i*100)*millisecond, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.after(15*second, func() {
 			full = max(sim.usedCPUs("red"), sim.usedCPUs("blue")) == 24 && min(sim.usedCPUs("red"), sim.usedCPUs("blue")) >= 16
 			sim.inject([]faultName{machinesHang, machinesPartitioned, workersMute, workersDeaf}[seed%4], seed, 20*second)
 			sim.cancelRunningJobs(6)
 		})
-		sim.after(15*second+time.Duration(seed*300)*ms, func() { sim.inject([]faultName{leaderCrashes, ownerCrashes}[seed/2%2], seed, 10*second) })
+		sim.after(15*second+time.Duration(seed*300)*millisecond, func() { sim.inject([]faultName{leaderCrashes, ownerCrashes}[seed/2%2], seed, 10*second) })
 		return func() bool { return full && sim.cancelledBetween(15*second, 40*second) > 0 }
 	}},
 	{"jobs are cancelled while a shard changes owners", func(sim *simulation, seed int) func() bool {
@@ -123,7 +123,7 @@
 			sim.inject([]faultName{ownerCrashes, stateRefusesOwner, workersCutFromOwner, ownerIsolated}[seed%4], seed, 25*second)
 		})
 		for i := range 30 {
-			sim.after(19*second+time.Duration(i)*600*ms, func() { sim.cancelRunningJobs(1) })
+			sim.after(19*second+time.Duration(i)*600*millisecond, func() { sim.cancelRunningJobs(1) })
 		}
 		sim.cancelServicesAt(70 * second)
 		return func() bool { return sim.cancelledBetween(19*second, 45*second) > 5 }
@@ -164,10 +164,10 @@
 			job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 1, cpus: 1, runTime: time.Duration(2+sim.rng.IntN(6)) * second, spot: true})
 			cancelAfter := time.Duration(0)
 			if i%4 == 0 {
-				cancelAfter = time.Duration(300+sim.rng.IntN(4000)) * ms
+				cancelAfter = time.Duration(300+sim.rng.IntN(4000)) * millisecond
 				cancelled++
 			}
-			sim.after(time.Duration(i)*250*ms, func() { sim.submitAndPoll(job, cancelAfter) })
+			sim.after(time.Duration(i)*250*millisecond, func() { sim.submitAndPoll(job, cancelAfter) })
 		}
 		sim.after(30*second, func() {
 			sim.inject([]faultName{leaderCrashes, stateRefusesOwner, stateOutage}[seed%3], seed, 12*second)
@@ -185,7 +185,7 @@
 	{"all controllers are down for longer than a lease while jobs are cancelled", func(sim *simulation, seed int) func() bool {
 		sim.submitMixedJobs(16, 40*second)
 		sim.after(20*second, func() { sim.cancelRunningJobs(3) })
-		sim.after(20*second+time.Duration(seed*200)*ms, func() { sim.inject(allControllersDown, seed, 16*second) })
+		sim.after(20*second+time.Duration(seed*200)*millisecond, func() { sim.inject(allControllersDown, seed, 16*second) })
 		sim.after(40*second, func() { sim.cancelRunningJobs(2) })
 		sim.cancelServicesAt(80 * second)
 		return func() bool { return sim.cancelledBetween(20*second, 60*second) > 0 }
@@ -194,7 +194,7 @@
 		over := 0
 		for i := range 12 {
 			job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 2 + i%2, cpus: 1, runTime: 3 * second, runTimeStep: 8 * second, spot: true})
-			sim.after(time.Duration(i*700)*ms, func() { sim.submitAndPoll(job, 0) })
+			sim.after(time.Duration(i*700)*millisecond, func() { sim.submitAndPoll(job, 0) })
 		}
 		sim.after(14*second, func() {
 			for _, job := range sim.jobs {
@@ -268,7 +268,7 @@
 	}},
 	{"state service is slow, refuses leader or owner, then is down", func(sim *simulation, seed int) func() bool {
 		sim.submitMixedJobs(16, 60*second)
-		sim.after(12*second, func() { sim.stateFaults.latency = time.Duration(20+seed*10) * ms })
+		sim.after(12*second, func() { sim.stateFaults.latency = time.Duration(20+seed*10) * millisecond })
 		sim.after(20*second, func() {
 			sim.inject([]faultName{stateRefusesLeader, stateRefusesOwner}[seed%2], seed, 10*second)
 			sim.cancelRunningJobs(5)
@@ -284,7 +284,7 @@
 			sim.inject([]faultName{leaderIsolated, ownerIsolated}[seed%2], seed, time.Duration(10+seed*4)*second)
 		})
 		for i := range 10 {
-			sim.after(18*second+time.Duration(i)*1500*ms, func() { sim.cancelRunningJobs(1) })
+			sim.after(18*second+time.Duration(i)*1500*millisecond, func() { sim.cancelRunningJobs(1) })
 		}
 		sim.cancelServicesAt(90 * second)
 		return func() bool { return sim.cancelledBetween(18*second, 50*second) > 2 }
@@ -313,7 +313,7 @@
 			case 2:
 				job.spread = true
 			}
-			sim.after(time.Duration(i*500)*ms, func() { sim.submitAndPoll(job, 0) })
+			sim.after(time.Duration(i*500)*millisecond, func() { sim.submitAndPoll(job, 0) })
 		}
 		for i := range 4 {
 			sim.after(time.Duration(10+i*4)*second, func() {
@@ -330,7 +330,7 @@
 			sim.after(time.Duration(12+i*11)*second, func() {
 				if controller := sim.leader(); controller != nil {
 					changes[controller.node.leases.LeaderToken()] = true
-					controller.crash(time.Duration(300+seed*200) * ms)
+					controller.crash(time.Duration(300+seed*200) * millisecond)
 				}
 			})
 		}
