--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -21,8 +21,8 @@
 	for at := time.Second; at < 90*time.Second; at += 100 * time.Millisecond {
 		sim.run(at)
 		for _, job := range sim.jobs {
-			n := sim.controllers[0].node
-			if e := n.cat.Get(job.id); e != nil && e.Phase == "" && n.store.RunningTasks(job.id) > 0 && job.gangStarts == 0 {
+			node := sim.controllers[0].node
+			if e := node.cat.Get(job.id); e != nil && e.Phase == "" && node.store.RunningTasks(job.id) > 0 && job.gangStarts == 0 {
 				early++
 			}
 		}
