--- /dev/null
+++ b/internal/leader/queries.go
@@ -0,0 +1,68 @@
+package leader
+
+import (
+	"slices"
+
+	"lemonmoor/internal/fleet"
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
+)
+
+// CPUsPlacedOn returns how many processors the tasks placed on a machine take.
+func (l *Leader) CPUsPlacedOn(machineID string) float64 {
+	return l.machines.MachineLoad(machineID).CPUs
+}
+
+// CapacityFor returns how many tasks of a job the machines that are up have room for, in a
+// zone or, if that is empty, anywhere.
+func (l *Leader) CapacityFor(spec *jobs.Spec, zone string) int {
+	tasks := 0
+	l.fleet.EachAvailable(func(machine *fleet.AvailableMachine) {
+		if !machine.Booting && machine.CouldRun(spec, zone) {
+			tasks += spec.Resources().CountIn(l.machines.available(machine.ID, machine.MachineType))
+		}
+	})
+	return tasks
+}
+
+// TaskStatus returns what the records say of a task; false if none names it.
+func (l *Leader) TaskStatus(job string, index int) (status taskstate.TaskStatus, found bool) {
+	newest := -1
+	for _, record := range l.records.JobRecords(job) {
+		// A task that was returned is in a later record.
+		position, named := slices.BinarySearch(record.TaskIndexes, index)
+		if named && record.Number > newest {
+			status, newest = record.Statuses[position], record.Number
+		}
+	}
+	return status, newest >= 0
+}
+
+// EachPlacement calls fn for all tasks that are placed on machines.
+func (l *Leader) EachPlacement(fn func(spec *jobs.Spec, status taskstate.TaskStatus)) {
+	l.records.EachRecord(func(record *taskstate.Record) {
+		job := l.jobs.byID[record.Job]
+		if job == nil {
+			return
+		}
+		for _, status := range record.Statuses {
+			if status.State == taskstate.StatePlaced {
+				fn(job.spec, status)
+			}
+		}
+	})
+}
+
+// EachReturnedTask calls fn for each task that has had an attempt and that no shard has now.
+func (l *Leader) EachReturnedTask(fn func(spec *jobs.Spec, index int)) {
+	for _, job := range l.jobs.ordered {
+		if job.cancelled {
+			continue
+		}
+		for _, index := range job.pending.returned {
+			if job.pending.attempts[index] > 0 {
+				fn(job.spec, index)
+			}
+		}
+	}
+}
