--- /dev/null
+++ b/internal/controller/sim_state_service_test.go
@@ -0,0 +1,367 @@
+package controller
+
+import (
+	"encoding/json"
+	"net/url"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+
+	"lemonmoor/internal/http1"
+)
+
+// simStateService is the key-value store, by the words of PROTOCOL, section "Controller
+// nodes -> state service".
+type simStateService struct {
+	sim      *simulation
+	revision uint64
+	keys     map[string]*storedValue
+	log      []storedChange // all changes, the oldest first
+	watches  []*openWatch
+
+	leases      map[uint64]*simLease
+	lastLeaseID uint64
+
+	writeTokens float64 // puts and deletes that may be made now, where they are limited
+	refilledAt  time.Duration
+}
+
+// storedValue is what is stored under a key.
+type storedValue struct {
+	value    json.RawMessage
+	revision uint64
+	leaseID  uint64
+}
+
+// storedChange is one put or delete.
+type storedChange struct {
+	key      string
+	value    json.RawMessage // nil: removed
+	revision uint64
+}
+
+// simLease is a lease that ends unless it is renewed.
+type simLease struct{ ttl, endsAt time.Duration }
+
+// openWatch is a watch that waits for a change.
+type openWatch struct {
+	from     string // the name of the controller
+	prefix   string
+	since    uint64
+	reply    func(http1.Response)
+	answered bool
+}
+
+// newSimStateService is an empty state service.
+func newSimStateService(sim *simulation) *simStateService {
+	return &simStateService{sim: sim, keys: map[string]*storedValue{}, leases: map[uint64]*simLease{}}
+}
+
+// jsonResponse is an answer with a body in JSON.
+func jsonResponse(status int, body any) http1.Response {
+	raw, err := json.Marshal(body)
+	if err != nil {
+		panic(err)
+	}
+	return http1.Response{Status: status, Body: raw}
+}
+
+// put stores a value behind the controllers' backs.
+func (s *simStateService) put(key string, value json.RawMessage) {
+	s.revision++
+	s.keys[key] = &storedValue{value, s.revision, 0}
+}
+
+// expireLeases ends the leases that were not renewed in time.
+func (s *simStateService) expireLeases() {
+	for id, lease := range s.leases {
+		if lease.endsAt <= s.sim.now {
+			s.endLease(id)
+		}
+	}
+}
+
+// endLease ends a lease and removes the keys attached to it.
+func (s *simStateService) endLease(id uint64) {
+	delete(s.leases, id)
+	var gone []string
+	for key, stored := range s.keys {
+		if stored.leaseID == id {
+			gone = append(gone, key)
+		}
+	}
+	if len(gone) == 0 {
+		return
+	}
+	sort.Strings(gone)
+	s.revision++
+	for _, key := range gone {
+		delete(s.keys, key)
+		s.log = append(s.log, storedChange{key, nil, s.revision})
+	}
+	s.notifyWatches()
+}
+
+// notifyWatches answers the open watches for which something has changed.
+func (s *simStateService) notifyWatches() {
+	for _, watch := range s.watches {
+		if !watch.answered && !s.unavailableTo(watch.from) {
+			if response, changed := s.changes(watch.prefix, watch.since); changed {
+				watch.answered = true
+				watch.reply(response)
+			}
+		}
+	}
+	s.watches = slices.DeleteFunc(s.watches, func(watch *openWatch) bool { return watch.answered })
+}
+
+// changes is the answer to a watch, and whether it holds any change.
+func (s *simStateService) changes(prefix string, since uint64) (http1.Response, bool) {
+	list := []map[string]any{}
+	for _, change := range s.log {
+		if change.revision <= since || !strings.HasPrefix(change.key, prefix) {
+			continue
+		}
+		if change.value == nil {
+			list = append(list, map[string]any{"remove": change.key, "stamp": change.revision})
+		} else {
+			list = append(list, map[string]any{"set": change.key, "v": change.value, "stamp": change.revision})
+		}
+	}
+	return jsonResponse(200, map[string]any{"epoch": s.revision, "log": list}), len(list) > 0
+}
+
+// serve carries a request out.
+func (s *simStateService) serve(from string, request http1.ClientRequest, reply func(http1.Response)) {
+	if s.unavailableTo(from) {
+		reply(jsonResponse(503, map[string]string{"error": "trouble"}))
+		return
+	}
+	s.expireLeases()
+	target, err := url.Parse(request.Target)
+	if err != nil {
+		reply(jsonResponse(400, nil))
+		return
+	}
+	switch {
+	case target.Path == "/commit":
+		reply(s.commit(request.Body))
+	case target.Path == "/watch":
+		s.watch(from, target.Query(), reply)
+	case target.Path == "/keys":
+		reply(s.list(target.Query()))
+	case target.Path == "/grants":
+		reply(s.grantLease(request.Body))
+	case strings.HasPrefix(target.Path, "/grants/"):
+		id, _ := strconv.ParseUint(strings.Split(target.Path, "/")[2], 10, 64)
+		reply(s.renewOrEndLease(request.Method, id))
+	default:
+		reply(jsonResponse(404, nil))
+	}
+}
+
+// watch answers a watch when something changes or its time is up.
+func (s *simStateService) watch(from string, query url.Values, reply func(http1.Response)) {
+	prefix := query.Get("under")
+	if silent := s.sim.stateFaults.silentWatchPrefix; silent != "" && prefix == silent {
+		return
+	}
+	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
+	waitMS, _ := strconv.Atoi(query.Get("waitMs"))
+	response, changed := s.changes(prefix, since)
+	if changed || waitMS == 0 {
+		reply(response)
+		return
+	}
+	open := &openWatch{from: from, prefix: prefix, since: since, reply: reply}
+	s.watches = append(s.watches, open)
+	s.sim.after(time.Duration(waitMS)*time.Millisecond, func() {
+		if !open.answered && !s.unavailableTo(from) {
+			open.answered = true
+			response, _ := s.changes(prefix, since)
+			reply(response)
+		}
+	})
+}
+
+// list answers a page of keys with their values.
+func (s *simStateService) list(query url.Values) http1.Response {
+	const pageSize = 3 // so that paging is used
+	var names []string
+	for key := range s.keys {
+		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("since") {
+			names = append(names, key)
+		}
+	}
+	sort.Strings(names)
+	var rows []map[string]any
+	for _, key := range names[:min(pageSize, len(names))] {
+		rows = append(rows, map[string]any{"key": key, "v": s.keys[key].value, "stamp": s.keys[key].revision})
+	}
+	return jsonResponse(200, map[string]any{"rows": rows, "hasNext": len(names) > pageSize, "epoch": s.revision})
+}
+
+// grantLease answers POST /grants.
+func (s *simStateService) grantLease(raw []byte) http1.Response {
+	var body struct {
+		TTL int64 `json:"ttlMs"`
+	}
+	if json.Unmarshal(raw, &body) != nil || body.TTL < 100 {
+		return jsonResponse(400, nil)
+	}
+	s.lastLeaseID++
+	ttl := time.Duration(body.TTL) * time.Millisecond
+	s.leases[s.lastLeaseID] = &simLease{ttl, s.sim.now + ttl}
+	s.scheduleLeaseEnd(s.lastLeaseID)
+	return jsonResponse(200, map[string]uint64{"permit": s.lastLeaseID})
+}
+
+// renewOrEndLease answers POST /grants/{id}/touch and DELETE /grants/{id}.
+func (s *simStateService) renewOrEndLease(method string, id uint64) http1.Response {
+	lease := s.leases[id]
+	switch {
+	case lease == nil:
+		return jsonResponse(404, nil)
+	case method == "DELETE":
+		s.endLease(id)
+	default:
+		lease.endsAt = s.sim.now + lease.ttl
+	}
+	return jsonResponse(200, nil)
+}
+
+// scheduleLeaseEnd ends a lease when its time is up, but not in an outage.
+func (s *simStateService) scheduleLeaseEnd(id uint64) {
+	lease := s.leases[id]
+	if lease == nil {
+		return
+	}
+	s.sim.after(max(lease.endsAt-s.sim.now, 50*time.Millisecond), func() {
+		if lease := s.leases[id]; lease != nil && lease.endsAt <= s.sim.now && !s.sim.stateFaults.outage {
+			s.endLease(id)
+		}
+		s.scheduleLeaseEnd(id)
+	})
+}
+
+// renewAllLeases gives every lease its full time again, as after an outage.
+func (s *simStateService) renewAllLeases() {
+	for _, lease := range s.leases {
+		lease.endsAt = s.sim.now + lease.ttl
+	}
+}
+
+// transaction is the body of POST /commit.
+type transaction struct {
+	Conditions []struct {
+		Key      string `json:"key"`
+		Revision uint64 `json:"stamp"`
+	} `json:"guards"`
+	Operations []struct {
+		Set     string          `json:"set"`
+		Value   json.RawMessage `json:"v"`
+		LeaseID uint64          `json:"permit"`
+		Remove  string          `json:"remove"`
+	} `json:"apply"`
+}
+
+// commit carries a transaction out, if its conditions hold.
+func (s *simStateService) commit(raw []byte) http1.Response {
+	var body transaction
+	err := json.Unmarshal(raw, &body)
+	limits := s.sim.stateLimits
+	if err != nil || len(body.Operations) > limits.operations || len(body.Conditions) > 4*limits.operations || len(raw) > 64<<10 {
+		if limits.undeclared && err == nil {
+			return jsonResponse(400, map[string]string{"error": "too many changes in a commit"})
+		}
+		s.sim.checker.violated(ruleStateLimit, "a commit of %d changes, %d guards, %d bytes", len(body.Operations), len(body.Conditions), len(raw))
+		return jsonResponse(400, nil)
+	}
+	if refusal := s.refuseOperations(&body); refusal != nil {
+		return *refusal
+	}
+	if !s.takeWriteTokens(len(body.Operations)) {
+		return jsonResponse(429, map[string]string{"error": "too many changes"})
+	}
+	if failed := s.failedConditions(&body); len(failed) > 0 {
+		return jsonResponse(409, map[string]any{"failed": failed, "epoch": s.revision})
+	}
+	s.apply(&body)
+	return jsonResponse(200, map[string]uint64{"epoch": s.revision})
+}
+
+// refuseOperations finds operations that are refused whatever the conditions; nil: none.
+func (s *simStateService) refuseOperations(body *transaction) *http1.Response {
+	limits := s.sim.stateLimits
+	refuse := func(body any) *http1.Response {
+		response := jsonResponse(400, body)
+		return &response
+	}
+	for _, operation := range body.Operations {
+		if operation.LeaseID != 0 && s.leases[operation.LeaseID] == nil {
+			return refuse(map[string]string{"error": "no such lease"})
+		}
+		if len(operation.Value) > limits.valueBytes {
+			if limits.undeclared {
+				return refuse(map[string]string{"error": "value too large"})
+			}
+			s.sim.checker.violated(ruleStateLimit, "value of %d bytes for %s", len(operation.Value), operation.Set)
+			return refuse(nil)
+		}
+	}
+	return nil
+}
+
+// takeWriteTokens tells whether so many puts and deletes are within the limit now; a burst
+// of one second's worth is.
+func (s *simStateService) takeWriteTokens(operations int) bool {
+	rate := s.sim.stateLimits.writesPerSecond
+	if rate == 0 {
+		return true
+	}
+	s.writeTokens = min(rate, s.writeTokens+rate*(s.sim.now-s.refilledAt).Seconds())
+	s.refilledAt = s.sim.now
+	if s.writeTokens < float64(operations) {
+		return false
+	}
+	s.writeTokens -= float64(operations)
+	return true
+}
+
+// failedConditions lists the keys that have another revision than a transaction demands.
+func (s *simStateService) failedConditions(body *transaction) []string {
+	var failed []string
+	for _, condition := range body.Conditions {
+		revision := uint64(0)
+		if stored := s.keys[condition.Key]; stored != nil {
+			revision = stored.revision
+		}
+		if revision != condition.Revision {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+// apply carries out the operations of a transaction whose conditions hold.
+func (s *simStateService) apply(body *transaction) {
+	if len(body.Operations) == 0 {
+		return
+	}
+	s.revision++
+	for _, operation := range body.Operations {
+		if operation.Remove != "" {
+			delete(s.keys, operation.Remove)
+			s.log = append(s.log, storedChange{operation.Remove, nil, s.revision})
+			continue
+		}
+		s.keys[operation.Set] = &storedValue{operation.Value, s.revision, operation.LeaseID}
+		if strings.HasPrefix(operation.Set, "lease/block/") || operation.Set == "lease/lead" {
+			s.sim.releaseRetainedHeartbeats()
+		}
+		s.log = append(s.log, storedChange{operation.Set, operation.Value, s.revision})
+	}
+	s.notifyWatches()
+}
