--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -47,6 +47,7 @@
 func (y *yard) Worker(id string) *workers.Worker      { return y.byID[id] }
 func (y *yard) UpdateRank(*taskstate.Job, int64) bool { return false }
 func (y *yard) StartsPromptly(class string) bool      { return y.promptly != nil && y.promptly(class) }
+
 func (y *yard) PlaceTask(t *taskstate.Task, h *workers.Worker) {
 	if y.placesGangs {
 		t.PlaceOn(h.ID)
--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -1,15 +1,13 @@
 package workers
 
 import (
-	"encoding/json"
-
 	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
-// Announce tells a machine of the present token, directly: it need not come with
-// its next report first, which may be ten seconds away, before it gets tasks
-// again. The machine then reports at once.
+// Announce tells a worker of the present token, directly: before it gets tasks again, its
+// next heartbeat need not come first, which may be ten seconds away. The worker sends a
+// heartbeat at once when it learns of a token. Announcements wait in a queue for AfterBatch.
 func (r *Registry) Announce(id, addr string) {
 	if addr == "" || r.released[id] {
 		return
@@ -18,59 +16,71 @@
 	if worker.Addr == "" {
 		worker.Addr = addr
 	}
-	if worker.Token < r.lease.Token() && !worker.Deaf && !worker.commands.announcementQueued {
-		worker.commands.announcementQueued = true
+	if worker.Token < r.lease.Token() && !worker.Deaf && !worker.delivery.announcementQueued {
+		worker.delivery.announcementQueued = true
 		r.announceQueue = append(r.announceQueue, worker)
 	}
 }
 
+// announceToAll announces a new token. Workers heard of late come first: hundreds that are
+// partitioned or dead, each of which is waited for, must not keep the others waiting.
+func (r *Registry) announceToAll() {
+	for _, silent := range []bool{false, true} {
+		for _, worker := range r.sortedWorkers {
+			if (r.termBeganAt-worker.LastHeartbeatAt > r.settings.WorkerDeadAfter()) == silent {
+				r.Announce(worker.ID, worker.Addr)
+			}
+		}
+	}
+}
+
 // sendAnnouncements sends the announcements that wait, a few at a time.
 func (r *Registry) sendAnnouncements() {
 	for r.announcementsInFlight < tuning.MaxConcurrentAnnouncements && len(r.announceQueue) > 0 {
 		worker := r.announceQueue[0]
-		r.announceQueue, worker.commands.announcementQueued = r.announceQueue[1:], false
+		r.announceQueue, worker.delivery.announcementQueued = r.announceQueue[1:], false
 		token := r.lease.Token()
 		if worker.Token >= token || r.workers[worker.ID] != worker || r.isZonePartitioned(worker.Zone) {
 			continue
 		}
-		// Of a machine that this process has not heard of, the session is a
-		// guess; refused for another one, the message does no harm.
-		body, err := json.Marshal(CommandMessage{Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{})})
-		if err != nil {
+		// Of a worker that this process has not heard of, the session is a guess;
+		// refused for another one, the message does no harm.
+		body, ok := r.encodeMessage(worker, &CommandMessage{
+			Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{}),
+		})
+		if !ok {
 			return
 		}
 		r.announcementsInFlight++
-		termBeganAt := r.termBeganAt
-		r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
-			func(response http1.Response, err error) {
-				if r.termBeganAt != termBeganAt || r.lease.Token() != token {
-					return // a new term greets anew
-				}
-				r.announcementsInFlight--
-				if r.workers[worker.ID] == worker && err == nil {
-					r.handleAnnouncementAnswer(worker, response.Body, token)
-				}
-			})
+		term := r.currentTerm()
+		r.postMessage(worker, body, tuning.AnnounceTimeout, func(response http1.Response, err error) {
+			if r.currentTerm() != term {
+				return // a new term announces anew
+			}
+			r.announcementsInFlight--
+			if r.workers[worker.ID] == worker && err == nil {
+				r.handleAnnouncementAnswer(worker, response.Body, token)
+			}
+		})
 	}
 }
 
-// handleAnnouncementAnswer takes the answer to an announcement: the worker's report. It proves that
-// the machine hears, and what it lists; like any answer to an order it proves
-// nothing gone.
+// handleAnnouncementAnswer takes in the answer to an announcement, the worker's heartbeat.
+// It proves that the worker hears, and what it lists; like any answer to a command it
+// proves no task gone.
 func (r *Registry) handleAnnouncementAnswer(worker *Worker, body []byte, token uint64) {
-	heartbeat, err := ParseHeartbeat(body)
-	if err != nil || heartbeat.WorkerID != worker.ID || heartbeat.Token != token || heartbeat.Session < worker.Session {
+	answer, err := ParseHeartbeat(body)
+	if err != nil || answer.WorkerID != worker.ID || answer.Token != token || answer.Session < worker.Session {
 		return
 	}
 	if !worker.HasReported {
-		worker.HasReported, worker.Addr, worker.MachineTypeName, worker.Zone, worker.Spot = true, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot
-		worker.MachineType = r.scheduler.MachineType(heartbeat.MachineType)
+		r.setMachine(worker, answer)
 	}
 	if worker.Session == 0 {
-		worker.Session = heartbeat.Session
+		worker.Session = answer.Session
 	}
 	worker.LastHeartbeatAt = r.runtime.Now()
-	if heartbeat.Session == worker.Session && heartbeat.Sequence > worker.Sequence {
-		r.reconcile(worker, heartbeat, false)
+	if answer.Session == worker.Session && answer.Sequence > worker.Sequence {
+		r.reconcileCommandAnswer(worker, answer)
 	}
 }
--- a/internal/workers/cancellations.go
+++ b/internal/workers/cancellations.go
@@ -5,20 +5,20 @@
 	"lemonmoor/internal/tuning"
 )
 
-// CancelJob has the tasks of a cancelled job halted at once: with the next report the
-// order would leave seconds later, and a machine whose reports are lost can still
-// be reached.
+// CancelJob has the tasks of a cancelled job halted at once: with the answer to the next
+// heartbeat the halt would leave seconds later, and a worker whose heartbeats are lost can
+// still be reached.
 func (r *Registry) CancelJob(job *taskstate.Job) {
 	for _, task := range job.Tasks {
-		if worker := r.workers[task.WorkerID]; worker != nil && task.State == taskstate.StatePlaced {
-			r.commandsDue[worker] = true
+		if task.State == taskstate.StatePlaced {
+			r.commandsDueTo(task)
 		}
 	}
 }
 
-// appendCancellationHalts adds the orders that end what a machine may have of cancelled jobs. They are
-// repeated until each task is proven gone, by whichever message there is: a halt
-// names the attempt, so that repeated or late it does no harm.
+// appendCancellationHalts adds the halts of what a worker may have of cancelled jobs. They
+// are repeated until each task is proven gone, by whichever message there is: a halt names
+// the attempt, so that repeated or late it does no harm.
 func (r *Registry) appendCancellationHalts(worker *Worker, commands []Command) []Command {
 	now := r.runtime.Now()
 	for task := range worker.Tasks {
@@ -30,41 +30,44 @@
 	return commands
 }
 
-// haltsOfCancelledTasks gives the orders that end the tasks of cancelled jobs in a report.
+// haltsOfCancelledTasks returns the halts of the tasks of cancelled jobs that a heartbeat
+// lists, whether the records have them or not.
 func (r *Registry) haltsOfCancelledTasks(heartbeat *Heartbeat) []Command {
 	var commands []Command
 	for i := range heartbeat.Tasks {
 		reported := &heartbeat.Tasks[i]
-		job, _, ok := parseTaskName(reported.Name)
-		if !ok || reported.Phase == "ended" || len(commands) >= tuning.MaxCommandsPerMessage {
+		jobID, _, ok := parseTaskName(reported.Name)
+		if !ok || reported.Phase == PhaseEnded || len(commands) >= tuning.MaxCommandsPerMessage {
 			continue
 		}
-		if _, cancelled := r.tasks.CancellationAge(job); cancelled {
+		if _, cancelled := r.tasks.CancellationAge(jobID); cancelled {
 			commands = append(commands, haltCommand(reported.Name, reported.Attempt, 0))
 		}
 	}
 	return commands
 }
 
-// mayOutliveCancellation tells whether a machine may have a task of a job that was cancelled so
-// long ago that an answer could keep it alive past the users' limit: the worker's
-// lease runs on from the report, and nothing more may reach it. Such a machine is
-// not answered until the task is proven gone, by direct orders if they reach it, by
-// the end of its lease if not.
+// mayOutliveCancellation tells whether a worker may have a task of a job that was cancelled
+// so long ago that an answer could keep it alive past the users' limit: the worker's lease
+// runs on from the heartbeat, and nothing more may reach it. Such a worker is not answered
+// until the task is proven gone, by direct commands if they reach it, by the end of its
+// lease if not.
 func (r *Registry) mayOutliveCancellation(worker *Worker, heartbeat *Heartbeat) bool {
-	cancelledLongAgo := func(job string) bool {
-		age, cancelled := r.tasks.CancellationAge(job)
-		return cancelled && age >= r.settings.MaxKnowledgeAge()
-	}
 	for task := range worker.Tasks {
-		if task.Job.Cancelled && task.LaunchSent && cancelledLongAgo(task.Job.Spec.ID) {
+		if task.Job.Cancelled && task.LaunchSent && r.isCancelledLongAgo(task.Job.Spec.ID) {
 			return true
 		}
 	}
 	for i := range heartbeat.Tasks {
-		if job, _, ok := parseTaskName(heartbeat.Tasks[i].Name); ok && heartbeat.Tasks[i].Phase != "ended" && cancelledLongAgo(job) {
+		reported := &heartbeat.Tasks[i]
+		if jobID, _, ok := parseTaskName(reported.Name); ok && reported.Phase != PhaseEnded && r.isCancelledLongAgo(jobID) {
 			return true
 		}
 	}
 	return false
 }
+
+func (r *Registry) isCancelledLongAgo(jobID string) bool {
+	age, cancelled := r.tasks.CancellationAge(jobID)
+	return cancelled && age >= r.settings.MaxKnowledgeAge()
+}
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"time"
 
 	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/http1"
@@ -9,7 +11,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// AfterBatch sends direct orders for placements that have become durable.
+// AfterBatch sends what has become due in a batch of events: announcements of the token,
+// and direct messages with launches of placements that have become durable, and halts.
 func (r *Registry) AfterBatch() {
 	if !r.tasks.IsLoaded() || !r.lease.LeaseValid() {
 		clear(r.commandsDue)
@@ -23,8 +26,8 @@
 		clear(r.awaitingVerification)
 	}
 	for worker := range r.commandsDue {
-		if worker.commands.inFlight {
-			continue // looked at again when the answer is in
+		if worker.delivery.inFlight {
+			continue // considered again when the answer is in
 		}
 		delete(r.commandsDue, worker)
 		if !worker.HasReported || worker.Token != r.lease.Token() || worker.LeaseExpired || worker.Deaf {
@@ -34,74 +37,103 @@
 	}
 }
 
-// sendDirectCommands sends the launches that wait for a machine, each in this one message
-// only.
+// termID tells one term from another. Answers are compared with it in place of internal/term's
+// guards, which take one more closure for each message.
+type termID struct {
+	beganAt time.Duration
+	token   uint64
+}
+
+func (r *Registry) currentTerm() termID { return termID{r.termBeganAt, r.lease.Token()} }
+
+// encodeMessage encodes a direct message; not ok, and logged, if it can't be.
+func (r *Registry) encodeMessage(worker *Worker, message *CommandMessage) (body []byte, ok bool) {
+	body, err := json.Marshal(message)
+	if err != nil {
+		r.log.Error("commands cannot be encoded", "worker", worker.ID, "err", err)
+		return nil, false
+	}
+	return body, true
+}
+
+// postMessage sends a direct message to a worker (protocol, POST /orders).
+func (r *Registry) postMessage(worker *Worker, body []byte, timeout time.Duration, fn func(http1.Response, error)) {
+	r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, timeout, fn)
+}
+
+// sendDirectCommands sends a worker the launches and halts that wait for it, if any. Each
+// launch is in this one message only.
 func (r *Registry) sendDirectCommands(worker *Worker) {
-	token := r.lease.Token()
-	message := CommandMessage{Token: token, Session: worker.Session, Commands: []Command{}}
+	message := CommandMessage{Token: r.lease.Token(), Session: worker.Session, Commands: []Command{}}
 	launched := r.appendLaunches(worker, &message)
 	r.appendHalts(worker, &message)
-	if len(message.Commands) == 0 && !worker.commands.probeTasks {
+	if len(message.Commands) == 0 && !worker.delivery.probesTasks {
 		return
 	}
-	worker.commands.probeTasks = false
-	body, err := json.Marshal(message)
-	if err != nil {
-		r.log.Error("orders do not encode", "err", err)
+	worker.delivery.probesTasks = false
+	body, ok := r.encodeMessage(worker, &message)
+	if !ok {
 		return
 	}
 	attempts := make([]uint64, len(launched))
 	for i, task := range launched {
-		task.LaunchSent, task.LaunchInFlight, task.GoneSession, task.GoneAfterSequence = true, true, worker.Session, worker.Sequence
+		task.LaunchSent, task.LaunchInFlight = true, true
+		task.GoneSession, task.GoneAfterSequence = worker.Session, worker.Sequence
 		attempts[i] = task.Attempt
 	}
-	worker.commands.inFlight = true
-	termBeganAt := r.termBeganAt
-	r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
-		func(response http1.Response, err error) {
-			if r.termBeganAt != termBeganAt || r.lease.Token() != token || r.workers[worker.ID] != worker {
-				return // another term has read the records anew
-			}
-			worker.commands.inFlight = false
-			r.commandsDue[worker] = true
-			stillLaunching := launched[:0:0]
-			for i, task := range launched {
-				if worker.Tasks[task] && task.Attempt == attempts[i] && task.LaunchInFlight {
-					task.LaunchInFlight = false
-					stillLaunching = append(stillLaunching, task)
-				}
-			}
-			r.handleDirectAnswer(worker, stillLaunching, response, err)
-		})
+	worker.delivery.inFlight = true
+	term := r.currentTerm()
+	r.postMessage(worker, body, tuning.CommandTimeout, func(response http1.Response, err error) {
+		if r.currentTerm() != term || r.workers[worker.ID] != worker {
+			return // another term has read the records anew
+		}
+		worker.delivery.inFlight = false
+		r.commandsDue[worker] = true
+		r.handleDirectAnswer(worker, landLaunches(worker, launched, attempts), response, err)
+	})
 }
 
-// appendLaunches adds the launches that wait for a machine to a message, and returns their
+// landLaunches notes that launches are not in flight any more, and returns those tasks, in
+// the same list, that still are as they were when the launches left.
+func landLaunches(worker *Worker, launched []*taskstate.Task, attempts []uint64) []*taskstate.Task {
+	unchanged := launched[:0]
+	for i, task := range launched {
+		if worker.Tasks[task] && task.Attempt == attempts[i] && task.LaunchInFlight {
+			task.LaunchInFlight = false
+			unchanged = append(unchanged, task)
+		}
+	}
+	return unchanged
+}
+
+// appendLaunches adds the launches that wait for a worker to a message, and returns their
 // tasks.
 func (r *Registry) appendLaunches(worker *Worker, message *CommandMessage) []*taskstate.Task {
-	var launched []*taskstate.Task
-	if !r.accepts(worker) {
+	if r.isDraining(worker) {
 		return nil
 	}
+	var launched []*taskstate.Task
 	for task := range worker.Tasks {
 		if len(launched) >= tuning.MaxCommandsPerMessage || !task.Launchable() {
 			continue
 		}
 		if !r.lease.CancellationsVerifiedSince(task.PlacedAt) {
-			r.awaitingVerification[worker], r.newestAwaitingPlacedAt = true, max(r.newestAwaitingPlacedAt, task.PlacedAt)
+			r.awaitingVerification[worker] = true
+			r.newestAwaitingPlacedAt = max(r.newestAwaitingPlacedAt, task.PlacedAt)
 			continue
 		}
 		launched = append(launched, task)
-		message.Commands = append(message.Commands, Command{Verb: "launch", TaskName: task.Name(), Attempt: task.WireAttempt()})
+		message.Commands = append(message.Commands, launchCommand(task.Name(), task.WireAttempt()))
 	}
 	return launched
 }
 
-// appendHalts adds the halts that a machine has not been told, or has to be told again, to a
+// appendHalts adds the halts that a worker has not been told, or has to be told again, to a
 // message. Repeated or late, a halt does no harm: it names the attempt.
 func (r *Registry) appendHalts(worker *Worker, message *CommandMessage) {
 	for task := range worker.Tasks {
 		if task.HaltDecided && task.Reported && !task.HaltSent && len(message.Commands) < tuning.MaxCommandsPerMessage {
-			task.HaltSent = true // if this is lost, the next report's answer has it
+			task.HaltSent = true // if this is lost, the answer to the next heartbeat has it
 			message.Commands = append(message.Commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
 		}
 	}
@@ -111,39 +143,71 @@
 			break
 		}
 	}
-	message.Commands, worker.commands.pendingHalts = append(message.Commands, worker.commands.pendingHalts...), nil
+	message.Commands = append(message.Commands, worker.delivery.pendingHalts...)
+	worker.delivery.pendingHalts = nil
 }
 
-// handleDirectAnswer takes what came of a direct message that carried launches.
-func (r *Registry) handleDirectAnswer(worker *Worker, launched []*taskstate.Task, response http1.Response, err error) {
-	var heartbeat *Heartbeat
-	if err == nil && (response.Status == 200 || response.Status == 409) {
-		if heartbeat, err = ParseHeartbeat(response.Body); err == nil && heartbeat.WorkerID != worker.ID {
-			heartbeat = nil
-		}
+// deliveryOutcome is what came of a direct message.
+type deliveryOutcome int
+
+const (
+	deliveryInDoubt  deliveryOutcome = iota // it may have been carried out, or may yet be
+	deliveryRefused                         // it was surely not carried out, and will not be
+	deliveryExecuted                        // it was carried out; the answer says what came of it
+)
+
+// outcomeOf tells what came of a direct message. The answer is the worker's heartbeat, nil
+// if there is none.
+func outcomeOf(worker *Worker, response http1.Response, err error) (deliveryOutcome, *Heartbeat, error) {
+	if errors.Is(err, eventloop.ErrNotSent) {
+		return deliveryRefused, nil, err
+	}
+	if err != nil || (response.Status != statusExecuted && response.Status != statusRefused) {
+		return deliveryInDoubt, nil, err
 	}
+	answer, err := ParseHeartbeat(response.Body)
 	switch {
-	case err == eventloop.ErrNotSent || (err == nil && response.Status == 409):
+	case err != nil:
+		return deliveryInDoubt, nil, err
+	case response.Status == statusRefused:
+		return deliveryRefused, nil, nil
+	case answer.WorkerID != worker.ID:
+		return deliveryInDoubt, nil, nil
+	}
+	return deliveryExecuted, answer, nil
+}
+
+// Statuses of the answers to direct messages (protocol, POST /orders).
+const (
+	statusExecuted = 200
+	statusRefused  = 409 // for a lower token or another session
+)
+
+// handleDirectAnswer takes in what came of a direct message that carried launches.
+func (r *Registry) handleDirectAnswer(worker *Worker, launched []*taskstate.Task, response http1.Response, err error) {
+	outcome, answer, err := outcomeOf(worker, response, err)
+	switch outcome {
+	case deliveryRefused:
 		for _, task := range launched {
 			task.LaunchSent, task.GoneSession, task.GoneAfterSequence = task.Reported, 0, 0
 		}
-	case err == nil && response.Status == 200 && heartbeat != nil:
+	case deliveryExecuted:
 		for _, task := range launched {
-			task.GoneSession, task.GoneAfterSequence = heartbeat.Session, heartbeat.Sequence
+			task.GoneSession, task.GoneAfterSequence = answer.Session, answer.Sequence
 		}
-		if heartbeat.Session == worker.Session && heartbeat.Sequence > worker.Sequence && heartbeat.Token <= r.lease.Token() {
-			r.reconcile(worker, heartbeat, false)
+		if answer.Session == worker.Session && answer.Sequence > worker.Sequence && answer.Token <= r.lease.Token() {
+			r.reconcileCommandAnswer(worker, answer)
 		}
-	default:
+	case deliveryInDoubt:
 		for _, task := range launched {
 			task.LaunchInDoubt = !task.Reported
 		}
 	}
-	if err != nil || response.Status != 200 {
-		// Not again at once: the next report carries the launches.
+	if err != nil || response.Status != statusExecuted {
+		// Not again at once: the answer to the next heartbeat carries the launches.
 		delete(r.commandsDue, worker)
 	}
-	if err == eventloop.ErrNoAnswer {
-		worker.commands.unansweredAt = r.runtime.Now()
+	if errors.Is(err, eventloop.ErrNoAnswer) {
+		worker.delivery.unansweredAt = r.runtime.Now()
 	}
 }
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -24,8 +24,8 @@
 	fixture.placeTask(1)
 	fixture.takeDirectMessage(t)
 	late.fn(http1.Response{}, eventloop.ErrNoAnswer)
-	if !fixture.registry.AcceptsTasks(worker) || !worker.commands.inFlight {
-		t.Errorf("open %v, an order is under way: %v", fixture.registry.AcceptsTasks(worker), worker.commands.inFlight)
+	if !fixture.registry.AcceptsTasks(worker) || !worker.delivery.inFlight {
+		t.Errorf("open %v, an order is under way: %v", fixture.registry.AcceptsTasks(worker), worker.delivery.inFlight)
 	}
 }
 
--- a/internal/workers/drains.go
+++ b/internal/workers/drains.go
@@ -7,55 +7,64 @@
 	"lemonmoor/internal/tuning"
 )
 
-// OperatorDrain is why a machine is given back that operators have drained.
+// OperatorDrain is why a machine is returned that operators have drained.
 const OperatorDrain = "drained by operators"
 
-// accepts tells whether a machine may be given tasks as far as drains go, those of the
-// daemon's own and the operators'.
-func (r *Registry) accepts(worker *Worker) bool {
-	return worker.DrainReason == "" && !r.scheduler.IsClosedByDrain(worker.ID)
+// Reasons why a worker gets no more tasks; see also drainReasonDeaf and StopPlacements.
+const (
+	drainReasonSpotNotice = "spot notice"
+	drainReasonFailures   = "fails its tasks"
+)
+
+// isDraining tells whether a worker is to get no more tasks, for a reason of the daemon's
+// own or by an operators' drain.
+func (r *Registry) isDraining(worker *Worker) bool {
+	return worker.DrainReason != "" || r.scheduler.IsClosedByDrain(worker.ID)
 }
 
-// StopPlacements stops new tasks on a machine.
+// StopPlacements stops new tasks on a worker, for a reason that is logged and reported when
+// its machine is returned.
 func (r *Registry) StopPlacements(id, reason string) {
-	if worker := r.workers[id]; worker != nil && worker.DrainReason == "" {
-		worker.DrainReason = reason
-		r.log.Info("draining machine", "host", id, "why", reason)
+	if worker := r.workers[id]; worker != nil && worker.drain(reason) {
+		r.log.Info("worker drained", "worker", id, "reason", reason)
 	}
 }
 
-// haltIfMustMove stops a running task that has to go on elsewhere: a replica on a machine
-// that is drained, or one that can save, in time before the cloud takes its
-// machine. The machine is told at once, and with each report until it is gone.
+// haltIfMustMove halts a running task that has to go on elsewhere: a replica on a machine
+// that is drained, or a task that can write a checkpoint, in time before the cloud takes
+// its machine. The worker is told at once, and with each answer until the task is gone.
 func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
-	spec := task.Job.Spec
-	mustSave := spec.CheckpointIntervalSeconds > 0 && worker.TerminationAt > 0 &&
-		now > worker.TerminationAt-time.Duration(spec.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
-	if worker.DrainReason == "" || task.HaltDecided || !task.Running || task.Job.Gang != nil || (!spec.IsService() && !mustSave) {
+	if worker.DrainReason == "" || task.HaltDecided || !task.Running || task.Job.Gang != nil {
 		return
 	}
-	task.Halt(spec.CheckpointSeconds)
-	r.commandsDue[worker] = true
-	r.log.Info("moving task", "host", worker.ID, "task", task.Name(), "why", worker.DrainReason)
+	spec := task.Job.Spec
+	isCheckpointDue := spec.CheckpointIntervalSeconds > 0 && worker.TerminationAt > 0 &&
+		now > latestCheckpointAt(worker, task.Job)-tuning.CheckpointMargin
+	if spec.IsService() || isCheckpointDue {
+		r.haltToMove(worker, task, worker.DrainReason)
+	}
 }
 
-// HaltTask has a task halted that an operators' drain moves, with the time that it needs to
-// save. The machine is told at once, and with each report until the task is gone.
+// HaltTask has a task halted that an operators' drain moves, with the time that it needs
+// for a checkpoint. The worker is told at once, and with each answer until the task is
+// gone.
 func (r *Registry) HaltTask(task *taskstate.Task) {
-	worker := r.workers[task.WorkerID]
-	if worker == nil || task.HaltDecided {
-		return
+	if worker := r.workers[task.WorkerID]; worker != nil && !task.HaltDecided {
+		r.haltToMove(worker, task, OperatorDrain)
 	}
+}
+
+func (r *Registry) haltToMove(worker *Worker, task *taskstate.Task, reason string) {
 	task.Halt(task.Job.Spec.CheckpointSeconds)
 	r.commandsDue[worker] = true
-	r.log.Info("moving task", "host", worker.ID, "task", task.Name(), "why", OperatorDrain)
+	r.log.Info("moving task", "worker", worker.ID, "task", task.Name(), "reason", reason)
 }
 
-// HaltGang has all tasks of a gang halted, at the same time. One that has not started
-// has nothing to save.
+// HaltGang has all tasks of a gang halted that an operators' drain moves, at the same time.
+// A gang that has not started has no progress to save.
 func (r *Registry) HaltGang(job *taskstate.Job) {
 	now := r.runtime.Now()
-	r.log.Info("moving gang", "job", job.Spec.ID, "why", OperatorDrain)
+	r.log.Info("moving gang", "job", job.Spec.ID, "reason", OperatorDrain)
 	if job.Gang.Started && job.Spec.CheckpointIntervalSeconds > 0 {
 		r.checkpointGang(job, now)
 		return
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -24,8 +24,8 @@
 	job                 *taskstate.Job
 	calls               []sentRequest // direct orders on their way
 	onTaskWaiting       func(*taskstate.Task)
-	turnsHeartbeatsAway bool   // reports are turned away
-	phase               string // of the tasks in reports, "" for running
+	turnsHeartbeatsAway bool      // reports are turned away
+	phase               TaskPhase // of the tasks in reports, "" for running
 	// Of cancellations: when the user was told, 0 for never, and up to when the owner
 	// knows of them; knows: it rests on that.
 	cancelledAt, verifiedAt   time.Duration
@@ -73,9 +73,11 @@
 func (f *registryFixture) CancellationsVerifiedSince(since time.Duration) bool {
 	return !f.needsVerification || (f.verifiedAt >= since && f.now-f.verifiedAt <= tuning.MaxLaunchKnowledgeAge)
 }
+
 func (f *registryFixture) PreviousOwnerAnswersUntil() time.Duration {
 	return f.previousOwnerAnswersUntil
 }
+
 func (f *registryFixture) CancellationAge(string) (time.Duration, bool) {
 	return f.now - f.cancelledAt, f.job.Cancelled
 }
@@ -143,7 +145,7 @@
 	for ref, attempt := range worker.tasks {
 		phase := f.phase
 		if phase == "" {
-			phase = "running"
+			phase = PhaseRunning
 		}
 		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: ref, Attempt: attempt, Phase: phase})
 	}
@@ -156,12 +158,12 @@
 	worker.token = token
 	for _, command := range orders {
 		switch command.Verb {
-		case "launch":
+		case VerbLaunch:
 			if key := fmt.Sprint(command.TaskName, "@", command.Attempt); !worker.everLaunched[key] {
 				worker.everLaunched[key] = true
 				worker.tasks[command.TaskName] = command.Attempt
 			}
-		case "halt":
+		case VerbHalt:
 			if worker.tasks[command.TaskName] == command.Attempt {
 				delete(worker.tasks, command.TaskName)
 			}
@@ -228,7 +230,7 @@
 }
 
 // reportAll reports the tasks in a state, and returns the orders of the answer.
-func (f *registryFixture) reportAll(t *testing.T, phase, cause string) []Command {
+func (f *registryFixture) reportAll(t *testing.T, phase TaskPhase, cause EndCause) []Command {
 	t.Helper()
 	f.now += time.Second
 	heartbeat := f.heartbeat()
@@ -289,6 +291,6 @@
 	return message.Commands
 }
 
-func hasVerb(list []Command, verb string) bool {
+func hasVerb(list []Command, verb Verb) bool {
 	return slices.ContainsFunc(list, func(command Command) bool { return command.Verb == verb })
 }
--- a/internal/workers/gangs_test.go
+++ b/internal/workers/gangs_test.go
@@ -11,7 +11,7 @@
 // or the job, however often; a gang that was never complete is tried again after a
 // pause that grows.
 func TestGangCausesAreNoFaults(t *testing.T) {
-	for _, cause := range []string{"alone", "mates_gone"} {
+	for _, cause := range []EndCause{CauseAlone, CauseMatesGone} {
 		fixture := newGangFixture(3)
 		fixture.phase = "fetching"
 		var pause time.Duration
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -7,84 +7,163 @@
 	"lemonmoor/internal/tuning"
 )
 
-// reconcile compares a report with the records and returns the orders that follow.
-// beat: it is a report of the worker's own, not the answer to an order; only
-// those prove tasks gone and carry launches, since an order's answer may be
-// older than the worker's reading of our last answer.
-func (r *Registry) reconcile(worker *Worker, heartbeat *Heartbeat, isHeartbeat bool) []Command {
-	laterSession := heartbeat.Session > worker.Session && worker.HasReported && worker.Session > 0
-	worker.Token = max(worker.Token, heartbeat.Token)
-	if isHeartbeat {
-		// Answers to orders do not count here: a report that left before
-		// such an answer may arrive after it, and is not a late one.
-		worker.Session, worker.Sequence = heartbeat.Session, heartbeat.Sequence
+// reconciliation compares the tasks that a worker lists with the task records.
+type reconciliation struct {
+	registry   *Registry
+	worker     *Worker
+	heartbeat  *Heartbeat
+	tokenShown bool      // the worker knows the present token
+	commands   []Command // that follow
+}
+
+// taskSet is the tasks that the records place on a worker's machine and that it lists. It
+// is no field of reconciliation, since it would be allocated then.
+type taskSet map[*taskstate.Task]bool
+
+// reconcileHeartbeat takes in what a heartbeat of the worker's own says of its tasks, and
+// returns the commands for its answer. Only such a heartbeat proves tasks gone and carries
+// launches, see reconcileCommandAnswer.
+func (r *Registry) reconcileHeartbeat(worker *Worker, heartbeat *Heartbeat) []Command {
+	isLaterSession := heartbeat.Session > worker.Session && worker.HasReported && worker.Session > 0
+	worker.Session, worker.Sequence = heartbeat.Session, heartbeat.Sequence
+	rec := r.beginReconciliation(worker, heartbeat)
+	listed := make(taskSet, len(heartbeat.Tasks))
+	rec.takeListed(listed)
+	rec.takeUnlisted(listed, isLaterSession)
+	if !rec.tokenShown {
+		// The worker has not seen the token yet, so its list decides little; what
+		// is cancelled ends all the same.
+		return r.haltsOfCancelledTasks(heartbeat)
 	}
+	rec.appendHalts(listed)
+	rec.appendLaunches()
+	return rec.commands[:min(len(rec.commands), tuning.MaxCommandsPerMessage)]
+}
+
+// reconcileCommandAnswer takes in the list of tasks in the answer to a direct message. It
+// proves no task gone, since it may be older than the worker's reading of our last answer
+// to a heartbeat, which may have carried a launch. Nor does it count as the newest
+// heartbeat: one that left before it may arrive after it, and is not a late one.
+func (r *Registry) reconcileCommandAnswer(worker *Worker, answer *Heartbeat) {
+	rec := r.beginReconciliation(worker, answer)
+	rec.takeListed(make(taskSet, len(answer.Tasks)))
+}
+
+func (r *Registry) beginReconciliation(worker *Worker, heartbeat *Heartbeat) reconciliation {
+	worker.Token = max(worker.Token, heartbeat.Token)
 	if heartbeat.SpotNoticeSeconds != nil {
 		worker.TerminationAt = r.runtime.Now() + time.Duration(*heartbeat.SpotNoticeSeconds*float64(time.Second))
-		if worker.DrainReason == "" {
-			worker.DrainReason = "spot notice"
-			r.log.Info("spot notice", "host", worker.ID, "seconds", *heartbeat.SpotNoticeSeconds)
+		if worker.drain(drainReasonSpotNotice) {
+			r.log.Info("spot notice received", "worker", worker.ID, "seconds", *heartbeat.SpotNoticeSeconds)
 		}
 	}
-	tokenShown := heartbeat.Token >= r.lease.Token()
-	listed := make(map[*taskstate.Task]bool, len(heartbeat.Tasks))
-	var commands []Command
-	worker.UnknownTasks = 0
-	for i := range heartbeat.Tasks {
-		commands = r.reconcileReported(worker, &heartbeat.Tasks[i], listed, tokenShown, commands)
+	return reconciliation{
+		registry: r, worker: worker, heartbeat: heartbeat,
+		tokenShown: heartbeat.Token >= r.lease.Token(),
 	}
-	if isHeartbeat {
-		r.reconcileUnlisted(worker, heartbeat, listed, laterSession, tokenShown)
+}
+
+// takeListed takes in all tasks that the worker lists, and notes them in listed.
+func (c *reconciliation) takeListed(listed taskSet) {
+	c.worker.UnknownTasks = 0
+	for i := range c.heartbeat.Tasks {
+		c.takeReported(&c.heartbeat.Tasks[i], listed)
 	}
-	if !tokenShown {
-		// The worker has not seen the token yet, so its list decides little; what
-		// is cancelled ends all the same.
-		return r.haltsOfCancelledTasks(heartbeat)
+}
+
+// takeReported takes in one task that the worker lists.
+func (c *reconciliation) takeReported(reported *ReportedTask, listed taskSet) {
+	registry := c.registry
+	task := registry.findTask(reported.Name)
+	if task == nil || task.State != taskstate.StatePlaced || task.WorkerID != c.worker.ID || task.WireAttempt() != reported.Attempt {
+		c.takeUnrecorded(task, reported)
+		return
 	}
-	for task := range worker.Tasks {
-		if !listed[task] {
-			continue
-		}
-		switch {
-		case task.Job.Cancelled:
-			commands = append(commands, haltCommand(task.Name(), task.WireAttempt(), 0))
-		case task.HaltDecided:
-			commands = append(commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
-		}
+	listed[task] = true
+	if task.GoneSession > 0 && !task.Reported {
+		c.worker.LostLaunches = 0 // it has heard of this one
 	}
-	if isHeartbeat && r.lease.LeaseValid() && r.accepts(worker) && !worker.Deaf {
-		for task := range worker.Tasks {
-			if len(commands) < tuning.MaxCommandsPerMessage && task.Launchable() && r.lease.CancellationsVerifiedSince(task.PlacedAt) {
-				task.LaunchSent, task.GoneSession, task.GoneAfterSequence = true, heartbeat.Session, heartbeat.Sequence
-				commands = append(commands, Command{Verb: "launch", TaskName: task.Name(), Attempt: task.WireAttempt()})
-			}
-		}
+	task.Reported, task.LaunchSent = true, true
+	if task.LaunchInFlight {
+		return // the answer to the launch is still to come and tells the rest
+	}
+	task.LaunchInDoubt = false
+	if reported.Phase == PhaseEnded {
+		c.takeEnded(task, reported)
+		return
+	}
+	if reported.Phase.hasImage() && !task.HasImage {
+		task.HasImage = true
+		c.worker.FetchingTasks--
+	}
+	if reported.Phase == PhaseRunning && !task.Running {
+		task.Running, task.RunningSince = true, registry.runtime.Now()
 	}
-	if len(commands) > tuning.MaxCommandsPerMessage {
-		commands = commands[:tuning.MaxCommandsPerMessage]
+	registry.gangTaskReported(task, reported.Phase)
+}
+
+// findTask finds a task by its name, nil if there is no record of it.
+func (r *Registry) findTask(name string) *taskstate.Task {
+	jobID, index, ok := parseTaskName(name)
+	if !ok {
+		return nil
+	}
+	job := r.tasks.Job(jobID)
+	if job == nil {
+		return nil
+	}
+	return job.Tasks[index]
+}
+
+// takeUnrecorded takes in a listed task that the records do not have on this machine: an
+// attempt that is over, or never was. task is nil if there is no record of it at all.
+func (c *reconciliation) takeUnrecorded(task *taskstate.Task, reported *ReportedTask) {
+	if reported.Phase != PhaseEnded {
+		c.worker.UnknownTasks++
+		c.commands = append(c.commands, haltCommand(reported.Name, reported.Attempt, 0))
+		return
+	}
+	if task != nil && reported.Cause == CauseDone && task.Job.Gang != nil {
+		c.registry.GangDone(task.Job) // late, or of an earlier attempt: it is done all the same
+	}
+	if task != nil && task.State == taskstate.StateDone && !task.DoneDurable {
+		return // its end goes into the record before the worker forgets it
 	}
-	return commands
+	c.forgetIfTokenShown(reported)
 }
 
-// reconcileUnlisted looks at the tasks that a report of the worker's own does not list: whether
-// that proves them gone.
-func (r *Registry) reconcileUnlisted(worker *Worker, heartbeat *Heartbeat, listed map[*taskstate.Task]bool, laterSession, tokenShown bool) {
+// forgetIfTokenShown has the worker drop an ended task from its list, once it knows the
+// token under which that is asked.
+func (c *reconciliation) forgetIfTokenShown(reported *ReportedTask) {
+	if c.tokenShown {
+		c.forget(reported)
+	}
+}
+
+func (c *reconciliation) forget(reported *ReportedTask) {
+	c.commands = append(c.commands, forgetCommand(reported))
+}
+
+// takeUnlisted looks at the tasks that a heartbeat does not list though the records place
+// them here: whether that proves them gone.
+func (c *reconciliation) takeUnlisted(listed taskSet, isLaterSession bool) {
+	registry, worker, heartbeat := c.registry, c.worker, c.heartbeat
 	launchLost := false
 	for task := range worker.Tasks {
 		if listed[task] || !task.LaunchSent || task.LaunchInFlight {
 			continue
 		}
 		switch {
-		case task.GoneSession > 0 && heartbeat.Session > task.GoneSession, laterSession && task.Reported:
-			// A later session: the worker killed all of the earlier one.
-			r.endPlacement(worker, task, taskstate.LossVanished)
-		case heartbeat.Token >= task.GoneMinToken && tokenShown && !task.LaunchInDoubt && (task.GoneSession == 0 || (heartbeat.Session == task.GoneSession && heartbeat.Sequence > task.GoneAfterSequence)):
+		case task.GoneSession > 0 && heartbeat.Session > task.GoneSession, isLaterSession && task.Reported:
+			// The worker killed all of the earlier session.
+			registry.endPlacement(worker, task, taskstate.LossVanished)
+		case c.tokenShown && !task.LaunchInDoubt && isNewerThanLaunch(heartbeat, task):
 			launchLost = launchLost || (task.GoneSession > 0 && !task.Reported)
-			r.endPlacement(worker, task, taskstate.LossVanished)
+			registry.endPlacement(worker, task, taskstate.LossVanished)
 		case task.LaunchInDoubt:
-			// The order may still be under way; a new token settles it.
-			r.log.Info("order in doubt, renewing the token", "host", worker.ID, "task", task.Name())
-			r.lease.RenewToken()
+			// The launch may still be under way; a new token settles it.
+			registry.log.Info("launch in doubt, renewing the fencing token", "worker", worker.ID, "task", task.Name())
+			registry.lease.RenewToken()
 		}
 	}
 	if launchLost {
@@ -92,61 +171,38 @@
 	}
 }
 
-// reconcileReported takes one task of a report.
-func (r *Registry) reconcileReported(worker *Worker, reported *ReportedTask, listed map[*taskstate.Task]bool, tokenShown bool, commands []Command) []Command {
-	var task *taskstate.Task
-	if id, index, ok := parseTaskName(reported.Name); ok {
-		if job := r.tasks.Job(id); job != nil {
-			task = job.Tasks[index]
-		}
-	}
-	if task == nil || task.State != taskstate.StatePlaced || task.WorkerID != worker.ID || task.WireAttempt() != reported.Attempt {
-		return r.handleUnrecorded(worker, task, reported, tokenShown, commands)
-	}
-	listed[task] = true
-	if task.GoneSession > 0 && !task.Reported {
-		worker.LostLaunches = 0 // it has heard of this one
-	}
-	task.Reported, task.LaunchSent = true, true
-	if task.LaunchInFlight {
-		// The order's own answer is still to come and tells the rest.
-		return commands
-	}
-	task.LaunchInDoubt = false
-	switch reported.Phase {
-	case "running", "saving", "waiting":
-		if !task.HasImage {
-			task.HasImage = true
-			worker.FetchingTasks--
+// isNewerThanLaunch tells whether a heartbeat would list a task if its launch had been
+// carried out: it shows the token of the placement, and left after the launch was sent.
+func isNewerThanLaunch(heartbeat *Heartbeat, task *taskstate.Task) bool {
+	return heartbeat.Token >= task.GoneMinToken &&
+		(task.GoneSession == 0 || (heartbeat.Session == task.GoneSession && heartbeat.Sequence > task.GoneAfterSequence))
+}
+
+// appendHalts adds the halts of listed tasks that are to end.
+func (c *reconciliation) appendHalts(listed taskSet) {
+	for task := range c.worker.Tasks {
+		if !listed[task] {
+			continue
 		}
-		if reported.Phase == "running" && !task.Running {
-			task.Running, task.RunningSince = true, r.runtime.Now()
+		switch {
+		case task.Job.Cancelled:
+			c.commands = append(c.commands, haltCommand(task.Name(), task.WireAttempt(), 0))
+		case task.HaltDecided:
+			c.commands = append(c.commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
 		}
-		r.gangTaskReported(task, reported.Phase)
-		return commands
-	case "ended":
-		return r.handleEnded(worker, task, reported, tokenShown, commands)
-	default: // fetching, or a state not known here: it is on the machine
-		r.gangTaskReported(task, reported.Phase)
-		return commands
 	}
 }
 
-// handleUnrecorded takes a reported task that the records do not have there: an attempt that is
-// over, or never was.
-func (r *Registry) handleUnrecorded(worker *Worker, task *taskstate.Task, reported *ReportedTask, tokenShown bool, commands []Command) []Command {
-	if reported.Phase != "ended" {
-		worker.UnknownTasks++
-		return append(commands, haltCommand(reported.Name, reported.Attempt, 0))
-	}
-	if task != nil && reported.Cause == "done" && task.Job.Gang != nil {
-		r.GangDone(task.Job) // late, or of an earlier attempt: it is done all the same
-	}
-	if task != nil && task.State == taskstate.StateDone && !task.DoneDurable {
-		return commands // done goes into the record before the worker forgets
-	}
-	if !tokenShown {
-		return commands
+// appendLaunches adds the launches of tasks that wait for the worker's next heartbeat.
+func (c *reconciliation) appendLaunches() {
+	registry := c.registry
+	if !registry.lease.LeaseValid() || registry.isDraining(c.worker) || c.worker.Deaf {
+		return
+	}
+	for task := range c.worker.Tasks {
+		if len(c.commands) < tuning.MaxCommandsPerMessage && task.Launchable() && registry.lease.CancellationsVerifiedSince(task.PlacedAt) {
+			task.LaunchSent, task.GoneSession, task.GoneAfterSequence = true, c.heartbeat.Session, c.heartbeat.Sequence
+			c.commands = append(c.commands, launchCommand(task.Name(), task.WireAttempt()))
+		}
 	}
-	return append(commands, forgetCommand(reported))
 }
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -7,16 +7,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// ReleaseSilent is why a machine is given back that no longer reports; ReleaseSilentUrgent is
-// why one that may have urgent tasks on it: returned, they are surely gone, and
-// can run elsewhere before its lease would have run out.
+// Reasons why a machine is to be returned to the cloud. The leader tells the first two
+// from others: machines of a partitioned zone fall silent too. With urgent tasks on it, a
+// machine is worth returning there too: released, they are surely gone, and can run
+// elsewhere before its worker's lease would have expired.
 const (
 	ReleaseSilent       = "silent"
 	ReleaseSilentUrgent = "silent with urgent tasks"
+	releaseTerminated   = "taken by the cloud"
 )
 
-// MachineReleased notes that the cloud has taken a machine back at our request: it
-// and all that was on it are gone.
+// MachineReleased notes that the cloud has taken a machine back at our request: it and all
+// that was on it are gone.
 func (r *Registry) MachineReleased(id string) {
 	r.released[id] = true
 	worker := r.workers[id]
@@ -30,15 +32,17 @@
 	delete(r.awaitingVerification, worker)
 }
 
-// ReleaseReason tells whether, and why, the owner wants a machine returned now:
-// nothing on it is lost by that, or it is lost already.
+// ReleaseReason tells whether, and why, the shard owner wants a machine returned now, "" if
+// not: nothing on it is lost by that, or it is lost already. silent and reporting count the
+// shard's suspect workers and those that have ever reported: if most are silent, the fault
+// is hardly theirs.
 func (r *Registry) ReleaseReason(worker *Worker, silent, reporting int) string {
 	now := r.runtime.Now()
 	switch {
 	case !worker.HasReported:
 		return ""
-	case worker.TerminationAt > 0 && (now > worker.TerminationAt-tuning.SpotNoticeReserve || (len(worker.Tasks) == 0 && worker.UnknownTasks == 0)):
-		return "taken by the cloud"
+	case worker.TerminationAt > 0 && (now > worker.TerminationAt-tuning.SpotNoticeReserve || worker.isEmpty()):
+		return releaseTerminated
 	case r.IsSuspect(worker) && silent*2 <= reporting:
 		for task := range worker.Tasks {
 			if task.Job.Spec.Priority() >= jobs.PriorityUrgent {
@@ -46,21 +50,27 @@
 			}
 		}
 		return ReleaseSilent
-	case worker.DrainReason != "" && worker.TerminationAt == 0 && len(worker.Tasks) == 0 && (worker.UnknownTasks == 0 || worker.DrainReason == drainReasonDeaf):
-		return worker.DrainReason
-	case worker.DrainReason == "" && worker.TerminationAt == 0 && len(worker.Tasks) == 0 && worker.UnknownTasks == 0 && worker.Token >= r.lease.Token() && r.scheduler.IsClosedByDrain(worker.ID):
+	case worker.TerminationAt > 0:
+		return "" // the cloud takes it
+	case worker.DrainReason != "":
+		// What a deaf worker lists beside its tasks ends with its lease, if not before.
+		if worker.isEmpty() || (len(worker.Tasks) == 0 && worker.DrainReason == drainReasonDeaf) {
+			return worker.DrainReason
+		}
+	case worker.isEmpty() && worker.Token >= r.lease.Token() && r.scheduler.IsClosedByDrain(worker.ID):
 		return OperatorDrain
 	}
 	return ""
 }
 
-// IsSuspect tells whether a machine has not reported for suspiciously long.
+// IsSuspect tells whether a worker has sent no heartbeat for suspiciously long, though we
+// listened.
 func (r *Registry) IsSuspect(worker *Worker) bool {
 	return worker.HasReported && r.runtime.Now()-max(worker.LastHeartbeatAt, r.listeningSince) > r.settings.WorkerDeadAfter()
 }
 
-// IsCurrent tells whether a machine is heard under the present token, so that what its
-// reports list is so.
+// IsCurrent tells whether a worker is heard under the present token, so that what its
+// heartbeats list is so.
 func (r *Registry) IsCurrent(worker *Worker) bool {
 	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
 }
--- a/internal/workers/task_ends.go
+++ b/internal/workers/task_ends.go
@@ -5,86 +5,94 @@
 	"lemonmoor/internal/tuning"
 )
 
-// handleEnded takes a task that has exited.
-func (r *Registry) handleEnded(worker *Worker, task *taskstate.Task, reported *ReportedTask, tokenShown bool, commands []Command) []Command {
+// takeEnded takes in a recorded task that has ended.
+func (c *reconciliation) takeEnded(task *taskstate.Task, reported *ReportedTask) {
+	registry := c.registry
 	loss := taskstate.LossExited
 	switch reported.Cause {
-	case "done":
-		return r.handleCompleted(worker, task, reported, commands)
-	case "error":
-		// Whether the others had started shows in their reports.
+	case CauseDone:
+		c.takeCompleted(task, reported)
+		return
+	case CauseError:
+		// Whether the others of a gang had started shows in their heartbeats.
 		loss = taskstate.LossVanished
-		r.recordFailure(worker, task)
-	case "full":
+		registry.noteTaskFailed(c.worker, task)
+	case CauseFull:
 		loss = taskstate.LossBeforeWaiting
-		worker.RefusesUntil = r.runtime.Now() + tuning.RefusedTaskPause
-		task.NotBefore = r.runtime.Now() + tuning.RefusedTaskPause/4
-	case "busy", "unknown":
+		c.worker.RefusesUntil = registry.runtime.Now() + tuning.RefusedTaskPause
+		task.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause/4
+	case CauseBusy, CauseUnknown:
 		loss = taskstate.LossBeforeWaiting
-		task.NotBefore = r.runtime.Now() + tuning.RefusedTaskPause
-	case "halted":
+		task.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause
+	case CauseHalted:
 		if gang := task.Job.Gang; gang != nil && !gang.AttemptOver && task.HaltDecided {
 			loss = taskstate.LossVanished // one that waited was told to leave its machine
 		}
-	case "alone", "mates_gone":
+	case CauseAlone:
 		// Nothing against the machine or the job.
-		if task.Job.Gang != nil && reported.Cause == "mates_gone" {
+	case CauseMatesGone:
+		// Nothing against the machine or the job either; but the gang had started.
+		if task.Job.Gang != nil {
 			task.Job.Gang.Started = true
 		}
 	default:
-		// A reason not known here proves nothing gone. Forgotten by the worker,
-		// it is off the list, and that does.
-		if !tokenShown {
-			return commands
-		}
-		return append(commands, forgetCommand(reported))
-	}
-	r.endPlacement(worker, task, loss)
-	if !tokenShown {
-		return commands
+		// A cause not known here proves nothing gone. Forgotten by the worker,
+		// the task is off the list, and that does.
+		c.forgetIfTokenShown(reported)
+		return
 	}
-	return append(commands, forgetCommand(reported))
+	registry.endPlacement(c.worker, task, loss)
+	c.forgetIfTokenShown(reported)
 }
 
-// handleCompleted takes a task that is done.
-func (r *Registry) handleCompleted(worker *Worker, task *taskstate.Task, reported *ReportedTask, commands []Command) []Command {
-	worker.ConsecutiveFailures = 0
-	clear(worker.FailedJobs)
+// takeCompleted takes in a recorded task that is done. Where the record has to say so, the
+// worker is told to forget it by a later answer, when that is durable.
+func (c *reconciliation) takeCompleted(task *taskstate.Task, reported *ReportedTask) {
+	registry := c.registry
+	c.worker.noteSuccess()
 	task.Job.ConsecutiveFailures = 0
-	if task.Job.Gang != nil && !task.Job.Cancelled {
-		r.removeTask(worker, task)
-		r.tasks.TaskDone(task)
-		r.GangDone(task.Job)
-		return commands
-	}
-	if task.Job.Spec.IsService() {
-		r.endPlacement(worker, task, taskstate.LossExited)
-		return append(commands, forgetCommand(reported))
-	}
-	r.removeTask(worker, task)
-	if task.Job.Cancelled {
+	switch {
+	case task.Job.Gang != nil && !task.Job.Cancelled:
+		registry.removeTask(c.worker, task)
+		registry.tasks.TaskDone(task)
+		registry.GangDone(task.Job)
+	case task.Job.Spec.IsService():
+		// A replica is never done: it starts anew.
+		registry.endPlacement(c.worker, task, taskstate.LossExited)
+		c.forget(reported)
+	case task.Job.Cancelled:
+		registry.removeTask(c.worker, task)
 		task.State, task.WorkerID = taskstate.StateWaiting, ""
-		r.tasks.DropTask(task)
-		return append(commands, forgetCommand(reported))
+		registry.tasks.DropTask(task)
+		c.forget(reported)
+	default:
+		registry.removeTask(c.worker, task)
+		registry.tasks.TaskDone(task)
 	}
-	r.tasks.TaskDone(task)
-	return commands
 }
 
-// recordFailure takes note of a failure: machines that fail whatever they start get
-// no more tasks, and jobs that fail everywhere are slowed down.
-func (r *Registry) recordFailure(worker *Worker, task *taskstate.Task) {
-	worker.ConsecutiveFailures++
-	worker.FailedJobs[task.Job.Spec.ID] = true
+// Failures of a job's tasks in a row from which on the job is slowed down, and how often
+// its pause doubles at most.
+const (
+	slowdownFailures  = 3
+	maxPauseDoublings = 6
+)
+
+// noteTaskFailed takes note of a failure: workers that fail whatever they start get no more
+// tasks, and jobs that fail everywhere are slowed down.
+func (r *Registry) noteTaskFailed(worker *Worker, task *taskstate.Task) {
+	job := task.Job
+	worker.noteFailure(job)
 	task.AvoidWorker = worker.ID
-	r.log.Info("task failed", "host", worker.ID, "task", task.Name(), "in a row", worker.ConsecutiveFailures)
-	task.Job.ConsecutiveFailures++
-	if task.Job.ConsecutiveFailures >= 3 {
-		pause := min(tuning.MinFailurePause<<min(task.Job.ConsecutiveFailures-3, 6), tuning.MaxFailurePause)
-		task.Job.NotBefore = r.runtime.Now() + pause
+	r.log.Info("task failed", "worker", worker.ID, "task", task.Name(), "count", worker.ConsecutiveFailures)
+	job.ConsecutiveFailures++
+	if job.ConsecutiveFailures >= slowdownFailures {
+		doublings := min(job.ConsecutiveFailures-slowdownFailures, maxPauseDoublings)
+		job.NotBefore = r.runtime.Now() + min(tuning.MinFailurePause<<doublings, tuning.MaxFailurePause)
 	}
-	if worker.ConsecutiveFailures >= tuning.FaultyWorkerFailures && (len(worker.FailedJobs) > 1 || task.Job.ConsecutiveFailures < 2*worker.ConsecutiveFailures) && worker.DrainReason == "" {
-		worker.DrainReason = "fails its tasks"
-		r.log.Warn("machine quarantined", "host", worker.ID, "failures", worker.ConsecutiveFailures)
+	// With tasks of one job only, the job may be the cause: it is if it fails elsewhere too.
+	isWorkersFault := len(worker.FailedJobs) > 1 || job.ConsecutiveFailures < 2*worker.ConsecutiveFailures
+	if worker.ConsecutiveFailures >= tuning.FaultyWorkerFailures && isWorkersFault && worker.drain(drainReasonFailures) {
+		r.log.Warn("worker quarantined after failures", "worker", worker.ID, "count", worker.ConsecutiveFailures)
 	}
 }
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -113,7 +113,7 @@
 	fixture.registry.runtime = recorder
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	fixture.now += time.Hour
-	fixture.registry.probeDeafWorker(fixture.registry.Worker("vm-1"))
+	fixture.registry.probeDeafWorker(fixture.registry.Worker("vm-1"), fixture.now)
 	if len(recorder.sent) != 1 || recorder.sent[0] != `w:1 POST /orders {"baton":1,"shift":1,"orders":[]}` {
 		t.Errorf("sent %q", recorder.sent)
 	}
@@ -121,7 +121,7 @@
 
 // TestWirePhases: the words for the phases of tasks on their machines.
 func TestWirePhases(t *testing.T) {
-	for phase, want := range map[string]struct{ runs, hasImage bool }{
+	for phase, want := range map[TaskPhase]struct{ runs, hasImage bool }{
 		"running": {true, true}, "saving": {false, true}, "waiting": {false, true}, "fetching": {false, false}, "novel": {false, false},
 	} {
 		fixture := newRegistryFixture(1)
@@ -139,7 +139,7 @@
 // TestWireGangPhases: which phases of a task show that its gang has started, and which
 // that it waits for others.
 func TestWireGangPhases(t *testing.T) {
-	for phase, want := range map[string]struct{ started, waits bool }{
+	for phase, want := range map[TaskPhase]struct{ started, waits bool }{
 		"running": {started: true}, "saving": {started: true}, "waiting": {waits: true}, "fetching": {waits: true}, "novel": {},
 	} {
 		fixture := newGangFixture(2)
@@ -151,7 +151,7 @@
 			t.Errorf("%s: started %v, waits %v", phase, started, waits)
 		}
 	}
-	for cause, started := range map[string]bool{"mates_gone": true, "alone": false} {
+	for cause, started := range map[EndCause]bool{"mates_gone": true, "alone": false} {
 		fixture := newGangFixture(2)
 		fixture.phase = "fetching"
 		fixture.placeAndLaunchAll(t)
@@ -168,7 +168,7 @@
 // TestWireCauses: the words for the causes of tasks' ends, by what follows from each.
 func TestWireCauses(t *testing.T) {
 	const forgotten = `[{"verb":"forget","piece":"wk-1/0","try":1}]`
-	for cause, want := range map[string]struct {
+	for cause, want := range map[EndCause]struct {
 		orders                          string
 		gone, done, failed, full, delay bool
 	}{
@@ -199,7 +199,7 @@
 // TestWireUnrecorded: tasks that are not in the records are halted while they run and
 // forgotten when they have ended; of a gang, one that is done makes all done.
 func TestWireUnrecorded(t *testing.T) {
-	for phase, want := range map[string]string{
+	for phase, want := range map[TaskPhase]string{
 		"ended":   `{"baton":1,"orders":[{"verb":"forget","piece":"wk-1/0","try":9}]}`,
 		"running": `{"baton":1,"orders":[{"verb":"halt","piece":"wk-1/0","try":9,"windDownS":0}]}`,
 		"novel":   `{"baton":1,"orders":[{"verb":"halt","piece":"wk-1/0","try":9,"windDownS":0}]}`,
@@ -212,7 +212,7 @@
 			t.Errorf("%s: %d %s", phase, status, body)
 		}
 	}
-	for cause, done := range map[string]bool{"done": true, "error": false} {
+	for cause, done := range map[EndCause]bool{"done": true, "error": false} {
 		fixture := newGangFixture(2)
 		fixture.worker.token = 1
 		heartbeat := fixture.heartbeat()
@@ -227,7 +227,7 @@
 // TestWireCancelledUnacknowledged: a worker that has not seen the token yet is told to
 // halt what is cancelled, but not what has ended.
 func TestWireCancelledUnacknowledged(t *testing.T) {
-	for phase, want := range map[string]string{
+	for phase, want := range map[TaskPhase]string{
 		"running": `{"baton":2,"orders":[{"verb":"halt","piece":"wk-1/0","try":1,"windDownS":0}]}`,
 		"ended":   `{"baton":2,"orders":[]}`,
 	} {
@@ -246,7 +246,7 @@
 // TestWireCancelledLongAgo: a machine that runs a task of a job cancelled long ago is not
 // answered; one where it has ended is.
 func TestWireCancelledLongAgo(t *testing.T) {
-	for phase, want := range map[string]int{"running": 503, "ended": 200} {
+	for phase, want := range map[TaskPhase]int{"running": 503, "ended": 200} {
 		fixture := newRegistryFixture(1)
 		fixture.worker.token = 1
 		fixture.job.Cancelled, fixture.cancelledAt = true, 0
--- a/internal/workers/zones.go
+++ b/internal/workers/zones.go
@@ -7,11 +7,11 @@
 	"lemonmoor/internal/tuning"
 )
 
-// zoneState is what the table knows of a zone as a whole: one that is cut off falls
-// silent at once, long before each of its machines is late.
+// zoneState is what the registry knows of a zone as a whole. One that is partitioned from
+// this node falls silent at once, long before each of its workers counts as late.
 type zoneState struct {
-	lastHeartbeatAt  time.Duration // the newest report from it
-	reportingWorkers int           // machines there that have reported, as of the last Tick
+	lastHeartbeatAt  time.Duration // of any worker there
+	reportingWorkers int           // that have reported to this process, as of the last Tick
 }
 
 // ensureZone finds or makes a zone's entry.
@@ -24,20 +24,21 @@
 	return zone
 }
 
-// ReachableZones lists the zones from which something has been heard of late.
+// ReachableZones lists the zones from which a heartbeat has come of late, in the order of
+// their names.
 func (r *Registry) ReachableZones() []string {
-	var list []string
+	var names []string
 	for name, zone := range r.zones {
 		if zone.lastHeartbeatAt > 0 && r.runtime.Now()-zone.lastHeartbeatAt <= tuning.ZonePartitionAfter {
-			list = append(list, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(list)
-	return list
+	slices.Sort(names)
+	return names
 }
 
-// isZonePartitioned tells whether a zone seems to be cut off: many machines report from it,
-// and none has for a while, though others are heard.
+// isZonePartitioned tells whether a zone seems to be partitioned from this node: it has
+// many workers, and none has sent a heartbeat for a while, though those of others have.
 func (r *Registry) isZonePartitioned(name string) bool {
 	zone := r.zones[name]
 	if zone == nil || !r.settings.IsZonePartitioned(zone.reportingWorkers, r.runtime.Now()-max(zone.lastHeartbeatAt, r.listeningSince)) {
