--- a/internal/workers/announcements_test.go
+++ b/internal/workers/announcements_test.go
@@ -11,10 +11,10 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestGreetsLiveMachinesFirst guards against a takeover that waits: of hundreds
+// TestNewTokenIsAnnouncedToLiveWorkersFirst guards against a takeover that waits: of hundreds
 // of machines, those heard of late are told of the new token before any that
 // have been silent, each of which is waited for in vain.
-func TestGreetsLiveMachinesFirst(t *testing.T) {
+func TestNewTokenIsAnnouncedToLiveWorkersFirst(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	const all = 900
 	for i := range all {
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestAnnouncementsAnswer: it counts only if it is the machine's own, of its newest session
+// TestAnnouncementAnswerMustBeTheWorkersOwnAndCurrent: it counts only if it is the machine's own, of its newest session
 // and under the token announced.
-func TestAnnouncementsAnswer(t *testing.T) {
+func TestAnnouncementAnswerMustBeTheWorkersOwnAndCurrent(t *testing.T) {
 	for name, change := range map[string]func(*Heartbeat){
 		"":                   func(*Heartbeat) {},
 		"of another machine": func(heartbeat *Heartbeat) { heartbeat.WorkerID = "vm-2" },
--- a/internal/workers/benchmarks_test.go
+++ b/internal/workers/benchmarks_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkReport shows the cost of a report by the tasks on the machine.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat shows the cost of a report by the tasks on the machine.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, tasks := range []int{2, 8, 64} {
 		b.Run(fmt.Sprint(tasks, "tasks"), func(b *testing.B) {
 			fixture := newRegistryFixture(tasks)
--- a/internal/workers/cancellations_test.go
+++ b/internal/workers/cancellations_test.go
@@ -11,9 +11,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestMachineWithALongCancelledTaskIsNotAnswered: its lease would run on from the answer past
+// TestWorkerWithALongCancelledTaskIsNotAnswered: its lease would run on from the answer past
 // the users' limit, whether the records have the task or only the worker's list.
-func TestMachineWithALongCancelledTaskIsNotAnswered(t *testing.T) {
+func TestWorkerWithALongCancelledTaskIsNotAnswered(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		fixture := newRegistryFixture(1)
 		fixture.placeAndLaunchAll(t)
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -10,9 +10,9 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestOrderAnswersOfAnEarlierTokenAreDropped: the records have been read anew since; what an
+// TestCommandAnswersOfAnEarlierTokenAreDropped: the records have been read anew since; what an
 // earlier order came to closes no machine and opens none for a second order at a time.
-func TestOrderAnswersOfAnEarlierTokenAreDropped(t *testing.T) {
+func TestCommandAnswersOfAnEarlierTokenAreDropped(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestOrderAnswersAreOfTheirMachineAndTime: an answer of another machine leaves the launch
+// TestCommandAnswersOfOthersOrOvertakenAreNotRead: an answer of another machine leaves the launch
 // in doubt; one that a newer heartbeat has overtaken, or of another session, is not read.
-func TestOrderAnswersAreOfTheirMachineAndTime(t *testing.T) {
+func TestCommandAnswersOfOthersOrOvertakenAreNotRead(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		do    func(*registryFixture, *Heartbeat)
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestOneDirectOrderAtATime: what is placed while an order is under way to the machine leaves
+// TestOneDirectMessageAtATime: what is placed while an order is under way to the machine leaves
 // when that is answered.
-func TestOneDirectOrderAtATime(t *testing.T) {
+func TestOneDirectMessageAtATime(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
@@ -77,9 +77,9 @@
 	fixture.takeDirectMessage(t)
 }
 
-// TestNoOrdersWithoutAValidLease: an owner whose lease is not surely valid launches nothing,
+// TestNoCommandsWithoutAValidLease: an owner whose lease is not surely valid launches nothing,
 // neither directly nor with an answer.
-func TestNoOrdersWithoutAValidLease(t *testing.T) {
+func TestNoCommandsWithoutAValidLease(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestLaunchNeedsANewerProof: a launch leaves only when it is proven, of a moment after the
+// TestLaunchNeedsCancellationsVerifiedAfterThePlacement: a launch leaves only when it is proven, of a moment after the
 // placement, that the job is not cancelled; neither directly nor with an answer.
-func TestLaunchNeedsANewerProof(t *testing.T) {
+func TestLaunchNeedsCancellationsVerifiedAfterThePlacement(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	fixture.needsVerification, fixture.verifiedAt = true, fixture.now
@@ -112,9 +112,9 @@
 	fixture.takeDirectMessage(t)
 }
 
-// TestUnansweredOrderClosesMachine: a machine that has left an order unanswered
+// TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat: a machine that has left an order unanswered
 // gets no more tasks before it reports.
-func TestUnansweredOrderClosesMachine(t *testing.T) {
+func TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	fixture.worker.token = 1
--- a/internal/workers/deaf_workers_test.go
+++ b/internal/workers/deaf_workers_test.go
@@ -9,10 +9,10 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestDeafMachineGetsNothing: a machine that reports and does not hear is left
+// TestDeafWorkerGetsNoTasksUntilItAnswersAProbe: a machine that reports and does not hear is left
 // alone after a few reports, and not answered; when it answers a question it is
 // back.
-func TestDeafMachineGetsNothing(t *testing.T) {
+func TestDeafWorkerGetsNoTasksUntilItAnswersAProbe(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	sent := fixture.now
 	_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestOnlyTheTokenShowsThatADeafMachineHears: an answer under an earlier token is none to us.
-func TestOnlyTheTokenShowsThatADeafMachineHears(t *testing.T) {
+// TestOnlyThePresentTokenEndsDeafness: an answer under an earlier token is none to us.
+func TestOnlyThePresentTokenEndsDeafness(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	worker.Deaf = true
--- a/internal/workers/drains_test.go
+++ b/internal/workers/drains_test.go
@@ -7,10 +7,10 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestDrainedMachineMovesWork: replicas leave a machine that is drained, and
+// TestTasksLeaveDrainedWorkers: replicas leave a machine that is drained, and
 // tasks that can save are told to in time before the cloud takes theirs; others
 // run on.
-func TestDrainedMachineMovesWork(t *testing.T) {
+func TestTasksLeaveDrainedWorkers(t *testing.T) {
 	for name, test := range map[string]struct {
 		shape     string
 		saveEvery float64
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -106,9 +106,9 @@
 
 func newRegistryFixture(tasks int) *registryFixture {
 	fixture := &registryFixture{token: 1, now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Workers.ReportS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 36, 66
-	fixture.registry = NewRegistry(Dependencies{Runtime: fixture, Lease: fixture, Tasks: fixture, Scheduler: fixture, Settings: set, Log: slog.New(slog.DiscardHandler)})
+	config := &settings.Settings{}
+	config.Deployment.Workers.ReportS, config.Deployment.Workers.LeaseS, config.Deployment.Workers.CancelS = 5, 36, 66
+	fixture.registry = NewRegistry(Dependencies{Runtime: fixture, Lease: fixture, Tasks: fixture, Scheduler: fixture, Settings: config, Log: slog.New(slog.DiscardHandler)})
 	index := make([]int, tasks)
 	for i := range index {
 		index[i] = i
@@ -142,27 +142,28 @@
 	worker := &f.worker
 	worker.sequence++
 	heartbeat := &Heartbeat{WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: worker.session, Sequence: worker.sequence, Token: worker.token}
-	for ref, attempt := range worker.tasks {
+	for name, attempt := range worker.tasks {
 		phase := f.phase
 		if phase == "" {
 			phase = PhaseRunning
 		}
-		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: ref, Attempt: attempt, Phase: phase})
+		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: name, Attempt: attempt, Phase: phase})
 	}
 	return heartbeat
 }
 
 // executeCommands carries orders out.
-func (f *registryFixture) executeCommands(token uint64, orders []Command) {
+func (f *registryFixture) executeCommands(token uint64, commands []Command) {
 	worker := &f.worker
 	worker.token = token
-	for _, command := range orders {
+	for _, command := range commands {
 		switch command.Verb {
 		case VerbLaunch:
 			if key := fmt.Sprint(command.TaskName, "@", command.Attempt); !worker.everLaunched[key] {
 				worker.everLaunched[key] = true
 				worker.tasks[command.TaskName] = command.Attempt
 			}
+		case VerbForget: // only ended tasks, which this worker does not keep
 		case VerbHalt:
 			if worker.tasks[command.TaskName] == command.Attempt {
 				delete(worker.tasks, command.TaskName)
@@ -172,13 +173,13 @@
 }
 
 // receiveAnswer takes the answer to a report that was sent at a time.
-func (f *registryFixture) receiveAnswer(body []byte, shift uint64, sent time.Duration) {
+func (f *registryFixture) receiveAnswer(body []byte, session uint64, sentAt time.Duration) {
 	f.expireLease()
 	var message CommandMessage
-	if json.Unmarshal(body, &message) != nil || message.Token < f.worker.token || shift != f.worker.session {
+	if json.Unmarshal(body, &message) != nil || message.Token < f.worker.token || session != f.worker.session {
 		return
 	}
-	f.worker.leaseRenewedAt = max(f.worker.leaseRenewedAt, sent)
+	f.worker.leaseRenewedAt = max(f.worker.leaseRenewedAt, sentAt)
 	f.executeCommands(message.Token, message.Commands)
 }
 
@@ -250,12 +251,12 @@
 	t.Helper()
 	for range 2 {
 		f.now += time.Second
-		sent, heartbeat := f.now, f.heartbeat()
+		sentAt, heartbeat := f.now, f.heartbeat()
 		status, body := f.registry.HandleHeartbeat(heartbeat)
 		if status != 200 {
 			t.Fatalf("answered %d", status)
 		}
-		f.receiveAnswer(body, heartbeat.Session, sent)
+		f.receiveAnswer(body, heartbeat.Session, sentAt)
 	}
 	return f.registry.Worker("vm-1")
 }
--- a/internal/workers/gangs_test.go
+++ b/internal/workers/gangs_test.go
@@ -7,10 +7,10 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestGangCausesAreNoFaults: alone and mates_gone say nothing against the machine
+// TestGangCausesCountAsNoFailures: alone and mates_gone say nothing against the machine
 // or the job, however often; a gang that was never complete is tried again after a
 // pause that grows.
-func TestGangCausesAreNoFaults(t *testing.T) {
+func TestGangCausesCountAsNoFailures(t *testing.T) {
 	for _, cause := range []EndCause{CauseAlone, CauseMatesGone} {
 		fixture := newGangFixture(3)
 		fixture.phase = "fetching"
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestOneDoneAllDone: one task of a gang proven done means that all are; those not
+// TestOneTaskDoneMeansTheGangIsDone: one task of a gang proven done means that all are; those not
 // heard of occupy their places until they are proven gone, and nothing is launched.
-func TestOneDoneAllDone(t *testing.T) {
+func TestOneTaskDoneMeansTheGangIsDone(t *testing.T) {
 	fixture := newGangFixture(3)
 	worker := fixture.placeAndLaunchAll(t)
 	fixture.reportAll(t, "running", "")
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestReturnedMachineStaysGone: a heartbeat that was under way when the cloud took the
+// TestHeartbeatOfAReleasedMachineIsRefused: a heartbeat that was under way when the cloud took the
 // machine back brings it back for nobody.
-func TestReturnedMachineStaysGone(t *testing.T) {
+func TestHeartbeatOfAReleasedMachineIsRefused(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	fixture.registry.MachineReleased("vm-1")
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestCopyOpensNothing: a late copy of a report opens no machine for a new
+// TestLateCopyOfAHeartbeatChangesNothing: a late copy of a report opens no machine for a new
 // owner, shows no task gone, and never moves the lease's end to earlier.
-func TestCopyOpensNothing(t *testing.T) {
+func TestLateCopyOfAHeartbeatChangesNothing(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	old := fixture.heartbeat()
 	fixture.worker.token = fixture.token
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -8,8 +8,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestSilentMachinesTasksWaitOutItsLease: also its drift and a margin.
-func TestSilentMachinesTasksWaitOutItsLease(t *testing.T) {
+// TestTasksOfASilentWorkerWaitOutItsLease: also its drift and a margin.
+func TestTasksOfASilentWorkerWaitOutItsLease(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
 	task := fixture.job.Tasks[0]
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestOrderAnswerProvesNothingGone: the answer to an order may be newer than a heartbeat and
+// TestCommandAnswerProvesNoTaskGone: the answer to an order may be newer than a heartbeat and
 // yet older than the worker's reading of our reply to it, which carried a launch.
-func TestOrderAnswerProvesNothingGone(t *testing.T) {
+func TestCommandAnswerProvesNoTaskGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
 	first := fixture.job.Tasks[0]
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestReportedTaskCountsWithItsAttempt: another attempt than the one on record is ended, and
+// TestReportedTaskOfAnotherAttemptIsHalted: another attempt than the one on record is ended, and
 // keeps the machine from other work until it is.
-func TestReportedTaskCountsWithItsAttempt(t *testing.T) {
+func TestReportedTaskOfAnotherAttemptIsHalted(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	task := fixture.job.Tasks[0]
@@ -110,10 +110,10 @@
 	}
 }
 
-// TestUnknownWordsOccupy: a state or a reason that this version does not know
+// TestUnknownPhasesAndCausesProveNothingGone: a state or a reason that this version does not know
 // never proves a task gone, nor does it keep the task for ever: one with an unknown
 // reason is forgotten, and gone when it is off the list.
-func TestUnknownWordsOccupy(t *testing.T) {
+func TestUnknownPhasesAndCausesProveNothingGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	worker := fixture.placeAndLaunchAll(t)
 	if fixture.reportAll(t, "pondering", ""); len(worker.Tasks) != 2 {
--- a/internal/workers/release_test.go
+++ b/internal/workers/release_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestGiveBackLosesNothing: a machine is given back only when nothing is, or may be, on it,
+// TestReleaseLosesNoTasks: a machine is given back only when nothing is, or may be, on it,
 // or when what is on it is lost already.
-func TestGiveBackLosesNothing(t *testing.T) {
+func TestReleaseLosesNoTasks(t *testing.T) {
 	notice := 60.0
 	drained := func(fixture *registryFixture, worker *Worker) { fixture.registry.StopPlacements(worker.ID, "idle") }
 	closed := func(fixture *registryFixture, _ *Worker) { fixture.closedByDrain = true }
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestOutageIsNoSilence guards against a fault of a day with an outage of the
+// TestOutageOfTheStateServiceIsNoSilenceOfWorkers guards against a fault of a day with an outage of the
 // state service that outlasted the hold: reports were turned away, and at its
 // end the machines counted as silent and were returned with their tasks.
-func TestOutageIsNoSilence(t *testing.T) {
+func TestOutageOfTheStateServiceIsNoSilenceOfWorkers(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	worker := fixture.registry.Worker("vm-1")
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestWireReport: what a worker says of its machine.
-func TestWireReport(t *testing.T) {
+// TestWireHeartbeat: what a worker says of its machine.
+func TestWireHeartbeat(t *testing.T) {
 	const report = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
 		`"pieces":[{"piece":"wk-000001/2","try":7,"phase":"ended","cause":"done","stored":true},{"piece":"wk-000001/3","try":8,"phase":"running"}]}`
 	wiretest.Same(t, report, &Heartbeat{})
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestWireOrders: what a worker is answered and ordered.
-func TestWireOrders(t *testing.T) {
+// TestWireCommands: what a worker is answered and ordered.
+func TestWireCommands(t *testing.T) {
 	wiretest.Same(t, `{"baton":1,"shift":2,"orders":[{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5},`+
 		`{"verb":"launch","piece":"wk-000001/3","try":5},{"verb":"forget","piece":"wk-000001/4","try":6}]}`, &CommandMessage{})
 	wiretest.Written(t, CommandMessage{Token: 1, Commands: []Command{}}, `{"baton":1,"orders":[]}`)
--- a/internal/workers/zones_test.go
+++ b/internal/workers/zones_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestDarkZoneGetsNoTasks: a zone from which nothing is heard while others
+// TestPartitionedZoneGetsNoTasks: a zone from which nothing is heard while others
 // report is taken for cut off before its machines are late one by one. What was
 // placed there meanwhile waited for the end of their leases.
-func TestDarkZoneGetsNoTasks(t *testing.T) {
+func TestPartitionedZoneGetsNoTasks(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	report := func(zone string, tick int) {
 		for i := range 40 {
