--- a/internal/workers/announcements_test.go
+++ b/internal/workers/announcements_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestNewTokenIsAnnouncedToLiveWorkersFirst guards against a takeover that waits: of hundreds
-// of machines, those heard of late are told of the new token before any that
-// have been silent, each of which is waited for in vain.
+// of workers, those heard of late are told of the new token before any that have been
+// silent, each of which is waited for to no purpose.
 func TestNewTokenIsAnnouncedToLiveWorkersFirst(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	const all = 900
@@ -52,28 +52,30 @@
 // and under the token announced.
 func TestAnnouncementAnswerMustBeTheWorkersOwnAndCurrent(t *testing.T) {
 	for name, change := range map[string]func(*Heartbeat){
-		"":                   func(*Heartbeat) {},
+		"own and current":    func(*Heartbeat) {},
 		"of another machine": func(heartbeat *Heartbeat) { heartbeat.WorkerID = "vm-2" },
 		"of another token":   func(heartbeat *Heartbeat) { heartbeat.Token-- },
 		"of a session over":  func(heartbeat *Heartbeat) { heartbeat.Session-- },
 	} {
-		fixture := newRegistryFixture(1)
-		fixture.worker.session = 2
-		worker := fixture.exchangeHeartbeats(t)
-		heard := worker.LastHeartbeatAt
-		fixture.beginTerm()
-		fixture.now += time.Second
-		direct := fixture.takeDirectMessage(t)
-		fixture.deliverDirect(direct)
-		heartbeat := fixture.heartbeat()
-		change(heartbeat)
-		raw, err := json.Marshal(heartbeat)
-		if err != nil {
-			t.Fatal(err)
-		}
-		direct.fn(http1.Response{Status: 200, Body: raw}, nil)
-		if counts := worker.LastHeartbeatAt > heard; counts != (name == "") {
-			t.Errorf("answer %s counts: %v", name, counts)
-		}
+		t.Run(name, func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			fixture.worker.session = 2
+			worker := fixture.exchangeHeartbeats(t)
+			heard := worker.LastHeartbeatAt
+			fixture.beginTerm()
+			fixture.now += time.Second
+			direct := fixture.takeDirectMessage(t)
+			fixture.deliverDirect(direct)
+			heartbeat := fixture.heartbeat()
+			change(heartbeat)
+			raw, err := json.Marshal(heartbeat)
+			if err != nil {
+				t.Fatal(err)
+			}
+			direct.fn(http1.Response{Status: 200, Body: raw}, nil)
+			if counts := worker.LastHeartbeatAt > heard; counts != (name == "own and current") {
+				t.Errorf("answer %s counts: %v", name, counts)
+			}
+		})
 	}
 }
--- a/internal/workers/cancellations_test.go
+++ b/internal/workers/cancellations_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"testing"
 	"time"
 
@@ -15,26 +16,28 @@
 // the users' limit, whether the records have the task or only the worker's list.
 func TestWorkerWithALongCancelledTaskIsNotAnswered(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
-		fixture := newRegistryFixture(1)
-		fixture.placeAndLaunchAll(t)
-		task := fixture.job.Tasks[0]
-		fixture.cancelledAt, fixture.job.Cancelled = fixture.now, true
-		if !recorded {
-			fixture.registry.removeTask(fixture.registry.Worker("vm-1"), task)
-			task.State, task.WorkerID = taskstate.StateDropped, ""
-		}
-		fixture.now += fixture.registry.settings.MaxKnowledgeAge() - time.Second
-		if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 {
-			t.Errorf("answered %d in time", status)
-		}
-		fixture.now += time.Second
-		if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 {
-			t.Errorf("on record %v: answered %d though its lease would run past the limit", recorded, status)
-		}
+		t.Run(fmt.Sprint("recorded ", recorded), func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			fixture.placeAndLaunchAll(t)
+			task := fixture.job.Tasks[0]
+			fixture.cancelledAt, fixture.job.Cancelled = fixture.now, true
+			if !recorded {
+				fixture.registry.removeTask(fixture.registry.Worker("vm-1"), task)
+				task.State, task.WorkerID = taskstate.StateDropped, ""
+			}
+			fixture.now += fixture.registry.settings.MaxKnowledgeAge() - time.Second
+			if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 {
+				t.Errorf("answered %d in time", status)
+			}
+			fixture.now += time.Second
+			if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 {
+				t.Errorf("on record %v: answered %d though its lease would run past the limit", recorded, status)
+			}
+		})
 	}
 }
 
-// TestHaltOfACancelledTaskIsRepeated: a direct order to end it may be lost, so it is sent again
+// TestHaltOfACancelledTaskIsRepeated: a direct message to end it may be lost, so it is sent again
 // until the task is proven gone.
 func TestHaltOfACancelledTaskIsRepeated(t *testing.T) {
 	fixture := newRegistryFixture(1)
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestCommandAnswersOfAnEarlierTokenAreDropped: the records have been read anew since; what an
-// earlier order came to closes no machine and opens none for a second order at a time.
+// earlier message came to keeps no tasks away and lets no second message leave at a time.
 func TestCommandAnswersOfAnEarlierTokenAreDropped(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
@@ -25,7 +25,7 @@
 	fixture.takeDirectMessage(t)
 	late.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	if !fixture.registry.AcceptsTasks(worker) || !worker.delivery.inFlight {
-		t.Errorf("open %v, an order is under way: %v", fixture.registry.AcceptsTasks(worker), worker.delivery.inFlight)
+		t.Errorf("accepts tasks: %v, a message is under way: %v", fixture.registry.AcceptsTasks(worker), worker.delivery.inFlight)
 	}
 }
 
@@ -45,8 +45,8 @@
 			fixture := newRegistryFixture(1)
 			worker := fixture.exchangeHeartbeats(t)
 			task := fixture.placeTask(0)
-			order := fixture.takeDirectMessage(t)
-			fixture.deliverDirect(order)
+			direct := fixture.takeDirectMessage(t)
+			fixture.deliverDirect(direct)
 			answer := fixture.heartbeat()
 			answer.Tasks = append(answer.Tasks, ReportedTask{Name: "wk-1/7", Attempt: 1, Phase: "running"})
 			test.do(fixture, answer)
@@ -54,7 +54,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			order.fn(http1.Response{Status: 200, Body: raw}, nil)
+			direct.fn(http1.Response{Status: 200, Body: raw}, nil)
 			if worker.UnknownTasks > 0 || task.LaunchInDoubt != test.doubt {
 				t.Errorf("tasks not on record: %d, in doubt: %v", worker.UnknownTasks, task.LaunchInDoubt)
 			}
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestOneDirectMessageAtATime: what is placed while an order is under way to the machine leaves
+// TestOneDirectMessageAtATime: what is placed while a message is under way to the worker leaves
 // when that is answered.
 func TestOneDirectMessageAtATime(t *testing.T) {
 	fixture := newRegistryFixture(2)
@@ -71,7 +71,7 @@
 	first := fixture.takeDirectMessage(t)
 	fixture.placeTask(1)
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
-		t.Fatal("a second order has left")
+		t.Fatal("a second message has left")
 	}
 	first.fn(fixture.deliverDirect(first), nil)
 	fixture.takeDirectMessage(t)
@@ -85,7 +85,7 @@
 	fixture.placeTask(0)
 	fixture.leaseInvalid = true
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
-		t.Error("a direct order has left")
+		t.Error("a direct message has left")
 	}
 	fixture.now += time.Second
 	if _, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); len(commandsOf(t, body)) > 0 {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestLaunchNeedsCancellationsVerifiedAfterThePlacement: a launch leaves only when it is proven, of a moment after the
-// placement, that the job is not cancelled; neither directly nor with an answer.
+// TestLaunchNeedsCancellationsVerifiedAfterThePlacement: a launch leaves only when it is verified, as of a moment
+// after the placement, that the job is not cancelled; neither directly nor with an answer.
 func TestLaunchNeedsCancellationsVerifiedAfterThePlacement(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
@@ -102,7 +102,7 @@
 	fixture.now += time.Millisecond
 	fixture.placeTask(0)
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
-		t.Error("a direct order has left")
+		t.Error("a direct message has left")
 	}
 	fixture.now += time.Second
 	if _, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); len(commandsOf(t, body)) > 0 {
@@ -112,8 +112,8 @@
 	fixture.takeDirectMessage(t)
 }
 
-// TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat: a machine that has left an order unanswered
-// gets no more tasks before it reports.
+// TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat: a worker that has left a
+// command unanswered gets no more tasks before its next heartbeat.
 func TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -126,7 +126,7 @@
 	fixture.registry.PlacementDurable(task)
 	fixture.registry.AfterBatch()
 	if len(fixture.calls) != 1 || !fixture.registry.AcceptsTasks(worker) {
-		t.Fatalf("%d orders, open %v", len(fixture.calls), fixture.registry.AcceptsTasks(worker))
+		t.Fatalf("%d messages, accepts tasks: %v", len(fixture.calls), fixture.registry.AcceptsTasks(worker))
 	}
 	fixture.now += 2 * time.Second
 	fixture.calls[0].fn(http1.Response{}, eventloop.ErrNoAnswer)
@@ -134,7 +134,7 @@
 		t.Error("it is given more")
 	}
 	fixture.now += time.Second
-	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // which makes the table take a new token
+	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // which makes the registry take a new token
 	task.LaunchInDoubt = false                            // which settles it: tasks are read anew
 	fixture.worker.token = fixture.token
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
--- a/internal/workers/deaf_workers_test.go
+++ b/internal/workers/deaf_workers_test.go
@@ -9,9 +9,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestDeafWorkerGetsNoTasksUntilItAnswersAProbe: a machine that reports and does not hear is left
-// alone after a few reports, and not answered; when it answers a question it is
-// back.
+// TestDeafWorkerGetsNoTasksUntilItAnswersAProbe: a worker whose heartbeats arrive, but
+// which does not hear, gets no tasks after a few heartbeats, and no answers; when it answers
+// a probe it gets both again.
 func TestDeafWorkerGetsNoTasksUntilItAnswersAProbe(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	sent := fixture.now
@@ -34,7 +34,7 @@
 	fixture.now += tuning.DeafProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
-		t.Fatalf("%d questions", len(fixture.calls))
+		t.Fatalf("%d probes", len(fixture.calls))
 	}
 	fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -51,7 +51,7 @@
 	fixture.now += tuning.DeafProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
-		t.Fatalf("%d questions", len(fixture.calls))
+		t.Fatalf("%d probes", len(fixture.calls))
 	}
 	heartbeat := fixture.heartbeat()
 	heartbeat.Token = fixture.token - 1
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -22,15 +22,15 @@
 	token               uint64
 	registry            *Registry
 	job                 *taskstate.Job
-	calls               []sentRequest // direct orders on their way
+	calls               []sentRequest // direct messages on their way
 	onTaskWaiting       func(*taskstate.Task)
-	turnsHeartbeatsAway bool      // reports are turned away
-	phase               TaskPhase // of the tasks in reports, "" for running
+	turnsHeartbeatsAway bool      // heartbeats are not answered
+	phase               TaskPhase // of the tasks in heartbeats, "" for running
 	// Of cancellations: when the user was told, 0 for never, and up to when the owner
 	// knows of them; knows: it rests on that.
 	cancelledAt, verifiedAt   time.Duration
 	needsVerification         bool
-	noNewToken                bool          // there is no new token to be had
+	noNewToken                bool          // no new token is to be had
 	leaseInvalid              bool          // the lease is not surely valid
 	closedByDrain             bool          // operators' drains keep new tasks off the machine
 	previousOwnerAnswersUntil time.Duration // until then an earlier owner may answer
@@ -152,7 +152,7 @@
 	return heartbeat
 }
 
-// executeCommands carries orders out.
+// executeCommands carries commands out.
 func (f *registryFixture) executeCommands(token uint64, commands []Command) {
 	worker := &f.worker
 	worker.token = token
@@ -172,7 +172,7 @@
 	}
 }
 
-// receiveAnswer takes the answer to a report that was sent at a time.
+// receiveAnswer takes the answer to a heartbeat that was sent at a time.
 func (f *registryFixture) receiveAnswer(body []byte, session uint64, sentAt time.Duration) {
 	f.expireLease()
 	var message CommandMessage
@@ -183,7 +183,7 @@
 	f.executeCommands(message.Token, message.Commands)
 }
 
-// deliverDirect carries a direct order out, perhaps late.
+// deliverDirect carries a direct message out, perhaps late.
 func (f *registryFixture) deliverDirect(direct sentRequest) http1.Response {
 	f.expireLease()
 	var message CommandMessage
@@ -196,7 +196,7 @@
 	return http1.Response{Status: 200, Body: raw}
 }
 
-// placeAndLaunchAll places all tasks of the bench's job on its machine and lets the worker
+// placeAndLaunchAll places all tasks of the job on the machine and lets the worker
 // launch them.
 func (f *registryFixture) placeAndLaunchAll(t *testing.T) *Worker {
 	t.Helper()
@@ -230,7 +230,7 @@
 	return worker
 }
 
-// reportAll reports the tasks in a state, and returns the orders of the answer.
+// reportAll reports all tasks in a phase, and returns the commands of the answer.
 func (f *registryFixture) reportAll(t *testing.T, phase TaskPhase, cause EndCause) []Command {
 	t.Helper()
 	f.now += time.Second
@@ -246,7 +246,7 @@
 	return message.Commands
 }
 
-// exchangeHeartbeats has the worker report and hear the answer, and then show the token.
+// exchangeHeartbeats has the worker send a heartbeat and hear the answer, and then show the token.
 func (f *registryFixture) exchangeHeartbeats(t *testing.T) *Worker {
 	t.Helper()
 	for range 2 {
@@ -270,19 +270,19 @@
 	return task
 }
 
-// takeDirectMessage lets the next direct order leave.
+// takeDirectMessage lets a direct message leave, which must be the only one, and returns it.
 func (f *registryFixture) takeDirectMessage(t *testing.T) sentRequest {
 	t.Helper()
 	f.registry.AfterBatch()
 	if len(f.calls) != 1 {
-		t.Fatalf("%d direct orders", len(f.calls))
+		t.Fatalf("%d direct messages", len(f.calls))
 	}
 	direct := f.calls[0]
 	f.calls = nil
 	return direct
 }
 
-// commandsOf are those of an answer to a heartbeat.
+// commandsOf reads the commands of an answer to a heartbeat.
 func commandsOf(t *testing.T, body []byte) []Command {
 	t.Helper()
 	var message CommandMessage
--- a/internal/workers/gangs_test.go
+++ b/internal/workers/gangs_test.go
@@ -12,28 +12,30 @@
 // pause that grows.
 func TestGangCausesCountAsNoFailures(t *testing.T) {
 	for _, cause := range []EndCause{CauseAlone, CauseMatesGone} {
-		fixture := newGangFixture(3)
-		fixture.phase = "fetching"
-		var pause time.Duration
-		for round := range 5 {
-			worker := fixture.placeAndLaunchAll(t)
-			fixture.reportAll(t, "waiting", "")
-			fixture.reportAll(t, "ended", cause)
-			clear(fixture.worker.tasks)
-			if worker.DrainReason != "" || worker.ConsecutiveFailures > 0 || fixture.job.ConsecutiveFailures > 0 {
-				t.Fatalf("%s counts as a fault: %+v", cause, worker)
-			}
-			if fixture.job.Gang.Attempt != 0 || len(worker.Tasks) != 0 {
-				t.Fatalf("%s: the attempt is not through", cause)
-			}
-			if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
-				if round > 0 && wait <= pause {
-					t.Errorf("round %d: a pause of %v after one of %v", round, wait, pause)
+		t.Run(string(cause), func(t *testing.T) {
+			fixture := newGangFixture(3)
+			fixture.phase = "fetching"
+			var pause time.Duration
+			for round := range 5 {
+				worker := fixture.placeAndLaunchAll(t)
+				fixture.reportAll(t, "waiting", "")
+				fixture.reportAll(t, "ended", cause)
+				clear(fixture.worker.tasks)
+				if worker.DrainReason != "" || worker.ConsecutiveFailures > 0 || fixture.job.ConsecutiveFailures > 0 {
+					t.Fatalf("%s counts as a fault: %+v", cause, worker)
+				}
+				if fixture.job.Gang.Attempt != 0 || len(worker.Tasks) != 0 {
+					t.Fatalf("%s: the attempt is not through", cause)
 				}
-				pause = wait
+				if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
+					if round > 0 && wait <= pause {
+						t.Errorf("round %d: a pause of %v after one of %v", round, wait, pause)
+					}
+					pause = wait
+				}
+				fixture.now += time.Minute
 			}
-			fixture.now += time.Minute
-		}
+		})
 	}
 }
 
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestLateCopyOfAHeartbeatChangesNothing: a late copy of a report opens no machine for a new
-// owner, shows no task gone, and never moves the lease's end to earlier.
+// TestLateCopyOfAHeartbeatChangesNothing: a late copy of a heartbeat opens no worker for a
+// new owner, proves no task gone, and never moves the lease's end to earlier.
 func TestLateCopyOfAHeartbeatChangesNothing(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	old := fixture.heartbeat()
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestOldCopyDoesNotShortenTheLease: a new owner begins while the earlier one goes on
-// answering the worker for a while. A copy of an old report that reaches the new one first
+// answering the worker for a while. A copy of an old heartbeat that reaches the new one first
 // shows an earlier token: it says nothing of how long that may go on. Counted from the
 // copy, the lease had run out by reckoning while the worker ran on, and its tasks were
 // started elsewhere besides.
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestCommandAnswerProvesNoTaskGone: the answer to an order may be newer than a heartbeat and
+// TestCommandAnswerProvesNoTaskGone: the answer to a command may be newer than a heartbeat and
 // yet older than the worker's reading of our reply to it, which carried a launch.
 func TestCommandAnswerProvesNoTaskGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
@@ -110,18 +110,18 @@
 	}
 }
 
-// TestUnknownPhasesAndCausesProveNothingGone: a state or a reason that this version does not know
-// never proves a task gone, nor does it keep the task for ever: one with an unknown
-// reason is forgotten, and gone when it is off the list.
+// TestUnknownPhasesAndCausesProveNothingGone: a phase or a cause that this
+// version does not know never proves a task gone, nor does it keep the task for ever: one
+// with an unknown cause is forgotten, and gone when it is off the list.
 func TestUnknownPhasesAndCausesProveNothingGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	worker := fixture.placeAndLaunchAll(t)
 	if fixture.reportAll(t, "pondering", ""); len(worker.Tasks) != 2 {
-		t.Errorf("%d of 2 tasks occupy the machine in an unknown state", len(worker.Tasks))
+		t.Errorf("%d of 2 tasks occupy the machine in an unknown phase", len(worker.Tasks))
 	}
-	orders := fixture.reportAll(t, "ended", "moonshine")
-	if len(worker.Tasks) != 2 || len(orders) != 2 || orders[0].Verb != "forget" {
-		t.Errorf("%d tasks, orders %+v", len(worker.Tasks), orders)
+	commands := fixture.reportAll(t, "ended", "moonshine")
+	if len(worker.Tasks) != 2 || len(commands) != 2 || commands[0].Verb != "forget" {
+		t.Errorf("%d tasks, commands %+v", len(worker.Tasks), commands)
 	}
 	clear(fixture.worker.tasks)
 	if fixture.reportAll(t, "", ""); len(worker.Tasks) != 0 {
--- a/internal/workers/release_test.go
+++ b/internal/workers/release_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestReleaseLosesNoTasks: a machine is given back only when nothing is, or may be, on it,
+// TestReleaseLosesNoTasks: a machine is released only when nothing is, or may be, on it,
 // or when what is on it is lost already.
 func TestReleaseLosesNoTasks(t *testing.T) {
 	notice := 60.0
@@ -51,14 +51,14 @@
 			}
 			test.do(fixture, worker)
 			if got := fixture.registry.ReleaseReason(worker, test.silent, test.up); got != test.want {
-				t.Errorf("given back for %q, want %q", got, test.want)
+				t.Errorf("released for %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
 // TestOutageOfTheStateServiceIsNoSilenceOfWorkers guards against a fault of a day with an outage of the
-// state service that outlasted the hold: reports were turned away, and at its
+// state service that outlasted the answer grace period: heartbeats were turned away, and at its
 // end the machines counted as silent and were returned with their tasks.
 func TestOutageOfTheStateServiceIsNoSilenceOfWorkers(t *testing.T) {
 	fixture := newRegistryFixture(1)
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -35,17 +35,17 @@
 
 // TestWireHeartbeat: what a worker says of its machine.
 func TestWireHeartbeat(t *testing.T) {
-	const report = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
+	const text = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
 		`"pieces":[{"piece":"wk-000001/2","try":7,"phase":"ended","cause":"done","stored":true},{"piece":"wk-000001/3","try":8,"phase":"running"}]}`
-	wiretest.Same(t, report, &Heartbeat{})
-	parsed, err := ParseHeartbeat([]byte(report))
+	wiretest.Same(t, text, &Heartbeat{})
+	parsed, err := ParseHeartbeat([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, report)
-	for _, text := range []string{`{"shift":3}`, `{"host":"vm-1"}`, `{"host":"vm-1","shift":0}`} {
-		if _, err := ParseHeartbeat([]byte(text)); err == nil || err.Error() != `report: "host" or "shift" missing` {
-			t.Errorf("%s: %v", text, err)
+	wiretest.Written(t, parsed, text)
+	for _, incomplete := range []string{`{"shift":3}`, `{"host":"vm-1"}`, `{"host":"vm-1","shift":0}`} {
+		if _, err := ParseHeartbeat([]byte(incomplete)); err == nil || err.Error() != `report: "host" or "shift" missing` {
+			t.Errorf("%s: %v", incomplete, err)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestWireDirectLaunch: launches in a direct message, and in the answer to a report.
+// TestWireDirectLaunch: launches in a direct message, and in the answer to a heartbeat.
 func TestWireDirectLaunch(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	recorder := &recordingFixture{registryFixture: fixture}
@@ -124,15 +124,17 @@
 	for phase, want := range map[TaskPhase]struct{ runs, hasImage bool }{
 		"running": {true, true}, "saving": {false, true}, "waiting": {false, true}, "fetching": {false, false}, "novel": {false, false},
 	} {
-		fixture := newRegistryFixture(1)
-		fixture.phase = "fetching"
-		fixture.placeAndLaunchAll(t)
-		if orders := fixture.reportAll(t, phase, ""); len(orders) > 0 {
-			t.Errorf("%s: answered by %+v", phase, orders)
-		}
-		if task := fixture.job.Tasks[0]; task.Running != want.runs || task.HasImage != want.hasImage {
-			t.Errorf("%s: running %v, image there %v", phase, task.Running, task.HasImage)
-		}
+		t.Run(string(phase), func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			fixture.phase = "fetching"
+			fixture.placeAndLaunchAll(t)
+			if commands := fixture.reportAll(t, phase, ""); len(commands) > 0 {
+				t.Errorf("%s: answered by %+v", phase, commands)
+			}
+			if task := fixture.job.Tasks[0]; task.Running != want.runs || task.HasImage != want.hasImage {
+				t.Errorf("%s: running %v, image there %v", phase, task.Running, task.HasImage)
+			}
+		})
 	}
 }
 
@@ -142,26 +144,30 @@
 	for phase, want := range map[TaskPhase]struct{ started, waits bool }{
 		"running": {started: true}, "saving": {started: true}, "waiting": {waits: true}, "fetching": {waits: true}, "novel": {},
 	} {
-		fixture := newGangFixture(2)
-		fixture.phase = "novel"
-		fixture.placeAndLaunchAll(t)
-		fixture.job.Gang.StartInDoubtSince = fixture.now // something is lost, before the next report
-		fixture.reportAll(t, phase, "")
-		if started, waits := fixture.job.Gang.Started, fixture.job.Gang.StartInDoubtSince == 0 && !fixture.job.Gang.AttemptOver; started != want.started || waits != want.waits {
-			t.Errorf("%s: started %v, waits %v", phase, started, waits)
-		}
+		t.Run(string(phase), func(t *testing.T) {
+			fixture := newGangFixture(2)
+			fixture.phase = "novel"
+			fixture.placeAndLaunchAll(t)
+			fixture.job.Gang.StartInDoubtSince = fixture.now // something is lost, before the next heartbeat
+			fixture.reportAll(t, phase, "")
+			if started, waits := fixture.job.Gang.Started, fixture.job.Gang.StartInDoubtSince == 0 && !fixture.job.Gang.AttemptOver; started != want.started || waits != want.waits {
+				t.Errorf("%s: started %v, waits %v", phase, started, waits)
+			}
+		})
 	}
 	for cause, started := range map[EndCause]bool{"mates_gone": true, "alone": false} {
-		fixture := newGangFixture(2)
-		fixture.phase = "fetching"
-		fixture.placeAndLaunchAll(t)
-		fixture.now += time.Second
-		heartbeat := fixture.heartbeat() // the other task has not noticed yet
-		heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = "ended", cause
-		fixture.registry.HandleHeartbeat(heartbeat)
-		if fixture.job.Gang.Started != started {
-			t.Errorf("%s: started %v", cause, !started)
-		}
+		t.Run(string(cause), func(t *testing.T) {
+			fixture := newGangFixture(2)
+			fixture.phase = "fetching"
+			fixture.placeAndLaunchAll(t)
+			fixture.now += time.Second
+			heartbeat := fixture.heartbeat() // the other task has not noticed yet
+			heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = "ended", cause
+			fixture.registry.HandleHeartbeat(heartbeat)
+			if fixture.job.Gang.Started != started {
+				t.Errorf("%s: started %v", cause, !started)
+			}
+		})
 	}
 }
 
@@ -169,30 +175,32 @@
 func TestWireCauses(t *testing.T) {
 	const forgotten = `[{"verb":"forget","piece":"wk-1/0","try":1}]`
 	for cause, want := range map[EndCause]struct {
-		orders                          string
+		commands                        string
 		gone, done, failed, full, delay bool
 	}{
-		"done":       {orders: `[]`, done: true},
-		"error":      {orders: forgotten, gone: true, failed: true},
-		"full":       {orders: forgotten, gone: true, full: true, delay: true},
-		"busy":       {orders: forgotten, gone: true, delay: true},
-		"unknown":    {orders: forgotten, gone: true, delay: true},
-		"halted":     {orders: forgotten, gone: true},
-		"alone":      {orders: forgotten, gone: true},
-		"mates_gone": {orders: forgotten, gone: true},
-		"novel":      {orders: forgotten},
+		"done":       {commands: `[]`, done: true},
+		"error":      {commands: forgotten, gone: true, failed: true},
+		"full":       {commands: forgotten, gone: true, full: true, delay: true},
+		"busy":       {commands: forgotten, gone: true, delay: true},
+		"unknown":    {commands: forgotten, gone: true, delay: true},
+		"halted":     {commands: forgotten, gone: true},
+		"alone":      {commands: forgotten, gone: true},
+		"mates_gone": {commands: forgotten, gone: true},
+		"novel":      {commands: forgotten},
 	} {
-		fixture := newRegistryFixture(1)
-		machine := fixture.placeAndLaunchAll(t)
-		gone := false
-		fixture.onTaskWaiting = func(*taskstate.Task) { gone = true }
-		orders := fixture.reportAll(t, "ended", cause)
-		wiretest.Written(t, orders, want.orders)
-		task := fixture.job.Tasks[0]
-		if done := task.State == taskstate.StateDone; gone != want.gone || done != want.done || (machine.ConsecutiveFailures > 0) != want.failed ||
-			(machine.RefusesUntil > 0) != want.full || (task.NotBefore > 0) != want.delay {
-			t.Errorf("%s: gone %v, done %v, failed %d, refused %v, not before %v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.NotBefore)
-		}
+		t.Run(string(cause), func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			machine := fixture.placeAndLaunchAll(t)
+			gone := false
+			fixture.onTaskWaiting = func(*taskstate.Task) { gone = true }
+			commands := fixture.reportAll(t, "ended", cause)
+			wiretest.Written(t, commands, want.commands)
+			task := fixture.job.Tasks[0]
+			if done := task.State == taskstate.StateDone; gone != want.gone || done != want.done || (machine.ConsecutiveFailures > 0) != want.failed ||
+				(machine.RefusesUntil > 0) != want.full || (task.NotBefore > 0) != want.delay {
+				t.Errorf("%s: gone %v, done %v, failed %d, refused %v, not before %v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.NotBefore)
+			}
+		})
 	}
 }
 
@@ -204,23 +212,27 @@
 		"running": `{"baton":1,"orders":[{"verb":"halt","piece":"wk-1/0","try":9,"windDownS":0}]}`,
 		"novel":   `{"baton":1,"orders":[{"verb":"halt","piece":"wk-1/0","try":9,"windDownS":0}]}`,
 	} {
-		fixture := newRegistryFixture(1)
-		fixture.worker.token = 1
-		heartbeat := fixture.heartbeat()
-		heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
-		if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
-			t.Errorf("%s: %d %s", phase, status, body)
-		}
+		t.Run(string(phase), func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			fixture.worker.token = 1
+			heartbeat := fixture.heartbeat()
+			heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
+			if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
+				t.Errorf("%s: %d %s", phase, status, body)
+			}
+		})
 	}
 	for cause, done := range map[EndCause]bool{"done": true, "error": false} {
-		fixture := newGangFixture(2)
-		fixture.worker.token = 1
-		heartbeat := fixture.heartbeat()
-		heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: "ended", Cause: cause}}
-		fixture.registry.HandleHeartbeat(heartbeat)
-		if fixture.job.Gang.Done != done {
-			t.Errorf("%s: done %v", cause, !done)
-		}
+		t.Run(string(cause), func(t *testing.T) {
+			fixture := newGangFixture(2)
+			fixture.worker.token = 1
+			heartbeat := fixture.heartbeat()
+			heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: "ended", Cause: cause}}
+			fixture.registry.HandleHeartbeat(heartbeat)
+			if fixture.job.Gang.Done != done {
+				t.Errorf("%s: done %v", cause, !done)
+			}
+		})
 	}
 }
 
@@ -231,15 +243,17 @@
 		"running": `{"baton":2,"orders":[{"verb":"halt","piece":"wk-1/0","try":1,"windDownS":0}]}`,
 		"ended":   `{"baton":2,"orders":[]}`,
 	} {
-		fixture := newRegistryFixture(1)
-		fixture.placeAndLaunchAll(t)
-		fixture.beginTerm()
-		fixture.job.Cancelled, fixture.cancelledAt = true, fixture.now
-		heartbeat := fixture.heartbeat()
-		heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = phase, "novel"
-		if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
-			t.Errorf("%s: %d %s", phase, status, body)
-		}
+		t.Run(string(phase), func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			fixture.placeAndLaunchAll(t)
+			fixture.beginTerm()
+			fixture.job.Cancelled, fixture.cancelledAt = true, fixture.now
+			heartbeat := fixture.heartbeat()
+			heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = phase, "novel"
+			if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
+				t.Errorf("%s: %d %s", phase, status, body)
+			}
+		})
 	}
 }
 
@@ -247,13 +261,15 @@
 // answered; one where it has ended is.
 func TestWireCancelledLongAgo(t *testing.T) {
 	for phase, want := range map[TaskPhase]int{"running": 503, "ended": 200} {
-		fixture := newRegistryFixture(1)
-		fixture.worker.token = 1
-		fixture.job.Cancelled, fixture.cancelledAt = true, 0
-		heartbeat := fixture.heartbeat()
-		heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
-		if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != want {
-			t.Errorf("%s: %d %s", phase, status, body)
-		}
+		t.Run(string(phase), func(t *testing.T) {
+			fixture := newRegistryFixture(1)
+			fixture.worker.token = 1
+			fixture.job.Cancelled, fixture.cancelledAt = true, 0
+			heartbeat := fixture.heartbeat()
+			heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
+			if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != want {
+				t.Errorf("%s: %d %s", phase, status, body)
+			}
+		})
 	}
 }
