--- a/internal/workers/task_ends.go
+++ b/internal/workers/task_ends.go
@@ -71,13 +71,6 @@
 	}
 }
 
-// Failures of a job's tasks in a row from which on the job is slowed down, and how often
-// its pause doubles at most.
-const (
-	slowdownFailures  = 3
-	maxPauseDoublings = 6
-)
-
 // noteTaskFailed takes note of a failure: workers that fail whatever they start get no more
 // tasks, and jobs that fail everywhere are slowed down.
 func (r *Registry) noteTaskFailed(worker *Worker, task *taskstate.Task) {
@@ -86,8 +79,8 @@
 	task.AvoidWorker = worker.ID
 	r.log.Info("task failed", "worker", worker.ID, "task", task.Name(), "count", worker.ConsecutiveFailures)
 	job.ConsecutiveFailures++
-	if job.ConsecutiveFailures >= slowdownFailures {
-		doublings := min(job.ConsecutiveFailures-slowdownFailures, maxPauseDoublings)
+	if job.ConsecutiveFailures >= tuning.SlowdownFailures {
+		doublings := min(job.ConsecutiveFailures-tuning.SlowdownFailures, tuning.MaxFailurePauseDoublings)
 		job.NotBefore = r.runtime.Now() + min(tuning.MinFailurePause<<doublings, tuning.MaxFailurePause)
 	}
 	// With tasks of one job only, the job may be the cause: it is if it fails elsewhere too.
