--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -13,33 +13,33 @@
 	"lemonmoor/internal/tuning"
 )
 
-// gang makes a gang whose tasks arrive.
-func (y *yard) gang(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
-	j := taskstate.NewJob(&jobs.Spec{
+// addGangJob makes a gang whose tasks arrive.
+func (y *plannerFixture) addGangJob(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
+	job := taskstate.NewJob(&jobs.Spec{
 		ID: fmt.Sprintf("wk-%d", id), Class: "g", Shape: "gang", Urgency: "standard", Image: image, ImageGB: 1, CPUs: cpus,
 		MemoryGB: cpus, Spot: true, Tasks: tasks,
 	}, y.now.Milliseconds()+int64(id), false)
-	j.Gang = &taskstate.Gang{}
+	job.Gang = &taskstate.Gang{}
 	index := make([]int, tasks)
 	for i := range index {
 		index[i] = i
 	}
-	taskstate.LoadRecord(j, taskstate.NewRecord(0, j.Spec.ID, 0, index, zones, nil))
-	for _, t := range j.Tasks {
-		y.AddTask(t, y.now)
+	taskstate.LoadRecord(job, taskstate.NewRecord(0, job.Spec.ID, 0, index, zones, nil))
+	for _, task := range job.Tasks {
+		y.AddTask(task, y.now)
 	}
-	return j
+	return job
 }
 
-func newGangYard(types ...*jobs.MachineType) *yard {
-	y := newYard(types...)
-	y.placesGangs = true
-	return y
+func newGangFixture(types ...*jobs.MachineType) *plannerFixture {
+	fixture := newPlannerFixture(types...)
+	fixture.placesGangs = true
+	return fixture
 }
 
-func placed(j *taskstate.Job) (n int) {
-	for _, t := range j.Tasks {
-		if t.State == taskstate.StatePlaced {
+func countPlaced(job *taskstate.Job) (n int) {
+	for _, task := range job.Tasks {
+		if task.State == taskstate.StatePlaced {
 			n++
 		}
 	}
@@ -55,59 +55,59 @@
 		for range rapid.IntRange(3, 8).Draw(t, "machines") {
 			types = append(types, rapid.SampledFrom([]*jobs.MachineType{small, large}).Draw(t, "type"))
 		}
-		y := newGangYard(types...)
+		fixture := newGangFixture(types...)
 		room := map[string]float64{}
-		for i, h := range y.hosts {
-			h.Zone = []string{"a", "b"}[i%2]
-			room[h.Zone] += h.MachineType.CPUs
+		for i, worker := range fixture.machines {
+			worker.Zone = []string{"a", "b"}[i%2]
+			room[worker.Zone] += worker.MachineType.CPUs
 		}
-		y.promptly = func(string) bool { return rapid.Bool().Draw(t, "prompt") }
+		fixture.promptly = func(string) bool { return rapid.Bool().Draw(t, "prompt") }
 		var gangs []*taskstate.Job
 		var small []*taskstate.Task
 		for n := range rapid.IntRange(1, 4).Draw(t, "gangs") {
 			zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 			cpus := rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "cpus")
-			gangs = append(gangs, y.gang(n, "g", cpus, rapid.IntRange(1, int(room[zone]/cpus)).Draw(t, "mates"), zone))
+			gangs = append(gangs, fixture.addGangJob(n, "g", cpus, rapid.IntRange(1, int(room[zone]/cpus)).Draw(t, "mates"), zone))
 		}
 		over := map[*taskstate.Job]bool{}
 		id := 100
 		for step := range 400 {
 			if step < 300 { // small work never ends
 				id++
-				small = append(small, y.job(id, "standard", "s", 1, rapid.IntRange(1, 6).Draw(t, "small"))...)
+				small = append(small, fixture.addJob(id, "standard", "s", 1, rapid.IntRange(1, 6).Draw(t, "small"))...)
 			}
-			y.round()
-			y.now += 5 * time.Second
-			for _, h := range y.hosts {
-				if free := h.Free(); free.CPUs < -1e-6 || free.MemoryGB < -1e-6 {
-					t.Fatalf("%s holds too much", h.ID)
+			fixture.runRound()
+			fixture.now += 5 * time.Second
+			for _, worker := range fixture.machines {
+				if free := worker.Free(); free.CPUs < -1e-6 || free.MemoryGB < -1e-6 {
+					t.Fatalf("%s holds too much", worker.ID)
 				}
 			}
-			for _, j := range gangs {
-				if over[j] || placed(j) == 0 {
+			for _, job := range gangs {
+				if over[job] || countPlaced(job) == 0 {
 					continue
 				}
-				if placed(j) != len(j.Tasks) {
-					t.Fatalf("%d of %d tasks are placed", placed(j), len(j.Tasks))
+				if countPlaced(job) != len(job.Tasks) {
+					t.Fatalf("%d of %d tasks are placed", countPlaced(job), len(job.Tasks))
 				}
-				for _, k := range j.Tasks {
-					if h := y.Worker(k.WorkerID); h.Zone != k.Zone || k.WireAttempt() != j.Gang.Attempt {
-						t.Fatalf("task in zone %s, not %s, attempt %d of %d", h.Zone, k.Zone, k.WireAttempt(), j.Gang.Attempt)
+				for _, task := range job.Tasks {
+					if worker := fixture.Worker(task.WorkerID); worker.Zone != task.Zone || task.WireAttempt() != job.Gang.Attempt {
+						t.Fatalf("task in zone %s, not %s, attempt %d of %d", worker.Zone, task.Zone, task.WireAttempt(), job.Gang.Attempt)
 					}
-					y.end(k)
+					fixture.endTask(task)
 				}
-				over[j] = true
+				over[job] = true
 			}
-			small = slices.DeleteFunc(small, func(k *taskstate.Task) bool {
-				if k.State == taskstate.StatePlaced && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
-					y.end(k)
+			small = slices.DeleteFunc(small, func(task *taskstate.Task) bool {
+				if task.State == taskstate.StatePlaced && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
+					fixture.endTask(task)
 				}
-				return k.State == taskstate.StateDone
+				return task.State == taskstate.StateDone
 			})
 		}
-		for _, j := range gangs {
-			if !over[j] {
-				t.Fatalf("a gang of %d tasks of %g processors has never found room", len(j.Tasks), j.Spec.CPUs)
+		for _, job := range gangs {
+			if !over[job] {
+				t.Fatalf("a gang of %d tasks of %g processors has never found room", len(job.Tasks), job.Spec.CPUs)
 			}
 		}
 	})
@@ -116,14 +116,14 @@
 // TestGangOnFewCachingMachines: machines that cache the image come first, and of
 // them one that takes all of the gang.
 func TestGangOnFewCachingMachines(t *testing.T) {
-	y := newGangYard(small, small, large, large)
-	y.hosts[3].UseImage("x", 1)
-	y.hosts[0].UseImage("x", 1)
-	j := y.gang(1, "x", 1, 8)
-	y.round()
-	for _, k := range j.Tasks {
-		if k.WorkerID != y.hosts[3].ID {
-			t.Errorf("task on %s", k.WorkerID)
+	fixture := newGangFixture(small, small, large, large)
+	fixture.machines[3].UseImage("x", 1)
+	fixture.machines[0].UseImage("x", 1)
+	job := fixture.addGangJob(1, "x", 1, 8)
+	fixture.runRound()
+	for _, task := range job.Tasks {
+		if task.WorkerID != fixture.machines[3].ID {
+			t.Errorf("task on %s", task.WorkerID)
 		}
 	}
 }
@@ -131,31 +131,31 @@
 // TestRoomForGangsToCome: after a gang, other work leaves room for the next, which
 // then starts at once; when none has come for a while it gets all room.
 func TestRoomForGangsToCome(t *testing.T) {
-	y := newGangYard(large, large, large, large, large, large)
-	for _, h := range y.hosts[1:] {
-		h.Used.CPUs = h.MachineType.CPUs // in use
+	fixture := newGangFixture(large, large, large, large, large, large)
+	for _, worker := range fixture.machines[1:] {
+		worker.Used.CPUs = worker.MachineType.CPUs // in use
 	}
-	y.promptly = func(string) bool { return true }
-	first := y.gang(1, "x", 2, 4)
-	y.round()
-	if placed(first) != 4 {
+	fixture.promptly = func(string) bool { return true }
+	first := fixture.addGangJob(1, "x", 2, 4)
+	fixture.runRound()
+	if countPlaced(first) != 4 {
 		t.Fatal("the first gang finds no room")
 	}
-	y.job(2, "urgent", "s", 1, 40)
-	y.round()
-	second := y.gang(3, "x", 2, 4)
-	y.round()
-	if placed(second) != 4 {
+	fixture.addJob(2, "urgent", "s", 1, 40)
+	fixture.runRound()
+	second := fixture.addGangJob(3, "x", 2, 4)
+	fixture.runRound()
+	if countPlaced(second) != 4 {
 		t.Error("other work has taken the room")
 	}
-	y.now += tuning.GangReservePeriod + time.Second
-	for _, j := range []*taskstate.Job{first, second} {
-		for _, k := range j.Tasks {
-			y.end(k)
+	fixture.now += tuning.GangReservePeriod + time.Second
+	for _, job := range []*taskstate.Job{first, second} {
+		for _, task := range job.Tasks {
+			fixture.endTask(task)
 		}
 	}
-	y.round()
-	if free := y.hosts[0].Free(); free.CPUs > slack {
+	fixture.runRound()
+	if free := fixture.machines[0].Free(); free.CPUs > slack {
 		t.Errorf("%g processors are still kept", free.CPUs)
 	}
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -8,22 +8,22 @@
 	"lemonmoor/internal/workers"
 )
 
-// sort puts the machines with room in the orders in which tasks fill them.
-func (r *round) sort() {
-	slices.SortStableFunc(r.free, arraysFirst)
-	r.forServices = slices.Clone(r.free)
-	slices.SortStableFunc(r.forServices, servicesFirst)
+// sortMachines puts the machines with room in the orders in which tasks fill them.
+func (r *placementRound) sortMachines() {
+	slices.SortStableFunc(r.withRoom, arraysFirst)
+	r.withRoomForServices = slices.Clone(r.withRoom)
+	slices.SortStableFunc(r.withRoomForServices, servicesFirst)
 }
 
-// orderFor is the order in which machines are filled for tasks: that of services if
+// machinesFor is the order in which machines are filled for tasks: that of services if
 // one of them is a replica of a service.
-func (r *round) orderFor(tasks ...*taskstate.Task) []*workers.Worker {
-	for _, t := range tasks {
-		if t.Job.Spec.IsService() {
-			return r.forServices
+func (r *placementRound) machinesFor(tasks ...*taskstate.Task) []*workers.Worker {
+	for _, task := range tasks {
+		if task.Job.Spec.IsService() {
+			return r.withRoomForServices
 		}
 	}
-	return r.free
+	return r.withRoom
 }
 
 // arraysFirst orders machines for tasks that run to completion: ordinary machines
@@ -32,17 +32,19 @@
 // the large ones; of those the spot machines, then the fullest, so that dear ones and
 // others run empty and can be returned.
 func arraysFirst(a, b *workers.Worker) int {
-	if x, y := servesDear(a), servesDear(b); x != y {
+	if x, y := isOnDemandWithServices(a), isOnDemandWithServices(b); x != y {
 		if y {
 			return -1
 		}
 		return 1
 	}
-	return tighter(a, b)
+	return bySizeAndRoom(a, b)
 }
 
-// servesDear tells whether a machine is an ordinary one with replicas of services.
-func servesDear(h *workers.Worker) bool { return !h.Spot && h.ServiceCPUs > slack }
+// isOnDemandWithServices tells whether a machine is an ordinary one with replicas of services.
+func isOnDemandWithServices(worker *workers.Worker) bool {
+	return !worker.Spot && worker.ServiceCPUs > slack
+}
 
 // servicesFirst orders machines for replicas of services: spot machines first, then
 // those with the most replicas, so that few machines serve all of them and the others
@@ -62,19 +64,19 @@
 	if c := cmp.Compare(processorPrice(a), processorPrice(b)); c != 0 {
 		return c
 	}
-	return tighter(a, b)
+	return bySizeAndRoom(a, b)
 }
 
 // processorPrice is the nominal price of one processor of a machine.
-func processorPrice(h *workers.Worker) float64 {
-	if h.Spot {
-		return h.MachineType.SpotPrice / h.MachineType.CPUs
+func processorPrice(worker *workers.Worker) float64 {
+	if worker.Spot {
+		return worker.MachineType.SpotPrice / worker.MachineType.CPUs
 	}
-	return h.MachineType.Price / h.MachineType.CPUs
+	return worker.MachineType.Price / worker.MachineType.CPUs
 }
 
-// tighter orders machines by size, price and room.
-func tighter(a, b *workers.Worker) int {
+// bySizeAndRoom orders machines by size, price and room.
+func bySizeAndRoom(a, b *workers.Worker) int {
 	if a.MachineType.CPUs != b.MachineType.CPUs {
 		return cmp.Compare(a.MachineType.CPUs, b.MachineType.CPUs)
 	}
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -10,12 +10,12 @@
 	"lemonmoor/internal/workers"
 )
 
-// service makes a service whose replicas arrive.
-func (y *yard) service(id int, image string, cpus float64, replicas int) []*taskstate.Task {
-	tasks := y.job(id, "urgent", image, cpus, replicas)
-	for _, t := range tasks {
-		t.Job.Spec.Shape = "daemon"
-		t.Job.Tasks[t.Index] = t
+// addService makes a service whose replicas arrive.
+func (y *plannerFixture) addService(id int, image string, cpus float64, replicas int) []*taskstate.Task {
+	tasks := y.addJob(id, "urgent", image, cpus, replicas)
+	for _, task := range tasks {
+		task.Job.Spec.Shape = "daemon"
+		task.Job.Tasks[task.Index] = task
 	}
 	return tasks
 }
@@ -29,41 +29,41 @@
 		for range rapid.IntRange(1, 8).Draw(t, "machines") {
 			types = append(types, rapid.SampledFrom([]*jobs.MachineType{small, large}).Draw(t, "type"))
 		}
-		y := newYard(types...)
+		fixture := newPlannerFixture(types...)
 		serving, room := 0, 0 // machines with services that cache the image and have room; room there
-		for i, h := range y.hosts {
+		for i, worker := range fixture.machines {
 			cached := rapid.Bool().Draw(t, "cached")
 			if cached {
-				h.UseImage("x", 1)
+				worker.UseImage("x", 1)
 			}
-			replicas := rapid.IntRange(0, int(h.MachineType.CPUs)).Draw(t, "replicas")
+			replicas := rapid.IntRange(0, int(worker.MachineType.CPUs)).Draw(t, "replicas")
 			if replicas > 0 {
 				// They are there already, under another image.
-				for _, k := range y.service(100+i, "other", 1, replicas) {
-					y.PlaceTask(k, h)
+				for _, task := range fixture.addService(100+i, "other", 1, replicas) {
+					fixture.PlaceTask(task, worker)
 				}
 			}
-			if free := int(h.MachineType.CPUs) - replicas; cached && replicas > 0 && free > 0 {
+			if free := int(worker.MachineType.CPUs) - replicas; cached && replicas > 0 && free > 0 {
 				serving++
 				room += free
 			}
 		}
-		y.arrivals = nil
-		replicas := y.service(1, "x", 1, rapid.IntRange(2, 6).Draw(t, "wanted"))
+		fixture.arrivals = nil
+		replicas := fixture.addService(1, "x", 1, rapid.IntRange(2, 6).Draw(t, "wanted"))
 		free := 0
-		for _, h := range y.hosts {
-			free += int(h.Free().CPUs)
+		for _, worker := range fixture.machines {
+			free += int(worker.Free().CPUs)
 		}
 		before := map[string]bool{} // machines that cached the image and had services
-		for _, h := range y.hosts {
-			before[h.ID] = h.HasImage("x") && h.ServiceCPUs > 0
+		for _, worker := range fixture.machines {
+			before[worker.ID] = worker.HasImage("x") && worker.ServiceCPUs > 0
 		}
-		y.round()
+		fixture.runRound()
 		placed, there := 0, map[string]int{}
-		for _, k := range replicas {
-			if k.State == taskstate.StatePlaced {
+		for _, task := range replicas {
+			if task.State == taskstate.StatePlaced {
 				placed++
-				there[k.WorkerID]++
+				there[task.WorkerID]++
 			}
 		}
 		if placed != min(len(replicas), free) {
@@ -90,15 +90,15 @@
 func TestServicesPacked(t *testing.T) {
 	dear, cheap := *small, *large
 	dear.Price, cheap.Price = 1, 4
-	y := newYard(&dear, &cheap, &cheap, &dear, &cheap)
+	fixture := newPlannerFixture(&dear, &cheap, &cheap, &dear, &cheap)
 	for i := range 20 {
-		y.service(i, "x", 1, 1)
-		y.round()
+		fixture.addService(i, "x", 1, 1)
+		fixture.runRound()
 	}
 	serving := func() (list []*workers.Worker) {
-		for _, h := range y.hosts {
-			if h.ServiceCPUs > 0 {
-				list = append(list, h)
+		for _, worker := range fixture.machines {
+			if worker.ServiceCPUs > 0 {
+				list = append(list, worker)
 			}
 		}
 		return list
@@ -106,11 +106,11 @@
 	if list := serving(); len(list) != 1 || list[0].MachineType != &cheap {
 		t.Fatalf("20 replicas on %d machines, the first %s", len(list), list[0].MachineType.Name)
 	}
-	y.job(100, "standard", "y", 4, 10)
-	y.round()
-	for _, h := range serving() {
-		if h.Used.CPUs > h.ServiceCPUs {
-			t.Errorf("%s has %.0f processors of arrays while others have room", h.ID, h.Used.CPUs-h.ServiceCPUs)
+	fixture.addJob(100, "standard", "y", 4, 10)
+	fixture.runRound()
+	for _, worker := range serving() {
+		if worker.Used.CPUs > worker.ServiceCPUs {
+			t.Errorf("%s has %.0f processors of arrays while others have room", worker.ID, worker.Used.CPUs-worker.ServiceCPUs)
 		}
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -13,10 +13,10 @@
 	"lemonmoor/internal/workers"
 )
 
-// yard is a planner with machines whose tasks are kept here.
-type yard struct {
+// plannerFixture is a planner with machines whose tasks are kept here.
+type plannerFixture struct {
 	*Planner
-	hosts       []*workers.Worker
+	machines    []*workers.Worker
 	now         time.Duration
 	byID        map[string]*workers.Worker
 	placesGangs bool                    // tasks are placed as gangs are
@@ -28,55 +28,57 @@
 	large = &jobs.MachineType{Name: "large", CPUs: 32, MemoryGB: 128, CacheGB: 10, Zones: []string{"a"}}
 )
 
-func newYard(types ...*jobs.MachineType) *yard {
-	y := &yard{now: time.Hour, byID: map[string]*workers.Worker{}}
-	y.Planner = New(y, y, tuning.WaitBound)
-	for i, t := range types {
-		h := &workers.Worker{
+func newPlannerFixture(types ...*jobs.MachineType) *plannerFixture {
+	fixture := &plannerFixture{now: time.Hour, byID: map[string]*workers.Worker{}}
+	fixture.Planner = New(fixture, fixture, tuning.WaitBound)
+	for i, machineType := range types {
+		worker := &workers.Worker{
 			ID:      fmt.Sprintf("vm-%03d", i),
-			Machine: workers.Machine{MachineTypeName: t.Name, Zone: "a", MachineType: t},
+			Machine: workers.Machine{MachineTypeName: machineType.Name, Zone: "a", MachineType: machineType},
 			Load:    workers.Load{Tasks: map[*taskstate.Task]bool{}},
 		}
-		y.hosts = append(y.hosts, h)
-		y.byID[h.ID] = h
+		fixture.machines = append(fixture.machines, worker)
+		fixture.byID[worker.ID] = worker
 	}
-	return y
+	return fixture
 }
 
-func (y *yard) AcceptsTasks(h *workers.Worker) bool   { return h.DrainReason == "" }
-func (y *yard) Worker(id string) *workers.Worker      { return y.byID[id] }
-func (y *yard) UpdateRank(*taskstate.Job, int64) bool { return false }
-func (y *yard) StartsPromptly(class string) bool      { return y.promptly != nil && y.promptly(class) }
+func (y *plannerFixture) AcceptsTasks(worker *workers.Worker) bool { return worker.DrainReason == "" }
+func (y *plannerFixture) Worker(id string) *workers.Worker         { return y.byID[id] }
+func (y *plannerFixture) UpdateRank(*taskstate.Job, int64) bool    { return false }
+func (y *plannerFixture) StartsPromptly(class string) bool {
+	return y.promptly != nil && y.promptly(class)
+}
 
-func (y *yard) PlaceTask(t *taskstate.Task, h *workers.Worker) {
+func (y *plannerFixture) PlaceTask(task *taskstate.Task, worker *workers.Worker) {
 	if y.placesGangs {
-		t.PlaceOn(h.ID)
-		h.Tasks[t] = true
-		h.Used = h.Used.Plus(t.Job.Spec.Resources())
-		h.UseImage(t.Job.Spec.Image, t.Job.Spec.ImageGB)
+		task.PlaceOn(worker.ID)
+		worker.Tasks[task] = true
+		worker.Used = worker.Used.Plus(task.Job.Spec.Resources())
+		worker.UseImage(task.Job.Spec.Image, task.Job.Spec.ImageGB)
 		return
 	}
-	t.State, t.WorkerID, t.Job.HasPlacedTask = taskstate.StatePlaced, h.ID, true
-	h.AddTask(t)
+	task.State, task.WorkerID, task.Job.HasPlacedTask = taskstate.StatePlaced, worker.ID, true
+	worker.AddTask(task)
 }
 
-func (y *yard) round() { y.RunRound(y.hosts, y.now, time.UnixMilli(0).Add(y.now)) }
+func (y *plannerFixture) runRound() { y.RunRound(y.machines, y.now, time.UnixMilli(0).Add(y.now)) }
 
-// end takes a task off its machine.
-func (y *yard) end(t *taskstate.Task) {
-	y.Worker(t.WorkerID).RemoveTask(t)
-	t.State = taskstate.StateDone
+// endTask takes a task off its machine.
+func (y *plannerFixture) endTask(task *taskstate.Task) {
+	y.Worker(task.WorkerID).RemoveTask(task)
+	task.State = taskstate.StateDone
 }
 
-// job makes a job whose tasks arrive.
-func (y *yard) job(id int, urgency, image string, cpus float64, tasks int) []*taskstate.Task {
-	j := taskstate.NewJob(&jobs.Spec{ID: fmt.Sprintf("wk-%d", id), Urgency: urgency, Image: image, ImageGB: 1, CPUs: cpus, MemoryGB: cpus, Spot: true},
+// addJob makes a job whose tasks arrive.
+func (y *plannerFixture) addJob(id int, urgency, image string, cpus float64, tasks int) []*taskstate.Task {
+	job := taskstate.NewJob(&jobs.Spec{ID: fmt.Sprintf("wk-%d", id), Urgency: urgency, Image: image, ImageGB: 1, CPUs: cpus, MemoryGB: cpus, Spot: true},
 		y.now.Milliseconds()+int64(id), false)
 	var list []*taskstate.Task
 	for i := range tasks {
-		t := &taskstate.Task{Job: j, Index: i}
-		list = append(list, t)
-		y.AddTask(t, y.now)
+		task := &taskstate.Task{Job: job, Index: i}
+		list = append(list, task)
+		y.AddTask(task, y.now)
 	}
 	return list
 }
@@ -85,51 +87,51 @@
 // else on another, else it queues; a machine with room takes from its own queue,
 // then the extra queue, then the last task of the longest queue.
 func TestPullOrder(t *testing.T) {
-	y := newYard(small, small)
-	first := y.job(1, "standard", "x", 4, 2)
-	y.round()
+	fixture := newPlannerFixture(small, small)
+	first := fixture.addJob(1, "standard", "x", 4, 2)
+	fixture.runRound()
 	if first[0].WorkerID == "" || first[1].WorkerID == "" || first[0].WorkerID == first[1].WorkerID {
 		t.Fatal("idle machines are left idle")
 	}
-	own := y.job(2, "standard", "x", 4, 4)
-	y.round()
-	extra := y.job(3, "standard", "y", 4, 1)
-	y.round()
-	if len(y.queues[y.hosts[0].ID]) != 2 || len(y.queues[y.hosts[1].ID]) != 2 || len(y.extra) != 1 {
-		t.Fatalf("queues %d and %d, extra %d", len(y.queues[y.hosts[0].ID]), len(y.queues[y.hosts[1].ID]), len(y.extra))
+	own := fixture.addJob(2, "standard", "x", 4, 4)
+	fixture.runRound()
+	extra := fixture.addJob(3, "standard", "y", 4, 1)
+	fixture.runRound()
+	if len(fixture.imageQueues[fixture.machines[0].ID]) != 2 || len(fixture.imageQueues[fixture.machines[1].ID]) != 2 || len(fixture.extraQueue) != 1 {
+		t.Fatalf("queues %d and %d, extra %d", len(fixture.imageQueues[fixture.machines[0].ID]), len(fixture.imageQueues[fixture.machines[1].ID]), len(fixture.extraQueue))
 	}
 	host := first[0].WorkerID
 	var taken []string
 	take := func(done *taskstate.Task) *taskstate.Task {
-		y.end(done)
-		y.round()
+		fixture.endTask(done)
+		fixture.runRound()
 		for _, list := range [][]*taskstate.Task{own, extra} {
-			for _, k := range list {
-				if k.State == taskstate.StatePlaced && k.WorkerID == host {
-					taken = append(taken, k.Name())
-					return k
+			for _, task := range list {
+				if task.State == taskstate.StatePlaced && task.WorkerID == host {
+					taken = append(taken, task.Name())
+					return task
 				}
 			}
 		}
 		t.Fatal("a machine with room takes nothing")
 		return nil
 	}
-	k := first[0]
+	task := first[0]
 	for range 4 {
-		k = take(k)
+		task = take(task)
 	}
 	// Two of its own queue, then the extra queue's, then the other's last.
-	if taken[2] != "wk-3/0" || taken[3] != y.lastOf(own, host) {
+	if taken[2] != "wk-3/0" || taken[3] != fixture.lastPlacedOn(own, host) {
 		t.Errorf("taken in the order %v", taken)
 	}
 }
 
-// lastOf is the highest task of a list that a machine has had.
-func (y *yard) lastOf(list []*taskstate.Task, host string) string {
+// lastPlacedOn is the highest task of a list that a machine has had.
+func (y *plannerFixture) lastPlacedOn(list []*taskstate.Task, host string) string {
 	best := ""
-	for _, k := range list {
-		if k.WorkerID == host && k.Name() > best {
-			best = k.Name()
+	for _, task := range list {
+		if task.WorkerID == host && task.Name() > best {
+			best = task.Name()
 		}
 	}
 	return best
@@ -138,43 +140,43 @@
 // TestCachedWorkFirst: of other machines' queues, those with work whose image is
 // cached come first, though another is longer.
 func TestCachedWorkFirst(t *testing.T) {
-	y := newYard(small, small, small)
-	x := y.job(1, "standard", "x", 4, 2)
-	other := y.job(2, "standard", "y", 4, 1)
-	y.round()
-	y.job(3, "standard", "y", 4, 3) // all in one queue
-	y.round()
-	y.job(4, "standard", "x", 4, 3) // two and one
-	y.round()
-	thief := x[0].WorkerID
-	done := x[0]
+	fixture := newPlannerFixture(small, small, small)
+	cached := fixture.addJob(1, "standard", "x", 4, 2)
+	other := fixture.addJob(2, "standard", "y", 4, 1)
+	fixture.runRound()
+	fixture.addJob(3, "standard", "y", 4, 3) // all in one queue
+	fixture.runRound()
+	fixture.addJob(4, "standard", "x", 4, 3) // two and one
+	fixture.runRound()
+	thief := cached[0].WorkerID
+	done := cached[0]
 	var taken []string
 	for range 3 {
-		y.end(done)
-		y.round()
-		for k := range y.Worker(thief).Tasks {
-			done = k
+		fixture.endTask(done)
+		fixture.runRound()
+		for task := range fixture.Worker(thief).Tasks {
+			done = task
 		}
 		taken = append(taken, done.Job.Spec.Image)
 	}
-	if len(y.queues[other[0].WorkerID]) != 3 || fmt.Sprint(taken) != "[x x x]" {
-		t.Errorf("took %v, %d left in the longest queue", taken, len(y.queues[other[0].WorkerID]))
+	if len(fixture.imageQueues[other[0].WorkerID]) != 3 || fmt.Sprint(taken) != "[x x x]" {
+		t.Errorf("took %v, %d left in the longest queue", taken, len(fixture.imageQueues[other[0].WorkerID]))
 	}
 }
 
 // TestWaitBound: a large task past the bound gets the next machine, though small
 // ones of its priority take every processor that comes free.
 func TestWaitBound(t *testing.T) {
-	y := newYard(large)
-	running := y.job(1, "standard", "x", 1, 32)
-	y.round()
-	big := y.job(2, "standard", "y", 16, 1)[0]
+	fixture := newPlannerFixture(large)
+	running := fixture.addJob(1, "standard", "x", 1, 32)
+	fixture.runRound()
+	big := fixture.addJob(2, "standard", "y", 16, 1)[0]
 	next := 3
 	for step := range 200 {
-		y.now += time.Second
-		running = append(running, y.job(next, "standard", "x", 1, 2)...)
+		fixture.now += time.Second
+		running = append(running, fixture.addJob(next, "standard", "x", 1, 2)...)
 		next++
-		y.round()
+		fixture.runRound()
 		if big.State == taskstate.StatePlaced {
 			if waited := time.Duration(step) * time.Second; waited < tuning.WaitBound-2*time.Second {
 				t.Fatalf("placed after %v", waited)
@@ -182,9 +184,9 @@
 			return
 		}
 		ended := 0
-		for _, k := range running {
-			if k.State == taskstate.StatePlaced && ended < 2 {
-				y.end(k)
+		for _, task := range running {
+			if task.State == taskstate.StatePlaced && ended < 2 {
+				fixture.endTask(task)
 				ended++
 			}
 		}
@@ -200,41 +202,41 @@
 		for range rapid.IntRange(1, 6).Draw(t, "machines") {
 			types = append(types, rapid.SampledFrom([]*jobs.MachineType{small, large}).Draw(t, "type"))
 		}
-		y := newYard(types...)
+		fixture := newPlannerFixture(types...)
 		var all []*taskstate.Task
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			y.now += time.Duration(rapid.IntRange(0, 40).Draw(t, "later")) * time.Second
-			all = append(all, y.job(i, rapid.SampledFrom([]string{"low", "standard", "urgent"}).Draw(t, "urgency"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "image"),
+			fixture.now += time.Duration(rapid.IntRange(0, 40).Draw(t, "later")) * time.Second
+			all = append(all, fixture.addJob(i, rapid.SampledFrom([]string{"low", "standard", "urgent"}).Draw(t, "urgency"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "image"),
 				rapid.SampledFrom([]float64{1, 4, 16}).Draw(t, "cpus"), rapid.IntRange(1, 20).Draw(t, "tasks"))...)
-			for _, k := range all {
-				if k.State == taskstate.StatePlaced && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
-					y.end(k)
+			for _, task := range all {
+				if task.State == taskstate.StatePlaced && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
+					fixture.endTask(task)
 				}
 			}
-			h := y.hosts[rapid.IntRange(0, len(y.hosts)-1).Draw(t, "host")]
-			h.DrainReason = rapid.SampledFrom([]string{"", "", "idle"}).Draw(t, "drain")
-			y.round()
+			worker := fixture.machines[rapid.IntRange(0, len(fixture.machines)-1).Draw(t, "host")]
+			worker.DrainReason = rapid.SampledFrom([]string{"", "", "idle"}).Draw(t, "drain")
+			fixture.runRound()
 		}
-		for _, h := range y.hosts {
-			if h.Used.CPUs > h.MachineType.CPUs+slack || h.Used.MemoryGB > h.MachineType.MemoryGB+slack {
-				t.Fatalf("%s has %g of %g processors taken", h.ID, h.Used.CPUs, h.MachineType.CPUs)
+		for _, worker := range fixture.machines {
+			if worker.Used.CPUs > worker.MachineType.CPUs+slack || worker.Used.MemoryGB > worker.MachineType.MemoryGB+slack {
+				t.Fatalf("%s has %g of %g processors taken", worker.ID, worker.Used.CPUs, worker.MachineType.CPUs)
 			}
 		}
 		queued := map[*taskstate.Task]int{}
-		for _, k := range y.extra {
-			queued[k]++
+		for _, task := range fixture.extraQueue {
+			queued[task]++
 		}
-		for _, q := range y.queues {
-			for _, k := range q {
-				queued[k]++
+		for _, q := range fixture.imageQueues {
+			for _, task := range q {
+				queued[task]++
 			}
 		}
-		for _, k := range y.arrivals {
-			queued[k]++
+		for _, task := range fixture.arrivals {
+			queued[task]++
 		}
-		for _, k := range all {
-			if k.State == taskstate.StateWaiting && queued[k] != 1 {
-				t.Fatalf("%s is in %d queues", k.Name(), queued[k])
+		for _, task := range all {
+			if task.State == taskstate.StateWaiting && queued[task] != 1 {
+				t.Fatalf("%s is in %d queues", task.Name(), queued[task])
 			}
 		}
 	})
@@ -249,13 +251,13 @@
 			for i := range types {
 				types[i] = large
 			}
-			y := newYard(types...)
+			fixture := newPlannerFixture(types...)
 			for i := range 40 {
-				y.job(i, "standard", fmt.Sprint("image", i%16), 16, n*4/40)
+				fixture.addJob(i, "standard", fmt.Sprint("image", i%16), 16, n*4/40)
 			}
-			y.round()
+			fixture.runRound()
 			for bm.Loop() {
-				y.round()
+				fixture.runRound()
 			}
 		})
 	}
@@ -265,18 +267,18 @@
 // fetches nothing, though a fuller one has room; images fetched at the same time
 // may share the rate.
 func TestFetchesApart(t *testing.T) {
-	y := newYard(large, large, large)
-	y.hosts[0].Used.CPUs, y.hosts[0].FetchingTasks = 16, 1
-	y.hosts[1].Used.CPUs = 8
-	a := y.job(1, "standard", "x", 4, 1)
-	y.round()
-	if a[0].WorkerID != "vm-001" {
-		t.Errorf("placed on %s", a[0].WorkerID)
+	fixture := newPlannerFixture(large, large, large)
+	fixture.machines[0].Used.CPUs, fixture.machines[0].FetchingTasks = 16, 1
+	fixture.machines[1].Used.CPUs = 8
+	first := fixture.addJob(1, "standard", "x", 4, 1)
+	fixture.runRound()
+	if first[0].WorkerID != "vm-001" {
+		t.Errorf("placed on %s", first[0].WorkerID)
 	}
-	y.hosts[0].UseImage("y", 1)
-	b := y.job(2, "standard", "y", 4, 1)
-	y.round()
-	if b[0].WorkerID != "vm-000" {
-		t.Errorf("with its image cached placed on %s", b[0].WorkerID)
+	fixture.machines[0].UseImage("y", 1)
+	second := fixture.addJob(2, "standard", "y", 4, 1)
+	fixture.runRound()
+	if second[0].WorkerID != "vm-000" {
+		t.Errorf("with its image cached placed on %s", second[0].WorkerID)
 	}
 }
