--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 )
@@ -155,7 +156,7 @@
 		}
 	}
 	fixture.runRound()
-	if free := fixture.machines[0].Free(); free.CPUs > slack {
+	if free := fixture.machines[0].Free(); free.CPUs > resource.Epsilon {
 		t.Errorf("%g processors are still kept", free.CPUs)
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/workers"
@@ -218,7 +219,7 @@
 			fixture.runRound()
 		}
 		for _, worker := range fixture.machines {
-			if worker.Used.CPUs > worker.MachineType.CPUs+slack || worker.Used.MemoryGB > worker.MachineType.MemoryGB+slack {
+			if worker.Used.CPUs > worker.MachineType.CPUs+resource.Epsilon || worker.Used.MemoryGB > worker.MachineType.MemoryGB+resource.Epsilon {
 				t.Fatalf("%s has %g of %g processors taken", worker.ID, worker.Used.CPUs, worker.MachineType.CPUs)
 			}
 		}
