--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -43,8 +43,8 @@
 func (f *Fleet) servable(n *Demand, have capacities, within float64) float64 {
 	sum := 0.0
 	for kind, c := range have {
-		if room := f.empty(kind); room.MachineType != nil && room.CouldRun(n.Spec, n.Zone) {
-			sum += max(0, c.work(n, f.ready(n, room.MachineType)-room.MachineType.BootSeconds, within))
+		if room := f.emptyMachine(kind); room.MachineType != nil && room.CouldRun(n.Spec, n.Zone) {
+			sum += max(0, c.work(n, f.readySeconds(n, room.MachineType)-room.MachineType.BootSeconds, within))
 		}
 	}
 	return sum
@@ -77,9 +77,9 @@
 		c.add(r.MachineType.CPUs, r.Booting, r.ReadyIn)
 		load := f.loads.MachineLoad(r.ID)
 		c.used.CPUs += load.CPUs
-		c.used.Services += load.Services
-		for priority, cpus := range load.ByPriority {
-			c.used.ByPriority[priority] += cpus
+		c.used.ServiceCPUs += load.ServiceCPUs
+		for priority, cpus := range load.CPUsByPriority {
+			c.used.CPUsByPriority[priority] += cpus
 		}
 	})
 	return sums
@@ -93,7 +93,7 @@
 func (f *Fleet) available(n *Demand, have capacities) float64 {
 	sum := 0.0
 	for kind, c := range have {
-		if room := f.empty(kind); room.MachineType != nil && room.CouldRun(n.Spec, n.Zone) {
+		if room := f.emptyMachine(kind); room.MachineType != nil && room.CouldRun(n.Spec, n.Zone) {
 			sum += max(0, c.cpus-c.occupied(n, room.MachineType))
 		}
 	}
@@ -110,7 +110,7 @@
 		return c.used.Below(n.Spec.Priority())
 	}
 	if n.WaitedSeconds < tuning.RentBacklogShare*t.BootSeconds {
-		return c.used.Services
+		return c.used.ServiceCPUs
 	}
-	return c.used.Services + c.used.Below(n.Spec.Priority())
+	return c.used.ServiceCPUs + c.used.Below(n.Spec.Priority())
 }
--- a/internal/fleet/exchange_test.go
+++ b/internal/fleet/exchange_test.go
@@ -13,18 +13,18 @@
 
 // exchanging is a fleet of so many ordinary machines, of which the first few have work
 // that must be there; load tells how much of the rest is used at a moment.
-func exchanging(number, bound int, load func(time.Duration) float64) (rt *still, f *Fleet, step func()) {
-	rt = &still{now: time.Hour}
+func exchanging(number, bound int, load func(time.Duration) float64) (rt *manualRuntime, f *Fleet, step func()) {
+	rt = &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f = newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
-	f.since, f.listed = rt.now, true
+	f = newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+	f.actingSince, f.listed = rt.now, true
 	start := rt.now
 	f.loads = loadsFunc(func(host string) MachineLoad {
 		m, taking := f.machines[host], 0.0
 		for _, o := range f.machines {
-			if o.drain == "" {
+			if o.drainReason == "" {
 				taking++
 			}
 		}
@@ -32,15 +32,15 @@
 		use := 0.7 * 32 * float64(number) / taking * load(rt.now-start)
 		switch {
 		case m.kind.Spot:
-			return MachineLoad{CPUs: use, Movable: use}
-		case m.addr == "bound":
-			return MachineLoad{CPUs: use, Movable: use / 2}
+			return MachineLoad{CPUs: use, MovableCPUs: use}
+		case m.address == "bound":
+			return MachineLoad{CPUs: use, MovableCPUs: use / 2}
 		}
-		return MachineLoad{CPUs: use, Movable: use}
+		return MachineLoad{CPUs: use, MovableCPUs: use}
 	})
 	add := func(spot bool, addr string) {
 		id := fmt.Sprintf("vm-%06d", len(f.machines))
-		f.machines[id] = &machine{id: id, addr: addr, kind: MachineKind{"g8", "a", spot}, rented: rt.now, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
+		f.machines[id] = &machine{id: id, address: addr, kind: MachineKind{"g8", "a", spot}, rentedAt: rt.now, listed: true, reported: true, status: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
 	for i := range number {
 		add(false, map[bool]string{true: "bound", false: "free"}[i < bound])
@@ -48,11 +48,11 @@
 	job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 20}
 	return rt, f, func() {
 		rt.now += time.Second
-		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, since: start, any: true}
+		f.statuses[0] = ownerStatus{token: 1, seq: 1, heardAt: rt.now, since: start, known: true}
 		f.SetDemand(nil, job)
-		f.exchange(f.term)
+		f.exchangeExpensive(f.term)
 		for i, c := range rt.calls { // what is rented is up at once
-			var h hire
+			var h rentalRequest
 			if err := json.Unmarshal(c.Body, &h); err != nil {
 				panic(err)
 			}
@@ -60,7 +60,7 @@
 				add(h.Spot, "")
 			}
 			rt.answers[i](http1.Response{Status: 200, Body: []byte(`{"hosts":[]}`)}, nil)
-			delete(f.pauses, h.kind())
+			delete(f.pausedUntil, h.kind())
 		}
 		rt.calls, rt.answers = nil, nil
 	}
@@ -79,9 +79,9 @@
 		switch {
 		case m.kind.Spot:
 			spot++
-		case m.drain != "":
+		case m.drainReason != "":
 			drained++
-			if m.addr == "bound" {
+			if m.address == "bound" {
 				t.Error("a machine goes that other work needs")
 			}
 		}
@@ -108,7 +108,7 @@
 			t.Errorf("%s: %d machines of %d", name, len(f.machines), n)
 		}
 		for _, m := range f.machines {
-			if m.drain != "" {
+			if m.drainReason != "" {
 				t.Errorf("%s: %s goes", name, m.id)
 				break
 			}
@@ -120,21 +120,21 @@
 // wait behind it because tasks of the large one are queued already; ordinary machines
 // were rented for it though its aim leaves it enough time.
 func TestSmallJobsWaitForNone(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
-	f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+	f.statuses[0] = ownerStatus{token: 1, seq: 1, heardAt: rt.now, known: true}
 	for i := range 10 {
 		id := fmt.Sprintf("vm-%06d", i)
-		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
+		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, reported: true, status: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
-	f.pauses[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
+	f.pausedUntil[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
 	large := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 100, Urgency: "standard"}
 	small := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 5, Urgency: "standard"}
 	f.SetDemand([]Demand{{Spec: large, Tasks: 75, Rank: 1, ObjectiveSlackSeconds: []float64{300}}, {Spec: small, Tasks: 2, Rank: 0, ObjectiveSlackSeconds: []float64{60}}}, nil)
-	f.rent(f.term)
+	f.rentForDemand(f.term)
 	if len(rt.calls) != 0 {
 		t.Errorf("rented: %s", rt.calls[0].Body)
 	}
@@ -143,18 +143,18 @@
 // TestNeedsWaitBehindTheirRank: an urgent need is not taken to wait behind work of a
 // lower rank that was queued before it.
 func TestNeedsWaitBehindTheirRank(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
 	low := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 60, Urgency: "standard"}
 	high := &jobs.Spec{CPUs: 1, MemoryGB: 2, EstimateSeconds: 0, Shape: "daemon", Urgency: "urgent"}
 	f.SetDemand([]Demand{{Spec: low, Tasks: 100, Rank: 1, ObjectiveSlackSeconds: []float64{60}}, {Spec: high, Tasks: 4, ObjectiveSlackSeconds: []float64{4}}}, nil)
-	f.rent(f.term)
+	f.rentForDemand(f.term)
 	ordinary := 0
 	for _, c := range rt.calls {
-		var h hire
+		var h rentalRequest
 		if err := json.Unmarshal(c.Body, &h); err != nil {
 			t.Fatal(err)
 		}
@@ -172,28 +172,28 @@
 // not use. A hundred were rented for one on a calm day of a large fleet, since all
 // lower work was taken off the few machines that it may use.
 func TestLowerWorkElsewhereIsNoHindrance(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
-	f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+	f.statuses[0] = ownerStatus{token: 1, seq: 1, heardAt: rt.now, known: true}
 	for i := range 200 {
 		id := fmt.Sprintf("vm-%06d", i)
-		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", i >= 20}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
+		f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", i >= 20}, listed: true, reported: true, status: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 	}
 	standard := &jobs.Spec{Urgency: "standard"}
 	f.loads = loadsFunc(func(string) MachineLoad {
-		l := MachineLoad{CPUs: 30, Movable: 30}
-		l.ByPriority[standard.Priority()] = 30
+		l := MachineLoad{CPUs: 30, MovableCPUs: 30}
+		l.CPUsByPriority[standard.Priority()] = 30
 		return l
 	})
 	replica := &jobs.Spec{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
 	f.SetDemand([]Demand{{Spec: replica, Tasks: 1, ObjectiveSlackSeconds: []float64{4}}}, nil)
-	f.rent(f.term)
+	f.rentForDemand(f.term)
 	rented := 0
 	for _, c := range rt.calls {
-		var h hire
+		var h rentalRequest
 		if err := json.Unmarshal(c.Body, &h); err != nil {
 			t.Fatal(err)
 		}
@@ -212,25 +212,25 @@
 		deadline float64
 		rents    bool
 	}{"enough time": {200, false}, "not enough": {100, true}, "none that helps": {30, false}} {
-		rt := &still{now: time.Hour}
+		rt := &manualRuntime{now: time.Hour}
 		set := &settings.Settings{}
 		set.Deployment.Cloud.RPS = 4
-		f := newFleet(rt, leading{}, set)
-		f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
-		f.pauses[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
-		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
+		f := newFleet(rt, fixedLeases{}, set)
+		f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+		f.pausedUntil[MachineKind{"g8", "a", true}] = rt.now + time.Hour // no spot machines to be had
+		f.statuses[0] = ownerStatus{token: 1, seq: 1, heardAt: rt.now, known: true}
 		for i := range 20 { // half of them boot, for 10 s more
 			id := fmt.Sprintf("vm-%06d", i)
 			f.machines[id] = &machine{
-				id: id, kind: MachineKind{"g8", "a", true}, rented: rt.now - 20*time.Second, listed: true,
-				known: i < 10, state: MachineStatus{ID: id, HasReported: i < 10, AcceptsTasks: true, Busy: true},
+				id: id, kind: MachineKind{"g8", "a", true}, rentedAt: rt.now - 20*time.Second, listed: true,
+				reported: i < 10, status: MachineStatus{ID: id, HasReported: i < 10, AcceptsTasks: true, Busy: true},
 			}
 		}
 		// Of the 112,000, the machines do 49,600 in 100 s and 113,600 in 200 s; a third
 		// of the queue may be late.
 		job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 35, Urgency: "standard"}
 		f.SetDemand([]Demand{{Spec: job, Tasks: 800, ObjectiveSlackSeconds: []float64{c.deadline}}}, nil)
-		f.rent(f.term)
+		f.rentForDemand(f.term)
 		if rents := len(rt.calls) > 0; rents != c.rents {
 			t.Errorf("%s: rents %v", name, rents)
 		}
@@ -249,28 +249,28 @@
 		"full of replicas": {32, 0, 0, 1}, "lower tasks end": {20, 12, 5, 0},
 		"lower tasks do not end": {20, 12, 20, 1}, "there is room": {20, 4, 20, 0},
 	} {
-		rt := &still{now: time.Hour}
+		rt := &manualRuntime{now: time.Hour}
 		set := &settings.Settings{}
 		set.Deployment.Cloud.RPS = 4
-		f := newFleet(rt, leading{}, set)
-		f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
-		f.statuses[0] = statusHeard{token: 1, seq: 1, heard: rt.now, any: true}
+		f := newFleet(rt, fixedLeases{}, set)
+		f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.6, BootSeconds: 30, Zones: []string{"a"}}}
+		f.statuses[0] = ownerStatus{token: 1, seq: 1, heardAt: rt.now, known: true}
 		for i := range 10 {
 			id := fmt.Sprintf("vm-%06d", i)
-			f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, known: true, state: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
+			f.machines[id] = &machine{id: id, kind: MachineKind{"g8", "a", false}, listed: true, reported: true, status: MachineStatus{ID: id, HasReported: true, AcceptsTasks: true, Busy: true}}
 		}
 		f.loads = loadsFunc(func(string) MachineLoad {
-			l := MachineLoad{CPUs: c.services + c.lower, Movable: c.lower, Services: c.services}
-			l.ByPriority[standard.Priority()] = c.lower
-			l.ByPriority[jobs.PriorityUrgent] = c.services
+			l := MachineLoad{CPUs: c.services + c.lower, MovableCPUs: c.lower, ServiceCPUs: c.services}
+			l.CPUsByPriority[standard.Priority()] = c.lower
+			l.CPUsByPriority[jobs.PriorityUrgent] = c.services
 			return l
 		})
 		replica := &jobs.Spec{CPUs: 1, MemoryGB: 2, Shape: "daemon", Urgency: "urgent"}
 		f.SetDemand([]Demand{{Spec: replica, Tasks: 1, WaitedSeconds: c.waited}}, nil)
-		f.rent(f.term)
+		f.rentForDemand(f.term)
 		rented := 0
 		for _, call := range rt.calls {
-			var h hire
+			var h rentalRequest
 			if err := json.Unmarshal(call.Body, &h); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -40,63 +40,63 @@
 
 // machine is a rented machine as the cloud knows it.
 type machine struct {
-	id      string
-	block   int
-	addr    string
-	kind    MachineKind
-	rented  time.Duration
-	listed  bool
-	booting bool          // by the newest list
-	running time.Duration // since when lists have said so, 0: they do not
-	missed  int           // lists in a row without it, after it was listed
-	failed  bool
-	release bool // to be returned
-	asked   bool // the request is under way
-	why     string
-	drain   string // why its owner is asked to keep tasks off it
-	state   MachineStatus
-	known   bool          // there is one
-	idle    time.Duration // since when it has had no tasks
+	id              string
+	shard           int
+	address         string
+	kind            MachineKind
+	rentedAt        time.Duration
+	listed          bool
+	booting         bool          // by the newest list
+	runningSince    time.Duration // since when lists have said so, 0: they do not
+	missedLists     int           // lists in a row without it, after it was listed
+	failed          bool
+	returning       bool // to be returned
+	releaseInFlight bool // the request is under way
+	returnReason    string
+	drainReason     string // why its owner is asked to keep tasks off it
+	status          MachineStatus
+	reported        bool          // there is one
+	idleSince       time.Duration // since when it has had no tasks
 }
 
-const slack = 1e-9 // sums of decimal amounts are not exact
+const epsilon = 1e-9 // sums of decimal amounts are not exact
 
 // Fleet is the leader's view of the cloud.
 type Fleet struct {
-	rt    eventloop.Runtime
-	addr  string
-	lease Lease
-	loads LoadSource
-	set   *settings.Settings
-	log   *slog.Logger
-
-	types      []jobs.MachineType
-	machines   map[string]*machine
-	returned   map[string]time.Duration // when
-	pauses     map[MachineKind]time.Duration
-	needs      []Demand
-	movable    *jobs.Spec               // see Want
-	peak       float64                  // processors of such work, the most of late
-	least      [2]float64               // and the least, in this window and the one before
-	turned     time.Duration            // when this window began
-	peaked     time.Duration            // when that was last looked at
-	wanting    time.Duration            // since when spot machines would be cheaper, 0: they would not
-	statuses   []statusHeard            // by block
-	unreported [][]string               // by block: returned since the owner's last message
-	reachable  map[string]time.Duration // by zone: when an owner last heard from it
-	running    map[string]int           // by zone: machines that should report
-	cutOffAt   map[string]time.Duration // by zone: when it was last cut off
-	counter    uint64
-	term       int
-	begun      time.Duration
-	since      time.Duration // when this node could begin to act, this time
-	listed     bool          // the machine list has been read in this term
-	stalled    time.Duration // when there was last work that could not be handed out for want of changes
-	inFlight   map[string]hire
-	named      map[string][]string // machines rented in this term, by the request's name, see RentNamed
-	kept       map[string]bool     // not idle, see Keep
-	tokens     float64
-	filled     time.Duration
+	runtime      eventloop.Runtime
+	cloudAddress string
+	leases       Lease
+	loads        LoadSource
+	settings     *settings.Settings
+	log          *slog.Logger
+
+	machineTypes       []jobs.MachineType
+	machines           map[string]*machine
+	releasedAt         map[string]time.Duration // when
+	pausedUntil        map[MachineKind]time.Duration
+	demands            []Demand
+	movableJob         *jobs.Spec               // see Want
+	peakCPUs           float64                  // processors of such work, the most of late
+	leastCPUs          [2]float64               // and the least, in this window and the one before
+	windowBeganAt      time.Duration            // when this window began
+	peakUpdatedAt      time.Duration            // when that was last looked at
+	worthwhileSince    time.Duration            // since when spot machines would be cheaper, 0: they would not
+	statuses           []ownerStatus            // by block
+	unreportedReleases [][]string               // by block: returned since the owner's last message
+	zoneHeardAt        map[string]time.Duration // by zone: when an owner last heard from it
+	expectedByZone     map[string]int           // by zone: machines that should report
+	partitionedAt      map[string]time.Duration // by zone: when it was last cut off
+	rentalCounter      uint64
+	term               int
+	termBeganAt        time.Duration
+	actingSince        time.Duration // when this node could begin to act, this time
+	listed             bool          // the machine list has been read in this term
+	dispatchStalledAt  time.Duration // when there was last work that could not be handed out for want of changes
+	rentalsInFlight    map[string]rentalRequest
+	rentedByName       map[string][]string // machines rented in this term, by the request's name, see RentNamed
+	keptIdle           map[string]bool     // not idle, see Keep
+	tokens             float64
+	refilledAt         time.Duration
 }
 
 // LoadSource tells what the tasks placed on machines take.
@@ -118,44 +118,44 @@
 func New(dependencies Dependencies) *Fleet {
 	set := dependencies.Settings
 	return &Fleet{
-		rt: dependencies.Runtime, addr: dependencies.Address, lease: dependencies.Leases, loads: dependencies.Loads,
-		set: set, log: dependencies.Log,
-		machines: map[string]*machine{}, returned: map[string]time.Duration{}, pauses: map[MachineKind]time.Duration{},
-		inFlight: map[string]hire{}, named: map[string][]string{}, statuses: make([]statusHeard, set.ShardCount()), unreported: make([][]string, set.ShardCount()),
-		reachable: map[string]time.Duration{}, running: map[string]int{}, cutOffAt: map[string]time.Duration{},
+		runtime: dependencies.Runtime, cloudAddress: dependencies.Address, leases: dependencies.Leases, loads: dependencies.Loads,
+		settings: set, log: dependencies.Log,
+		machines: map[string]*machine{}, releasedAt: map[string]time.Duration{}, pausedUntil: map[MachineKind]time.Duration{},
+		rentalsInFlight: map[string]rentalRequest{}, rentedByName: map[string][]string{}, statuses: make([]ownerStatus, set.ShardCount()), unreportedReleases: make([][]string, set.ShardCount()),
+		zoneHeardAt: map[string]time.Duration{}, expectedByZone: map[string]int{}, partitionedAt: map[string]time.Duration{},
 	}
 }
 
 // BeginTerm starts a term.
 func (f *Fleet) BeginTerm() {
 	f.term++
-	f.begun = f.rt.Now()
-	f.since = f.begun
-	f.listed, f.counter, f.stalled = false, 0, 0
+	f.termBeganAt = f.runtime.Now()
+	f.actingSince = f.termBeganAt
+	f.listed, f.rentalCounter, f.dispatchStalledAt = false, 0, 0
 	clear(f.machines)
-	clear(f.inFlight)
-	clear(f.named)
-	f.kept = nil
+	clear(f.rentalsInFlight)
+	clear(f.rentedByName)
+	f.keptIdle = nil
 	clear(f.statuses)
-	clear(f.pauses)
-	clear(f.reachable)
-	clear(f.running)
-	clear(f.cutOffAt)
-	f.needs, f.movable, f.wanting, f.peak, f.least = nil, nil, 0, 0, [2]float64{}
+	clear(f.pausedUntil)
+	clear(f.zoneHeardAt)
+	clear(f.expectedByZone)
+	clear(f.partitionedAt)
+	f.demands, f.movableJob, f.worthwhileSince, f.peakCPUs, f.leastCPUs = nil, nil, 0, 0, [2]float64{}
 	term := f.term
-	f.list(term)
-	f.round(term)
+	f.readList(term)
+	f.runRound(term)
 }
 
 // EndTerm ends a term.
 func (f *Fleet) EndTerm() { f.term++ }
 
-// afford takes one call off the cloud's budget, if there is one.
-func (f *Fleet) afford() bool {
-	rate := f.set.Deployment.Cloud.RPS * tuning.CloudRequestShare
-	now := f.rt.Now()
-	f.tokens = min(max(1, rate*tuning.CloudRequestBurst.Seconds()), f.tokens+rate*(now-f.filled).Seconds())
-	f.filled = now
+// spendCall takes one call off the cloud's budget, if there is one.
+func (f *Fleet) spendCall() bool {
+	rate := f.settings.Deployment.Cloud.RPS * tuning.CloudRequestShare
+	now := f.runtime.Now()
+	f.tokens = min(max(1, rate*tuning.CloudRequestBurst.Seconds()), f.tokens+rate*(now-f.refilledAt).Seconds())
+	f.refilledAt = now
 	if f.tokens < 1 {
 		return false
 	}
@@ -168,22 +168,22 @@
 	var r AvailableMachine
 	for _, m := range f.machines {
 		t := f.MachineType(m.kind.MachineType)
-		if t == nil || m.release || m.failed || m.drain != "" {
+		if t == nil || m.returning || m.failed || m.drainReason != "" {
 			continue
 		}
-		if m.known && (!f.fresh(m) || !m.state.AcceptsTasks) || f.unheard(m) || f.cutOff(m.kind.Zone) {
+		if m.reported && (!f.hasFreshStatus(m) || !m.status.AcceptsTasks) || f.isOverdue(m) || f.isPartitioned(m.kind.Zone) {
 			continue
 		}
-		r = AvailableMachine{MachineKind: m.kind, ID: m.id, Shard: m.block, MachineType: t, Booting: !m.known}
+		r = AvailableMachine{MachineKind: m.kind, ID: m.id, Shard: m.shard, MachineType: t, Booting: !m.reported}
 		if r.Booting {
-			r.ReadyIn = max(0, m.rented+bootTime(t)-f.rt.Now())
+			r.ReadyIn = max(0, m.rentedAt+bootTime(t)-f.runtime.Now())
 		}
 		fn(&r)
 	}
 	// Machines whose rental is under way: their names, and so their blocks,
 	// will be spread evenly.
-	for _, h := range f.inFlight {
-		t := f.MachineType(h.Build)
+	for _, h := range f.rentalsInFlight {
+		t := f.MachineType(h.MachineType)
 		for i := 0; t != nil && i < h.Number; i++ {
 			r = AvailableMachine{MachineKind: h.kind(), Shard: i % len(f.statuses), MachineType: t, Booting: true, ReadyIn: bootTime(t)}
 			fn(&r)
@@ -193,7 +193,7 @@
 
 // NoteStalledDispatch tells that there is room for work which the state service's limits keep from
 // being handed out: idle machines are about to be used.
-func (f *Fleet) NoteStalledDispatch() { f.stalled = f.rt.Now() }
+func (f *Fleet) NoteStalledDispatch() { f.dispatchStalledAt = f.runtime.Now() }
 
 // SetDemand tells for which tasks there is no room, and of which job most runs that could
 // as well run on spot machines, nil if there is none.
@@ -203,23 +203,23 @@
 	// use no spot machines, were taken to wait behind all of the arrays, and small jobs
 	// behind the largest, and hundreds of ordinary machines were rented for them.
 	slices.SortStableFunc(needs, func(a, b Demand) int { return cmp.Compare(a.Rank, b.Rank) })
-	f.needs, f.movable = needs, movable
+	f.demands, f.movableJob = needs, movable
 }
 
-// round looks at what to return and what to rent.
-func (f *Fleet) round(term int) {
+// runRound looks at what to return and what to rent.
+func (f *Fleet) runRound(term int) {
 	if term != f.term {
 		return
 	}
-	f.rt.After(tuning.FleetRoundInterval, func() { f.round(term) })
-	if !f.lease.LeaseValid() {
-		f.since = f.rt.Now()
+	f.runtime.After(tuning.FleetRoundInterval, func() { f.runRound(term) })
+	if !f.leases.LeaseValid() {
+		f.actingSince = f.runtime.Now()
 		return
 	}
-	f.judge()
-	f.release(term)
+	f.evaluateMachines()
+	f.releaseMachines(term)
 	if f.listed {
-		f.rent(term)
-		f.exchange(term)
+		f.rentForDemand(term)
+		f.exchangeExpensive(term)
 	}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,29 +15,29 @@
 	"lemonmoor/internal/workers"
 )
 
-// still is a runtime on which nothing happens by itself: timers wait for the test.
-type still struct {
+// manualRuntime is a runtime on which nothing happens by itself: timers wait for the test.
+type manualRuntime struct {
 	now     time.Duration
 	calls   []http1.ClientRequest
 	answers []func(http1.Response, error)
 	timers  []func()
 }
 
-func (s *still) Now() time.Duration   { return s.now }
-func (s *still) WallClock() time.Time { return time.UnixMilli(0) }
-func (s *still) Rand() float64        { return 0.5 }
-func (s *still) After(_ time.Duration, fn func()) {
+func (s *manualRuntime) Now() time.Duration   { return s.now }
+func (s *manualRuntime) WallClock() time.Time { return time.UnixMilli(0) }
+func (s *manualRuntime) Rand() float64        { return 0.5 }
+func (s *manualRuntime) After(_ time.Duration, fn func()) {
 	s.timers = append(s.timers, fn)
 }
 
-func (s *still) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
+func (s *manualRuntime) CallHTTP(_ string, c http1.ClientRequest, _ time.Duration, fn func(http1.Response, error)) {
 	s.calls = append(s.calls, c)
 	s.answers = append(s.answers, fn)
 }
-func (s *still) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
+func (s *manualRuntime) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
 // fire lets the timers run that are set now.
-func (s *still) fire() {
+func (s *manualRuntime) fire() {
 	timers := s.timers
 	s.timers = nil
 	for _, fn := range timers {
@@ -45,14 +45,14 @@
 	}
 }
 
-var _ eventloop.Runtime = (*still)(nil)
+var _ eventloop.Runtime = (*manualRuntime)(nil)
 
-// leading is the leader's lease; out: its lease has run out.
-type leading struct{ out bool }
+// fixedLeases is the leader's lease; out: its lease has run out.
+type fixedLeases struct{ expired bool }
 
-func (leading) LeaderToken() uint64   { return 7 }
-func (l leading) LeaseValid() bool    { return !l.out }
-func (leading) ShardOwner(int) string { return "node-0" }
+func (fixedLeases) LeaderToken() uint64   { return 7 }
+func (l fixedLeases) LeaseValid() bool    { return !l.expired }
+func (fixedLeases) ShardOwner(int) string { return "node-0" }
 
 // loadsFunc is a source of loads made of a function.
 type loadsFunc func(machineID string) MachineLoad
@@ -71,19 +71,19 @@
 // owner, which knew the machines from its records only, made the leader return
 // all of them as never booted, with their tasks.
 func TestNewOwnerLosesNoMachine(t *testing.T) {
-	rt := &still{now: time.Hour}
-	f := newFleet(rt, leading{}, &settings.Settings{})
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rented: 0, listed: true}
-	f.machines["vm-2"] = &machine{id: "vm-2", kind: MachineKind{MachineType: "g8"}, rented: 0, listed: true, booting: true}
+	rt := &manualRuntime{now: time.Hour}
+	f := newFleet(rt, fixedLeases{}, &settings.Settings{})
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listed: true}
+	f.machines["vm-2"] = &machine{id: "vm-2", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listed: true, booting: true}
 	f.HandleStatus(&ShardStatus{Full: true, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true, Busy: true}}})
 	rt.now += time.Second
 	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Hosts: []MachineStatus{{ID: "vm-1", Busy: true}}})
-	f.judge()
-	if m := f.machines["vm-1"]; m.release {
-		t.Errorf("a machine with tasks is returned: %s", m.why)
+	f.evaluateMachines()
+	if m := f.machines["vm-1"]; m.returning {
+		t.Errorf("a machine with tasks is returned: %s", m.returnReason)
 	}
-	if m := f.machines["vm-2"]; !m.release {
+	if m := f.machines["vm-2"]; !m.returning {
 		t.Error("a machine that has been booting for an hour is kept")
 	}
 }
@@ -92,13 +92,13 @@
 // died while all controllers were down stayed in the lists as running, counted
 // as about to come, and for half a minute nothing was rented in their place.
 func TestDeadMachineIsNoRoom(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS = 10
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	for _, id := range []string{"vm-1", "vm-2"} {
-		f.machines[id] = &machine{id: id, kind: MachineKind{MachineType: "g8"}, rented: rt.now, listed: true, running: rt.now}
+		f.machines[id] = &machine{id: id, kind: MachineKind{MachineType: "g8"}, rentedAt: rt.now, listed: true, runningSince: rt.now}
 	}
 	rooms := func() (n int) {
 		f.EachAvailable(func(*AvailableMachine) { n++ })
@@ -114,8 +114,8 @@
 	if n := rooms(); n != 1 {
 		t.Errorf("%d rooms, one machine is dead", n)
 	}
-	f.judge()
-	if !f.machines["vm-2"].release || f.machines["vm-1"].release {
+	f.evaluateMachines()
+	if !f.machines["vm-2"].returning || f.machines["vm-1"].returning {
 		t.Error("the dead machine is kept, or the live one returned")
 	}
 }
@@ -123,11 +123,11 @@
 // TestRentalsFillTheNeed: a large backlog is rented for in few calls within the
 // cloud's budget, and what is under way is not rented for again.
 func TestRentalsFillTheNeed(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 4
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootSeconds: 50, Zones: []string{"a", "b"}}}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootSeconds: 50, Zones: []string{"a", "b"}}}
 	job := &jobs.Spec{CPUs: 16, MemoryGB: 35, Spot: true, EstimateSeconds: 40, Tasks: 400}
 	asked := map[string]int{}
 	total := 0
@@ -138,13 +138,13 @@
 		waiting := max(0, 800-int(have/16))
 		f.SetDemand([]Demand{{Spec: job, Tasks: waiting / 2, ObjectiveSlackSeconds: []float64{100}}, {Spec: job, Tasks: waiting - waiting/2, ObjectiveSlackSeconds: []float64{100}}}, nil)
 		first := len(rt.calls)
-		f.rent(0)
+		f.rentForDemand(0)
 		// The cloud allows four a second and bursts of two seconds' worth.
 		if n := len(rt.calls); n > 8+4*second {
 			t.Fatalf("%d calls in %d seconds", n, second)
 		}
 		for i := first; i < len(rt.calls); i++ {
-			var h hire
+			var h rentalRequest
 			if err := json.Unmarshal(rt.calls[i].Body, &h); err != nil || h.Number < 1 || h.Number > 50 {
 				t.Fatalf("asked for %+v, %v", h, err)
 			}
@@ -168,11 +168,11 @@
 // they could not report, and when it was back those left were returned at the
 // first sign of life.
 func TestZoneCutOff(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS, set.Deployment.Cloud.RPS = 10, 100
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
 	d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 	for i := range 90 {
 		zone := "a"
@@ -187,12 +187,12 @@
 		d.Seq++
 		d.ReachableZones = lit
 		f.HandleStatus(d)
-		f.judge()
+		f.evaluateMachines()
 	}
 	count := func() (rooms, returned int) {
 		f.EachAvailable(func(*AvailableMachine) { rooms++ })
 		for _, m := range f.machines {
-			if m.release {
+			if m.returning {
 				returned++
 			}
 		}
@@ -217,9 +217,9 @@
 	}
 	f.SetDemand([]Demand{{Spec: &jobs.Spec{CPUs: 4, MemoryGB: 4, Spot: true, EstimateSeconds: 40}, Tasks: 500, ObjectiveSlackSeconds: []float64{60}}}, nil)
 	first := len(rt.calls)
-	f.rent(0)
+	f.rentForDemand(0)
 	for _, c := range rt.calls[first:] {
-		var h hire
+		var h rentalRequest
 		if err := json.Unmarshal(c.Body, &h); err != nil || h.Zone != "a" {
 			t.Errorf("asked for %s", c.Body)
 		}
@@ -263,12 +263,12 @@
 // state service: nothing could be handed out, all machines became idle, and when
 // it was over they were returned at once, two thousand of them.
 func TestIdleInAnOutage(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Workers.ReportS = 10
-	lease := &leading{}
+	lease := &fixedLeases{}
 	f := newFleet(rt, lease, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.BeginTerm()
 	rt.now += time.Hour
 	d := &ShardStatus{Full: true}
@@ -282,22 +282,22 @@
 		}
 		d.Seq++
 		f.HandleStatus(d)
-		f.round(f.term)
+		f.runRound(f.term)
 	}
 	drained := func() (n int) {
 		for _, m := range f.machines {
-			if m.drain != "" {
+			if m.drainReason != "" {
 				n++
 			}
 		}
 		return n
 	}
 	second()
-	lease.out = true
+	lease.expired = true
 	for range 60 {
 		second()
 	}
-	lease.out = false
+	lease.expired = false
 	for range 8 {
 		second()
 	}
@@ -316,11 +316,11 @@
 // word cost, by the number of machines.
 func BenchmarkLeader(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
-		rt := &still{now: time.Hour}
+		rt := &manualRuntime{now: time.Hour}
 		set := &settings.Settings{}
 		set.Deployment.Workers.ReportS = 10
-		f := newFleet(rt, leading{}, set)
-		f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+		f := newFleet(rt, fixedLeases{}, set)
+		f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 		d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 		for i := range n {
 			d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprintf("vm-%06d", i), MachineType: "g8", Zone: "ab"[i%2 : i%2+1], HasReported: true, AcceptsTasks: true, Busy: true})
@@ -333,7 +333,7 @@
 		})
 		b.Run(fmt.Sprint("judge ", n), func(b *testing.B) {
 			for b.Loop() {
-				f.judge()
+				f.evaluateMachines()
 			}
 		})
 		d.Full, d.Hosts = false, d.Hosts[:n/20]
@@ -351,9 +351,9 @@
 // been returned. It counted as room for ever, and nothing was rented for a gang
 // that waited for it.
 func TestLateStatusTellsNothing(t *testing.T) {
-	rt := &still{now: time.Hour}
-	f := newFleet(rt, leading{}, &settings.Settings{})
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	rt := &manualRuntime{now: time.Hour}
+	f := newFleet(rt, fixedLeases{}, &settings.Settings{})
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	ghost := []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}
 	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Seq: 40})
 	for _, d := range []*ShardStatus{{Token: 9, Seq: 12, Hosts: ghost}, {Full: true, Token: 9, Seq: 13, Hosts: ghost}, {Full: true, Token: 8, Seq: 90, Hosts: ghost}} {
@@ -369,20 +369,20 @@
 // the cloud took before any list had it counted as one that boots, and work waited
 // for it for ever.
 func TestTakenBeforeListed(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.ListLagS = 10
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.listed = true
-	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rented: rt.now}
+	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: rt.now}
 	for _, c := range []struct {
 		after time.Duration
 		back  bool
 	}{{50 * time.Second, false}, {90 * time.Second, true}} {
 		rt.now = time.Hour + c.after
-		f.judge()
-		if got := f.machines["vm-1"].release; got != c.back {
+		f.evaluateMachines()
+		if got := f.machines["vm-1"].returning; got != c.back {
 			t.Errorf("after %v: returned %v", c.after, got)
 		}
 	}
@@ -391,19 +391,19 @@
 // TestIdleMachineIsReturnedWhenItsOwnerAgrees: the leader's list may be old. An idle machine
 // is closed by its owner first, and returned when that says that nothing is on it.
 func TestIdleMachineIsReturnedWhenItsOwnerAgrees(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 10
-	f := newFleet(rt, leading{}, set)
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f := newFleet(rt, fixedLeases{}, set)
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	f.listed = true
 	status := MachineStatus{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}
 	var r StatusReply
 	for seq := range 600 {
 		rt.now += time.Second
 		r = f.HandleStatus(&ShardStatus{Full: seq == 0, Seq: uint64(seq + 1), Hosts: []MachineStatus{status}})
-		f.judge()
-		f.release(0)
+		f.evaluateMachines()
+		f.releaseMachines(0)
 		if status.IdleMS += 1000; len(r.Drain) > 0 {
 			break
 		}
@@ -413,8 +413,8 @@
 	}
 	status.AcceptsTasks, status.ReleaseReason = false, "idle"
 	f.HandleStatus(&ShardStatus{Full: true, Seq: 1000, Hosts: []MachineStatus{status}})
-	f.judge()
-	f.release(0)
+	f.evaluateMachines()
+	f.releaseMachines(0)
 	if len(rt.calls) != 1 || rt.calls[0].Target != "/rentals/release" {
 		t.Errorf("%d calls to the cloud when it has", len(rt.calls))
 	}
@@ -423,12 +423,12 @@
 // TestReturnedMachineIsNotTakenInAgain: an owner that has not heard yet, or a list that lags,
 // still tells of it.
 func TestReturnedMachineIsNotTakenInAgain(t *testing.T) {
-	rt := &still{now: time.Hour}
-	f := newFleet(rt, leading{}, &settings.Settings{})
-	f.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.returned["vm-1"] = rt.now
+	rt := &manualRuntime{now: time.Hour}
+	f := newFleet(rt, fixedLeases{}, &settings.Settings{})
+	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	f.releasedAt["vm-1"] = rt.now
 	r := f.HandleStatus(&ShardStatus{Full: true, Seq: 1, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
-	f.takeListed(&listedMachine{ID: "vm-1", Build: "g8", Phase: "up"}, rt.now)
+	f.observeListed(&listedMachine{ID: "vm-1", MachineType: "g8", Phase: "up"}, rt.now)
 	if len(f.machines) > 0 || len(r.Released) != 1 {
 		t.Errorf("%d machines, the owner is told that %v are gone", len(f.machines), r.Released)
 	}
@@ -437,16 +437,16 @@
 // TestRepeatedRentalKeepsItsName: a rental without an answer may have been carried out; under
 // its own name once more it rents nothing more.
 func TestRepeatedRentalKeepsItsName(t *testing.T) {
-	rt := &still{now: time.Hour}
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
-	f := newFleet(rt, leading{}, set)
-	f.hire(0, hire{Name: "r-7-1", Build: "g8", Zone: "a", Number: 2}, 0)
+	f := newFleet(rt, fixedLeases{}, set)
+	f.sendRental(0, rentalRequest{Name: "r-7-1", MachineType: "g8", Zone: "a", Number: 2}, 0)
 	rt.answers[0](http1.Response{}, eventloop.ErrNoAnswer)
 	rt.fire()
 	if len(rt.calls) != 2 || string(rt.calls[1].Body) != string(rt.calls[0].Body) {
 		t.Fatalf("%d requests, the last %s", len(rt.calls), rt.calls[len(rt.calls)-1].Body)
 	}
-	if len(f.inFlight) != 1 {
-		t.Errorf("%d rentals count as under way", len(f.inFlight))
+	if len(f.rentalsInFlight) != 1 {
+		t.Errorf("%d rentals count as under way", len(f.rentalsInFlight))
 	}
 }
--- a/internal/fleet/need.go
+++ b/internal/fleet/need.go
@@ -39,11 +39,11 @@
 	ObjectiveSlackSeconds []float64
 }
 
-// patience is how long the tasks can wait for the next aim that a machine which is
+// objectiveWait is how long the tasks can wait for the next aim that a machine which is
 // there after so many seconds can still meet; most if there is none. An aim that
 // will be missed or met before a machine could be up is no reason to rent one:
 // counted as one, jobs of five seconds had hundreds rented for the first minute.
-func (n *Demand) patience(ready, most float64) float64 {
+func (n *Demand) objectiveWait(ready, most float64) float64 {
 	for _, left := range n.ObjectiveSlackSeconds {
 		if left > ready {
 			most = min(most, left)
@@ -61,18 +61,18 @@
 // MachineLoad is what the tasks placed on a machine take.
 type MachineLoad struct {
 	CPUs float64
-	// Movable is the processors of tasks that could run on any spot machine.
-	Movable float64
-	// Services is the processors of replicas of services, which do not come free.
-	Services float64
-	// ByPriority divides CPUs among the priorities of the tasks.
-	ByPriority [jobs.PriorityCritical + 1]float64
+	// MovableCPUs is the processors of tasks that could run on any spot machine.
+	MovableCPUs float64
+	// ServiceCPUs is the processors of replicas of services, which do not come free.
+	ServiceCPUs float64
+	// CPUsByPriority divides CPUs among the priorities of the tasks.
+	CPUsByPriority [jobs.PriorityCritical + 1]float64
 }
 
 // Below is the processors taken by tasks of a lower priority.
 func (l *MachineLoad) Below(p jobs.Priority) float64 {
 	sum := 0.0
-	for _, cpus := range l.ByPriority[:p] {
+	for _, cpus := range l.CPUsByPriority[:p] {
 		sum += cpus
 	}
 	return sum
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -6,12 +6,12 @@
 	"lemonmoor/internal/tuning"
 )
 
-// statusHeard is the newest that a block's owner has told.
-type statusHeard struct {
+// ownerStatus is the newest that a block's owner has told.
+type ownerStatus struct {
 	token, seq uint64
-	heard      time.Duration
+	heardAt    time.Duration
 	since      time.Duration // when this owner was first heard, without a gap
-	any        bool
+	known      bool
 }
 
 // MachineStatus is what a block's owner tells of a machine.
@@ -62,39 +62,39 @@
 	Recall   []Recall         `json:"recall,omitempty"`
 }
 
-// fresh tells whether the owner's status of a machine is new enough. Messages come
+// hasFreshStatus tells whether the owner's status of a machine is new enough. Messages come
 // every second, whatever the workers' pace.
-func (f *Fleet) fresh(m *machine) bool {
-	w := &f.statuses[m.block]
-	return m.known && w.any && f.rt.Now()-w.heard < tuning.StatusStaleAfter
+func (f *Fleet) hasFreshStatus(m *machine) bool {
+	w := &f.statuses[m.shard]
+	return m.reported && w.known && f.runtime.Now()-w.heardAt < tuning.StatusStaleAfter
 }
 
 // HandleStatus takes an owner's status message. Machines in it that were not rented in this
 // term are adopted.
 func (f *Fleet) HandleStatus(d *ShardStatus) StatusReply {
 	var r StatusReply
-	now := f.rt.Now()
+	now := f.runtime.Now()
 	w := &f.statuses[d.Shard]
-	if w.any && (d.Token < w.token || (d.Token == w.token && d.Seq <= w.seq)) {
+	if w.known && (d.Token < w.token || (d.Token == w.token && d.Seq <= w.seq)) {
 		// Held back on its way. A machine in it, returned long ago, counted as
 		// room for ever: nothing was rented for tasks that waited for it.
 		return r
 	}
-	if !d.Full && (!w.any || w.token != d.Token || d.Seq != w.seq+1) {
+	if !d.Full && (!w.known || w.token != d.Token || d.Seq != w.seq+1) {
 		r.Full = true // what it tells is true, but something is missing
 	} else {
 		since := w.since
-		if !w.any || w.token != d.Token || now-w.heard > tuning.StatusStaleAfter {
+		if !w.known || w.token != d.Token || now-w.heardAt > tuning.StatusStaleAfter {
 			since = now
 		}
-		*w = statusHeard{d.Token, d.Seq, now, since, true}
+		*w = ownerStatus{d.Token, d.Seq, now, since, true}
 	}
 	for _, zone := range d.ReachableZones {
-		f.reachable[zone] = now
+		f.zoneHeardAt[zone] = now
 	}
 	// A message whose answer is lost is followed by a full one, which asks for
 	// these anew.
-	r.Released, f.unreported[d.Shard] = f.unreported[d.Shard], nil
+	r.Released, f.unreportedReleases[d.Shard] = f.unreportedReleases[d.Shard], nil
 	var there map[string]bool
 	if d.Full {
 		there = make(map[string]bool, len(d.Hosts))
@@ -103,54 +103,54 @@
 		if there != nil {
 			there[s.ID] = s.HasReported
 		}
-		if _, gone := f.returned[s.ID]; gone {
+		if _, gone := f.releasedAt[s.ID]; gone {
 			r.Released = append(r.Released, s.ID)
 			continue
 		}
-		f.takeMachine(s, d.Shard)
+		f.observeMachine(s, d.Shard)
 	}
 	if d.Full && !f.listed {
 		r.Full = true // tell all once more, when the machines are known
 	}
-	f.instruct(&r, d.Shard, there)
+	f.addInstructions(&r, d.Shard, there)
 	return r
 }
 
-// takeMachine takes in what an owner tells of a machine.
-func (f *Fleet) takeMachine(s MachineStatus, block int) {
-	now := f.rt.Now()
+// observeMachine takes in what an owner tells of a machine.
+func (f *Fleet) observeMachine(s MachineStatus, block int) {
+	now := f.runtime.Now()
 	m := f.machines[s.ID]
 	if m == nil {
 		if !s.HasReported {
 			return // known from a record only
 		}
-		m = &machine{id: s.ID, rented: now, block: block}
+		m = &machine{id: s.ID, rentedAt: now, shard: block}
 		f.machines[s.ID] = m
 	}
 	if s.HasReported {
-		m.addr, m.kind = s.Addr, MachineKind{s.MachineType, s.Zone, s.Spot}
+		m.address, m.kind = s.Addr, MachineKind{s.MachineType, s.Zone, s.Spot}
 	}
 	// A new owner knows some machines from their records only, until
 	// they report to it: that makes none of them one that never booted.
-	m.state, m.known = s, m.known || s.HasReported
-	m.idle = now - time.Duration(s.IdleMS)*time.Millisecond
-	if s.ReleaseReason != "" && !m.silent() { // judge sees to those
-		f.giveBack(m, s.ReleaseReason)
+	m.status, m.reported = s, m.reported || s.HasReported
+	m.idleSince = now - time.Duration(s.IdleMS)*time.Millisecond
+	if s.ReleaseReason != "" && !m.isSilent() { // judge sees to those
+		f.returnMachine(m, s.ReleaseReason)
 	}
 }
 
-// instruct tells a block's owner of machines that it has not heard of, there being those
+// addInstructions tells a block's owner of machines that it has not heard of, there being those
 // in a full message and nil otherwise, and which to keep tasks off.
-func (f *Fleet) instruct(r *StatusReply, block int, there map[string]bool) {
+func (f *Fleet) addInstructions(r *StatusReply, block int, there map[string]bool) {
 	for id, m := range f.machines {
 		switch {
-		case m.block != block:
+		case m.shard != block:
 		case there != nil && !there[id]:
-			m.state.AcceptsTasks = false // it has not reported to this owner yet
-			if m.addr != "" && !m.release && !m.booting {
-				r.Machines = append(r.Machines, MachineAddress{id, m.addr})
+			m.status.AcceptsTasks = false // it has not reported to this owner yet
+			if m.address != "" && !m.returning && !m.booting {
+				r.Machines = append(r.Machines, MachineAddress{id, m.address})
 			}
-		case m.drain != "" && m.known && m.state.AcceptsTasks:
+		case m.drainReason != "" && m.reported && m.status.AcceptsTasks:
 			r.Drain = append(r.Drain, id)
 		}
 	}
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -11,23 +11,23 @@
 )
 
 // Start reads the machine types and keeps their prices current.
-func (f *Fleet) Start() { f.readTypes(0) }
+func (f *Fleet) Start() { f.readMachineTypes(0) }
 
 // MachineTypes are the machine types, nil while unknown.
-func (f *Fleet) MachineTypes() []jobs.MachineType { return f.types }
+func (f *Fleet) MachineTypes() []jobs.MachineType { return f.machineTypes }
 
 // MachineType finds a machine type.
 func (f *Fleet) MachineType(label string) *jobs.MachineType {
-	for i := range f.types {
-		if f.types[i].Name == label {
-			return &f.types[i]
+	for i := range f.machineTypes {
+		if f.machineTypes[i].Name == label {
+			return &f.machineTypes[i]
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) readTypes(try int) {
-	f.rt.CallHTTP(f.addr, http1.ClientRequest{Method: "GET", Target: "/machine_types"}, tuning.CloudRequestTimeout,
+func (f *Fleet) readMachineTypes(try int) {
+	f.runtime.CallHTTP(f.cloudAddress, http1.ClientRequest{Method: "GET", Target: "/machine_types"}, tuning.CloudRequestTimeout,
 		func(ans http1.Response, err error) {
 			var reply struct {
 				Builds []jobs.MachineType `json:"builds"`
@@ -38,7 +38,7 @@
 			if err != nil || ans.Status != 200 || len(reply.Builds) == 0 {
 				f.log.Debug("machine types not read", "status", ans.Status, "err", err)
 				pause := min(time.Second<<min(try, 4), 10*time.Second)
-				f.rt.After(time.Duration(float64(pause)*(0.5+f.rt.Rand())), func() { f.readTypes(try + 1) })
+				f.runtime.After(time.Duration(float64(pause)*(0.5+f.runtime.Rand())), func() { f.readMachineTypes(try + 1) })
 				return
 			}
 			// Prices move; the machines' properties stay, and other slices
@@ -47,10 +47,10 @@
 				if old := f.MachineType(n.Name); old != nil {
 					*old = n
 				} else {
-					f.types = append(slices.Clip(f.types), n)
+					f.machineTypes = append(slices.Clip(f.machineTypes), n)
 				}
 			}
-			f.rt.After(tuning.MachineTypesInterval, func() { f.readTypes(0) })
+			f.runtime.After(tuning.MachineTypesInterval, func() { f.readMachineTypes(0) })
 		})
 }
 
@@ -67,8 +67,8 @@
 // first.
 func (f *Fleet) CandidateZones(d *jobs.Spec) []string {
 	room := map[string]float64{}
-	for i := range f.types {
-		t := &f.types[i]
+	for i := range f.machineTypes {
+		t := &f.machineTypes[i]
 		if !t.CanRun(d) {
 			continue
 		}
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -21,15 +21,15 @@
 }
 
 // cloudFleet is a fleet whose calls to the cloud wait for the test's answers.
-func cloudFleet() (*still, *Fleet) {
-	rt := &still{now: time.Hour}
+func cloudFleet() (*manualRuntime, *Fleet) {
+	rt := &manualRuntime{now: time.Hour}
 	set := &settings.Settings{}
 	set.Deployment.Cloud.RPS = 100
-	return rt, newFleet(rt, leading{}, set)
+	return rt, newFleet(rt, fixedLeases{}, set)
 }
 
 // asked checks the last call to the cloud.
-func (s *still) asked(t *testing.T, method, target, body string) {
+func (s *manualRuntime) asked(t *testing.T, method, target, body string) {
 	t.Helper()
 	if len(s.calls) == 0 {
 		t.Fatal("the cloud is not asked")
@@ -40,7 +40,7 @@
 }
 
 // tell answers the last call to the cloud.
-func (s *still) tell(status int, body string) {
+func (s *manualRuntime) tell(status int, body string) {
 	s.answers[len(s.answers)-1](http1.Response{Status: status, Body: []byte(body)}, nil)
 }
 
@@ -61,7 +61,7 @@
 	wiretest.Same(t, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],`+
 		`"hasNext":true}`, &listReply{})
 	rt, f := cloudFleet()
-	f.list(f.term)
+	f.readList(f.term)
 	rt.asked(t, "GET", "/rentals?limit=500", "")
 	rt.tell(200, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],"hasNext":true}`)
 	rt.asked(t, "GET", "/rentals?limit=500&since=vm-1", "")
@@ -75,7 +75,7 @@
 	if one.Addr != "10.0.0.1:7" || one.MachineType != "g8" || one.Zone != "yard-a" || !one.Spot || two.Spot || two.MachineType != "g16" {
 		t.Errorf("%+v, %+v", one, two)
 	}
-	if !f.machines["vm-1"].booting || f.machines["vm-2"].booting || !f.machines["vm-3"].failed || f.machines["vm-1"].rented != rt.now-2500*time.Millisecond {
+	if !f.machines["vm-1"].booting || f.machines["vm-2"].booting || !f.machines["vm-3"].failed || f.machines["vm-1"].rentedAt != rt.now-2500*time.Millisecond {
 		t.Error("phase or age is not read")
 	}
 }
@@ -87,17 +87,17 @@
 	f.RentNamed("r-7-1", kind)
 	rt.asked(t, "POST", "/rentals", `{"hire":"r-7-1","build":"g8","yard":"yard-a","loaners":true,"number":1}`)
 	rt.tell(503, `{"error":"no capacity"}`)
-	if f.pauses[kind] <= rt.now {
+	if f.pausedUntil[kind] <= rt.now {
 		t.Error("a lack of capacity is not understood")
 	}
-	clear(f.pauses)
+	clear(f.pausedUntil)
 	f.RentNamed("r-7-2", kind)
 	rt.tell(200, `{"hosts":["vm-8"]}`)
 	if id, known := f.RentNamed("r-7-2", kind); id != "vm-8" || !known {
 		t.Errorf("rented %q, %v", id, known)
 	}
-	f.machines["vm-8"].release = true
-	f.release(f.term)
+	f.machines["vm-8"].returning = true
+	f.releaseMachines(f.term)
 	rt.asked(t, "POST", "/rentals/release", `{"hosts":["vm-8"]}`)
 	rt.tell(200, `{}`)
 	if !f.IsGone("vm-8") {
--- a/internal/leader/machine_usage.go
+++ b/internal/leader/machine_usage.go
@@ -57,7 +57,7 @@
 // MachineLoad returns what the tasks placed on a machine take.
 func (u *MachineUsage) MachineLoad(machineID string) fleet.MachineLoad {
 	if load := u.loads[machineID]; load != nil {
-		return fleet.MachineLoad{CPUs: load.used.CPUs, Movable: load.movableCPUs, Services: load.serviceCPUs, ByPriority: load.cpusByPriority}
+		return fleet.MachineLoad{CPUs: load.used.CPUs, MovableCPUs: load.movableCPUs, ServiceCPUs: load.serviceCPUs, CPUsByPriority: load.cpusByPriority}
 	}
 	return fleet.MachineLoad{}
 }
