--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -36,8 +36,8 @@
 }
 func (s *manualRuntime) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
-// fire lets the timers run that are set now.
-func (s *manualRuntime) fire() {
+// fireTimers lets the timers run that are set now.
+func (s *manualRuntime) fireTimers() {
 	timers := s.timers
 	s.timers = nil
 	for _, fn := range timers {
@@ -50,9 +50,8 @@
 // fixedLeases is the leader's lease; out: its lease has run out.
 type fixedLeases struct{ expired bool }
 
-func (fixedLeases) LeaderToken() uint64   { return 7 }
-func (l fixedLeases) LeaseValid() bool    { return !l.expired }
-func (fixedLeases) ShardOwner(int) string { return "node-0" }
+func (fixedLeases) LeaderToken() uint64 { return 7 }
+func (l fixedLeases) LeaseValid() bool  { return !l.expired }
 
 // loadsFunc is a source of loads made of a function.
 type loadsFunc func(machineID string) MachineLoad
@@ -60,139 +59,139 @@
 func (f loadsFunc) MachineLoad(machineID string) MachineLoad { return f(machineID) }
 
 // newFleet returns a fleet with nothing on its machines.
-func newFleet(runtime eventloop.Runtime, leases Lease, settings *settings.Settings) *Fleet {
+func newFleet(runtime eventloop.Runtime, leases Leases, settings *settings.Settings) *Fleet {
 	return New(Dependencies{
 		Runtime: runtime, Address: "cloud", Leases: leases, Settings: settings, Log: slog.New(slog.DiscardHandler),
 		Loads: loadsFunc(func(string) MachineLoad { return MachineLoad{} }),
 	})
 }
 
-// TestNewOwnerLosesNoMachine guards against a fault seen on a rough day: a new
+// TestMachinesKnownFromRecordsAreNotReleased guards against a fault seen on a rough day: a new
 // owner, which knew the machines from its records only, made the leader return
 // all of them as never booted, with their tasks.
-func TestNewOwnerLosesNoMachine(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	f := newFleet(rt, fixedLeases{}, &settings.Settings{})
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listed: true}
-	f.machines["vm-2"] = &machine{id: "vm-2", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listed: true, booting: true}
-	f.HandleStatus(&ShardStatus{Full: true, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true, Busy: true}}})
-	rt.now += time.Second
-	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Hosts: []MachineStatus{{ID: "vm-1", Busy: true}}})
-	f.evaluateMachines()
-	if m := f.machines["vm-1"]; m.returning {
-		t.Errorf("a machine with tasks is returned: %s", m.returnReason)
-	}
-	if m := f.machines["vm-2"]; !m.returning {
+func TestMachinesKnownFromRecordsAreNotReleased(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	fleet := newFleet(runtime, fixedLeases{}, &settings.Settings{})
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	fleet.machines.byID["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listing: machineListing{listed: true}}
+	fleet.machines.byID["vm-2"] = &machine{id: "vm-2", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listing: machineListing{listed: true, booting: true}}
+	fleet.HandleStatus(&ShardStatus{Full: true, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true, Busy: true}}})
+	runtime.now += time.Second
+	fleet.HandleStatus(&ShardStatus{Full: true, Token: 9, Hosts: []MachineStatus{{ID: "vm-1", Busy: true}}})
+	fleet.evaluateMachines()
+	if m := fleet.machines.byID["vm-1"]; m.release.requested {
+		t.Errorf("a machine with tasks is returned: %s", m.release.reason)
+	}
+	if m := fleet.machines.byID["vm-2"]; !m.release.requested {
 		t.Error("a machine that has been booting for an hour is kept")
 	}
 }
 
-// TestDeadMachineIsNoRoom guards against a fault of a rough day: machines that
+// TestOverdueMachineIsNotAvailable guards against a fault of a rough day: machines that
 // died while all controllers were down stayed in the lists as running, counted
 // as about to come, and for half a minute nothing was rented in their place.
-func TestDeadMachineIsNoRoom(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Workers.ReportS = 10
-	f := newFleet(rt, fixedLeases{}, set)
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+func TestOverdueMachineIsNotAvailable(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Workers.ReportS = 10
+	fleet := newFleet(runtime, fixedLeases{}, config)
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	for _, id := range []string{"vm-1", "vm-2"} {
-		f.machines[id] = &machine{id: id, kind: MachineKind{MachineType: "g8"}, rentedAt: rt.now, listed: true, runningSince: rt.now}
+		fleet.machines.byID[id] = &machine{id: id, kind: MachineKind{MachineType: "g8"}, rentedAt: runtime.now, listing: machineListing{listed: true, runningSince: runtime.now}}
 	}
-	rooms := func() (n int) {
-		f.EachAvailable(func(*AvailableMachine) { n++ })
+	available := func() (n int) {
+		fleet.EachAvailable(func(*AvailableMachine) { n++ })
 		return n
 	}
 	for s := range 25 {
-		f.HandleStatus(&ShardStatus{Full: s == 0, Seq: uint64(s), Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
-		if s == 3 && rooms() != 2 {
+		fleet.HandleStatus(&ShardStatus{Full: s == 0, Seq: uint64(s), Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
+		if s == 3 && available() != 2 {
 			t.Error("a machine that may report any moment is no room")
 		}
-		rt.now += time.Second
+		runtime.now += time.Second
 	}
-	if n := rooms(); n != 1 {
+	if n := available(); n != 1 {
 		t.Errorf("%d rooms, one machine is dead", n)
 	}
-	f.evaluateMachines()
-	if !f.machines["vm-2"].returning || f.machines["vm-1"].returning {
+	fleet.evaluateMachines()
+	if !fleet.machines.byID["vm-2"].release.requested || fleet.machines.byID["vm-1"].release.requested {
 		t.Error("the dead machine is kept, or the live one returned")
 	}
 }
 
-// TestRentalsFillTheNeed: a large backlog is rented for in few calls within the
+// TestBacklogIsRentedForInFewCalls: a large backlog is rented for in few calls within the
 // cloud's budget, and what is under way is not rented for again.
-func TestRentalsFillTheNeed(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Cloud.RPS = 4
-	f := newFleet(rt, fixedLeases{}, set)
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootSeconds: 50, Zones: []string{"a", "b"}}}
+func TestBacklogIsRentedForInFewCalls(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Cloud.RPS = 4
+	fleet := newFleet(runtime, fixedLeases{}, config)
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 32, MemoryGB: 128, Price: 2, SpotPrice: 0.7, BootSeconds: 50, Zones: []string{"a", "b"}}}
 	job := &jobs.Spec{CPUs: 16, MemoryGB: 35, Spot: true, EstimateSeconds: 40, Tasks: 400}
-	asked := map[string]int{}
+	requests := map[string]int{}
 	total := 0
 	for second := range 40 {
-		rt.now += time.Second
-		have := 0.0
-		f.EachAvailable(func(r *AvailableMachine) { have += r.MachineType.CPUs })
-		waiting := max(0, 800-int(have/16))
-		f.SetDemand([]Demand{{Spec: job, Tasks: waiting / 2, ObjectiveSlackSeconds: []float64{100}}, {Spec: job, Tasks: waiting - waiting/2, ObjectiveSlackSeconds: []float64{100}}}, nil)
-		first := len(rt.calls)
-		f.rentForDemand(0)
+		runtime.now += time.Second
+		availableCPUs := 0.0
+		fleet.EachAvailable(func(r *AvailableMachine) { availableCPUs += r.MachineType.CPUs })
+		waiting := max(0, 800-int(availableCPUs/16))
+		fleet.SetDemand([]Demand{{Spec: job, Tasks: waiting / 2, ObjectiveSlackSeconds: []float64{100}}, {Spec: job, Tasks: waiting - waiting/2, ObjectiveSlackSeconds: []float64{100}}}, nil)
+		first := len(runtime.calls)
+		fleet.rentForDemand()
 		// The cloud allows four a second and bursts of two seconds' worth.
-		if n := len(rt.calls); n > 8+4*second {
+		if n := len(runtime.calls); n > 8+4*second {
 			t.Fatalf("%d calls in %d seconds", n, second)
 		}
-		for i := first; i < len(rt.calls); i++ {
-			var h rentalRequest
-			if err := json.Unmarshal(rt.calls[i].Body, &h); err != nil || h.Number < 1 || h.Number > 50 {
-				t.Fatalf("asked for %+v, %v", h, err)
+		for i := first; i < len(runtime.calls); i++ {
+			var request rentalRequest
+			if err := json.Unmarshal(runtime.calls[i].Body, &request); err != nil || request.Number < 1 || request.Number > 50 {
+				t.Fatalf("asked for %+v, %v", request, err)
 			}
-			asked[h.Name]++
-			total += h.Number
+			requests[request.Name]++
+			total += request.Number
 		}
 	}
 	// Two tasks to a machine; what is left may wait for half a boot.
-	if wait := float64(800-2*total) * 16 * 40 / (float64(total) * 32); total > 400 || wait > 25 || len(asked) > 10 {
-		t.Errorf("%d machines in %d calls for 800 tasks, the rest waits %.0f s", total, len(asked), wait)
+	if wait := float64(800-2*total) * 16 * 40 / (float64(total) * 32); total > 400 || wait > 25 || len(requests) > 10 {
+		t.Errorf("%d machines in %d calls for 800 tasks, the rest waits %.0f s", total, len(requests), wait)
 	}
-	for name, n := range asked {
+	for name, n := range requests {
 		if n > 1 {
 			t.Errorf("request %s was used %d times", name, n)
 		}
 	}
 }
 
-// TestZoneCutOff guards against faults of two days on which a zone was cut off:
+// TestPartitionedZone guards against faults of two days on which a zone was cut off:
 // its machines were returned, hundreds were rented anew in that same zone, where
 // they could not report, and when it was back those left were returned at the
 // first sign of life.
-func TestZoneCutOff(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Workers.ReportS, set.Deployment.Cloud.RPS = 10, 100
-	f := newFleet(rt, fixedLeases{}, set)
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
-	d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
+func TestPartitionedZone(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Workers.ReportS, config.Deployment.Cloud.RPS = 10, 100
+	fleet := newFleet(runtime, fixedLeases{}, config)
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
+	message := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
 	for i := range 90 {
 		zone := "a"
 		if i%3 > 0 {
 			zone = "b"
 		}
-		d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", Zone: zone, HasReported: true, AcceptsTasks: true, Busy: true})
+		message.Hosts = append(message.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", Zone: zone, HasReported: true, AcceptsTasks: true, Busy: true})
 	}
-	f.listed = true
+	fleet.term.listed = true
 	second := func(lit ...string) {
-		rt.now += time.Second
-		d.Seq++
-		d.ReachableZones = lit
-		f.HandleStatus(d)
-		f.evaluateMachines()
+		runtime.now += time.Second
+		message.Seq++
+		message.ReachableZones = lit
+		fleet.HandleStatus(message)
+		fleet.evaluateMachines()
 	}
 	count := func() (rooms, returned int) {
-		f.EachAvailable(func(*AvailableMachine) { rooms++ })
-		for _, m := range f.machines {
-			if m.returning {
+		fleet.EachAvailable(func(*AvailableMachine) { rooms++ })
+		for _, m := range fleet.machines.byID {
+			if m.release.requested {
 				returned++
 			}
 		}
@@ -202,11 +201,11 @@
 		second("a", "b")
 	}
 	for s := range 60 { // zone b: most of the machines
-		for i := range d.Hosts {
-			if h := &d.Hosts[i]; h.Zone == "b" && s > 7+i%12 {
-				h.AcceptsTasks, h.ReleaseReason = false, workers.ReleaseSilent
+		for i := range message.Hosts {
+			if request := &message.Hosts[i]; request.Zone == "b" && s > 7+i%12 {
+				request.AcceptsTasks, request.ReleaseReason = false, workers.ReleaseSilent
 				if i%2 == 0 {
-					h.ReleaseReason = workers.ReleaseSilentUrgent
+					request.ReleaseReason = workers.ReleaseSilentUrgent
 				}
 			}
 		}
@@ -215,22 +214,22 @@
 	if rooms, returned := count(); rooms != 30 || returned != 0 {
 		t.Errorf("%d rooms, %d machines returned", rooms, returned)
 	}
-	f.SetDemand([]Demand{{Spec: &jobs.Spec{CPUs: 4, MemoryGB: 4, Spot: true, EstimateSeconds: 40}, Tasks: 500, ObjectiveSlackSeconds: []float64{60}}}, nil)
-	first := len(rt.calls)
-	f.rentForDemand(0)
-	for _, c := range rt.calls[first:] {
-		var h rentalRequest
-		if err := json.Unmarshal(c.Body, &h); err != nil || h.Zone != "a" {
+	fleet.SetDemand([]Demand{{Spec: &jobs.Spec{CPUs: 4, MemoryGB: 4, Spot: true, EstimateSeconds: 40}, Tasks: 500, ObjectiveSlackSeconds: []float64{60}}}, nil)
+	first := len(runtime.calls)
+	fleet.rentForDemand()
+	for _, c := range runtime.calls[first:] {
+		var request rentalRequest
+		if err := json.Unmarshal(c.Body, &request); err != nil || request.Zone != "a" {
 			t.Errorf("asked for %s", c.Body)
 		}
 	}
-	if len(rt.calls) == first {
+	if len(runtime.calls) == first {
 		t.Error("nothing is rented in the other zone")
 	}
 	for s := range 12 { // back, and they report one after the other
-		for i := range d.Hosts {
+		for i := range message.Hosts {
 			if i%12 == s {
-				d.Hosts[i].AcceptsTasks, d.Hosts[i].ReleaseReason = true, ""
+				message.Hosts[i].AcceptsTasks, message.Hosts[i].ReleaseReason = true, ""
 			}
 		}
 		second("a", "b")
@@ -241,11 +240,11 @@
 	// A small zone's machines with urgent tasks go back at once, the others
 	// when the zone has been cut off for very long.
 	for s := range int(tuning.ZonePartitionRetention/time.Second) + 20 {
-		for i := range d.Hosts {
-			if h := &d.Hosts[i]; h.Zone == "a" && s > 7+i%12 {
-				h.AcceptsTasks, h.ReleaseReason = false, workers.ReleaseSilent
+		for i := range message.Hosts {
+			if request := &message.Hosts[i]; request.Zone == "a" && s > 7+i%12 {
+				request.AcceptsTasks, request.ReleaseReason = false, workers.ReleaseSilent
 				if i%2 == 0 {
-					h.ReleaseReason = workers.ReleaseSilentUrgent
+					request.ReleaseReason = workers.ReleaseSilentUrgent
 				}
 			}
 		}
@@ -259,33 +258,33 @@
 	}
 }
 
-// TestIdleInAnOutage guards against a fault of a day with a long outage of the
+// TestIdleTimeInAnOutageDoesNotCount guards against a fault of a day with a long outage of the
 // state service: nothing could be handed out, all machines became idle, and when
 // it was over they were returned at once, two thousand of them.
-func TestIdleInAnOutage(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Workers.ReportS = 10
+func TestIdleTimeInAnOutageDoesNotCount(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Workers.ReportS = 10
 	lease := &fixedLeases{}
-	f := newFleet(rt, lease, set)
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.BeginTerm()
-	rt.now += time.Hour
-	d := &ShardStatus{Full: true}
+	fleet := newFleet(runtime, lease, config)
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	fleet.BeginTerm()
+	runtime.now += time.Hour
+	message := &ShardStatus{Full: true}
 	for i := range 40 {
-		d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", HasReported: true, AcceptsTasks: true})
+		message.Hosts = append(message.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", HasReported: true, AcceptsTasks: true})
 	}
 	second := func() {
-		rt.now += time.Second
-		for i := range d.Hosts {
-			d.Hosts[i].IdleMS += 1000
+		runtime.now += time.Second
+		for i := range message.Hosts {
+			message.Hosts[i].IdleMS += 1000
 		}
-		d.Seq++
-		f.HandleStatus(d)
-		f.runRound(f.term)
+		message.Seq++
+		fleet.HandleStatus(message)
+		fleet.runRound()
 	}
 	drained := func() (n int) {
-		for _, m := range f.machines {
+		for _, m := range fleet.machines.byID {
 			if m.drainReason != "" {
 				n++
 			}
@@ -312,141 +311,141 @@
 	}
 }
 
-// BenchmarkLeader shows what the leader's look at all machines and an owner's
+// BenchmarkByMachineCount shows what the leader's look at all machines and an owner's
 // word cost, by the number of machines.
-func BenchmarkLeader(b *testing.B) {
-	for _, n := range []int{1000, 2000, 4000} {
-		rt := &manualRuntime{now: time.Hour}
-		set := &settings.Settings{}
-		set.Deployment.Workers.ReportS = 10
-		f := newFleet(rt, fixedLeases{}, set)
-		f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-		d := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
-		for i := range n {
-			d.Hosts = append(d.Hosts, MachineStatus{ID: fmt.Sprintf("vm-%06d", i), MachineType: "g8", Zone: "ab"[i%2 : i%2+1], HasReported: true, AcceptsTasks: true, Busy: true})
+func BenchmarkByMachineCount(b *testing.B) {
+	for _, machines := range []int{1000, 2000, 4000} {
+		runtime := &manualRuntime{now: time.Hour}
+		config := &settings.Settings{}
+		config.Deployment.Workers.ReportS = 10
+		fleet := newFleet(runtime, fixedLeases{}, config)
+		fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+		message := &ShardStatus{Full: true, ReachableZones: []string{"a", "b"}}
+		for i := range machines {
+			message.Hosts = append(message.Hosts, MachineStatus{ID: fmt.Sprintf("vm-%06d", i), MachineType: "g8", Zone: "ab"[i%2 : i%2+1], HasReported: true, AcceptsTasks: true, Busy: true})
 		}
-		f.HandleStatus(d)
-		b.Run(fmt.Sprint("rooms of ", n), func(b *testing.B) {
+		fleet.HandleStatus(message)
+		b.Run(fmt.Sprint("rooms of ", machines), func(b *testing.B) {
 			for b.Loop() {
-				f.EachAvailable(func(*AvailableMachine) {})
+				fleet.EachAvailable(func(*AvailableMachine) {})
 			}
 		})
-		b.Run(fmt.Sprint("judge ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("judge ", machines), func(b *testing.B) {
 			for b.Loop() {
-				f.evaluateMachines()
+				fleet.evaluateMachines()
 			}
 		})
-		d.Full, d.Hosts = false, d.Hosts[:n/20]
-		b.Run(fmt.Sprint("word of a twentieth of ", n), func(b *testing.B) {
+		message.Full, message.Hosts = false, message.Hosts[:machines/20]
+		b.Run(fmt.Sprint("word of a twentieth of ", machines), func(b *testing.B) {
 			for b.Loop() {
-				d.Seq++
-				f.HandleStatus(d)
+				message.Seq++
+				fleet.HandleStatus(message)
 			}
 		})
 	}
 }
 
-// TestLateStatusTellsNothing guards against a fault of a generated day: a message of
+// TestLateStatusIsDropped guards against a fault of a generated day: a message of
 // an owner that was held back for half a minute brought back a machine that had
 // been returned. It counted as room for ever, and nothing was rented for a gang
 // that waited for it.
-func TestLateStatusTellsNothing(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	f := newFleet(rt, fixedLeases{}, &settings.Settings{})
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+func TestLateStatusIsDropped(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	fleet := newFleet(runtime, fixedLeases{}, &settings.Settings{})
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
 	ghost := []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}
-	f.HandleStatus(&ShardStatus{Full: true, Token: 9, Seq: 40})
+	fleet.HandleStatus(&ShardStatus{Full: true, Token: 9, Seq: 40})
 	for _, d := range []*ShardStatus{{Token: 9, Seq: 12, Hosts: ghost}, {Full: true, Token: 9, Seq: 13, Hosts: ghost}, {Full: true, Token: 8, Seq: 90, Hosts: ghost}} {
-		f.HandleStatus(d)
+		fleet.HandleStatus(d)
 	}
-	f.EachAvailable(func(r *AvailableMachine) { t.Errorf("%s is room", r.ID) })
-	if r := f.HandleStatus(&ShardStatus{Token: 9, Seq: 41}); r.Full {
+	fleet.EachAvailable(func(r *AvailableMachine) { t.Errorf("%s is room", r.ID) })
+	if r := fleet.HandleStatus(&ShardStatus{Token: 9, Seq: 41}); r.Full {
 		t.Error("the owner is asked to tell all anew")
 	}
 }
 
-// TestTakenBeforeListed guards against a fault of a generated day: a machine that
+// TestMachineThatNoListHadIsReleased guards against a fault of a generated day: a machine that
 // the cloud took before any list had it counted as one that boots, and work waited
 // for it for ever.
-func TestTakenBeforeListed(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Cloud.ListLagS = 10
-	f := newFleet(rt, fixedLeases{}, set)
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.listed = true
-	f.machines["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: rt.now}
-	for _, c := range []struct {
+func TestMachineThatNoListHadIsReleased(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Cloud.ListLagS = 10
+	fleet := newFleet(runtime, fixedLeases{}, config)
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	fleet.term.listed = true
+	fleet.machines.byID["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: runtime.now}
+	for _, test := range []struct {
 		after time.Duration
 		back  bool
 	}{{50 * time.Second, false}, {90 * time.Second, true}} {
-		rt.now = time.Hour + c.after
-		f.evaluateMachines()
-		if got := f.machines["vm-1"].returning; got != c.back {
-			t.Errorf("after %v: returned %v", c.after, got)
+		runtime.now = time.Hour + test.after
+		fleet.evaluateMachines()
+		if got := fleet.machines.byID["vm-1"].release.requested; got != test.back {
+			t.Errorf("after %v: returned %v", test.after, got)
 		}
 	}
 }
 
-// TestIdleMachineIsReturnedWhenItsOwnerAgrees: the leader's list may be old. An idle machine
+// TestIdleMachineIsReleasedOnlyWhenItsOwnerAgrees: the leader's list may be old. An idle machine
 // is closed by its owner first, and returned when that says that nothing is on it.
-func TestIdleMachineIsReturnedWhenItsOwnerAgrees(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Cloud.RPS = 10
-	f := newFleet(rt, fixedLeases{}, set)
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.listed = true
+func TestIdleMachineIsReleasedOnlyWhenItsOwnerAgrees(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Cloud.RPS = 10
+	fleet := newFleet(runtime, fixedLeases{}, config)
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	fleet.term.listed = true
 	status := MachineStatus{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}
-	var r StatusReply
+	var reply StatusReply
 	for seq := range 600 {
-		rt.now += time.Second
-		r = f.HandleStatus(&ShardStatus{Full: seq == 0, Seq: uint64(seq + 1), Hosts: []MachineStatus{status}})
-		f.evaluateMachines()
-		f.releaseMachines(0)
-		if status.IdleMS += 1000; len(r.Drain) > 0 {
+		runtime.now += time.Second
+		reply = fleet.HandleStatus(&ShardStatus{Full: seq == 0, Seq: uint64(seq + 1), Hosts: []MachineStatus{status}})
+		fleet.evaluateMachines()
+		fleet.releaseMachines()
+		if status.IdleMS += 1000; len(reply.Drain) > 0 {
 			break
 		}
 	}
-	if len(r.Drain) != 1 || len(rt.calls) > 0 {
-		t.Fatalf("the owner is asked to close %v, %d calls to the cloud before it has", r.Drain, len(rt.calls))
+	if len(reply.Drain) != 1 || len(runtime.calls) > 0 {
+		t.Fatalf("the owner is asked to close %v, %d calls to the cloud before it has", reply.Drain, len(runtime.calls))
 	}
 	status.AcceptsTasks, status.ReleaseReason = false, "idle"
-	f.HandleStatus(&ShardStatus{Full: true, Seq: 1000, Hosts: []MachineStatus{status}})
-	f.evaluateMachines()
-	f.releaseMachines(0)
-	if len(rt.calls) != 1 || rt.calls[0].Target != "/rentals/release" {
-		t.Errorf("%d calls to the cloud when it has", len(rt.calls))
+	fleet.HandleStatus(&ShardStatus{Full: true, Seq: 1000, Hosts: []MachineStatus{status}})
+	fleet.evaluateMachines()
+	fleet.releaseMachines()
+	if len(runtime.calls) != 1 || runtime.calls[0].Target != "/rentals/release" {
+		t.Errorf("%d calls to the cloud when it has", len(runtime.calls))
 	}
 }
 
-// TestReturnedMachineIsNotTakenInAgain: an owner that has not heard yet, or a list that lags,
+// TestReleasedMachineIsNotAdoptedAgain: an owner that has not heard yet, or a list that lags,
 // still tells of it.
-func TestReturnedMachineIsNotTakenInAgain(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	f := newFleet(rt, fixedLeases{}, &settings.Settings{})
-	f.machineTypes = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
-	f.releasedAt["vm-1"] = rt.now
-	r := f.HandleStatus(&ShardStatus{Full: true, Seq: 1, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
-	f.observeListed(&listedMachine{ID: "vm-1", MachineType: "g8", Phase: "up"}, rt.now)
-	if len(f.machines) > 0 || len(r.Released) != 1 {
-		t.Errorf("%d machines, the owner is told that %v are gone", len(f.machines), r.Released)
+func TestReleasedMachineIsNotAdoptedAgain(t *testing.T) {
+	runtime := &manualRuntime{now: time.Hour}
+	fleet := newFleet(runtime, fixedLeases{}, &settings.Settings{})
+	fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, BootSeconds: 20}}
+	fleet.machines.releasedAt["vm-1"] = runtime.now
+	reply := fleet.HandleStatus(&ShardStatus{Full: true, Seq: 1, Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
+	fleet.observeListed(&listedMachine{ID: "vm-1", MachineType: "g8", Phase: "up"}, runtime.now)
+	if len(fleet.machines.byID) > 0 || len(reply.Released) != 1 {
+		t.Errorf("%d machines, the owner is told that %v are gone", len(fleet.machines.byID), reply.Released)
 	}
 }
 
 // TestRepeatedRentalKeepsItsName: a rental without an answer may have been carried out; under
 // its own name once more it rents nothing more.
 func TestRepeatedRentalKeepsItsName(t *testing.T) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	f := newFleet(rt, fixedLeases{}, set)
-	f.sendRental(0, rentalRequest{Name: "r-7-1", MachineType: "g8", Zone: "a", Number: 2}, 0)
-	rt.answers[0](http1.Response{}, eventloop.ErrNoAnswer)
-	rt.fire()
-	if len(rt.calls) != 2 || string(rt.calls[1].Body) != string(rt.calls[0].Body) {
-		t.Fatalf("%d requests, the last %s", len(rt.calls), rt.calls[len(rt.calls)-1].Body)
-	}
-	if len(f.rentalsInFlight) != 1 {
-		t.Errorf("%d rentals count as under way", len(f.rentalsInFlight))
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	fleet := newFleet(runtime, fixedLeases{}, config)
+	fleet.sendRental(rentalRequest{Name: "r-7-1", MachineType: "g8", Zone: "a", Number: 2}, 0)
+	runtime.answers[0](http1.Response{}, eventloop.ErrNoAnswer)
+	runtime.fireTimers()
+	if len(runtime.calls) != 2 || string(runtime.calls[1].Body) != string(runtime.calls[0].Body) {
+		t.Fatalf("%d requests, the last %s", len(runtime.calls), runtime.calls[len(runtime.calls)-1].Body)
+	}
+	if len(fleet.rentals.inFlight) != 1 {
+		t.Errorf("%d rentals count as under way", len(fleet.rentals.inFlight))
 	}
 }
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -20,87 +20,87 @@
 	wiretest.Written(t, StatusReply{}, `{}`)
 }
 
-// cloudFleet is a fleet whose calls to the cloud wait for the test's answers.
-func cloudFleet() (*manualRuntime, *Fleet) {
-	rt := &manualRuntime{now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Cloud.RPS = 100
-	return rt, newFleet(rt, fixedLeases{}, set)
+// newCloudFleet is a fleet whose calls to the cloud wait for the test's answers.
+func newCloudFleet() (*manualRuntime, *Fleet) {
+	runtime := &manualRuntime{now: time.Hour}
+	config := &settings.Settings{}
+	config.Deployment.Cloud.RPS = 100
+	return runtime, newFleet(runtime, fixedLeases{}, config)
 }
 
-// asked checks the last call to the cloud.
-func (s *manualRuntime) asked(t *testing.T, method, target, body string) {
+// checkLastCall checks the last call to the cloud.
+func (s *manualRuntime) checkLastCall(t *testing.T, method, target, body string) {
 	t.Helper()
 	if len(s.calls) == 0 {
 		t.Fatal("the cloud is not asked")
 	}
-	if c := s.calls[len(s.calls)-1]; c.Method != method || c.Target != target || string(c.Body) != body {
-		t.Errorf("the cloud is asked %s %s %s, not %s %s %s", c.Method, c.Target, c.Body, method, target, body)
+	if call := s.calls[len(s.calls)-1]; call.Method != method || call.Target != target || string(call.Body) != body {
+		t.Errorf("the cloud is asked %s %s %s, not %s %s %s", call.Method, call.Target, call.Body, method, target, body)
 	}
 }
 
-// tell answers the last call to the cloud.
-func (s *manualRuntime) tell(status int, body string) {
+// answerLastCall answers the last call to the cloud.
+func (s *manualRuntime) answerLastCall(status int, body string) {
 	s.answers[len(s.answers)-1](http1.Response{Status: status, Body: []byte(body)}, nil)
 }
 
 // TestWireMachineTypes: how the cloud is asked for the machine types, and its answer.
 func TestWireMachineTypes(t *testing.T) {
-	rt, f := cloudFleet()
-	f.Start()
-	rt.asked(t, "GET", "/machine_types", "")
+	runtime, fleet := newCloudFleet()
+	fleet.Start()
+	runtime.checkLastCall(t, "GET", "/machine_types", "")
 	const one = `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,` +
 		`"startupS":45,"yards":["yard-a"]}`
-	rt.tell(200, `{"builds":[`+one+`]}`)
-	wiretest.Written(t, f.MachineTypes(), "["+one+"]")
+	runtime.answerLastCall(200, `{"builds":[`+one+`]}`)
+	wiretest.Written(t, fleet.MachineTypes(), "["+one+"]")
 }
 
 // TestWireMachineList: how the cloud is asked for the machines, page by page, and what is
 // read of the answers.
 func TestWireMachineList(t *testing.T) {
 	wiretest.Same(t, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],`+
-		`"hasNext":true}`, &listReply{})
-	rt, f := cloudFleet()
-	f.readList(f.term)
-	rt.asked(t, "GET", "/rentals?limit=500", "")
-	rt.tell(200, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],"hasNext":true}`)
-	rt.asked(t, "GET", "/rentals?limit=500&since=vm-1", "")
-	rt.tell(200, `{"hosts":[{"id":"vm-2","addr":"10.0.0.2:7","build":"g16","yard":"yard-b","loaners":false,"phase":"running","ageS":60},`+
+		`"hasNext":true}`, &machineListPage{})
+	runtime, fleet := newCloudFleet()
+	fleet.readList()
+	runtime.checkLastCall(t, "GET", "/rentals?limit=500", "")
+	runtime.answerLastCall(200, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],"hasNext":true}`)
+	runtime.checkLastCall(t, "GET", "/rentals?limit=500&since=vm-1", "")
+	runtime.answerLastCall(200, `{"hosts":[{"id":"vm-2","addr":"10.0.0.2:7","build":"g16","yard":"yard-b","loaners":false,"phase":"running","ageS":60},`+
 		`{"id":"vm-3","addr":"","build":"g8","yard":"yard-a","loaners":false,"phase":"failed","ageS":90}],"hasNext":false}`)
-	if len(rt.calls) != 2 {
-		t.Errorf("%d pages are read", len(rt.calls))
+	if len(runtime.calls) != 2 {
+		t.Errorf("%d pages are read", len(runtime.calls))
 	}
-	one, _ := f.Machine("vm-1")
-	two, _ := f.Machine("vm-2")
+	one, _ := fleet.Machine("vm-1")
+	two, _ := fleet.Machine("vm-2")
 	if one.Addr != "10.0.0.1:7" || one.MachineType != "g8" || one.Zone != "yard-a" || !one.Spot || two.Spot || two.MachineType != "g16" {
 		t.Errorf("%+v, %+v", one, two)
 	}
-	if !f.machines["vm-1"].booting || f.machines["vm-2"].booting || !f.machines["vm-3"].failed || f.machines["vm-1"].rentedAt != rt.now-2500*time.Millisecond {
+	if !fleet.machines.byID["vm-1"].listing.booting || fleet.machines.byID["vm-2"].listing.booting || !fleet.machines.byID["vm-3"].listing.failed || fleet.machines.byID["vm-1"].rentedAt != runtime.now-2500*time.Millisecond {
 		t.Error("phase or age is not read")
 	}
 }
 
 // TestWireRental: how machines are rented and given back, and the cloud's answers.
 func TestWireRental(t *testing.T) {
-	rt, f := cloudFleet()
+	runtime, fleet := newCloudFleet()
 	kind := MachineKind{MachineType: "g8", Zone: "yard-a", Spot: true}
-	f.RentNamed("r-7-1", kind)
-	rt.asked(t, "POST", "/rentals", `{"hire":"r-7-1","build":"g8","yard":"yard-a","loaners":true,"number":1}`)
-	rt.tell(503, `{"error":"no capacity"}`)
-	if f.pausedUntil[kind] <= rt.now {
+	fleet.RentNamed("r-7-1", kind)
+	runtime.checkLastCall(t, "POST", "/rentals", `{"hire":"r-7-1","build":"g8","yard":"yard-a","loaners":true,"number":1}`)
+	runtime.answerLastCall(503, `{"error":"no capacity"}`)
+	if fleet.rentals.pausedUntil[kind] <= runtime.now {
 		t.Error("a lack of capacity is not understood")
 	}
-	clear(f.pausedUntil)
-	f.RentNamed("r-7-2", kind)
-	rt.tell(200, `{"hosts":["vm-8"]}`)
-	if id, known := f.RentNamed("r-7-2", kind); id != "vm-8" || !known {
+	clear(fleet.rentals.pausedUntil)
+	fleet.RentNamed("r-7-2", kind)
+	runtime.answerLastCall(200, `{"hosts":["vm-8"]}`)
+	if id, known := fleet.RentNamed("r-7-2", kind); id != "vm-8" || !known {
 		t.Errorf("rented %q, %v", id, known)
 	}
-	f.machines["vm-8"].returning = true
-	f.releaseMachines(f.term)
-	rt.asked(t, "POST", "/rentals/release", `{"hosts":["vm-8"]}`)
-	rt.tell(200, `{}`)
-	if !f.IsGone("vm-8") {
+	fleet.machines.byID["vm-8"].release.requested = true
+	fleet.releaseMachines()
+	runtime.checkLastCall(t, "POST", "/rentals/release", `{"hosts":["vm-8"]}`)
+	runtime.answerLastCall(200, `{}`)
+	if !fleet.IsGone("vm-8") {
 		t.Error("a machine given back is not gone")
 	}
 }
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -30,3 +30,13 @@
 		}
 	}
 }
+
+// GuardResult is Guard for a function that takes a value or an error.
+func GuardResult[T any](c *Counter, fn func(T, error)) func(T, error) {
+	number := c.number
+	return func(value T, err error) {
+		if number == c.number {
+			fn(value, err)
+		}
+	}
+}
--- a/internal/term/term_test.go
+++ b/internal/term/term_test.go
@@ -7,20 +7,23 @@
 	calls := 0
 	count := counter.Guard(func() { calls++ })
 	add := GuardValue(&counter, func(n int) { calls += n })
+	result := GuardResult(&counter, func(n int, _ error) { calls += n })
 	count()
 	add(10)
-	if calls != 11 {
-		t.Fatalf("within the term: %d, want 11", calls)
+	result(100, nil)
+	if calls != 111 {
+		t.Fatalf("within the term: %d, want 111", calls)
 	}
 	counter.Advance()
 	count()
 	add(10)
-	if calls != 11 {
-		t.Errorf("after the term: %d, want 11", calls)
+	result(100, nil)
+	if calls != 111 {
+		t.Errorf("after the term: %d, want 111", calls)
 	}
 	counter.Guard(func() { calls++ })()
-	if calls != 12 {
-		t.Errorf("in the next term: %d, want 12", calls)
+	if calls != 112 {
+		t.Errorf("in the next term: %d, want 112", calls)
 	}
 }
 
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -23,8 +23,21 @@
 	// NoCapacityPause is how long no machine of a kind is asked for after the cloud had
 	// none.
 	NoCapacityPause = 12 * time.Second
+	// MalformedRentalPause is how long no machine of a kind is asked for after the cloud
+	// called a request malformed: the next one would be too.
+	MalformedRentalPause = 5 * NoCapacityPause
 	// MaxRentalMachines is the most machines of one rental request (PROTOCOL: 50).
 	MaxRentalMachines = 50
+	// MaxReleaseMachines is the most machines of one release request.
+	MaxReleaseMachines = 100
+	// MachineListPageSize is the number of machines asked for in one page of the list.
+	MachineListPageSize = 500
+	// MaxMachineTypesRetryDelay is the longest pause before the machine types are asked for
+	// again: without them nothing is rented.
+	MaxMachineTypesRetryDelay = 10 * time.Second
+	// MaxRentalRetryDelay is the longest pause before a rental request that got no answer
+	// is repeated.
+	MaxRentalRetryDelay = 8 * time.Second
 )
 
 // Renting machines.
@@ -36,6 +49,12 @@
 	BootTimeoutFactor = 2.0
 	// BootTimeoutSlack is added to the nominal boot time times BootTimeoutFactor.
 	BootTimeoutSlack = 10 * time.Second
+	// UnknownTypeBootSeconds is the nominal boot time of a machine whose type is not known,
+	// in seconds.
+	UnknownTypeBootSeconds = 60
+	// MissedListsBeforeRelease is in how many lists in a row a machine must be missing to be
+	// released: a list can be older than the one before.
+	MissedListsBeforeRelease = 3
 	// RentBacklogShare is the part of a boot time for which the waiting work must keep the
 	// machines there are busy before others are rented: a queue that is gone by then needs
 	// none.
