--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -4,12 +4,11 @@
 	"testing"
 	"time"
 
-	"lemonmoor/internal/http1"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/wiretest"
 )
 
-// TestWireStatus: what a block's owner tells the leader, and the answer.
+// TestWireStatus: what a shard's owner tells the leader, and the answer.
 func TestWireStatus(t *testing.T) {
 	wiretest.Same(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
 		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}]}`, &ShardStatus{})
@@ -28,23 +27,7 @@
 	return runtime, newFleet(runtime, fixedLeases{}, config)
 }
 
-// checkLastCall checks the last call to the cloud.
-func (s *manualRuntime) checkLastCall(t *testing.T, method, target, body string) {
-	t.Helper()
-	if len(s.calls) == 0 {
-		t.Fatal("the cloud is not asked")
-	}
-	if call := s.calls[len(s.calls)-1]; call.Method != method || call.Target != target || string(call.Body) != body {
-		t.Errorf("the cloud is asked %s %s %s, not %s %s %s", call.Method, call.Target, call.Body, method, target, body)
-	}
-}
-
-// answerLastCall answers the last call to the cloud.
-func (s *manualRuntime) answerLastCall(status int, body string) {
-	s.answers[len(s.answers)-1](http1.Response{Status: status, Body: []byte(body)}, nil)
-}
-
-// TestWireMachineTypes: how the cloud is asked for the machine types, and its answer.
+// TestWireMachineTypes: how the cloud is called for the machine types, and its answer.
 func TestWireMachineTypes(t *testing.T) {
 	runtime, fleet := newCloudFleet()
 	fleet.Start()
@@ -55,7 +38,7 @@
 	wiretest.Written(t, fleet.MachineTypes(), "["+one+"]")
 }
 
-// TestWireMachineList: how the cloud is asked for the machines, page by page, and what is
+// TestWireMachineList: how the cloud is called for the machines, page by page, and what is
 // read of the answers.
 func TestWireMachineList(t *testing.T) {
 	wiretest.Same(t, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],`+
@@ -80,7 +63,7 @@
 	}
 }
 
-// TestWireRental: how machines are rented and given back, and the cloud's answers.
+// TestWireRental: how machines are rented and released, and the cloud's answers.
 func TestWireRental(t *testing.T) {
 	runtime, fleet := newCloudFleet()
 	kind := MachineKind{MachineType: "g8", Zone: "yard-a", Spot: true}
@@ -101,6 +84,6 @@
 	runtime.checkLastCall(t, "POST", "/rentals/release", `{"hosts":["vm-8"]}`)
 	runtime.answerLastCall(200, `{}`)
 	if !fleet.IsGone("vm-8") {
-		t.Error("a machine given back is not gone")
+		t.Error("a machine released is not gone")
 	}
 }
--- /dev/null
+++ b/internal/fleet/zones_test.go
@@ -0,0 +1,149 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/settings"
+	"lemonmoor/internal/tuning"
+	"lemonmoor/internal/workers"
+)
+
+// zoneTest is a fleet of ninety machines, a third of them in zone a, the others in b.
+type zoneTest struct {
+	runtime *manualRuntime
+	fleet   *Fleet
+	message *ShardStatus
+}
+
+func newZoneTest() *zoneTest {
+	test := &zoneTest{runtime: &manualRuntime{now: time.Hour}, message: &ShardStatus{Full: true}}
+	config := &settings.Settings{}
+	config.Deployment.Workers.ReportS, config.Deployment.Cloud.RPS = 10, 100
+	test.fleet = newFleet(test.runtime, fixedLeases{}, config)
+	test.fleet.types = []jobs.MachineType{{Name: "g8", CPUs: 8, MemoryGB: 32, SpotPrice: 1, Price: 3, BootSeconds: 20, Zones: []string{"a", "b"}}}
+	test.fleet.term.listed = true
+	for i := range 90 {
+		zone := "a"
+		if i%3 > 0 {
+			zone = "b"
+		}
+		test.message.Hosts = append(test.message.Hosts, MachineStatus{
+			ID: fmt.Sprint("vm-", i), MachineType: "g8", Zone: zone, HasReported: true, AcceptsTasks: true, Busy: true,
+		})
+	}
+	for range 30 {
+		test.second("a", "b")
+	}
+	return test
+}
+
+// second lets a second pass, in which the owner has heard from some zones.
+func (z *zoneTest) second(reachable ...string) {
+	z.runtime.now += time.Second
+	z.message.Seq++
+	z.message.ReachableZones = reachable
+	z.fleet.HandleStatus(z.message)
+	z.fleet.evaluateMachines()
+}
+
+// fallSilent has the owner want the machines of a zone released that it has not heard from for
+// long enough, so many seconds after it last heard from any. Every other one may have urgent
+// tasks.
+func (z *zoneTest) fallSilent(zone string, seconds int) {
+	for i := range z.message.Hosts {
+		status := &z.message.Hosts[i]
+		if status.Zone != zone || seconds <= 7+i%12 {
+			continue
+		}
+		status.AcceptsTasks, status.ReleaseReason = false, workers.ReleaseSilent
+		if i%2 == 0 {
+			status.ReleaseReason = workers.ReleaseSilentUrgent
+		}
+	}
+}
+
+// partitionLargeZone cuts zone b off for a minute, which has most of the machines.
+func (z *zoneTest) partitionLargeZone() {
+	for seconds := range 60 {
+		z.fallSilent("b", seconds)
+		z.second("a")
+	}
+}
+
+// reconnectLargeZone has zone b back: its machines report one after the other.
+func (z *zoneTest) reconnectLargeZone() {
+	for seconds := range 12 {
+		for i := range z.message.Hosts {
+			if i%12 == seconds {
+				z.message.Hosts[i].AcceptsTasks, z.message.Hosts[i].ReleaseReason = true, ""
+			}
+		}
+		z.second("a", "b")
+	}
+}
+
+func (z *zoneTest) countReleased() int {
+	return z.fleet.countMachinesThat(func(m *machine) bool { return m.release.requested })
+}
+
+// TestMachinesOfAPartitionedZoneAreKept: the machines of a zone that was cut off were released.
+func TestMachinesOfAPartitionedZoneAreKept(t *testing.T) {
+	test := newZoneTest()
+	test.partitionLargeZone()
+	if available, released := test.fleet.countAvailable(), test.countReleased(); available != 30 || released != 0 {
+		t.Errorf("%d machines available, %d released", available, released)
+	}
+}
+
+// TestNothingIsRentedInAPartitionedZone: hundreds of machines were rented anew in the zone that
+// was cut off, where they could not report.
+func TestNothingIsRentedInAPartitionedZone(t *testing.T) {
+	test := newZoneTest()
+	test.partitionLargeZone()
+	spec := &jobs.Spec{CPUs: 4, MemoryGB: 4, Spot: true, EstimateSeconds: 40}
+	test.fleet.SetDemand([]Demand{{Spec: spec, Tasks: 500, ObjectiveSlackSeconds: []float64{60}}}, nil)
+	first := len(test.runtime.calls)
+	test.fleet.rentForDemand()
+	for _, call := range test.runtime.calls[first:] {
+		var request rentalRequest
+		if err := json.Unmarshal(call.Body, &request); err != nil || request.Zone != "a" {
+			t.Errorf("asked for %s", call.Body)
+		}
+	}
+	if len(test.runtime.calls) == first {
+		t.Error("nothing is rented in the other zone")
+	}
+}
+
+// TestMachinesHaveTimeToReportAfterAPartition: when the zone was back, the machines left were
+// released at the first sign of life.
+func TestMachinesHaveTimeToReportAfterAPartition(t *testing.T) {
+	test := newZoneTest()
+	test.partitionLargeZone()
+	test.reconnectLargeZone()
+	if available, released := test.fleet.countAvailable(), test.countReleased(); available < 90 || released != 0 {
+		t.Errorf("%d machines available, %d released", available, released)
+	}
+}
+
+// TestSmallPartitionedZoneIsReleasedInSteps: a small zone's machines with urgent tasks are
+// released at once, the others when the zone has been partitioned for very long.
+func TestSmallPartitionedZoneIsReleasedInSteps(t *testing.T) {
+	test := newZoneTest()
+	test.partitionLargeZone()
+	test.reconnectLargeZone()
+	for seconds := range int(tuning.ZonePartitionRetention/time.Second) + 20 {
+		test.fallSilent("a", seconds)
+		test.second("b")
+		if released := test.countReleased(); seconds == 40 && released != 15 {
+			t.Errorf("%d machines of the small zone released, 15 may have urgent tasks", released)
+		}
+	}
+	if released := test.countReleased(); released != 30 {
+		t.Errorf("%d machines of a zone that does not come back released", released)
+	}
+}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// TestJobIsDoneOnlyWhenEveryTaskIs: the tasks of a job that seems to be over are counted once more,
-// each by its index, since one may be done on two records.
+// TestJobIsDoneOnlyWhenEveryTaskIs: the tasks of a job that seems to be over are counted
+// once more, each by its index, since one may be done on two records.
 func TestJobIsDoneOnlyWhenEveryTaskIs(t *testing.T) {
 	service := statetest.New()
 	node := startNode(service)
