--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -47,7 +47,7 @@
 		return statetest.Reply(200, map[string]any{"hosts": []any{}})
 	}
 	node := &node{service: service}
-	node.leases = statestore.NewLeaseManager(service, state, log, "node-0", 1, 0, 1)
+	node.leases = statestore.NewLeaseManager(service, state, log, statestore.LeaseConfig{Node: "node-0", Nonce: 1, ShardCount: 1, Observer: node})
 	node.catalog = userapi.NewCatalog(service, state, config.Deployment.Teams, log)
 	node.store = taskstate.NewStore(service, state, log)
 	machines := NewMachineUsage(1)
@@ -58,15 +58,6 @@
 	})
 	node.catalog.JobChanged = node.leader.JobChanged
 	node.store.RecordAdded, node.store.RecordRemoved, node.store.TaskStatusChanged = node.leader.RecordAdded, node.leader.RecordRemoved, node.leader.TaskStatusChanged
-	node.leases.LeadershipAcquired = func(token uint64) {
-		node.leader.BeginTerm(token)
-		node.fleet.BeginTerm()
-	}
-	node.leases.LeadershipLost = func() {
-		node.leader.EndTerm()
-		node.fleet.EndTerm()
-	}
-	node.leases.ShardAcquired, node.leases.ShardLost = func(int, uint64) {}, func(int) {}
 	node.fleet.Start()
 	node.catalog.Start()
 	node.store.Start()
@@ -74,6 +65,24 @@
 	return node
 }
 
+// LeadershipAcquired begins a term.
+func (n *node) LeadershipAcquired(token uint64) {
+	n.leader.BeginTerm(token)
+	n.fleet.BeginTerm()
+}
+
+// LeadershipLost ends the term.
+func (n *node) LeadershipLost() {
+	n.leader.EndTerm()
+	n.fleet.EndTerm()
+}
+
+// ShardAcquired is of no interest here.
+func (n *node) ShardAcquired(int, uint64) {}
+
+// ShardLost is of no interest here.
+func (n *node) ShardLost(int) {}
+
 // decide lets the leader decide once more.
 func (n *node) decide() {
 	n.statuses++
