--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -67,4 +67,6 @@
 }
 
 // isUnconstrained tells whether a task may go wherever any other of its job may.
-func isUnconstrained(task *taskstate.Task) bool { return task.Zone == "" && task.Queue.AvoidWorker == "" }
+func isUnconstrained(task *taskstate.Task) bool {
+	return task.Zone == "" && task.Queue.AvoidWorker == ""
+}
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -135,7 +135,7 @@
 	}
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // which makes the registry take a new token
-	task.Launch.InDoubt = false                            // which settles it: tasks are read anew
+	task.Launch.InDoubt = false                           // which settles it: tasks are read anew
 	fixture.worker.token = fixture.token
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if !fixture.registry.AcceptsTasks(worker) {
