--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -21,6 +21,9 @@
 	now     time.Duration
 	timers  []func()
 	commits []pendingCommit
+	// isSilent has the state service answer reads only when answerReads is called.
+	isSilent bool
+	reads    []func()
 }
 
 type pendingCommit struct {
@@ -42,9 +45,26 @@
 	case c.Target == "/commit":
 		r.commits = append(r.commits, pendingCommit{string(c.Body), fn})
 	case strings.HasPrefix(c.Target, "/keys"):
-		fn(http1.Response{Status: 200, Body: []byte(`{"rows":[],"epoch":1}`)}, nil)
+		r.answerRead(func() { fn(http1.Response{Status: 200, Body: []byte(`{"rows":[],"epoch":1}`)}, nil) })
 	case strings.Contains(c.Target, "waitMs=0"):
-		fn(http1.Response{Status: 200, Body: []byte(`{"epoch":1,"log":[]}`)}, nil)
+		r.answerRead(func() { fn(http1.Response{Status: 200, Body: []byte(`{"epoch":1,"log":[]}`)}, nil) })
+	}
+}
+
+func (r *fakeRuntime) answerRead(answer func()) {
+	if r.isSilent {
+		r.reads = append(r.reads, answer)
+		return
+	}
+	answer()
+}
+
+// answerReads ends the silence of the state service.
+func (r *fakeRuntime) answerReads() {
+	reads := r.reads
+	r.reads, r.isSilent = nil, false
+	for _, answer := range reads {
+		answer()
 	}
 }
 
@@ -146,3 +166,8 @@
 		t.Error("a commit of an earlier term is repeated")
 	}
 }
+
+// openJobCluster knows every job, and no task or machine.
+type openJobCluster struct{ emptyCluster }
+
+func (openJobCluster) Job(id string) (*jobs.Spec, bool) { return &jobs.Spec{ID: id}, true }
