--- /dev/null
+++ b/internal/controller/processes_test.go
@@ -0,0 +1,263 @@
+package controller
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/http1"
+)
+
+// processDeployment runs the stand-ins of the simulated deployment on the real clock and on
+// loopback, with controllers that are real processes.
+type processDeployment struct {
+	*simulation
+	mu           sync.Mutex
+	startedAt    time.Time
+	dir          string
+	processes    []*controllerProcess
+	stateAddress string // addresses
+	cloudAddress string
+	done         chan struct{}
+}
+
+// controllerProcess is a controller's process.
+type controllerProcess struct {
+	name, serveOn, peerBind, config string
+	command                         *exec.Cmd
+}
+
+// processTick is how often the stand-ins check the clock.
+const processTick = 5 * time.Millisecond
+
+// freePort is a port of loopback that nobody listens on.
+func freePort(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
+}
+
+// buildProgram builds the program as CI does, without the deploy file's linking.
+func buildProgram(t *testing.T, dir string) string {
+	t.Helper()
+	program := filepath.Join(dir, "lemonmoor")
+	if out, err := exec.Command("go", "build", "-o", program, "lemonmoor/cmd/lemonmoor").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	return program
+}
+
+// newProcessDeployment starts the stand-ins; the controllers are started by start.
+func newProcessDeployment(t *testing.T, change func(*simulation)) *processDeployment {
+	sim := newSimulation(1)
+	for _, controller := range sim.controllers {
+		controller.node = nil
+	}
+	sim.events = nil
+	sim.state = newSimStateService(sim)
+	change(sim)
+	deployment := &processDeployment{simulation: sim, startedAt: time.Now(), dir: t.TempDir(), done: make(chan struct{})}
+	sim.realProcesses = deployment
+	deployment.stateAddress = deployment.listen(t, func(request http1.ClientRequest, reply func(http1.Response)) { sim.state.serve("node", request, reply) })
+	deployment.cloudAddress = deployment.listen(t, func(request http1.ClientRequest, reply func(http1.Response)) { reply(sim.cloud.serve(request)) })
+	go deployment.loop()
+	t.Cleanup(func() { close(deployment.done) })
+	return deployment
+}
+
+// loop lets what is due happen.
+func (d *processDeployment) loop() {
+	for {
+		select {
+		case <-d.done:
+			return
+		case <-time.After(processTick):
+			d.do(func() {})
+		}
+	}
+}
+
+// do runs fn with the stand-ins at the present time.
+func (d *processDeployment) do(fn func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.run(time.Since(d.startedAt))
+	fn()
+}
+
+// listen serves a stand-in on a port of its own.
+func (d *processDeployment) listen(t interface{ Fatal(...any) }, serve func(http1.ClientRequest, func(http1.Response))) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	handler := http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		answered := make(chan http1.Response, 1)
+		d.do(func() {
+			serve(http1.ClientRequest{Method: r.Method, Target: r.URL.RequestURI(), Body: body}, func(response http1.Response) {
+				select {
+				case answered <- response:
+				default:
+				}
+			})
+		})
+		select {
+		case response := <-answered:
+			out.Header().Set("Content-Type", "application/json")
+			out.WriteHeader(response.Status)
+			_, _ = out.Write(response.Body)
+		case <-r.Context().Done():
+		case <-d.done:
+		}
+	})
+	go func() { _ = http.Serve(listener, handler) }()
+	return listener.Addr().String()
+}
+
+// machineAddr gives a new machine's worker a port.
+func (d *processDeployment) machineAddr(worker *simWorker) string {
+	return d.listen(panicOnFatal{}, func(request http1.ClientRequest, reply func(http1.Response)) {
+		if !worker.dead && worker.up {
+			reply(worker.handleCommands(request))
+		}
+	})
+}
+
+// panicOnFatal ends the test process: inside the stand-ins there is no test to fail.
+type panicOnFatal struct{}
+
+// Fatal ends the test process.
+func (panicOnFatal) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
+
+// request sends a stand-in's request to a controller's process.
+func (d *processDeployment) request(index int, method, path string, body []byte, timeout time.Duration, fn func(http1.Response, error)) {
+	address := d.processes[index].serveOn
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
+		defer cancel()
+		answer, err := post(ctx, method, "http://"+address+path, body)
+		d.do(func() { fn(answer, err) })
+	}()
+}
+
+// post sends a request and reads the whole answer.
+func post(ctx context.Context, method, url string, body []byte) (http1.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+	if err != nil {
+		return http1.Response{}, err
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return http1.Response{}, eventloop.ErrNoAnswer
+	}
+	defer func() { _ = resp.Body.Close() }()
+	raw, err := io.ReadAll(resp.Body)
+	return http1.Response{Status: resp.StatusCode, Body: raw}, err
+}
+
+// start starts the controllers' processes.
+func (d *processDeployment) start(t *testing.T, program, hcl string) {
+	t.Helper()
+	operator := filepath.Join(d.dir, "operator.hcl")
+	if err := os.WriteFile(operator, []byte(hcl), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, controller := range d.controllers {
+		d.processes = append(d.processes, &controllerProcess{name: controller.name, serveOn: freePort(t), peerBind: freePort(t)})
+	}
+	for _, process := range d.processes {
+		d.writeSettings(t, process)
+		d.launch(t, program, operator, process)
+	}
+	t.Cleanup(func() {
+		for _, process := range d.processes {
+			_ = process.command.Process.Kill()
+			_ = process.command.Wait()
+		}
+	})
+}
+
+// writeSettings writes the settings file of a controller's process.
+func (d *processDeployment) writeSettings(t *testing.T, process *controllerProcess) {
+	t.Helper()
+	var seeds []map[string]string
+	for _, other := range d.processes {
+		if other != process {
+			seeds = append(seeds, map[string]string{"node": other.name, "area": "a", "endpoint": other.peerBind})
+		}
+	}
+	declared := d.settings.Deployment
+	raw, err := json.Marshal(map[string]any{
+		"node": process.name, "area": "a", "serve_on": process.serveOn, "peer_bind": process.peerBind, "seeds": seeds,
+		"external": map[string]string{"cloud": d.cloudAddress, "state": d.stateAddress},
+		"deployment": map[string]any{
+			"initial_size": 3, "zones": []string{"a", "b"}, "teams": declared.Teams, "workers": declared.Workers,
+			"state": declared.State, "cloud": declared.Cloud, "quota": map[string]any{"core_share": 0.5, "mem_mb": 200, "sockets": 2000}, "skew_ms": 50,
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	process.config = filepath.Join(d.dir, process.name+".json")
+	if err := os.WriteFile(process.config, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// launch starts a controller's process, with its log in a file.
+func (d *processDeployment) launch(t *testing.T, program, operator string, process *controllerProcess) {
+	t.Helper()
+	log, err := os.OpenFile(filepath.Join(d.dir, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = log.Close() }()
+	process.command = exec.Command(program, "--config", process.config, "--operator", operator)
+	process.command.Stderr = log
+	if err := process.command.Start(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitFor waits for something to hold, and fails the test if it does not in time.
+func (d *processDeployment) waitFor(t *testing.T, what string, limit time.Duration, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		held := false
+		d.do(func() { held = holds() })
+		if held {
+			return
+		}
+	}
+	d.dumpLogs(t)
+	t.Fatalf("not in %v: %s", limit, what)
+}
+
+// dumpLogs prints the last lines of the controllers' logs.
+func (d *processDeployment) dumpLogs(t *testing.T) {
+	for _, process := range d.processes {
+		raw, _ := os.ReadFile(filepath.Join(d.dir, process.name+".log"))
+		lines := strings.Split(string(raw), "\n")
+		t.Logf("%s:\n%s", process.name, strings.Join(lines[max(0, len(lines)-30):], "\n"))
+	}
+}
--- /dev/null
+++ b/internal/controller/sim_gang_test.go
@@ -0,0 +1,198 @@
+package controller
+
+import (
+	"time"
+)
+
+// simGang is one attempt of a gang, as operators describe it: its tasks find each other by
+// the attempt's number, start and complete together, notice a loss within gang_peer_s and
+// save together.
+type simGang struct {
+	sim          *simulation
+	job          *simJob
+	members      map[int]*gangMember
+	startedAt    time.Duration // 0: not yet
+	haltedAt     time.Duration // the first halt of the running gang, 0: none
+	broken       bool          // one is gone
+	ended        bool
+	checkpointed bool // progress is safe
+}
+
+// gangMember is one task of an attempt, on its machine.
+type gangMember struct {
+	worker *simWorker
+	task   *simTask
+}
+
+// joinGang is what a task of a gang does on its machine: it gets its image, waits for the
+// others, and runs with them.
+func (w *simWorker) joinGang(task *simTask, job *simJob) {
+	if job.attempts == nil {
+		job.attempts = map[uint64]*simGang{}
+	}
+	gang := job.attempts[task.attempt]
+	if gang == nil {
+		gang = &simGang{sim: w.sim, job: job, members: map[int]*gangMember{}}
+		job.attempts[task.attempt] = gang
+	}
+	task.gang, task.phase = gang, phaseFetching
+	index := task.index()
+	ends := task.ending
+	live := func() bool { return task.ending == ends && !w.dead }
+	w.sim.after(time.Duration(50+w.sim.rng.IntN(1500))*time.Millisecond, func() {
+		if !live() {
+			return
+		}
+		w.whenAwake(func() {
+			if !live() {
+				return
+			}
+			if job.completed[index] {
+				task.end("done")
+				return
+			}
+			task.phase = phaseWaiting
+			gang.members[index] = &gangMember{w, task}
+			gang.startIfComplete()
+			w.sim.after(w.sim.settings.GangWaitTimeout(), func() {
+				if live() && task.phase == phaseWaiting {
+					task.end("alone")
+				}
+			})
+		})
+	})
+}
+
+// inPhase tells whether a member is on its machine, in a phase, and able to speak.
+func (m *gangMember) inPhase(phase taskPhase) bool {
+	return !m.worker.dead && m.worker.sim.now >= m.worker.faults.hungUntil && m.task.phase == phase && m.worker.has(m.task)
+}
+
+// has tells whether a task is still on the machine.
+func (w *simWorker) has(task *simTask) bool {
+	for _, o := range w.tasks {
+		if o == task {
+			return true
+		}
+	}
+	return false
+}
+
+// startIfComplete lets the gang run when all its members wait.
+func (g *simGang) startIfComplete() {
+	if g.startedAt > 0 || len(g.members) < g.job.tasks {
+		return
+	}
+	for _, member := range g.members {
+		if !member.inPhase(phaseWaiting) {
+			return
+		}
+	}
+	g.startedAt = g.sim.now
+	g.job.gangStarts++
+	g.sim.drainChecker.taskRuns(g.job.id)
+	for _, member := range g.members {
+		member.task.phase = phaseRunning
+	}
+	g.checkMembers()
+}
+
+// progress of the job now.
+func (g *simGang) progress() time.Duration { return g.job.checkpoint + g.sim.now - g.startedAt }
+
+// checkMembers looks at the running gang from time to time.
+func (g *simGang) checkMembers() {
+	if g.ended {
+		return
+	}
+	for _, member := range g.members {
+		if !member.inPhase(phaseRunning) && !member.inPhase(phaseSaving) {
+			g.loseMember()
+			return
+		}
+	}
+	if g.haltedAt == 0 && g.progress() >= g.job.runTime {
+		g.ended = true
+		for i, member := range g.members {
+			member.task.end("done")
+			g.job.completed[i] = true
+		}
+		return
+	}
+	g.sim.after(100*time.Millisecond, g.checkMembers)
+}
+
+// loseMember is the loss of a member: progress falls back to the last checkpoint, and the
+// others notice.
+func (g *simGang) loseMember() {
+	if g.broken || g.ended {
+		return
+	}
+	g.broken = true
+	if every := time.Duration(g.job.checkpointSeconds * float64(time.Second)); every > 0 && !g.checkpointed {
+		until := g.sim.now
+		if g.haltedAt > 0 {
+			until = g.haltedAt
+		}
+		g.job.checkpoint = max(g.job.checkpoint, (g.job.checkpoint+until-g.startedAt)/every*every)
+	}
+	for _, member := range g.members {
+		ends := member.task.ending
+		g.sim.after(time.Duration(g.sim.rng.IntN(int(g.sim.settings.GangPeerTimeout()))), func() {
+			member.worker.whenAwake(func() {
+				if member.task.ending == ends && !member.worker.dead && member.worker.has(member.task) {
+					member.task.end("mates_gone")
+				}
+			})
+		})
+	}
+}
+
+// halt stops a running member; false lets it exit at once.
+func (g *simGang) halt(task *simTask, windDown float64) bool {
+	if task.phase == phaseSaving && windDown >= 1 {
+		return true // a repeat
+	}
+	if g.startedAt == 0 || g.ended || task.phase != phaseRunning {
+		return false
+	}
+	if windDown < 1 || g.job.checkpointSeconds == 0 || g.broken {
+		g.sim.after(0, g.loseMember)
+		return false
+	}
+	if g.haltedAt == 0 {
+		g.haltedAt = g.sim.now
+		g.sim.after(g.sim.settings.GangPeerTimeout(), func() {
+			// Those that were not told in time notice, and the save fails.
+			for _, member := range g.members {
+				if !g.checkpointed && (member.task.saveCommandAt == 0 || !member.inPhase(phaseSaving)) {
+					g.loseMember()
+					return
+				}
+			}
+		})
+	}
+	task.phase, task.saveCommandAt = phaseSaving, g.sim.now
+	g.sim.after(time.Second, func() {
+		for _, member := range g.members {
+			if g.broken || !member.inPhase(phaseSaving) || g.sim.now < member.task.saveCommandAt+time.Second {
+				return
+			}
+		}
+		g.ended, g.checkpointed = true, true
+		g.job.checkpoint += g.haltedAt - g.startedAt
+		for _, member := range g.members {
+			member.task.end("halted")
+			member.task.saved = true
+		}
+	})
+	return true
+}
+
+// newGang is a gang of short tasks.
+func newGang(i, tasks int, cpus float64) *simJob {
+	return newJob(jobSpec{
+		id: jobID(i), team: teamOf(i), tasks: tasks, cpus: cpus,
+		runTime: 4 * time.Second, spot: true, gang: true,
+	})
+}
--- a/internal/controller/sim_worker_test.go
+++ b/internal/controller/sim_worker_test.go
@@ -7,326 +7,312 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/http1"
 )
 
-// worker is one machine's worker, by the protocol's words.
-type worker struct {
-	w                        *world
-	host, addr, build, zone  string
-	spot, up, dead, released bool
-	rented                   time.Duration
-	cpus                     float64
-	shift, tick, token       uint64
-	leased                   time.Duration // lease runs from here
-	tasks                    []*simTask
-	node                     int
-	report                   int // number of the report in flight; answers to others are dropped
-	hung                     time.Duration
-	sick                     bool
-	deaf                     bool          // its reports arrive, answers and orders do not
-	taken                    time.Duration // when the cloud takes it, 0: no notice
-	dark                     time.Duration // until then its zone is cut off
-	only                     int           // the number, from 1, of the one controller that it can speak with; 0: any
-	orders                   time.Duration // until then direct orders are held up, and carried out then
-	mute                     time.Duration // until then it reaches no controller, while orders reach it
+// simWorker is one machine and its worker, by the words of PROTOCOL.
+type simWorker struct {
+	sim                *simulation
+	id, addr           string
+	machineType, zone  string
+	spot               bool
+	cpus               float64
+	up, dead, released bool
+	rentedAt           time.Duration
+	takenAt            time.Duration // when the cloud takes the machine, 0: no notice
+	session            uint64
+	sequence, token    uint64        // of its last message; the highest it has seen
+	leaseFrom          time.Duration // its lease runs from here
+	controllerIndex    int           // the controller that it reports to
+	heartbeatNumber    int           // of the heartbeat in flight; answers to others are dropped
+	tasks              []*simTask
+	faults             workerFaults
 }
 
+// workerFaults is what is wrong with one machine or with the way to it.
+type workerFaults struct {
+	failsTasks        bool          // every task that it starts ends with an error
+	hungUntil         time.Duration // nothing runs on it until then
+	deaf              bool          // its heartbeats arrive, answers and commands do not
+	muteUntil         time.Duration // until then it reaches no controller, while commands reach it
+	partitionedUntil  time.Duration // until then its zone is cut off
+	onlyController    int           // the number, from 1, of the one controller that it can speak with; 0: any
+	commandsHeldUntil time.Duration // until then direct commands are held up, and executed then
+}
+
+// taskPhase is the state of a task as its worker reports it.
+type taskPhase string
+
+const (
+	phaseFetching taskPhase = "fetching" // waits for its image
+	phaseWaiting  taskPhase = "waiting"  // of a gang: waits for the other members
+	phaseRunning  taskPhase = "running"
+	phaseSaving   taskPhase = "saving" // was told to stop and saves
+	phaseEnded    taskPhase = "ended"
+)
+
+// simTask is one attempt of a task on a machine.
 type simTask struct {
-	ref     string
-	attempt uint64
-	phase   string
-	cause   string
-	saved   bool
-	ends    int // guards the timer
-	mates   *simGang
-	told    time.Duration // a running task of a gang: when it was told to save
+	name          string // job/index
+	attempt       uint64
+	phase         taskPhase
+	cause         string        // with which it ended
+	saved         bool          // its progress, when it was stopped
+	ending        int           // counts ends and kills: a timer of before counts for nothing
+	gang          *simGang      // nil: of an array or a service
+	saveCommandAt time.Duration // when a running task of a gang was told to stop and save
 }
 
-func (k *worker) boot() {
-	if k.dead {
+// boot starts the worker on a machine that is up.
+func (w *simWorker) boot() {
+	if w.dead {
 		return
 	}
-	k.up = true
-	k.leased = k.w.now
-	k.node = k.w.rng.IntN(len(k.w.nodes))
-	k.beat()
-	k.checkLease()
+	w.up = true
+	w.leaseFrom = w.sim.now
+	w.controllerIndex = w.sim.rng.IntN(len(w.sim.controllers))
+	w.sendHeartbeat()
+	w.checkLease()
 }
 
-func (k *worker) die() {
-	k.dead = true
-	for _, t := range k.tasks {
-		t.ends++
+// die ends the machine.
+func (w *simWorker) die() {
+	w.dead = true
+	for _, task := range w.tasks {
+		task.ending++
 	}
-	k.tasks = nil
+	w.tasks = nil
 }
 
 // whenAwake runs fn now, or when a hanging machine resumes.
-func (k *worker) whenAwake(fn func()) {
-	if k.w.now >= k.hung {
+func (w *simWorker) whenAwake(fn func()) {
+	if w.sim.now >= w.faults.hungUntil {
 		fn()
 		return
 	}
-	k.w.after(k.hung-k.w.now, func() {
-		if !k.dead {
-			k.expire()
+	w.sim.after(w.faults.hungUntil-w.sim.now, func() {
+		if !w.dead {
+			w.expireLease()
 			fn()
 		}
 	})
 }
 
-func (k *worker) checkLease() {
-	if k.dead {
+// checkLease ends the session, from time to time, when its lease has run out.
+func (w *simWorker) checkLease() {
+	if w.dead {
 		return
 	}
-	k.expire()
-	k.w.after(200*time.Millisecond, k.checkLease)
+	w.expireLease()
+	w.sim.after(200*time.Millisecond, w.checkLease)
 }
 
-func (k *worker) expire() {
-	if k.w.now-k.leased > k.w.set.WorkerLease() {
-		for _, t := range k.tasks {
-			t.ends++
+// expireLease ends the session if its lease has run out: all tasks are killed and
+// forgotten.
+func (w *simWorker) expireLease() {
+	if w.sim.now-w.leaseFrom > w.sim.settings.WorkerLease() {
+		for _, task := range w.tasks {
+			task.ending++
 		}
-		k.tasks = nil
-		k.shift++
-		k.leased = k.w.now
+		w.tasks = nil
+		w.session++
+		w.leaseFrom = w.sim.now
 	}
 }
 
-func (k *worker) body() []byte {
-	list := []map[string]any{}
-	for _, t := range k.tasks {
-		list = append(list, map[string]any{"piece": t.ref, "try": t.attempt, "phase": t.phase, "cause": t.cause, "stored": t.saved})
-	}
-	var notice any
-	if k.taken > 0 {
-		notice = (k.taken - k.w.now).Seconds()
-	}
-	k.tick++
-	raw, err := json.Marshal(map[string]any{
-		"host": k.host, "addr": k.addr, "build": k.build, "yard": k.zone, "loaners": k.spot,
-		"shift": k.shift, "tick": k.tick, "baton": k.token, "warningS": notice, "pieces": list,
-	})
-	if err != nil {
-		panic(err)
-	}
-	return raw
+// command is one of a controller's commands to a worker.
+type command struct {
+	Verb     string  `json:"verb"`
+	Task     string  `json:"piece"`
+	Attempt  uint64  `json:"try"`
+	WindDown float64 `json:"windDownS"`
 }
 
-// beat sends a report and, after its answer, plans the next.
-func (k *worker) beat() {
-	if k.dead {
-		return
-	}
-	if k.w.now < k.hung {
-		k.w.after(k.hung-k.w.now, k.beat)
-		return
-	}
-	k.expire()
-	if k.w.now < k.dark {
-		k.node = (k.node + 1) % len(k.w.nodes)
-		k.w.after(min(4*time.Second, k.dark-k.w.now), k.beat)
-		return
-	}
-	if k.w.now < k.mute {
-		k.node = (k.node + 1) % len(k.w.nodes)
-		k.w.after(time.Second, k.beat)
-		return
-	}
-	if k.only > 0 && k.node != k.only-1 {
-		k.node = k.only - 1
-		k.w.after(time.Second, k.beat)
-		return
-	}
-	k.report++
-	number, shift, sent := k.report, k.shift, k.w.now
-	n := k.w.nodes[k.node]
-	next := func(d time.Duration) { k.w.after(d, k.beat) }
-	body := k.body()
-	if k.w.rng.Float64() < k.w.copies {
-		// A copy comes seconds to well over a lease late, to any node.
-		k.w.after(time.Duration(1+k.w.rng.IntN(60))*time.Second, func() {
-			k.w.nodes[k.w.rng.IntN(len(k.w.nodes))].request("workers", "POST", "/agent/beat", body, time.Second, func(http1.Response, error) {})
-		})
-	}
-	if k.w.keeps > 0 && k.w.rng.Float64() < k.w.keeps && len(k.w.kept) < 60 {
-		for _, o := range k.w.nodes {
-			k.w.kept = append(k.w.kept, func() {
-				o.request("workers", "POST", "/agent/beat", body, time.Second, func(http1.Response, error) {})
-			})
+// receiveCommands takes direct commands of a controller, unless a fault holds them up or
+// loses them.
+func (w *simWorker) receiveCommands(from *simController, request http1.ClientRequest, reply func(http1.Response)) {
+	handleUnanswered := func() {
+		if !w.dead {
+			w.handleCommands(request)
 		}
 	}
-	n.request("workers", "POST", "/agent/beat", body, 4*time.Second, func(a http1.Response, err error) {
-		if k.dead || number != k.report {
-			return
-		}
-		if k.deaf || k.w.now < k.dark {
-			a, err = http1.Response{}, eventloop.ErrNoAnswer
-		}
-		if k.w.now < k.hung {
-			a, err = http1.Response{}, eventloop.ErrNoAnswer
-		}
-		k.expire()
-		if err == nil && a.Status == 200 {
-			var o struct {
-				Token  uint64  `json:"baton"`
-				Orders []order `json:"orders"`
-			}
-			if json.Unmarshal(a.Body, &o) == nil && o.Token >= k.token && shift == k.shift {
-				k.token = o.Token
-				k.leased = max(k.leased, sent)
-				k.obey(o.Orders)
-			}
-			next(time.Duration(500+k.w.rng.IntN(1000)) * time.Millisecond * time.Duration(max(1, k.w.pace)))
-			return
-		}
-		if err == nil && a.Status == 421 {
-			var to struct {
-				Upstream string `json:"upstream"`
-			}
-			_ = json.Unmarshal(a.Body, &to)
-			for i, o := range k.w.nodes {
-				if o.name == to.Upstream && i != k.node {
-					k.node = i
-					next(time.Duration(k.w.rng.IntN(500)) * time.Millisecond)
-					return
-				}
-			}
+	faults := &w.faults
+	switch {
+	case w.sim.now < faults.commandsHeldUntil:
+		w.sim.after(faults.commandsHeldUntil-w.sim.now, handleUnanswered)
+	case w.dead || faults.deaf || (faults.onlyController > 0 && w.sim.controllers[faults.onlyController-1] != from):
+		// lost
+	case w.sim.now < faults.partitionedUntil:
+		if w.sim.rng.IntN(2) == 0 { // held back, and delivered when the partition is over
+			w.sim.after(faults.partitionedUntil-w.sim.now, handleUnanswered)
 		}
-		k.node = (k.node + 1) % len(k.w.nodes)
-		next(time.Second)
-	})
-}
-
-type order struct {
-	Verb     string  `json:"verb"`
-	Ref      string  `json:"piece"`
-	Attempt  uint64  `json:"try"`
-	WindDown float64 `json:"windDownS"`
+	default:
+		w.whenAwake(func() { reply(w.handleCommands(request)) })
+	}
 }
 
-func (k *worker) direct(c http1.ClientRequest) http1.Response {
-	k.expire()
-	var o struct {
-		Token  uint64  `json:"baton"`
-		Shift  uint64  `json:"shift"`
-		Orders []order `json:"orders"`
+// handleCommands serves POST /orders.
+func (w *simWorker) handleCommands(request http1.ClientRequest) http1.Response {
+	w.expireLease()
+	var body struct {
+		Token    uint64    `json:"baton"`
+		Session  uint64    `json:"shift"`
+		Commands []command `json:"orders"`
 	}
-	if json.Unmarshal(c.Body, &o) != nil || o.Shift == 0 {
-		return answer(400, nil)
+	if json.Unmarshal(request.Body, &body) != nil || body.Session == 0 {
+		return jsonResponse(400, nil)
 	}
-	if o.Token < k.token || o.Shift != k.shift {
-		return http1.Response{Status: 409, Body: k.body()}
+	if body.Token < w.token || body.Session != w.session {
+		return http1.Response{Status: 409, Body: w.heartbeatBody()}
 	}
-	k.token = o.Token
-	k.obey(o.Orders)
-	return http1.Response{Status: 200, Body: k.body()}
+	w.token = body.Token
+	w.execute(body.Commands)
+	return http1.Response{Status: 200, Body: w.heartbeatBody()}
 }
 
-func (k *worker) obey(orders []order) {
-	for _, o := range orders {
-		i := slices.IndexFunc(k.tasks, func(t *simTask) bool { return t.ref == o.Ref && t.attempt == o.Attempt })
-		switch o.Verb {
+// execute carries commands out in order.
+func (w *simWorker) execute(commands []command) {
+	for _, command := range commands {
+		i := slices.IndexFunc(w.tasks, func(task *simTask) bool {
+			return task.name == command.Task && task.attempt == command.Attempt
+		})
+		switch command.Verb {
 		case "launch":
 			if i < 0 {
-				k.launch(o)
+				w.launch(command)
 			}
 		case "halt":
-			if i >= 0 && k.tasks[i].phase != "ended" {
-				k.w.drains.halted(k, k.tasks[i])
-				if t := k.tasks[i]; t.mates != nil && t.mates.halt(k, t, o.WindDown) {
-					continue
-				}
-				k.tasks[i].ends++
-				k.tasks[i].phase, k.tasks[i].cause = "ended", "halted"
+			if i >= 0 && w.tasks[i].phase != phaseEnded {
+				w.halt(w.tasks[i], command.WindDown)
 			}
 		case "forget":
-			if i >= 0 && k.tasks[i].phase == "ended" {
-				k.tasks = slices.Delete(k.tasks, i, i+1)
+			if i >= 0 && w.tasks[i].phase == phaseEnded {
+				w.tasks = slices.Delete(w.tasks, i, i+1)
 			}
 		}
 	}
 }
 
-func (k *worker) launch(o order) {
-	t := &simTask{ref: o.Ref, attempt: o.Attempt, phase: "running"}
-	k.tasks = append(k.tasks, t)
-	id, index, _ := strings.Cut(o.Ref, "/")
-	j := k.w.jobs[id]
-	used := 0.0
-	for _, x := range k.tasks {
-		if x.phase == "ended" || x == t {
-			continue
-		}
-		if x.ref == o.Ref {
-			t.phase, t.cause = "ended", "busy"
-			return
-		}
-		xid, _, _ := strings.Cut(x.ref, "/")
-		used += k.w.jobs[xid].cpus
-	}
-	switch {
-	case j == nil:
-		t.phase, t.cause = "ended", "unknown"
-		return
-	case used+j.cpus > k.cpus:
-		t.phase, t.cause = "ended", "full"
+// halt ends a task, at once unless its gang saves first.
+func (w *simWorker) halt(task *simTask, windDown float64) {
+	w.sim.drainChecker.taskHalted(w, task)
+	if task.gang != nil && task.gang.halt(task, windDown) {
 		return
-	case k.sick:
-		t.phase, t.cause = "ended", "error"
+	}
+	task.end("halted")
+}
+
+// launch starts a task, or refuses it.
+func (w *simWorker) launch(command command) {
+	task := &simTask{name: command.Task, attempt: command.Attempt, phase: phaseRunning}
+	w.tasks = append(w.tasks, task)
+	job := w.sim.jobs[task.jobID()]
+	if cause := w.refusal(task, job); cause != "" {
+		task.phase, task.cause = phaseEnded, cause
 		return
 	}
-	k.w.started(k, t, j)
-	if j.gang {
-		k.join(t, j)
+	w.sim.checker.checkStart(w, task, job)
+	if job.gang {
+		w.joinGang(task, job)
 		return
 	}
-	if k.w.fetch == 0 {
-		k.run(t, j, index)
+	if w.sim.imageFetchTime == 0 {
+		w.runTask(task, job)
 		return
 	}
-	t.phase = "fetching"
-	ends := t.ends
-	k.w.after(k.w.fetch/2+time.Duration(k.w.rng.Int64N(int64(k.w.fetch))), func() {
-		if t.ends == ends && !k.dead {
-			t.phase = "running"
-			k.run(t, j, index)
+	task.phase = phaseFetching
+	ending := task.ending
+	w.sim.after(w.sim.imageFetchTime/2+time.Duration(w.sim.rng.Int64N(int64(w.sim.imageFetchTime))), func() {
+		if task.ending == ending && !w.dead {
+			task.phase = phaseRunning
+			w.runTask(task, job)
 		}
 	})
 }
 
-// run runs a task that has its image until it completes.
-func (k *worker) run(t *simTask, j *simJob, index string) {
-	k.w.drains.runs(t.ref)
-	if j.service {
+// refusal is the cause with which a new task ends at once, or "".
+func (w *simWorker) refusal(task *simTask, job *simJob) string {
+	used := 0.0
+	for _, existing := range w.tasks {
+		if existing.phase == phaseEnded || existing == task {
+			continue
+		}
+		if existing.name == task.name {
+			return "busy"
+		}
+		used += w.sim.jobs[existing.jobID()].cpus
+	}
+	switch {
+	case job == nil:
+		return "unknown"
+	case used+job.cpus > w.cpus:
+		return "full"
+	case w.faults.failsTasks:
+		return "error"
+	}
+	return ""
+}
+
+// runTask runs a task that has its image until it completes.
+func (w *simWorker) runTask(task *simTask, job *simJob) {
+	w.sim.drainChecker.taskRuns(task.name)
+	if job.service {
 		return
 	}
-	ends := t.ends
-	i, _ := strconv.Atoi(index)
-	length := j.length + time.Duration(i)*j.apart
-	if j.done[i] {
-		length = 10 * time.Millisecond
+	index, ending := task.index(), task.ending
+	runTime := job.runTime + time.Duration(index)*job.runTimeStep
+	if job.completed[index] {
+		runTime = 10 * time.Millisecond
 	}
-	var finish func()
-	finish = func() {
-		if t.ends != ends || k.dead {
+	var complete func()
+	complete = func() {
+		if task.ending != ending || w.dead {
 			return
 		}
-		if k.w.now < k.hung {
-			k.w.after(k.hung-k.w.now, finish)
+		if w.sim.now < w.faults.hungUntil {
+			w.sim.after(w.faults.hungUntil-w.sim.now, complete)
 			return
 		}
-		if k.expire(); t.ends != ends {
+		if w.expireLease(); task.ending != ending {
 			return
 		}
-		t.phase, t.cause = "ended", "done"
-		j.done[i] = true
-		if k.w.atEnd && len(j.done) == j.tasks && j.callOff != nil {
-			j.callOff()
+		task.phase, task.cause = phaseEnded, "done"
+		job.completed[index] = true
+		if w.sim.users.cancelAtCompletion && len(job.completed) == job.tasks && job.cancel != nil {
+			job.cancel()
 		}
 	}
-	k.w.after(length, finish)
+	w.sim.after(runTime, complete)
+}
+
+// takeAfterNotice tells a machine that the cloud takes it after a while, and takes it then.
+func (w *simWorker) takeAfterNotice(in time.Duration) {
+	if w.dead || w.takenAt > 0 {
+		return
+	}
+	w.takenAt = w.sim.now + in
+	w.sim.after(in, func() {
+		if !w.dead {
+			w.sim.cloud.takeBack(w)
+		}
+	})
+}
+
+// jobID is the job that a task belongs to.
+func (t *simTask) jobID() string {
+	id, _, _ := strings.Cut(t.name, "/")
+	return id
+}
+
+// index is the task's number in its job.
+func (t *simTask) index() int {
+	_, text, _ := strings.Cut(t.name, "/")
+	index, _ := strconv.Atoi(text)
+	return index
+}
+
+// end ends a task that has not been killed.
+func (t *simTask) end(cause string) {
+	t.ending++
+	t.phase, t.cause = phaseEnded, cause
 }
