--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -47,8 +47,8 @@
 	wiretest.Written(t, []ResponseStatus{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
 }
 
-// TestWireBlockReport: what a block's owner tells the leader of its drains.
-func TestWireBlockReport(t *testing.T) {
+// TestWireShardReport: what a shard's owner tells the leader of its drains.
+func TestWireShardReport(t *testing.T) {
 	wiretest.Same(t, `{"machines":[{"id":"vm-1","tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],`+
 		`"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
 		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}`, &ShardReport{})
@@ -72,7 +72,7 @@
 		`"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}},`+
 		`"plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`, &Response{})
 	wiretest.Written(t, Response{}, `{"status":"","node":""}`)
-	wiretest.Written(t, DrainView{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
+	wiretest.Written(t, View{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
 }
 
 // TestWireDigest: the digest of a request is stored in a drain's head and compared with
@@ -95,8 +95,8 @@
 // TestWireReplacementName: the name of the rental of a replacement, by which a later
 // leader, of another version perhaps, gets the same machine.
 func TestWireReplacementName(t *testing.T) {
-	d := &Drain{ID: "d-1", Head: Head{Created: 1700000000001}}
-	if got := rentalName(d, &Machine{ID: "vm-000001", Tries: 2}); got != "drain-d-1-1700000000001-vm-000001-2" {
+	d := &Drain{ID: "d-1", Head: Head{CreatedAtMS: 1700000000001}}
+	if got := rentalName(d, &Machine{ID: "vm-000001", RentalAttempts: 2}); got != "drain-d-1-1700000000001-vm-000001-2" {
 		t.Error(got)
 	}
 }
--- /dev/null
+++ b/internal/leader/job_end.go
@@ -0,0 +1,186 @@
+package leader
+
+import (
+	"encoding/json"
+	"strings"
+
+	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/userapi"
+)
+
+// endQueue holds the jobs of which nothing is left to run, until their ends are committed.
+type endQueue struct {
+	jobs []*jobState
+	// singly has each end committed by itself: a condition of the last commit has failed,
+	// and one job must not hold up the others.
+	singly bool
+}
+
+// endCommit is a transaction that ends jobs.
+type endCommit struct {
+	conditions []statestore.Condition
+	operations []statestore.Operation
+	jobs       []*jobState
+}
+
+// endIfComplete queues a job's end once nothing of it is left to run.
+func (l *Leader) endIfComplete(job *jobState) {
+	if job.ending || !job.isComplete() {
+		return
+	}
+	job.ending = true
+	l.ends.jobs = append(l.ends.jobs, job)
+}
+
+// commitEnds commits the ends of jobs, several at a time, and reports whether a commit was
+// sent.
+func (l *Leader) commitEnds() bool {
+	commit := l.nextEndCommit()
+	if len(commit.operations) == 0 {
+		return false
+	}
+	l.commits.commit(commit.conditions, commit.operations, func(result statestore.CommitResult) {
+		l.ends.singly = result.Outcome == statestore.OutcomeConflict
+		for _, job := range commit.jobs {
+			job.ending = false
+		}
+		switch result.Outcome {
+		case statestore.OutcomeOK:
+			l.endsCommitted(commit, result.Revision)
+		case statestore.OutcomeRefused:
+			l.commits.backOff(0, func() {
+				for _, job := range commit.jobs {
+					l.endIfComplete(job)
+				}
+			})
+		case statestore.OutcomeConflict, statestore.OutcomeUnknown, statestore.OutcomeGone, statestore.OutcomeInvalid:
+			// Cancelled in the meantime, or carried out unseen.
+			for _, job := range commit.jobs {
+				l.recheckEnd(job)
+			}
+		}
+	})
+	return true
+}
+
+// nextEndCommit takes as many jobs out of the queue as one commit ends.
+func (l *Leader) nextEndCommit() *endCommit {
+	commit := &endCommit{}
+	most := l.state.MaxOperations()
+	rest := l.ends.jobs[:0:0]
+	for i, job := range l.ends.jobs {
+		if !l.jobs.has(job) {
+			continue
+		}
+		if len(commit.operations) == most || (len(commit.operations) > 0 && l.ends.singly) {
+			rest = append(rest, l.ends.jobs[i:]...)
+			break
+		}
+		l.addEnd(commit, job, most-len(commit.operations))
+	}
+	l.ends.jobs = rest
+	return commit
+}
+
+// endsCommitted has users told of the ends, which are durable now.
+func (l *Leader) endsCommitted(commit *endCommit, revision uint64) {
+	for _, operation := range commit.operations {
+		if id, ok := strings.CutPrefix(operation.PutKey, userapi.KeyPrefix); ok {
+			l.catalog.Observe(id, operation.Value, revision)
+		}
+	}
+	for _, job := range commit.jobs {
+		l.log.Debug("job ended", "job", job.entry.ID, "class", job.spec.Class, "tasks", job.spec.Tasks, "cancelled", job.cancelled,
+			"age_s", float64(l.runtime.WallClock().UnixMilli()-job.entry.SubmittedMS)/1000)
+		if l.jobs.has(job) && job.cancelled {
+			l.recheckEnd(job)
+		}
+	}
+}
+
+// recheckEnd looks at a job again when the copies are verified to be current.
+func (l *Leader) recheckEnd(job *jobState) {
+	check := l.terms.Guard(func() {
+		if l.jobs.has(job) {
+			l.endIfComplete(job)
+		}
+	})
+	l.records.Verify(func(error) {
+		l.catalog.Verify(func(error) { check() })
+	})
+}
+
+// addEnd adds the operations that end a job, at most so many. Of a job that is done that is
+// the phase that its user will be told; its records are removed when there is time for it:
+// in one commit with them the ends of a backlog took the writes of twenty seconds, and
+// nothing was dispatched meanwhile. Of a cancelled one it is the removal of its records, as
+// many as the commit takes.
+func (l *Leader) addEnd(commit *endCommit, job *jobState, most int) {
+	job.ending = false
+	for _, record := range l.unseenRecords {
+		if record.Job == job.entry.ID {
+			return // looked at again when the record shows up
+		}
+	}
+	before := len(commit.operations)
+	if job.cancelled {
+		l.addRecordRemovals(commit, job, most)
+	} else {
+		l.addDonePhase(commit, job)
+	}
+	if len(commit.operations) > before {
+		job.ending = true
+		commit.jobs = append(commit.jobs, job)
+	}
+}
+
+// addDonePhase adds the operation that makes a job done. Its tasks are counted once more,
+// each by its index: a job is never called done before all of its tasks are.
+func (l *Leader) addDonePhase(commit *endCommit, job *jobState) {
+	id := job.entry.ID
+	entry := l.catalog.Get(id)
+	if l.countDoneTasks(job) != job.spec.Tasks || entry == nil || entry.Phase != "" {
+		return
+	}
+	value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: entry.SubmittedMS, TaskCount: job.spec.Tasks})
+	if err != nil {
+		l.log.Error("job record does not encode", "job", id, "err", err)
+		return
+	}
+	key := userapi.KeyPrefix + id
+	commit.conditions = append(commit.conditions, statestore.Condition{Key: key, Revision: entry.Revision})
+	commit.operations = append(commit.operations, statestore.Operation{PutKey: key, Value: value})
+}
+
+// countDoneTasks counts the tasks that any of the job's records calls done.
+func (l *Leader) countDoneTasks(job *jobState) int {
+	done := make(map[int]bool, job.spec.Tasks)
+	for _, record := range l.records.JobRecords(job.entry.ID) {
+		for position, index := range record.TaskIndexes {
+			if record.Statuses[position].State == taskstate.StateDone {
+				done[index] = true
+			}
+		}
+	}
+	return len(done)
+}
+
+// addRecordRemovals adds the removal of records of a cancelled job. A job without any is
+// forgotten.
+func (l *Leader) addRecordRemovals(commit *endCommit, job *jobState, most int) {
+	records := l.records.JobRecords(job.entry.ID)
+	if len(records) == 0 {
+		l.jobs.remove(job)
+		return
+	}
+	removed := 0
+	for key, record := range records {
+		if removed == most {
+			return
+		}
+		commit.conditions = append(commit.conditions, statestore.Condition{Key: key, Revision: record.Revision})
+		commit.operations = append(commit.operations, statestore.Operation{DeleteKey: key})
+		removed++
+	}
+}
--- a/internal/settings/drains_test.go
+++ b/internal/settings/drains_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// TestDeployedDrains: the file that turns drains on is in order.
-func TestDeployedDrains(t *testing.T) {
+// TestDeployedDrainSettingsAreValid: the file that turns drains on is in order.
+func TestDeployedDrainSettingsAreValid(t *testing.T) {
 	const path = "../../deploy/drains.hcl"
-	src, err := os.ReadFile(path)
+	source, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	op, err := ParseOperator(path, src)
-	if err != nil || op.Drains == nil || op.Drains.Default == nil {
-		t.Fatalf("%+v, %v", op, err)
+	operator, err := ParseOperator(path, source)
+	if err != nil || operator.Drains == nil || operator.Drains.Default == nil {
+		t.Fatalf("%+v, %v", operator, err)
 	}
-	if l := op.Drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
+	if l := operator.Drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
 		t.Errorf("%+v", l)
 	}
 }
 
-// TestDrainSettingsThatMakeNoSense: each is refused with file, line and reason.
-func TestDrainSettingsThatMakeNoSense(t *testing.T) {
+// TestInvalidDrainSettingsAreRefused: each is refused with file, line and reason.
+func TestInvalidDrainSettingsAreRefused(t *testing.T) {
 	for src, want := range map[string]string{
 		"drains {\n  default {\n    tasks = -1\n  }\n}\n":                                    "x.hcl:3: drains: tasks: -1 is below 0",
 		"drains {\n  default {\n    tasks = 0\n  }\n}\n":                                     "x.hcl:3: drains: tasks: 0: under it nothing could ever move",
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestDrainBudgetOfAnUnknownTeam: refused when the files are read together.
-func TestDrainBudgetOfAnUnknownTeam(t *testing.T) {
+// TestDrainBudgetOfUnknownTeamIsRefused: refused when the files are read together.
+func TestDrainBudgetOfUnknownTeamIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	platform, operator := filepath.Join(dir, "s.json"), filepath.Join(dir, "o.hcl")
 	write := func(path, text string) {
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(platform, good)
+	write(platform, validSettings)
 	write(operator, "drains {\n  team \"nobody\" {\n    tasks = 1\n  }\n}\n")
 	if _, err := Load(platform, operator); err == nil || !strings.Contains(err.Error(), "o.hcl:2: drains: team: there is no team \"nobody\"") {
 		t.Error(err)
