--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -15,11 +15,11 @@
 )
 
 // addGangJob makes a gang whose tasks arrive.
-func (y *plannerFixture) addGangJob(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
+func (f *plannerFixture) addGangJob(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
 	job := taskstate.NewJob(&jobs.Spec{
 		ID: fmt.Sprintf("wk-%d", id), Class: "g", Shape: "gang", Urgency: "standard", Image: image, ImageGB: 1, CPUs: cpus,
 		MemoryGB: cpus, Spot: true, Tasks: tasks,
-	}, y.now.Milliseconds()+int64(id), false)
+	}, f.now.Milliseconds()+int64(id), false)
 	job.Gang = &taskstate.Gang{}
 	index := make([]int, tasks)
 	for i := range index {
@@ -27,7 +27,7 @@
 	}
 	taskstate.LoadRecord(job, taskstate.NewRecord(0, job.Spec.ID, 0, index, zones, nil))
 	for _, task := range job.Tasks {
-		y.AddTask(task, y.now)
+		f.AddTask(task, f.now)
 	}
 	return job
 }
@@ -47,10 +47,10 @@
 	return n
 }
 
-// TestGangAllOrNothing: whatever runs and comes, a round places all of a gang or
+// TestGangIsPlacedWholeOrNotAtAll: whatever runs and comes, a round places all of a gang or
 // nothing of it, under one attempt and on machines with the room and in the zones
 // fixed; no gang waits for ever behind small tasks or another gang.
-func TestGangAllOrNothing(t *testing.T) {
+func TestGangIsPlacedWholeOrNotAtAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var types []*jobs.MachineType
 		for range rapid.IntRange(3, 8).Draw(t, "machines") {
@@ -114,9 +114,9 @@
 	})
 }
 
-// TestGangOnFewCachingMachines: machines that cache the image come first, and of
+// TestGangGoesToFewMachinesThatCacheItsImage: machines that cache the image come first, and of
 // them one that takes all of the gang.
-func TestGangOnFewCachingMachines(t *testing.T) {
+func TestGangGoesToFewMachinesThatCacheItsImage(t *testing.T) {
 	fixture := newGangFixture(small, small, large, large)
 	fixture.machines[3].UseImage("x", 1)
 	fixture.machines[0].UseImage("x", 1)
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestRoomForGangsToCome: after a gang, other work leaves room for the next, which
+// TestRoomIsReservedForExpectedGangs: after a gang, other work leaves room for the next, which
 // then starts at once; when none has come for a while it gets all room.
-func TestRoomForGangsToCome(t *testing.T) {
+func TestRoomIsReservedForExpectedGangs(t *testing.T) {
 	fixture := newGangFixture(large, large, large, large, large, large)
 	for _, worker := range fixture.machines[1:] {
 		worker.Used.CPUs = worker.MachineType.CPUs // in use
--- a/internal/placement/machine_order.go
+++ b/internal/placement/machine_order.go
@@ -12,11 +12,11 @@
 // with one cannot be returned. Then the smallest come first, since large tasks have only
 // the large ones; of like size the spot machines, then the fullest, so that expensive ones
 // and others run empty and can be returned.
-func arraysFirst(a, b *workers.Worker) int {
-	if onDemandA, onDemandB := isOnDemandWithServices(a), isOnDemandWithServices(b); onDemandA != onDemandB {
+func arraysFirst(first, second *workers.Worker) int {
+	if onDemandA, onDemandB := isOnDemandWithServices(first), isOnDemandWithServices(second); onDemandA != onDemandB {
 		return trueFirst(onDemandB)
 	}
-	return bySizeAndRoom(a, b)
+	return bySizeAndRoom(first, second)
 }
 
 // trueFirst compares two that differ in a property, of which the first has it or not.
@@ -36,17 +36,17 @@
 // Scattered over all machines, a few hundred replicas kept a hundred on-demand ones from
 // being returned after a burst. Of machines without any the one whose processors cost the
 // least comes first.
-func servicesFirst(a, b *workers.Worker) int {
-	if a.Spot != b.Spot {
-		return trueFirst(a.Spot)
+func servicesFirst(first, second *workers.Worker) int {
+	if first.Spot != second.Spot {
+		return trueFirst(first.Spot)
 	}
-	if order := cmp.Compare(b.ServiceCPUs, a.ServiceCPUs); order != 0 {
+	if order := cmp.Compare(second.ServiceCPUs, first.ServiceCPUs); order != 0 {
 		return order
 	}
-	if order := cmp.Compare(processorPrice(a), processorPrice(b)); order != 0 {
+	if order := cmp.Compare(processorPrice(first), processorPrice(second)); order != 0 {
 		return order
 	}
-	return bySizeAndRoom(a, b)
+	return bySizeAndRoom(first, second)
 }
 
 // processorPrice is the nominal price of one processor of a machine.
@@ -59,14 +59,14 @@
 
 // bySizeAndRoom orders machines: the smallest first, of like size spot machines, then the
 // fullest.
-func bySizeAndRoom(a, b *workers.Worker) int {
-	if a.MachineType.CPUs != b.MachineType.CPUs {
-		return cmp.Compare(a.MachineType.CPUs, b.MachineType.CPUs)
+func bySizeAndRoom(first, second *workers.Worker) int {
+	if first.MachineType.CPUs != second.MachineType.CPUs {
+		return cmp.Compare(first.MachineType.CPUs, second.MachineType.CPUs)
 	}
-	if a.Spot != b.Spot {
-		return trueFirst(a.Spot)
+	if first.Spot != second.Spot {
+		return trueFirst(first.Spot)
 	}
-	return cmp.Compare(a.Free().CPUs, b.Free().CPUs)
+	return cmp.Compare(first.Free().CPUs, second.Free().CPUs)
 }
 
 // imageDistance ranks machines for a job's image: those that cache it, those that fetch
--- a/internal/placement/order_test.go
+++ b/internal/placement/order_test.go
@@ -11,8 +11,8 @@
 )
 
 // addService makes a service whose replicas arrive.
-func (y *plannerFixture) addService(id int, image string, cpus float64, replicas int) []*taskstate.Task {
-	tasks := y.addJob(id, "urgent", image, cpus, replicas)
+func (f *plannerFixture) addService(id int, image string, cpus float64, replicas int) []*taskstate.Task {
+	tasks := f.addJob(id, "urgent", image, cpus, replicas)
 	for _, task := range tasks {
 		task.Job.Spec.Shape = "daemon"
 		task.Job.Tasks[task.Index] = task
@@ -20,10 +20,10 @@
 	return tasks
 }
 
-// TestReplicasApart: replicas of a service go to different machines where that costs
+// TestReplicasOfAServiceGoToDifferentMachines: replicas of a service go to different machines where that costs
 // little: never later than packed, never to a machine without services while one with
 // services has room, and never to one without the image while one that caches it has.
-func TestReplicasApart(t *testing.T) {
+func TestReplicasOfAServiceGoToDifferentMachines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var types []*jobs.MachineType
 		for range rapid.IntRange(1, 8).Draw(t, "machines") {
@@ -85,9 +85,9 @@
 	})
 }
 
-// TestServicesPacked: replicas of many small services share few machines, and arrays
+// TestServicesShareFewMachines: replicas of many small services share few machines, and arrays
 // that are cached nowhere leave those to them while others have room.
-func TestServicesPacked(t *testing.T) {
+func TestServicesShareFewMachines(t *testing.T) {
 	dear, cheap := *small, *large
 	dear.Price, cheap.Price = 1, 4
 	fixture := newPlannerFixture(&dear, &cheap, &cheap, &dear, &cheap)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -44,15 +44,15 @@
 	return fixture
 }
 
-func (y *plannerFixture) AcceptsTasks(worker *workers.Worker) bool { return worker.DrainReason == "" }
-func (y *plannerFixture) Worker(id string) *workers.Worker         { return y.byID[id] }
-func (y *plannerFixture) UpdateRank(*taskstate.Job, int64) bool    { return false }
-func (y *plannerFixture) StartsPromptly(class string) bool {
-	return y.promptly != nil && y.promptly(class)
+func (f *plannerFixture) AcceptsTasks(worker *workers.Worker) bool { return worker.DrainReason == "" }
+func (f *plannerFixture) Worker(id string) *workers.Worker         { return f.byID[id] }
+func (f *plannerFixture) UpdateRank(*taskstate.Job, int64) bool    { return false }
+func (f *plannerFixture) StartsPromptly(class string) bool {
+	return f.promptly != nil && f.promptly(class)
 }
 
-func (y *plannerFixture) PlaceTask(task *taskstate.Task, worker *workers.Worker) {
-	if y.placesGangs {
+func (f *plannerFixture) PlaceTask(task *taskstate.Task, worker *workers.Worker) {
+	if f.placesGangs {
 		task.PlaceOn(worker.ID)
 		worker.Tasks[task] = true
 		worker.Used = worker.Used.Plus(task.Job.Spec.Resources())
@@ -63,31 +63,31 @@
 	worker.AddTask(task)
 }
 
-func (y *plannerFixture) runRound() { y.RunRound(y.machines, y.now, time.UnixMilli(0).Add(y.now)) }
+func (f *plannerFixture) runRound() { f.RunRound(f.machines, f.now, time.UnixMilli(0).Add(f.now)) }
 
 // endTask takes a task off its machine.
-func (y *plannerFixture) endTask(task *taskstate.Task) {
-	y.Worker(task.WorkerID).RemoveTask(task)
+func (f *plannerFixture) endTask(task *taskstate.Task) {
+	f.Worker(task.WorkerID).RemoveTask(task)
 	task.State = taskstate.StateDone
 }
 
 // addJob makes a job whose tasks arrive.
-func (y *plannerFixture) addJob(id int, urgency, image string, cpus float64, tasks int) []*taskstate.Task {
+func (f *plannerFixture) addJob(id int, urgency, image string, cpus float64, tasks int) []*taskstate.Task {
 	job := taskstate.NewJob(&jobs.Spec{ID: fmt.Sprintf("wk-%d", id), Urgency: urgency, Image: image, ImageGB: 1, CPUs: cpus, MemoryGB: cpus, Spot: true},
-		y.now.Milliseconds()+int64(id), false)
+		f.now.Milliseconds()+int64(id), false)
 	var list []*taskstate.Task
 	for i := range tasks {
 		task := &taskstate.Task{Job: job, Index: i}
 		list = append(list, task)
-		y.AddTask(task, y.now)
+		f.AddTask(task, f.now)
 	}
 	return list
 }
 
-// TestPullOrder: an arriving task runs on an idle machine that caches its image,
+// TestPullOrderOwnExtraThenLongestQueue: an arriving task runs on an idle machine that caches its image,
 // else on another, else it queues; a machine with room takes from its own queue,
 // then the extra queue, then the last task of the longest queue.
-func TestPullOrder(t *testing.T) {
+func TestPullOrderOwnExtraThenLongestQueue(t *testing.T) {
 	fixture := newPlannerFixture(small, small)
 	first := fixture.addJob(1, "standard", "x", 4, 2)
 	fixture.runRound()
@@ -101,14 +101,14 @@
 	if len(fixture.imageQueues[fixture.machines[0].ID]) != 2 || len(fixture.imageQueues[fixture.machines[1].ID]) != 2 || len(fixture.extraQueue) != 1 {
 		t.Fatalf("queues %d and %d, extra %d", len(fixture.imageQueues[fixture.machines[0].ID]), len(fixture.imageQueues[fixture.machines[1].ID]), len(fixture.extraQueue))
 	}
-	host := first[0].WorkerID
+	workerID := first[0].WorkerID
 	var taken []string
 	take := func(done *taskstate.Task) *taskstate.Task {
 		fixture.endTask(done)
 		fixture.runRound()
 		for _, list := range [][]*taskstate.Task{own, extra} {
 			for _, task := range list {
-				if task.State == taskstate.StatePlaced && task.WorkerID == host {
+				if task.State == taskstate.StatePlaced && task.WorkerID == workerID {
 					taken = append(taken, task.Name())
 					return task
 				}
@@ -122,25 +122,25 @@
 		task = take(task)
 	}
 	// Two of its own queue, then the extra queue's, then the other's last.
-	if taken[2] != "wk-3/0" || taken[3] != fixture.lastPlacedOn(own, host) {
+	if taken[2] != "wk-3/0" || taken[3] != fixture.lastPlacedOn(own, workerID) {
 		t.Errorf("taken in the order %v", taken)
 	}
 }
 
 // lastPlacedOn is the highest task of a list that a machine has had.
-func (y *plannerFixture) lastPlacedOn(list []*taskstate.Task, host string) string {
-	best := ""
+func (f *plannerFixture) lastPlacedOn(list []*taskstate.Task, workerID string) string {
+	last := ""
 	for _, task := range list {
-		if task.WorkerID == host && task.Name() > best {
-			best = task.Name()
+		if task.WorkerID == workerID && task.Name() > last {
+			last = task.Name()
 		}
 	}
-	return best
+	return last
 }
 
-// TestCachedWorkFirst: of other machines' queues, those with work whose image is
+// TestQueuesWithCachedWorkComeFirst: of other machines' queues, those with work whose image is
 // cached come first, though another is longer.
-func TestCachedWorkFirst(t *testing.T) {
+func TestQueuesWithCachedWorkComeFirst(t *testing.T) {
 	fixture := newPlannerFixture(small, small, small)
 	cached := fixture.addJob(1, "standard", "x", 4, 2)
 	other := fixture.addJob(2, "standard", "y", 4, 1)
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestWaitBound: a large task past the bound gets the next machine, though small
+// TestOverdueTaskGetsTheNextMachine: a large task past the bound gets the next machine, though small
 // ones of its priority take every processor that comes free.
-func TestWaitBound(t *testing.T) {
+func TestOverdueTaskGetsTheNextMachine(t *testing.T) {
 	fixture := newPlannerFixture(large)
 	running := fixture.addJob(1, "standard", "x", 1, 32)
 	fixture.runRound()
@@ -195,9 +195,9 @@
 	t.Error("the large task never ran")
 }
 
-// TestRoundsLoseNothing: after any rounds every task is on one machine, which
+// TestRoundsLoseNoTask: after any rounds every task is on one machine, which
 // has room for it, or in one queue, and no machine with room is passed over.
-func TestRoundsLoseNothing(t *testing.T) {
+func TestRoundsLoseNoTask(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var types []*jobs.MachineType
 		for range rapid.IntRange(1, 6).Draw(t, "machines") {
@@ -245,9 +245,9 @@
 
 // BenchmarkRound shows what a round costs by the number of machines, all full,
 // with as many tasks waiting.
-func BenchmarkRound(bm *testing.B) {
+func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
-		bm.Run(fmt.Sprint(n, "machines"), func(bm *testing.B) {
+		b.Run(fmt.Sprint(n, "machines"), func(b *testing.B) {
 			types := make([]*jobs.MachineType, n)
 			for i := range types {
 				types[i] = large
@@ -257,17 +257,17 @@
 				fixture.addJob(i, "standard", fmt.Sprint("image", i%16), 16, n*4/40)
 			}
 			fixture.runRound()
-			for bm.Loop() {
+			for b.Loop() {
 				fixture.runRound()
 			}
 		})
 	}
 }
 
-// TestFetchesApart: a task whose image is cached nowhere goes to a machine that
+// TestFetchesGoToDifferentMachines: a task whose image is cached nowhere goes to a machine that
 // fetches nothing, though a fuller one has room; images fetched at the same time
 // may share the rate.
-func TestFetchesApart(t *testing.T) {
+func TestFetchesGoToDifferentMachines(t *testing.T) {
 	fixture := newPlannerFixture(large, large, large)
 	fixture.machines[0].Used.CPUs, fixture.machines[0].FetchingTasks = 16, 1
 	fixture.machines[1].Used.CPUs = 8
--- a/internal/placement/pull.go
+++ b/internal/placement/pull.go
@@ -18,49 +18,49 @@
 		}
 		for _, worker := range round.machinesFor(samples...) {
 			if round.isOpenTo(priority, worker) {
-				p.fillFromQueues(&opening{worker, priority, round.now}, samples)
+				p.fillFromQueues(&machineOpening{worker, priority, round.now}, samples)
 			}
 		}
 	}
 }
 
 // fillFromQueues has a machine take tasks for as long as any of the samples fits.
-func (p *Planner) fillFromQueues(o *opening, samples []*taskstate.Task) {
-	fitsHere := func(task *taskstate.Task) bool { return fits(task, o.worker) }
+func (p *Planner) fillFromQueues(opening *machineOpening, samples []*taskstate.Task) {
+	fitsHere := func(task *taskstate.Task) bool { return fits(task, opening.worker) }
 	for slices.ContainsFunc(samples, fitsHere) {
-		task := p.nextTask(o)
+		task := p.nextTask(opening)
 		if task == nil {
 			return
 		}
-		p.startQueued(task, o.worker)
+		p.startQueued(task, opening.worker)
 	}
 }
 
 // nextTask finds the task that a machine takes next, nil if there is none: of its own
 // queue, else of the extra queue, else of another machine's.
-func (p *Planner) nextTask(o *opening) *taskstate.Task {
-	own := p.imageQueues[o.worker.ID]
-	if i := own.firstFor(o); i >= 0 {
+func (p *Planner) nextTask(opening *machineOpening) *taskstate.Task {
+	own := p.imageQueues[opening.worker.ID]
+	if i := own.firstFor(opening); i >= 0 {
 		return own[i]
 	}
-	if i := p.extraQueue.firstFor(o); i >= 0 {
+	if i := p.extraQueue.firstFor(opening); i >= 0 {
 		return p.extraQueue[i]
 	}
-	return p.lastOfLongestQueue(o)
+	return p.lastOfLongestQueue(opening)
 }
 
 // lastOfLongestQueue finds the last task of the longest queue that has one for a machine;
 // queues with one whose image it caches come before the others. Several machines cache an
 // image here, each with its part of the tasks that wait for it: one that has done its part
 // goes on with theirs rather than fetch another.
-func (p *Planner) lastOfLongestQueue(o *opening) *taskstate.Task {
+func (p *Planner) lastOfLongestQueue(opening *machineOpening) *taskstate.Task {
 	var best *taskstate.Task
 	longest, cached := 0, false
 	for id, queue := range p.imageQueues {
-		if id == o.worker.ID {
+		if id == opening.worker.ID {
 			continue
 		}
-		if i := queue.lastCachedFor(o); i >= 0 {
+		if i := queue.lastCachedFor(opening); i >= 0 {
 			if !cached || len(queue) > longest || (len(queue) == longest && before(queue[i], best)) {
 				best, longest, cached = queue[i], len(queue), true
 			}
@@ -69,7 +69,7 @@
 		if cached || len(queue) < longest {
 			continue
 		}
-		if i := queue.lastFor(o); i >= 0 && (len(queue) > longest || before(queue[i], best)) {
+		if i := queue.lastFor(opening); i >= 0 && (len(queue) > longest || before(queue[i], best)) {
 			best, longest = queue[i], len(queue)
 		}
 	}
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -51,8 +51,8 @@
 	return q
 }
 
-// opening is a machine that takes tasks of a priority.
-type opening struct {
+// machineOpening is a machine that takes tasks of a priority.
+type machineOpening struct {
 	worker   *workers.Worker
 	priority jobs.Priority
 	now      time.Duration
@@ -60,11 +60,11 @@
 
 // canStart tells whether a task of a queue can start there. unfit is a job whose
 // unconstrained tasks are known not to fit.
-func (o *opening) canStart(task *taskstate.Task, unfit **taskstate.Job) bool {
-	if (task.Job == *unfit && isUnconstrained(task)) || !isQueued(task) || task.Job.Spec.Priority() != o.priority || !isDue(task, o.now) {
+func (m *machineOpening) canStart(task *taskstate.Task, unfit **taskstate.Job) bool {
+	if (task.Job == *unfit && isUnconstrained(task)) || !isQueued(task) || task.Job.Spec.Priority() != m.priority || !isDue(task, m.now) {
 		return false
 	}
-	if fits(task, o.worker) {
+	if fits(task, m.worker) {
 		return true
 	}
 	*unfit = task.Job // its tasks are alike: if one does not fit, none does
@@ -72,10 +72,10 @@
 }
 
 // firstFor finds the first task that can start in an opening, -1 if there is none.
-func (q taskQueue) firstFor(o *opening) int {
+func (q taskQueue) firstFor(opening *machineOpening) int {
 	var unfit *taskstate.Job
 	for i, task := range q {
-		if o.canStart(task, &unfit) {
+		if opening.canStart(task, &unfit) {
 			return i
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // lastFor finds the last task that can start in an opening, -1 if there is none.
-func (q taskQueue) lastFor(o *opening) int {
+func (q taskQueue) lastFor(opening *machineOpening) int {
 	var unfit *taskstate.Job
 	for i := len(q) - 1; i >= 0; i-- {
-		if o.canStart(q[i], &unfit) {
+		if opening.canStart(q[i], &unfit) {
 			return i
 		}
 	}
@@ -95,10 +95,10 @@
 
 // lastCachedFor finds the last task that can start in an opening without a fetch, -1 if
 // there is none.
-func (q taskQueue) lastCachedFor(o *opening) int {
+func (q taskQueue) lastCachedFor(opening *machineOpening) int {
 	var unfit *taskstate.Job
 	for i := len(q) - 1; i >= 0; i-- {
-		if o.worker.HasImage(q[i].Job.Spec.Image) && o.canStart(q[i], &unfit) {
+		if opening.worker.HasImage(q[i].Job.Spec.Image) && opening.canStart(q[i], &unfit) {
 			return i
 		}
 	}
