--- a/internal/placement/gang_test.go
+++ b/internal/placement/gangs_test.go
@@ -1,105 +1,84 @@
 package placement
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 
-	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 )
 
-// addGangJob makes a gang whose tasks arrive.
-func (f *plannerFixture) addGangJob(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
-	job := taskstate.NewJob(&jobs.Spec{
-		ID: fmt.Sprintf("wk-%d", id), Class: "g", Shape: "gang", Urgency: "standard", Image: image, ImageGB: 1, CPUs: cpus,
-		MemoryGB: cpus, Spot: true, Tasks: tasks,
-	}, f.now.Milliseconds()+int64(id), false)
-	job.Gang = &taskstate.Gang{}
-	index := make([]int, tasks)
-	for i := range index {
-		index[i] = i
+// addDrawnGangs adds some gangs that have room in the zones fixed for them.
+func (f *plannerFixture) addDrawnGangs(t *rapid.T) []*taskstate.Job {
+	cpusIn := map[string]float64{}
+	for i, worker := range f.machines {
+		worker.Zone = []string{"a", "b"}[i%2]
+		cpusIn[worker.Zone] += worker.MachineType.CPUs
 	}
-	taskstate.LoadRecord(job, taskstate.NewRecord(0, job.Spec.ID, 0, index, zones, nil))
-	for _, task := range job.Tasks {
-		f.AddTask(task, f.now)
+	var gangs []*taskstate.Job
+	for id := range rapid.IntRange(1, 4).Draw(t, "gangs") {
+		zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
+		cpus := rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "cpus")
+		gangs = append(gangs, f.addGangJob(id, "g", cpus, rapid.IntRange(1, int(cpusIn[zone]/cpus)).Draw(t, "members"), zone))
 	}
-	return job
+	return gangs
 }
 
-func newGangFixture(types ...*jobs.MachineType) *plannerFixture {
-	fixture := newPlannerFixture(types...)
-	fixture.placesGangs = true
-	return fixture
+// checkRoom fails if a machine has more tasks than it has room for.
+func (f *plannerFixture) checkRoom(t *rapid.T) {
+	for _, worker := range f.machines {
+		if free := worker.Free(); free.CPUs < -1e-6 || free.MemoryGB < -1e-6 {
+			t.Fatalf("%s holds too much", worker.ID)
+		}
+	}
 }
 
-func countPlaced(job *taskstate.Job) (n int) {
+// endPlacedGang ends a gang and tells whether it was placed. It fails if a part of it was,
+// or not in its zone and under one attempt.
+func (f *plannerFixture) endPlacedGang(t *rapid.T, job *taskstate.Job) bool {
+	placed := countPlaced(job)
+	if placed == 0 {
+		return false
+	}
+	if placed != len(job.Tasks) {
+		t.Fatalf("%d of %d tasks are placed", placed, len(job.Tasks))
+	}
 	for _, task := range job.Tasks {
-		if task.State == taskstate.StatePlaced {
-			n++
+		if worker := f.Worker(task.WorkerID); worker.Zone != task.Zone || task.WireAttempt() != job.Gang.Attempt {
+			t.Fatalf("task in zone %s, not %s, attempt %d of %d", worker.Zone, task.Zone, task.WireAttempt(), job.Gang.Attempt)
 		}
+		f.endTask(task)
 	}
-	return n
+	return true
 }
 
 // TestGangIsPlacedWholeOrNotAtAll: whatever runs and comes, a round places all of a gang or
-// nothing of it, under one attempt and on machines with the room and in the zones
-// fixed; no gang waits for ever behind small tasks or another gang.
+// nothing of it, under one attempt and on machines with the room and in the zones fixed; no
+// gang waits for ever behind small tasks or another gang.
 func TestGangIsPlacedWholeOrNotAtAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var types []*jobs.MachineType
-		for range rapid.IntRange(3, 8).Draw(t, "machines") {
-			types = append(types, rapid.SampledFrom([]*jobs.MachineType{small, large}).Draw(t, "type"))
-		}
-		fixture := newGangFixture(types...)
-		room := map[string]float64{}
-		for i, worker := range fixture.machines {
-			worker.Zone = []string{"a", "b"}[i%2]
-			room[worker.Zone] += worker.MachineType.CPUs
-		}
+		fixture := newGangFixture(drawMachineTypes(t, 3, 8)...)
 		fixture.promptly = func(string) bool { return rapid.Bool().Draw(t, "prompt") }
-		var gangs []*taskstate.Job
-		var small []*taskstate.Task
-		for n := range rapid.IntRange(1, 4).Draw(t, "gangs") {
-			zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
-			cpus := rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "cpus")
-			gangs = append(gangs, fixture.addGangJob(n, "g", cpus, rapid.IntRange(1, int(room[zone]/cpus)).Draw(t, "mates"), zone))
-		}
+		gangs := fixture.addDrawnGangs(t)
 		over := map[*taskstate.Job]bool{}
+		var smallTasks []*taskstate.Task
 		id := 100
 		for step := range 400 {
 			if step < 300 { // small work never ends
 				id++
-				small = append(small, fixture.addJob(id, "standard", "s", 1, rapid.IntRange(1, 6).Draw(t, "small"))...)
+				smallTasks = append(smallTasks, fixture.addJob(id, "standard", "s", 1, rapid.IntRange(1, 6).Draw(t, "small"))...)
 			}
 			fixture.runRound()
 			fixture.now += 5 * time.Second
-			for _, worker := range fixture.machines {
-				if free := worker.Free(); free.CPUs < -1e-6 || free.MemoryGB < -1e-6 {
-					t.Fatalf("%s holds too much", worker.ID)
-				}
-			}
+			fixture.checkRoom(t)
 			for _, job := range gangs {
-				if over[job] || countPlaced(job) == 0 {
-					continue
-				}
-				if countPlaced(job) != len(job.Tasks) {
-					t.Fatalf("%d of %d tasks are placed", countPlaced(job), len(job.Tasks))
-				}
-				for _, task := range job.Tasks {
-					if worker := fixture.Worker(task.WorkerID); worker.Zone != task.Zone || task.WireAttempt() != job.Gang.Attempt {
-						t.Fatalf("task in zone %s, not %s, attempt %d of %d", worker.Zone, task.Zone, task.WireAttempt(), job.Gang.Attempt)
-					}
-					fixture.endTask(task)
-				}
-				over[job] = true
+				over[job] = over[job] || fixture.endPlacedGang(t, job)
 			}
-			small = slices.DeleteFunc(small, func(task *taskstate.Task) bool {
+			smallTasks = slices.DeleteFunc(smallTasks, func(task *taskstate.Task) bool {
 				if task.State == taskstate.StatePlaced && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
 					fixture.endTask(task)
 				}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/planner_test.go
@@ -11,79 +11,8 @@
 	"lemonmoor/internal/resource"
 	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/workers"
 )
 
-// plannerFixture is a planner with machines whose tasks are kept here.
-type plannerFixture struct {
-	*Planner
-	machines    []*workers.Worker
-	now         time.Duration
-	byID        map[string]*workers.Worker
-	placesGangs bool                    // tasks are placed as gangs are
-	promptly    func(class string) bool // nil: no class starts promptly
-}
-
-var (
-	small = &jobs.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 10, Zones: []string{"a"}}
-	large = &jobs.MachineType{Name: "large", CPUs: 32, MemoryGB: 128, CacheGB: 10, Zones: []string{"a"}}
-)
-
-func newPlannerFixture(types ...*jobs.MachineType) *plannerFixture {
-	fixture := &plannerFixture{now: time.Hour, byID: map[string]*workers.Worker{}}
-	fixture.Planner = New(fixture, fixture, tuning.WaitBound)
-	for i, machineType := range types {
-		worker := &workers.Worker{
-			ID:      fmt.Sprintf("vm-%03d", i),
-			Machine: workers.Machine{MachineTypeName: machineType.Name, Zone: "a", MachineType: machineType},
-			Load:    workers.Load{Tasks: map[*taskstate.Task]bool{}},
-		}
-		fixture.machines = append(fixture.machines, worker)
-		fixture.byID[worker.ID] = worker
-	}
-	return fixture
-}
-
-func (f *plannerFixture) AcceptsTasks(worker *workers.Worker) bool { return worker.DrainReason == "" }
-func (f *plannerFixture) Worker(id string) *workers.Worker         { return f.byID[id] }
-func (f *plannerFixture) UpdateRank(*taskstate.Job, int64) bool    { return false }
-func (f *plannerFixture) StartsPromptly(class string) bool {
-	return f.promptly != nil && f.promptly(class)
-}
-
-func (f *plannerFixture) PlaceTask(task *taskstate.Task, worker *workers.Worker) {
-	if f.placesGangs {
-		task.PlaceOn(worker.ID)
-		worker.Tasks[task] = true
-		worker.Used = worker.Used.Plus(task.Job.Spec.Resources())
-		worker.UseImage(task.Job.Spec.Image, task.Job.Spec.ImageGB)
-		return
-	}
-	task.State, task.WorkerID, task.Job.HasPlacedTask = taskstate.StatePlaced, worker.ID, true
-	worker.AddTask(task)
-}
-
-func (f *plannerFixture) runRound() { f.RunRound(f.machines, f.now, time.UnixMilli(0).Add(f.now)) }
-
-// endTask takes a task off its machine.
-func (f *plannerFixture) endTask(task *taskstate.Task) {
-	f.Worker(task.WorkerID).RemoveTask(task)
-	task.State = taskstate.StateDone
-}
-
-// addJob makes a job whose tasks arrive.
-func (f *plannerFixture) addJob(id int, urgency, image string, cpus float64, tasks int) []*taskstate.Task {
-	job := taskstate.NewJob(&jobs.Spec{ID: fmt.Sprintf("wk-%d", id), Urgency: urgency, Image: image, ImageGB: 1, CPUs: cpus, MemoryGB: cpus, Spot: true},
-		f.now.Milliseconds()+int64(id), false)
-	var list []*taskstate.Task
-	for i := range tasks {
-		task := &taskstate.Task{Job: job, Index: i}
-		list = append(list, task)
-		f.AddTask(task, f.now)
-	}
-	return list
-}
-
 // TestPullOrderOwnExtraThenLongestQueue: an arriving task runs on an idle machine that caches its image,
 // else on another, else it queues; a machine with room takes from its own queue,
 // then the extra queue, then the last task of the longest queue.
@@ -243,6 +172,26 @@
 	})
 }
 
+// TestFetchesGoToDifferentMachines: a task whose image is cached nowhere goes to a machine that
+// fetches nothing, though a fuller one has room; images fetched at the same time
+// may share the rate.
+func TestFetchesGoToDifferentMachines(t *testing.T) {
+	fixture := newPlannerFixture(large, large, large)
+	fixture.machines[0].Used.CPUs, fixture.machines[0].FetchingTasks = 16, 1
+	fixture.machines[1].Used.CPUs = 8
+	first := fixture.addJob(1, "standard", "x", 4, 1)
+	fixture.runRound()
+	if first[0].WorkerID != "vm-001" {
+		t.Errorf("placed on %s", first[0].WorkerID)
+	}
+	fixture.machines[0].UseImage("y", 1)
+	second := fixture.addJob(2, "standard", "y", 4, 1)
+	fixture.runRound()
+	if second[0].WorkerID != "vm-000" {
+		t.Errorf("with its image cached placed on %s", second[0].WorkerID)
+	}
+}
+
 // BenchmarkRound shows what a round costs by the number of machines, all full,
 // with as many tasks waiting.
 func BenchmarkRound(b *testing.B) {
@@ -263,23 +212,3 @@
 		})
 	}
 }
-
-// TestFetchesGoToDifferentMachines: a task whose image is cached nowhere goes to a machine that
-// fetches nothing, though a fuller one has room; images fetched at the same time
-// may share the rate.
-func TestFetchesGoToDifferentMachines(t *testing.T) {
-	fixture := newPlannerFixture(large, large, large)
-	fixture.machines[0].Used.CPUs, fixture.machines[0].FetchingTasks = 16, 1
-	fixture.machines[1].Used.CPUs = 8
-	first := fixture.addJob(1, "standard", "x", 4, 1)
-	fixture.runRound()
-	if first[0].WorkerID != "vm-001" {
-		t.Errorf("placed on %s", first[0].WorkerID)
-	}
-	fixture.machines[0].UseImage("y", 1)
-	second := fixture.addJob(2, "standard", "y", 4, 1)
-	fixture.runRound()
-	if second[0].WorkerID != "vm-000" {
-		t.Errorf("with its image cached placed on %s", second[0].WorkerID)
-	}
-}
