--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -8,70 +8,101 @@
 	"lemonmoor/internal/tuning"
 )
 
-// outlived is the longest outage of the state service that surely ends no task: owners
-// answer workers until their lease and the hold after it run out, or their knowledge of
-// cancellations is too old; a worker's lease then runs from its last answered report,
-// and after the outage an owner needs a moment until it answers again.
-func (w *world) outlived() time.Duration {
-	const recovery = 3500 * ms // a proof, a renewal, and the next reports
-	byLease := tuning.LeaseTTL - tuning.LeaseRenewInterval - tuning.LeaseMargin + w.set.AnswerGracePeriod()
-	byProof := w.set.MaxKnowledgeAge() - tuning.KnowledgeVerifyInterval
-	return min(byLease, byProof) + w.set.WorkerLease() - w.set.HeartbeatInterval()*5/4 - recovery
+// longestHarmlessOutage is the longest outage of the state service that surely ends no
+// task: owners answer workers until their lease and the answer grace period after it run
+// out, or their knowledge of cancellations is too old; a worker's lease then runs from its
+// last answered heartbeat, and after the outage an owner needs a moment until it answers
+// again.
+func (s *simulation) longestHarmlessOutage() time.Duration {
+	const recovery = 3500 * millisecond // a verification, a renewal, and the next heartbeats
+	byLease := tuning.LeaseTTL - tuning.LeaseRenewInterval - tuning.LeaseMargin + s.settings.AnswerGracePeriod()
+	byKnowledge := s.settings.MaxKnowledgeAge() - tuning.KnowledgeVerifyInterval
+	return min(byLease, byKnowledge) + s.settings.WorkerLease() - s.settings.HeartbeatInterval()*5/4 - recovery
 }
 
-// TestOutageEndsNoReplica: an outage just below that length ends no replica, whatever
-// the moment at which it begins. One that is longer than any answer and lease may end
-// all of them, and breaks no rule even when services are called off meanwhile.
+// TestOutageEndsNoReplica: an outage just below longestHarmlessOutage ends no replica,
+// whatever the moment at which it begins. One that is longer than any answer and lease may
+// end all of them, and breaks no rule even when services are cancelled meanwhile.
 func TestOutageEndsNoReplica(t *testing.T) {
-	for name, c := range map[string]struct {
+	for _, test := range []struct {
+		name    string
 		longer  time.Duration
 		survive bool
-	}{"just below": {0, true}, "above": {tuning.LeaseRenewInterval + 12*second, false}} {
+	}{
+		{"just below", 0, true},
+		{"above", tuning.LeaseRenewInterval + 12*second, false},
+	} {
 		for seed := uint64(1); seed <= 6; seed++ {
-			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
-				w := newWorld(seed)
-				for i := range 6 {
-					j := &simJob{id: fmt.Sprintf("wk-%06d", i), team: []string{"red", "blue"}[i%2], tasks: 2, cpus: 1, service: true, urgent: true, done: map[int]bool{}}
-					w.after(time.Duration(i)*second, func() { w.user(j, 0) })
-				}
-				at := 25*second + time.Duration(seed)*500*ms
-				outage := w.outlived() + c.longer
-				w.after(at, func() { w.outageFor(outage) })
-				w.after(at+outage-5*second, func() {
-					if !c.survive {
-						w.callOff(2)
-					}
-				})
-				replicas := 0
-				w.after(at, func() {
-					for _, k := range w.workers {
-						replicas += len(k.tasks)
-					}
-				})
-				w.after(at+outage+20*second, func() {
-					w.calm = w.now
-					w.asked(75 * second)
-				})
-				w.run(at + outage + 15*second)
-				ended := 0
-				for _, k := range w.workers {
-					if k.shift > 1 && !k.dead {
-						ended++
-					}
-				}
+			t.Run(fmt.Sprint(test.name, " seed ", seed), func(t *testing.T) {
+				sim := newSimulation(seed)
+				begin := 25*second + time.Duration(seed)*500*millisecond
+				end := begin + sim.longestHarmlessOutage() + test.longer
+				replicas, ended := sim.playOutageOfServices(begin, end, !test.survive)
 				if replicas != 12 {
 					t.Errorf("%d replicas run when the outage begins, not 12", replicas)
 				}
-				if c.survive && ended > 0 {
-					t.Errorf("an outage of %v ends the session of %d workers", outage, ended)
+				if test.survive && ended > 0 {
+					t.Errorf("an outage of %v ends the session of %d workers", end-begin, ended)
 				}
-				if !c.survive && ended == 0 {
-					t.Errorf("an outage of %v ends no session: the formula is too short", outage)
+				if !test.survive && ended == 0 {
+					t.Errorf("an outage of %v ends no session: the formula is too short", end-begin)
 				}
-				w.finishAll(10 * second)
-				w.run(at + outage + 150*second)
-				w.check(t)
+				sim.cancelServicesAt(10 * second)
+				sim.run(end + 150*second)
+				sim.checkRulesAndCompletion(t)
 			})
 		}
 	}
 }
+
+// playOutageOfServices plays six services and an outage, until 15 s after it. It returns
+// how many replicas ran when the outage began, and how many workers' sessions have ended.
+func (s *simulation) playOutageOfServices(begin, end time.Duration, cancel bool) (replicas, ended int) {
+	for i := range 6 {
+		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 2, cpus: 1, service: true, urgent: true})
+		s.after(time.Duration(i)*second, func() { s.submitAndPoll(job, 0) })
+	}
+	s.after(begin, func() { s.outageFor(end - begin) })
+	s.after(end-5*second, func() {
+		if cancel {
+			s.cancelRunningJobs(2)
+		}
+	})
+	s.after(begin, func() {
+		for _, worker := range s.workers {
+			replicas += len(worker.tasks)
+		}
+	})
+	s.after(end+20*second, func() { s.faultsAreOver(75 * second) })
+	s.run(end + 15*second)
+	for _, worker := range s.workers {
+		if worker.session > 1 && !worker.dead {
+			ended++
+		}
+	}
+	return replicas, ended
+}
+
+// TestSharedOutageKeepsNodesHealthy: in an outage of the state service the nodes stay
+// healthy, since none is better than another; a node that is refused alone does
+// not.
+func TestSharedOutageKeepsNodesHealthy(t *testing.T) {
+	sim := newSimulation(4)
+	sim.run(20 * time.Second)
+	sim.stateFaults.outage = true
+	sim.run(32 * time.Second)
+	for _, controller := range sim.controllers {
+		if !controller.node.healthy() {
+			t.Errorf("%s is unhealthy in an outage that all share", controller.name)
+		}
+	}
+	sim.stateFaults.outage = false
+	sim.run(40 * time.Second)
+	sim.network.partitions["node-1|state"] = true
+	sim.run(55 * time.Second)
+	for _, controller := range sim.controllers {
+		if got, want := controller.node.healthy(), controller.name != "node-1"; got != want {
+			t.Errorf("%s healthy: %v", controller.name, got)
+		}
+	}
+}
