--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -37,15 +37,16 @@
 			n.log.Error("drains are not traced", "err", err)
 		}
 	}
-	book := drain.NewRecords(n.rt, n.state, n.log)
+	book := drain.NewRecords(n.rt, n.state, n.log, n.actOnDrains)
 	cluster := &drainCluster{n, book}
-	n.drains = &drains{book, drain.NewCoordinator(n.rt, n.state, n.leases, book, cluster, n.set, tracer, n.log)}
+	n.drains = &drains{book, drain.NewCoordinator(drain.Dependencies{
+		Runtime: n.rt, State: n.state, Lease: n.leases, Records: book, Cluster: cluster, Settings: n.set, Tracer: tracer, Log: n.log,
+	})}
 	for _, o := range n.owners {
 		o.drains = drain.NewExecutor(n.rt, book, o.workers, o.tasks, func() bool {
 			return o.token != 0 && o.tasks.IsLoaded() && o.LeaseValid()
 		})
 	}
-	book.OnChange = n.actOnDrains
 }
 
 // actOnDrains has the owners here carry out what is granted.
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -5,14 +5,15 @@
 	"math"
 	"strings"
 
+	"lemonmoor/internal/resource"
 	"lemonmoor/internal/settings"
 )
 
-// Budget is how much of a team's work may be disturbed at once.
+// Budget is how much of a team's work may be disturbed at once. All limits hold.
 type Budget struct {
-	Tasks      int
-	CPUs       float64
-	Share      float64 // of the processors of its running work
+	Tasks      int     // math.MaxInt32 without a limit
+	CPUs       float64 // processors of the disturbed tasks, +Inf without a limit
+	Share      float64 // of the processors of its work, the disturbed included; +Inf without a limit
 	ReplicasUp int     // of each service, at least
 }
 
@@ -22,8 +23,8 @@
 	Teams   map[string]Budget
 }
 
-// Of finds a team's budget.
-func (b *Budgets) Of(team string) Budget {
+// ForTeam returns a team's budget.
+func (b *Budgets) ForTeam(team string) Budget {
 	if own, ok := b.Teams[team]; ok {
 		return own
 	}
@@ -31,15 +32,15 @@
 }
 
 // NewBudgets reads the budgets from the operators' settings.
-func NewBudgets(set *settings.Drains) Budgets {
+func NewBudgets(drainSettings *settings.Drains) Budgets {
 	unbounded := Budget{Tasks: math.MaxInt32, CPUs: math.Inf(1), Share: math.Inf(1)}
 	budgets := Budgets{Default: unbounded, Teams: map[string]Budget{}}
-	if set.Default != nil {
-		budgets.Default = overlay(unbounded, &set.Default.Limits)
+	if drainSettings.Default != nil {
+		budgets.Default = overlay(unbounded, &drainSettings.Default.Limits)
 	}
-	for i := range set.Teams {
+	for i := range drainSettings.Teams {
 		// What a team's block leaves out is the default's.
-		budgets.Teams[set.Teams[i].Name] = overlay(budgets.Default, &set.Teams[i].Limits)
+		budgets.Teams[drainSettings.Teams[i].Name] = overlay(budgets.Default, &drainSettings.Teams[i].Limits)
 	}
 	return budgets
 }
@@ -66,70 +67,76 @@
 	CPUs  float64 `json:"cpus"`
 }
 
-// Plus is the sum of two amounts.
-func (a Amount) Plus(b Amount) Amount { return Amount{a.Tasks + b.Tasks, a.CPUs + b.CPUs} }
+// Plus returns the sum of two amounts.
+func (a Amount) Plus(other Amount) Amount { return Amount{a.Tasks + other.Tasks, a.CPUs + other.CPUs} }
 
-// TeamUse is how a team's budget stands.
-type TeamUse struct {
+// TeamUsage is how a team's budget stands.
+type TeamUsage struct {
 	Running  Amount `json:"running"`
 	Chosen   Amount `json:"chosen"`   // granted, and not yet over
 	Unchosen Amount `json:"unchosen"` // crashes, spot notices, cut-off machines
 }
 
-// Disturbed is all that uses the budget up.
-func (u *TeamUse) Disturbed() Amount { return u.Chosen.Plus(u.Unchosen) }
+// Disturbed returns all that uses the budget up.
+func (u *TeamUsage) Disturbed() Amount { return u.Chosen.Plus(u.Unchosen) }
 
-// slack covers sums of decimal amounts, which are not exact.
-const slack = 1e-9
-
-// Shortage is why a budget does not allow a disturbance.
-type Shortage struct {
-	Team      string
-	Limit     string // the limit: tasks, cpus, share or replicas_up
+// ShortageError is why a budget does not allow a disturbance.
+type ShortageError struct {
+	Team string
+	// Limit is the name of the limit, as in the settings: tasks, cpus, share or replicas_up.
+	Limit string
+	// Used, Requested and Max are tasks or processors; of replicas_up, Requested is the
+	// replicas that would be up and Max those that must be.
 	Used      float64
 	Requested float64
 	Max       float64
-	Service   string // of which too few replicas would be up
+	Service   string // of which too few replicas would be up, with replicas_up
 }
 
-// String is the reason as operators read it.
-func (s *Shortage) String() string {
-	if s.Limit == limitReplicas {
-		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", s.Team, s.Limit, s.Requested, s.Service, s.Max)
+// Error is the reason as operators read it.
+func (e *ShortageError) Error() string {
+	if e.Limit == limitReplicasUp {
+		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", e.Team, e.Limit, e.Requested, e.Service, e.Max)
 	}
-	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", s.Team, s.Limit, s.Used, s.Requested, s.Max)
+	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", e.Team, e.Limit, e.Used, e.Requested, e.Max)
 }
 
 // Names of the limits, as in the settings.
 const (
-	limitTasks    = "tasks"
-	limitCPUs     = "cpus"
-	limitShare    = "share"
-	limitReplicas = "replicas_up"
+	limitTasks      = "tasks"
+	limitCPUs       = "cpus"
+	limitShare      = "share"
+	limitReplicasUp = "replicas_up"
 )
 
-// Allows tells whether a team's budget has room for a further disturbance; nil if so.
-func (b Budget) Allows(team string, use *TeamUse, more Amount) *Shortage {
-	used := use.Disturbed()
-	if used.Tasks+more.Tasks > b.Tasks {
-		return &Shortage{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(more.Tasks), Max: float64(b.Tasks)}
+// Allows returns a *ShortageError if a team's budget has no room for a further
+// disturbance.
+func (b Budget) Allows(team string, usage *TeamUsage, requested Amount) error {
+	used := usage.Disturbed()
+	if used.Tasks+requested.Tasks > b.Tasks {
+		return &ShortageError{Team: team, Limit: limitTasks, Used: float64(used.Tasks), Requested: float64(requested.Tasks), Max: float64(b.Tasks)}
 	}
-	if used.CPUs+more.CPUs > b.CPUs+slack {
-		return &Shortage{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: more.CPUs, Max: b.CPUs}
+	if used.CPUs+requested.CPUs > b.CPUs+resource.Epsilon {
+		return &ShortageError{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: requested.CPUs, Max: b.CPUs}
 	}
 	// What is disturbed belongs to the work that would run.
-	most := b.Share * (use.Running.CPUs + used.CPUs)
-	if !math.IsInf(b.Share, 1) && used.CPUs+more.CPUs > most+slack {
-		return &Shortage{Team: team, Limit: limitShare, Used: used.CPUs, Requested: more.CPUs, Max: most}
+	maxCPUs := b.Share * (usage.Running.CPUs + used.CPUs)
+	if !math.IsInf(b.Share, 1) && used.CPUs+requested.CPUs > maxCPUs+resource.Epsilon {
+		return &ShortageError{Team: team, Limit: limitShare, Used: used.CPUs, Requested: requested.CPUs, Max: maxCPUs}
 	}
 	return nil
 }
 
-// Never tells whether a budget could not allow a disturbance even with nothing else
-// disturbed; nil if it could.
-func (b Budget) Never(team string, more Amount) *Shortage {
-	alone := Budget{Tasks: b.Tasks, CPUs: b.CPUs, Share: math.Inf(1)}
-	return alone.Allows(team, &TeamUse{}, more)
+// EverAllows returns a *ShortageError if a budget could not allow a disturbance even with
+// nothing else disturbed.
+func (b Budget) EverAllows(team string, requested Amount) error {
+	withoutShare := Budget{Tasks: b.Tasks, CPUs: b.CPUs, Share: math.Inf(1)}
+	return withoutShare.Allows(team, &TeamUsage{}, requested)
+}
+
+// rounds is the least number of times that the budget has to be used up for an amount.
+func (b Budget) rounds(amount Amount) int {
+	return max(1, int(math.Ceil(max(float64(amount.Tasks)/float64(b.Tasks), amount.CPUs/b.CPUs)-resource.Epsilon)))
 }
 
 // String is the budget as operators read it.
@@ -145,7 +152,7 @@
 		parts = append(parts, fmt.Sprintf("%s %g", limitShare, b.Share))
 	}
 	if b.ReplicasUp > 0 {
-		parts = append(parts, fmt.Sprintf("%s %d", limitReplicas, b.ReplicasUp))
+		parts = append(parts, fmt.Sprintf("%s %d", limitReplicasUp, b.ReplicasUp))
 	}
 	if len(parts) == 0 {
 		return "unlimited"
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -1,172 +1,133 @@
 package drain
 
 import (
-	"time"
-
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/taskstate"
-	"lemonmoor/internal/tuning"
 )
 
-// blockHeard is the newest report of a block's owner.
-type blockHeard struct {
-	token, seq uint64
-	heard      time.Duration
-	report     *ShardReport
-}
-
-// HandleReport takes what an owner reports; nil from one that knows no drains, or as
-// long as it knows of none.
-func (c *Coordinator) HandleReport(block int, token, seq uint64, r *ShardReport) {
-	if c.token == 0 || block < 0 || block >= len(c.reports) {
-		return
-	}
-	old := &c.reports[block]
-	if token < old.token || (token == old.token && seq <= old.seq) {
-		return // held back on its way
-	}
-	*old = blockHeard{token, seq, c.rt.Now(), r}
-	if r == nil {
-		return
-	}
-	news := false
-	for _, g := range r.Granted {
-		if g.Runs && g.Attempt > c.ran[g.Name()] {
-			c.ran[g.Name()], news = g.Attempt, true
-		}
-	}
-	if news {
-		c.Tick() // a budget has become free
-	}
-}
-
-// unheard is a block of which too little is known to grant anything, -1 if there is
-// none.
-func (c *Coordinator) unheard() int {
-	for block := range c.reports {
-		h := &c.reports[block]
-		if h.report == nil || c.rt.Now()-h.heard > tuning.StatusStaleAfter {
-			return block
-		}
-	}
-	return -1
+// disturbances tells, from the records and the shard owners' reports, which tasks are
+// disturbed now.
+type disturbances struct {
+	cluster Cluster
+	records *Records
+	reports *shardReports
 }
 
-// settled tells whether a granted task is disturbed no more: it runs again, has ended,
+// isSettled reports whether a granted task is disturbed no more: it runs again, has ended,
 // or its job is over.
-func (c *Coordinator) settled(ref TaskRef) bool {
-	if _, open := c.cluster.Job(ref.Job); !open {
+func (d *disturbances) isSettled(ref TaskRef) bool {
+	if _, isOpen := d.cluster.Job(ref.Job); !isOpen {
 		return true
 	}
-	if c.ran[ref.Name()] > ref.Attempt {
+	if d.reports.ranAttempts[ref.Name()] > ref.Attempt {
 		return true
 	}
 	if ref.Gang > 0 {
 		return false
 	}
-	mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-	return known && mark.State == taskstate.StateDone
+	status, isKnown := d.cluster.TaskStatus(ref.Job, ref.Index)
+	return isKnown && status.State == taskstate.StateDone
 }
 
-// voidIn finds the block whose owner reports that a task was never stopped and will
-// not be, with the token under which that was said.
-func (c *Coordinator) voidIn(ref TaskRef) (block int, token uint64, found bool) {
-	for block := range c.reports {
-		h := &c.reports[block]
-		if h.report == nil {
-			continue
-		}
-		for _, g := range h.report.Granted {
-			if g.Void && g.TaskRef == ref {
-				return block, h.token, true
+// eachUnsettled calls fn for each task that is granted and disturbed.
+func (d *disturbances) eachUnsettled(fn func(spec *jobs.Spec, ref TaskRef)) {
+	counted := map[TaskRef]bool{} // two drains may name the same machine
+	for _, drain := range d.records.Drains() {
+		for _, grant := range drain.Grants {
+			for _, ref := range grant.Tasks {
+				if counted[ref] || d.isSettled(ref) {
+					continue
+				}
+				counted[ref] = true
+				if spec, isOpen := d.cluster.Job(ref.Job); isOpen {
+					fn(spec, ref)
+				}
 			}
 		}
 	}
-	return 0, 0, false
-}
-
-// amount is what the disturbance of a granted task takes of its team's budget.
-func amount(d *jobs.Spec, ref TaskRef) Amount {
-	tasks := max(1, ref.Gang)
-	return Amount{tasks, float64(tasks) * d.CPUs}
-}
-
-// usage is how the teams' budgets stand.
-type usage struct {
-	teams map[string]*TeamUse
-	// moving is the processors of granted tasks that have no new place yet.
-	moving float64
-	// down is, by service, the replicas that are granted or were lost.
-	down    map[string]int
-	partial bool
 }
 
-func (u *usage) team(name string) *TeamUse {
-	t := u.teams[name]
-	if t == nil {
-		t = &TeamUse{}
-		u.teams[name] = t
+// unsettledTasks counts the tasks that a drain has disturbed.
+func (d *disturbances) unsettledTasks(drain *Drain) int {
+	count := 0
+	for _, grant := range drain.Grants {
+		for _, ref := range grant.Tasks {
+			if !d.isSettled(ref) {
+				count += max(1, ref.Gang)
+			}
+		}
 	}
-	return t
-}
-
-// add counts a grant.
-func (u *usage) add(d *jobs.Spec, ref TaskRef) {
-	more := amount(d, ref)
-	team := u.team(d.Team)
-	team.Chosen = team.Chosen.Plus(more)
+	return count
 }
 
-// usage counts what is disturbed, from the records and the owners' reports.
-func (c *Coordinator) usage() *usage {
-	u := &usage{teams: map[string]*TeamUse{}, down: map[string]int{}}
-	for block := range c.reports {
-		r := c.reports[block].report
-		if r == nil {
-			continue
-		}
-		u.partial = u.partial || r.Partial
-		for name, work := range r.Teams {
-			team := u.team(name)
-			team.Running = team.Running.Plus(work.Running)
-			team.Unchosen = team.Unchosen.Plus(work.Disturbed)
-		}
-		for job, down := range r.Down {
-			u.down[job] += down
+// usage counts what is disturbed now.
+func (d *disturbances) usage() *budgetUsage {
+	total := &budgetUsage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
+	for shardIndex := range d.reports.latest {
+		if report := d.reports.latest[shardIndex].report; report != nil {
+			total.addReport(report)
 		}
 	}
-	c.cluster.EachInterrupted(func(d *jobs.Spec, tasks int) {
-		team := u.team(d.Team)
-		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * d.CPUs})
+	d.cluster.EachInterrupted(func(spec *jobs.Spec, tasks int) {
+		team := total.team(spec.Team)
+		team.Unchosen = team.Unchosen.Plus(Amount{tasks, float64(tasks) * spec.CPUs})
 	})
-	c.eachUnsettled(func(d *jobs.Spec, ref TaskRef) {
-		u.add(d, ref)
-		mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-		placed := known && mark.State == taskstate.StatePlaced
-		if ref.Gang == 0 && placed {
-			u.down[ref.Job]++
+	d.eachUnsettled(func(spec *jobs.Spec, ref TaskRef) {
+		total.addGrant(spec, ref)
+		status, isKnown := d.cluster.TaskStatus(ref.Job, ref.Index)
+		isPlaced := isKnown && status.State == taskstate.StatePlaced
+		if ref.Gang == 0 && isPlaced {
+			total.replicasDown[ref.Job]++
 		}
-		if !placed || mark.Attempt <= ref.Attempt || ref.Gang > 0 {
-			u.moving += amount(d, ref).CPUs
+		if !isPlaced || status.Attempt <= ref.Attempt || ref.Gang > 0 {
+			total.movingCPUs += disturbanceOf(spec, ref).CPUs
 		}
 	})
-	return u
+	return total
 }
 
-// eachUnsettled calls fn for each task that is granted and disturbed.
-func (c *Coordinator) eachUnsettled(fn func(d *jobs.Spec, ref TaskRef)) {
-	counted := map[TaskRef]bool{} // two drains may name the same machine
-	for _, d := range c.book.Drains() {
-		for _, g := range d.Grants {
-			for _, ref := range g.Tasks {
-				if counted[ref] || c.settled(ref) {
-					continue
-				}
-				counted[ref] = true
-				if desc, open := c.cluster.Job(ref.Job); open {
-					fn(desc, ref)
-				}
-			}
-		}
+// budgetUsage is how the teams' budgets stand.
+type budgetUsage struct {
+	teams map[string]*TeamUsage
+	// movingCPUs is the processors of granted tasks that have no new place yet.
+	movingCPUs float64
+	// replicasDown is, by service, the replicas that are granted or were lost. It is
+	// incomplete with replicasUnknown, and then no replica counts as up.
+	replicasDown    map[string]int
+	replicasUnknown bool
+}
+
+// team returns a team's part, which is made if need be.
+func (u *budgetUsage) team(name string) *TeamUsage {
+	team := u.teams[name]
+	if team == nil {
+		team = &TeamUsage{}
+		u.teams[name] = team
+	}
+	return team
+}
+
+// addReport counts what a shard owner reports.
+func (u *budgetUsage) addReport(report *ShardReport) {
+	u.replicasUnknown = u.replicasUnknown || report.ReplicasDownIsPartial
+	for name, work := range report.Teams {
+		team := u.team(name)
+		team.Running = team.Running.Plus(work.Running)
+		team.Unchosen = team.Unchosen.Plus(work.Disturbed)
 	}
+	for job, replicas := range report.ReplicasDown {
+		u.replicasDown[job] += replicas
+	}
+}
+
+// addGrant counts a granted task or gang against its team's budget.
+func (u *budgetUsage) addGrant(spec *jobs.Spec, ref TaskRef) {
+	team := u.team(spec.Team)
+	team.Chosen = team.Chosen.Plus(disturbanceOf(spec, ref))
+}
+
+// disturbanceOf is what the disturbance of a task or gang takes of its team's budget.
+func disturbanceOf(spec *jobs.Spec, ref TaskRef) Amount {
+	tasks := max(1, ref.Gang)
+	return Amount{tasks, float64(tasks) * spec.CPUs}
 }
--- a/internal/leader/job_state_test.go
+++ b/internal/leader/job_state_test.go
@@ -48,7 +48,7 @@
 
 func TestJobIsComplete(t *testing.T) {
 	for name, test := range map[string]struct {
-		shape      string
+		shape      jobs.Shape
 		cancelled  bool
 		open, done int
 		complete   bool
