--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,87 +23,87 @@
 
 // Paths of the messages between controllers.
 const (
-	statusPath = "/digest" // an owner's status message to the leader; the name of versions before
-	beatPath   = "/beat"   // a worker's report for the owner that it cannot reach
-	statePath  = "/state"  // does the state service answer you?
-	heardPath  = "/heard"  // how long ago did a worker come to you?
+	statusPath        = "/digest" // an owner's status message to the leader; the name of versions before
+	heartbeatPath     = "/beat"   // a worker's report for the owner that it cannot reach
+	stateHealthPath   = "/state"  // does the state service answer you?
+	workerSilencePath = "/heard"  // how long ago did a worker come to you?
 )
 
 // Node is one controller.
 type Node struct {
-	rt     eventloop.Runtime
-	set    *settings.Settings
-	log    *slog.Logger
-	state  *statestore.Client
-	leases *statestore.LeaseManager
-	cat    *userapi.Catalog
-	store  *taskstate.Store
-	api    *userapi.API
-	leader *leader.Leader
-	fleet  *fleet.Fleet
-	owners []*owner
-	drains *drains // nil if they are off
-	begin  func(blocks int)
-
-	misread bool              // the stored layout does not parse
-	peers   map[string]string // endpoints by node
-
-	lastBeat time.Duration         // from any worker, for any block
-	asking   bool                  // the peers, whether they hear workers
-	reported time.Duration         // when a worker last came here, 0 if none has
-	vain     int                   // times in a row that blocks were given up without one
-	sent     map[string]redirected // workers sent to their owners
-	telling  []bool
-	shared   time.Duration // when a peer last said that it has no answers either
-	alone    time.Duration // when a peer last said that it has, while this node has none
+	runtime     eventloop.Runtime
+	settings    *settings.Settings
+	log         *slog.Logger
+	stateClient *statestore.Client
+	leases      *statestore.LeaseManager
+	catalog     *userapi.Catalog
+	taskStates  *taskstate.Store
+	userAPI     *userapi.API
+	leader      *leader.Leader
+	fleet       *fleet.Fleet
+	shardOwners []*shardOwner
+	drains      *drainParts // nil if they are off
+	layoutKnown func(blocks int)
+
+	layoutErrorLogged bool              // the stored layout does not parse
+	peerEndpoints     map[string]string // endpoints by node
+
+	lastHeartbeatAt     time.Duration          // from any worker, for any block
+	askingPeers         bool                   // the peers, whether they hear workers
+	lastWorkerContactAt time.Duration          // when a worker last came here, 0 if none has
+	unsuccessfulTerms   int                    // times in a row that blocks were given up without one
+	redirections        map[string]redirection // workers sent to their owners
+	statusInFlight      []bool
+	serviceWideOutageAt time.Duration // when a peer last said that it has no answers either
+	nodeOnlyOutageAt    time.Duration // when a peer last said that it has, while this node has none
 }
 
-// redirected is a worker that was sent to its owner.
-type redirected struct {
-	last  time.Duration // its last report here
-	since time.Duration // when it was sent away
+// redirection is a worker that was sent to its owner.
+type redirection struct {
+	lastHeartbeatAt time.Duration // its last report here
+	redirectedAt    time.Duration // when it was sent away
 }
 
 // New puts a node together. nonce differs for every process.
-func New(rt eventloop.Runtime, set *settings.Settings, nonce uint64, log *slog.Logger) *Node {
-	n := &Node{rt: rt, set: set, log: log, peers: map[string]string{}, sent: map[string]redirected{}}
+func New(runtime eventloop.Runtime, settings *settings.Settings, nonce uint64, log *slog.Logger) *Node {
+	node := &Node{runtime: runtime, settings: settings, log: log, peerEndpoints: map[string]string{}, redirections: map[string]redirection{}}
 	rank := 0
-	for _, p := range set.Seeds {
-		n.peers[p.Node] = p.Endpoint
-		if p.Node < set.Node {
+	for _, seed := range settings.Seeds {
+		node.peerEndpoints[seed.Node] = seed.Endpoint
+		if seed.Node < settings.Node {
 			rank++
 		}
 	}
-	n.state = statestore.New(rt, set.External.State, log)
-	n.state.FreshnessCheckInterval = set.FreshnessCheckInterval()
-	n.state.SetLimits(statestore.Limits{MaxOperations: set.MaxOperations(), MaxValueBytes: set.MaxValueBytes(), FutureWriteShare: set.FutureWriteShare()})
-	n.build(nonce, rank)
-	n.begin = func(blocks int) {
-		if blocks != set.ShardCount() {
-			log.Warn("the machines stay divided as the stored work has them", "blocks", blocks, "by the settings", set.ShardCount())
-			set.SetShardCount(blocks)
-			n.build(nonce, rank)
+	node.stateClient = statestore.New(runtime, settings.External.State, log)
+	node.stateClient.FreshnessCheckInterval = settings.FreshnessCheckInterval()
+	node.stateClient.SetLimits(statestore.Limits{MaxOperations: settings.MaxOperations(), MaxValueBytes: settings.MaxValueBytes(), FutureWriteShare: settings.FutureWriteShare()})
+	node.build(nonce, rank)
+	node.layoutKnown = func(blocks int) {
+		if blocks != settings.ShardCount() {
+			log.Warn("the machines stay divided as the stored work has them", "blocks", blocks, "by the settings", settings.ShardCount())
+			settings.SetShardCount(blocks)
+			node.build(nonce, rank)
 		}
-		n.start()
+		node.start()
 	}
-	return n
+	return node
 }
 
 // build makes the slices for the number of blocks and connects them.
 func (n *Node) build(nonce uint64, rank int) {
-	rt, set, log := n.rt, n.set, n.log
-	n.owners = nil
-	n.leases = statestore.NewLeaseManager(rt, n.state, log, set.Node, nonce, rank, set.ShardCount())
-	n.leases.AnswerGracePeriod = set.AnswerGracePeriod()
-	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log)
-	n.store = taskstate.NewStore(rt, n.state, log)
-	n.fleet = fleet.New(rt, set.External.Cloud, n.leases, set, log)
-	n.leader = leader.New(rt, n.state, n.leases, n.cat, n.store, n.fleet, set, log)
-	n.api = userapi.NewAPI(rt, n.state, n.cat, set, log)
-	for b := range set.ShardCount() {
-		n.owners = append(n.owners, newOwner(n, b))
-	}
-	n.telling = make([]bool, len(n.owners))
+	runtime, settings, log := n.runtime, n.settings, n.log
+	n.shardOwners = nil
+	n.leases = statestore.NewLeaseManager(runtime, n.stateClient, log, settings.Node, nonce, rank, settings.ShardCount())
+	n.leases.AnswerGracePeriod = settings.AnswerGracePeriod()
+	n.catalog = userapi.NewCatalog(runtime, n.stateClient, settings.Deployment.Teams, log)
+	n.taskStates = taskstate.NewStore(runtime, n.stateClient, log)
+	n.fleet = fleet.New(runtime, settings.External.Cloud, n.leases, settings, log)
+	n.leader = leader.New(runtime, n.stateClient, n.leases, n.catalog, n.taskStates, n.fleet, settings, log)
+	n.userAPI = userapi.NewAPI(runtime, n.stateClient, n.catalog, settings, log)
+	for shardIndex := range settings.ShardCount() {
+		n.shardOwners = append(n.shardOwners, newShardOwner(n, shardIndex))
+	}
+	n.statusInFlight = make([]bool, len(n.shardOwners))
 	n.buildDrains()
 
 	n.connectLeases()
@@ -127,74 +127,74 @@
 			n.drains.coordinator.EndTerm()
 		}
 	}
-	n.leases.ShardAcquired = func(b int, token uint64) {
-		n.lastBeat = n.rt.Now() // its workers need time to come here
-		n.owners[b].begin(token)
+	n.leases.ShardAcquired = func(shardIndex int, token uint64) {
+		n.lastHeartbeatAt = n.runtime.Now() // its workers need time to come here
+		n.shardOwners[shardIndex].beginTerm(token)
 	}
-	n.leases.ShardLost = func(b int) { n.owners[b].end() }
+	n.leases.ShardLost = func(shardIndex int) { n.shardOwners[shardIndex].endTerm() }
 }
 
 // connectRecords has the slices told of the jobs and the records.
 func (n *Node) connectRecords() {
-	n.cat.JobChanged = func(e *userapi.Entry) {
-		n.leader.JobChanged(e)
-		for _, o := range n.owners {
-			o.tasks.JobChanged(e)
+	n.catalog.JobChanged = func(entry *userapi.Entry) {
+		n.leader.JobChanged(entry)
+		for _, owner := range n.shardOwners {
+			owner.tasks.JobChanged(entry)
 		}
 	}
-	n.store.RecordAdded = func(r *taskstate.Record) {
-		n.leader.RecordAdded(r)
-		for _, o := range n.owners {
-			o.tasks.RecordAdded(r)
+	n.taskStates.RecordAdded = func(record *taskstate.Record) {
+		n.leader.RecordAdded(record)
+		for _, owner := range n.shardOwners {
+			owner.tasks.RecordAdded(record)
 		}
 	}
-	n.store.RecordRemoved = func(r *taskstate.Record) {
-		n.leader.RecordRemoved(r)
-		for _, o := range n.owners {
-			o.tasks.RecordRemoved(r)
+	n.taskStates.RecordRemoved = func(record *taskstate.Record) {
+		n.leader.RecordRemoved(record)
+		for _, owner := range n.shardOwners {
+			owner.tasks.RecordRemoved(record)
 		}
 	}
-	n.store.TaskStatusChanged = func(r *taskstate.Record, k int, was taskstate.TaskStatus) {
-		n.leader.TaskStatusChanged(r, k, was)
-		for _, o := range n.owners {
-			o.tasks.TaskStatusChanged(r, k)
+	n.taskStates.TaskStatusChanged = func(record *taskstate.Record, taskNumber int, before taskstate.TaskStatus) {
+		n.leader.TaskStatusChanged(record, taskNumber, before)
+		for _, owner := range n.shardOwners {
+			owner.tasks.TaskStatusChanged(record, taskNumber)
 		}
 	}
-	pace := func() time.Duration {
-		if n.leases.LeaderToken() != 0 || n.owning() {
-			return n.set.WatchPause()
+	watchPause := func() time.Duration {
+		if n.leases.LeaderToken() != 0 || n.ownsShard() {
+			return n.settings.WatchPause()
 		}
-		return max(tuning.PassiveWatchPause, n.set.WatchPause())
+		return max(tuning.PassiveWatchPause, n.settings.WatchPause())
 	}
-	n.store.SetWatchPause(pace)
-	n.cat.SetWatchPause(pace)
+	n.taskStates.SetWatchPause(watchPause)
+	n.catalog.SetWatchPause(watchPause)
 }
 
 // connectUsers gives the user API what it answers from.
 func (n *Node) connectUsers() {
-	n.api.MachineTypes = n.fleet.MachineTypes
-	n.api.Progress = n.store.Progress
-	n.api.RunningGangTasks = n.store.RunningTasks
+	n.userAPI.MachineTypes = n.fleet.MachineTypes
+	n.userAPI.Progress = n.taskStates.Progress
+	n.userAPI.RunningGangTasks = n.taskStates.RunningTasks
 }
 
 // Start begins the node's work, once it is known how the machines are divided.
-func (n *Node) Start() { n.settleLayout(0, n.begin) }
+func (n *Node) Start() { n.readLayout(0, n.layoutKnown) }
 
 func (n *Node) start() {
-	n.cat.Start()
-	n.store.Start()
+	n.catalog.Start()
+	n.taskStates.Start()
 	n.leases.Start()
 	n.fleet.Start()
 	if n.drains != nil {
-		n.drains.book.Start()
+		n.drains.records.Start()
 	}
 	n.tick()
 }
 
-// owning tells whether this node owns any block.
-func (n *Node) owning() bool {
-	for _, o := range n.owners {
-		if o.token != 0 {
+// ownsShard tells whether this node owns any block.
+func (n *Node) ownsShard() bool {
+	for _, owner := range n.shardOwners {
+		if owner.token != 0 {
 			return true
 		}
 	}
@@ -203,207 +203,207 @@
 
 // tick is what happens once a second.
 func (n *Node) tick() {
-	n.rt.After(tuning.StatusInterval, n.tick)
-	now := n.rt.Now()
-	up := 0
+	n.runtime.After(tuning.StatusInterval, n.tick)
+	now := n.runtime.Now()
+	reporting := 0
 	deaf, hearing := 0, 0
-	for b, o := range n.owners {
-		if o.token == 0 {
+	for shardIndex, owner := range n.shardOwners {
+		if owner.token == 0 {
 			continue
 		}
-		o.workers.Tick()
-		o.wanted = true
-		d, all := o.workers.CountDeaf()
-		deaf, hearing, up = deaf+d, hearing+all-d, up+all
-		n.sendStatus(b)
+		owner.workers.Tick()
+		owner.roundNeeded = true
+		shardDeaf, shardReporting := owner.workers.CountDeaf()
+		deaf, hearing, reporting = deaf+shardDeaf, hearing+shardReporting-shardDeaf, reporting+shardReporting
+		n.sendStatus(shardIndex)
 	}
-	if n.owning() {
-		n.prove()
+	if n.ownsShard() {
+		n.keepVerified()
 	}
 	switch {
-	case up > 0 && deaf > hearing: // nobody hears the answers
-		n.giveUp()
-	case up > 0 && now-n.lastBeat > n.set.OwnerSilenceLimit(up)<<min(n.vain, tuning.MaxSilenceDoublings):
-		n.silence()
+	case reporting > 0 && deaf > hearing: // nobody hears the answers
+		n.relinquishShards()
+	case reporting > 0 && now-n.lastHeartbeatAt > n.settings.OwnerSilenceLimit(reporting)<<min(n.unsuccessfulTerms, tuning.MaxSilenceDoublings):
+		n.askPeersForHeartbeats()
 	}
 	n.tickDrains()
 	n.leader.RequestRound()
-	n.compare()
-	for host, s := range n.sent {
-		if now-s.last > tuning.RelayWithin {
-			delete(n.sent, host)
+	n.compareStateHealth()
+	for worker, redirected := range n.redirections {
+		if now-redirected.lastHeartbeatAt > tuning.RelayWithin {
+			delete(n.redirections, worker)
 		}
 	}
 }
 
-// giveUp returns the blocks: it is this node that is cut off, not every machine that
+// relinquishShards returns the blocks: it is this node that is cut off, not every machine that
 // has died. If they have all died after all, the next owner hears none either: the
 // longer the block goes round, the longer it is kept.
-func (n *Node) giveUp() {
+func (n *Node) relinquishShards() {
 	n.leases.RelinquishShards()
-	n.lastBeat = n.rt.Now()
-	n.vain++
+	n.lastHeartbeatAt = n.runtime.Now()
+	n.unsuccessfulTerms++
 }
 
-// silence is what follows when not one report comes for any block: the peers are
+// askPeersForHeartbeats is what follows when not one report comes for any block: the peers are
 // asked whether workers come to them, as those do that do not reach their owner. If
 // none does, the machines are dead, and to give the blocks up would only begin the
 // wait for the ends of their leases anew: a lone machine's tasks were lost for
 // minutes while its block went round. A peer that does not say may be the one.
-func (n *Node) silence() {
-	if n.asking {
+func (n *Node) askPeersForHeartbeats() {
+	if n.askingPeers {
 		return
 	}
-	n.asking = true
-	begun, left, elsewhere := n.lastBeat, len(n.peers), false
-	for _, endpoint := range n.peers {
-		n.rt.CallPeer(endpoint, heardPath, []byte("{}"), tuning.PeerRequestTimeout, func(body []byte, err error) {
-			var ms int64
-			if err != nil || json.Unmarshal(body, &ms) != nil || time.Duration(ms)*time.Millisecond < n.rt.Now()-begun {
+	n.askingPeers = true
+	lastBefore, pending, elsewhere := n.lastHeartbeatAt, len(n.peerEndpoints), false
+	for _, endpoint := range n.peerEndpoints {
+		n.runtime.CallPeer(endpoint, workerSilencePath, []byte("{}"), tuning.PeerRequestTimeout, func(body []byte, err error) {
+			var silenceMS int64
+			if err != nil || json.Unmarshal(body, &silenceMS) != nil || time.Duration(silenceMS)*time.Millisecond < n.runtime.Now()-lastBefore {
 				elsewhere = true
 			}
-			if left--; left > 0 {
+			if pending--; pending > 0 {
 				return
 			}
-			n.asking = false
-			if n.owning() && n.lastBeat == begun {
+			n.askingPeers = false
+			if n.ownsShard() && n.lastHeartbeatAt == lastBefore {
 				if elsewhere {
-					n.giveUp()
+					n.relinquishShards()
 				} else {
-					n.lastBeat = n.rt.Now() // asked again after as long a silence
+					n.lastHeartbeatAt = n.runtime.Now() // asked again after as long a silence
 				}
 			}
 		})
 	}
-	if left == 0 {
-		n.asking = false
+	if pending == 0 {
+		n.askingPeers = false
 	}
 }
 
 // sendStatus sends a block's status to the leader.
-func (n *Node) sendStatus(b int) {
-	o := n.owners[b]
-	if !o.tasks.IsLoaded() || n.telling[b] {
+func (n *Node) sendStatus(shardIndex int) {
+	owner := n.shardOwners[shardIndex]
+	if !owner.tasks.IsLoaded() || n.statusInFlight[shardIndex] {
 		return
 	}
 	if n.leases.LeaderToken() != 0 {
-		r := n.takeStatus(o.status())
-		o.obey(&r)
+		reply := n.receiveStatus(owner.nextStatus())
+		owner.applyStatusReply(&reply)
 		return
 	}
-	endpoint := n.peers[n.leases.LeaderNode()]
+	endpoint := n.peerEndpoints[n.leases.LeaderNode()]
 	if endpoint == "" {
 		return
 	}
-	body, err := json.Marshal(o.status())
+	body, err := json.Marshal(owner.nextStatus())
 	if err != nil {
 		n.log.Error("status message does not encode", "err", err)
 		return
 	}
-	token := o.token
-	n.telling[b] = true
-	n.rt.CallPeer(endpoint, statusPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
-		n.telling[b] = false
-		var r fleet.StatusReply
+	token := owner.token
+	n.statusInFlight[shardIndex] = true
+	n.runtime.CallPeer(endpoint, statusPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
+		n.statusInFlight[shardIndex] = false
+		var reply fleet.StatusReply
 		if err == nil {
-			err = json.Unmarshal(answer, &r)
+			err = json.Unmarshal(answer, &reply)
 		}
 		if err != nil {
 			n.log.Debug("leader not told", "err", err)
 			return
 		}
-		if o.token == token {
-			o.obey(&r)
+		if owner.token == token {
+			owner.applyStatusReply(&reply)
 		}
 	})
 }
 
-// takeStatus takes an owner's status message; only the leader does.
-func (n *Node) takeStatus(d *statusMessage) fleet.StatusReply {
-	if d.ShardStatus == nil || d.Shard < 0 || d.Shard >= len(n.owners) || n.leases.ShardOwner(d.Shard) != d.Node {
+// receiveStatus takes an owner's status message; only the leader does.
+func (n *Node) receiveStatus(message *statusMessage) fleet.StatusReply {
+	if message.ShardStatus == nil || message.Shard < 0 || message.Shard >= len(n.shardOwners) || n.leases.ShardOwner(message.Shard) != message.Node {
 		return fleet.StatusReply{}
 	}
 	if n.drains != nil {
-		n.drains.coordinator.HandleReport(d.Shard, d.Token, d.Seq, d.Drains)
+		n.drains.coordinator.HandleReport(message.Shard, message.Token, message.Seq, message.Drains)
 	}
-	r := n.fleet.HandleStatus(d.ShardStatus)
-	r.Recall = n.leader.TakeRecalls(d.Shard)
+	reply := n.fleet.HandleStatus(message.ShardStatus)
+	reply.Recall = n.leader.TakeRecalls(message.Shard)
 	n.leader.RequestRound()
-	return r
+	return reply
 }
 
 // HandlePeer serves a message of another controller, on the loop.
 func (n *Node) HandlePeer(path string, body []byte, answer func([]byte, bool)) {
 	switch path {
 	case statusPath:
-		var d statusMessage
-		if err := json.Unmarshal(body, &d); err != nil || n.leases.LeaderToken() == 0 {
+		var message statusMessage
+		if err := json.Unmarshal(body, &message); err != nil || n.leases.LeaderToken() == 0 {
 			answer(nil, false)
 			return
 		}
-		reply, err := json.Marshal(n.takeStatus(&d))
+		reply, err := json.Marshal(n.receiveStatus(&message))
 		answer(reply, err == nil)
-	case beatPath:
-		r, err := workers.ParseHeartbeat(body)
+	case heartbeatPath:
+		heartbeat, err := workers.ParseHeartbeat(body)
 		if err != nil {
 			answer(nil, false)
 			return
 		}
-		o := n.owners[taskstate.ShardOf(r.WorkerID, len(n.owners))]
-		if !n.answering(o) {
+		owner := n.shardOwners[taskstate.ShardOf(heartbeat.WorkerID, len(n.shardOwners))]
+		if !n.mayAnswer(owner) {
 			answer(nil, false)
 			return
 		}
 		// A worker whose reports are passed on reaches this node too. Not to
 		// count it made owners give up their blocks after a restart, when
 		// all workers still reported through another node.
-		n.lastBeat, n.vain = n.rt.Now(), 0
-		status, reply := o.workers.HandleHeartbeat(r)
-		o.wanted = true
+		n.lastHeartbeatAt, n.unsuccessfulTerms = n.runtime.Now(), 0
+		status, reply := owner.workers.HandleHeartbeat(heartbeat)
+		owner.roundNeeded = true
 		answer(reply, status == 200)
-	case heardPath:
+	case workerSilencePath:
 		silent := math.MaxInt64 / int64(time.Millisecond)
-		if n.reported > 0 {
-			silent = (n.rt.Now() - n.reported).Milliseconds()
+		if n.lastWorkerContactAt > 0 {
+			silent = (n.runtime.Now() - n.lastWorkerContactAt).Milliseconds()
 		}
 		reply, err := json.Marshal(silent)
 		answer(reply, err == nil)
-	case statePath:
-		reply, err := json.Marshal(n.served())
+	case stateHealthPath:
+		reply, err := json.Marshal(n.stateServiceAnswers())
 		answer(reply, err == nil)
 	case drain.RequestPath:
-		n.operatorRequest(body, answer)
+		n.handleOperatorRequest(body, answer)
 	default:
 		answer(nil, false)
 	}
 }
 
-// served tells whether the state service has answered lately.
-func (n *Node) served() bool {
-	return n.state.HasResponded && n.rt.Now()-n.state.LastResponseAt < tuning.UnhealthyAfter
+// stateServiceAnswers tells whether the state service has answered lately.
+func (n *Node) stateServiceAnswers() bool {
+	return n.stateClient.HasResponded && n.runtime.Now()-n.stateClient.LastResponseAt < tuning.UnhealthyAfter
 }
 
-// compare asks the peers, when the state service is silent, whether it is so
+// compareStateHealth asks the peers, when the state service is silent, whether it is so
 // for them: only a node that is refused alone sends its users elsewhere.
-func (n *Node) compare() {
-	if n.served() {
-		n.alone = 0
+func (n *Node) compareStateHealth() {
+	if n.stateServiceAnswers() {
+		n.nodeOnlyOutageAt = 0
 		return
 	}
-	for _, endpoint := range n.peers {
-		n.rt.CallPeer(endpoint, statePath, []byte("{}"), tuning.PeerRequestTimeout, func(body []byte, err error) {
-			var theirs bool
-			if err != nil || json.Unmarshal(body, &theirs) != nil {
+	for _, endpoint := range n.peerEndpoints {
+		n.runtime.CallPeer(endpoint, stateHealthPath, []byte("{}"), tuning.PeerRequestTimeout, func(body []byte, err error) {
+			var answersPeer bool
+			if err != nil || json.Unmarshal(body, &answersPeer) != nil {
 				return
 			}
-			if theirs {
+			if answersPeer {
 				// Said once it must not count for ever: at the beginning of an
 				// outage one node's last answer is older than another's.
-				if !n.served() {
-					n.alone = n.rt.Now()
+				if !n.stateServiceAnswers() {
+					n.nodeOnlyOutageAt = n.runtime.Now()
 				}
 			} else {
-				n.shared = n.rt.Now()
+				n.serviceWideOutageAt = n.runtime.Now()
 			}
 		})
 	}
@@ -412,88 +412,88 @@
 // AfterBatch takes the decisions that a batch of commands has made necessary.
 func (n *Node) AfterBatch() {
 	n.leader.AfterBatch()
-	for _, o := range n.owners {
-		o.settle()
+	for _, owner := range n.shardOwners {
+		owner.afterBatch()
 	}
 }
 
-// answering tells whether this node may answer reports of a block: while its
+// mayAnswer tells whether this node may answer reports of a block: while its
 // lease is valid, and for a bounded hold after, which every takeover waits out; and
 // only on knowledge of cancellations that is young enough. The lease alone is not:
 // after an outage it has its full time again, while the catalog still lacks what
 // other nodes have confirmed to users.
-func (n *Node) answering(o *owner) bool {
-	now := n.rt.Now()
-	proven, known := n.cat.VerifiedAt()
-	return o.token != 0 && !n.leases.Relinquished(o.block) && now < n.leases.AnswersUntil() &&
-		known && now < proven+n.set.MaxKnowledgeAge()
+func (n *Node) mayAnswer(owner *shardOwner) bool {
+	now := n.runtime.Now()
+	verifiedAt, known := n.catalog.VerifiedAt()
+	return owner.token != 0 && !n.leases.Relinquished(owner.shardIndex) && now < n.leases.AnswersUntil() &&
+		known && now < verifiedAt+n.settings.MaxKnowledgeAge()
 }
 
-// fresh tells whether the catalog is proven to hold all cancellations up to a moment,
+// cancellationsVerifiedSince tells whether the catalog is proven to hold all cancellations up to a moment,
 // lately.
-func (n *Node) fresh(since time.Duration) bool {
-	now := n.rt.Now()
-	proven, known := n.cat.VerifiedAt()
-	if known && proven >= since && now-proven <= tuning.MaxLaunchKnowledgeAge {
+func (n *Node) cancellationsVerifiedSince(since time.Duration) bool {
+	now := n.runtime.Now()
+	verifiedAt, known := n.catalog.VerifiedAt()
+	if known && verifiedAt >= since && now-verifiedAt <= tuning.MaxLaunchKnowledgeAge {
 		return true
 	}
-	n.cat.VerifyIfOlder(0)
+	n.catalog.VerifyIfOlder(0)
 	return false
 }
 
-// prove keeps what an owner's answers rest on proven.
-func (n *Node) prove() {
-	n.cat.VerifyIfOlder(tuning.KnowledgeVerifyInterval)
+// keepVerified keeps what an owner's answers rest on proven.
+func (n *Node) keepVerified() {
+	n.catalog.VerifyIfOlder(tuning.KnowledgeVerifyInterval)
 	n.leases.VerifyIfStale()
 }
 
-// beat serves POST /agent/beat.
-func (n *Node) beat(body []byte, reply http1.ResponseWriter) {
-	r, err := workers.ParseHeartbeat(body)
+// handleHeartbeat serves POST /agent/beat.
+func (n *Node) handleHeartbeat(body []byte, reply http1.ResponseWriter) {
+	heartbeat, err := workers.ParseHeartbeat(body)
 	if err != nil {
 		reply(400, http1.ErrorBody(err.Error()), 0)
 		return
 	}
-	now := n.rt.Now()
-	n.lastBeat, n.reported, n.vain = now, now, 0
-	b := taskstate.ShardOf(r.WorkerID, len(n.owners))
-	o := n.owners[b]
-	if n.answering(o) {
-		status, answer := o.workers.HandleHeartbeat(r)
-		o.wanted = true
+	now := n.runtime.Now()
+	n.lastHeartbeatAt, n.lastWorkerContactAt, n.unsuccessfulTerms = now, now, 0
+	shardIndex := taskstate.ShardOf(heartbeat.WorkerID, len(n.shardOwners))
+	owner := n.shardOwners[shardIndex]
+	if n.mayAnswer(owner) {
+		status, answer := owner.workers.HandleHeartbeat(heartbeat)
+		owner.roundNeeded = true
 		reply(status, answer, 0)
 		return
 	}
-	if o.token != 0 {
-		n.prove() // at once: a lease may be valid again
+	if owner.token != 0 {
+		n.keepVerified() // at once: a lease may be valid again
 	}
-	to := n.leases.ShardOwner(b)
-	s, back := n.sent[r.WorkerID]
-	endpoint := n.peers[to]
-	if !back || now-s.last > tuning.RelayWithin || now-s.since > tuning.RelayPeriod || endpoint == "" {
-		n.sent[r.WorkerID] = redirected{now, now}
-		n.redirect(to, reply)
+	ownerNode := n.leases.ShardOwner(shardIndex)
+	previous, returned := n.redirections[heartbeat.WorkerID]
+	endpoint := n.peerEndpoints[ownerNode]
+	if !returned || now-previous.lastHeartbeatAt > tuning.RelayWithin || now-previous.redirectedAt > tuning.RelayPeriod || endpoint == "" {
+		n.redirections[heartbeat.WorkerID] = redirection{now, now}
+		n.redirectWorker(ownerNode, reply)
 		return
 	}
 	// It could not reach its owner, or it would not be back: the report is
 	// passed on. An answer counts whichever node gives it. Now and then the
 	// worker is sent to its owner again, which may be back.
-	s.last = now
-	n.sent[r.WorkerID] = s
-	n.rt.CallPeer(endpoint, beatPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
+	previous.lastHeartbeatAt = now
+	n.redirections[heartbeat.WorkerID] = previous
+	n.runtime.CallPeer(endpoint, heartbeatPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
 		if err != nil {
-			n.redirect(n.leases.ShardOwner(b), reply)
+			n.redirectWorker(n.leases.ShardOwner(shardIndex), reply)
 			return
 		}
 		reply(200, answer, 0)
 	})
 }
 
-// redirect sends a worker to the owner of its machine.
-func (n *Node) redirect(to string, reply http1.ResponseWriter) {
+// redirectWorker sends a worker to the owner of its machine.
+func (n *Node) redirectWorker(ownerNode string, reply http1.ResponseWriter) {
 	answer := map[string]string{}
-	if to != "" && to != n.set.Node {
-		answer["upstream"] = to
+	if ownerNode != "" && ownerNode != n.settings.Node {
+		answer["upstream"] = ownerNode
 	}
 	body, err := json.Marshal(answer)
 	if err != nil {
@@ -503,16 +503,16 @@
 	reply(421, body, 0)
 }
 
-// healthy tells whether this node is the place for users. In an outage that
+// isHealthy tells whether this node is the place for users. In an outage that
 // the peers share it is as good as any: it answers 503 at once, and serves again
 // as soon as the state service does.
-func (n *Node) healthy() bool {
-	if !n.cat.Ready() || n.fleet.MachineTypes() == nil {
+func (n *Node) isHealthy() bool {
+	if !n.catalog.Ready() || n.fleet.MachineTypes() == nil {
 		return false
 	}
-	now := n.rt.Now()
-	alone := n.alone > 0 && now-n.alone < tuning.PeerHealthMaxAge
-	return n.served() || (!alone && n.shared > 0 && now-n.shared < tuning.UnhealthyAfter)
+	now := n.runtime.Now()
+	nodeOnly := n.nodeOnlyOutageAt > 0 && now-n.nodeOnlyOutageAt < tuning.PeerHealthMaxAge
+	return n.stateServiceAnswers() || (!nodeOnly && n.serviceWideOutageAt > 0 && now-n.serviceWideOutageAt < tuning.UnhealthyAfter)
 }
 
 // Handle serves one request, on the loop.
@@ -523,17 +523,17 @@
 			reply(405, http1.ErrorBody("method not allowed"), 0)
 			return
 		}
-		n.beat(req.Body, reply)
+		n.handleHeartbeat(req.Body, reply)
 	case req.Path == "/up":
 		switch {
 		case req.Method != "GET":
 			reply(405, http1.ErrorBody("method not allowed"), 0)
-		case n.healthy():
+		case n.isHealthy():
 			reply(200, []byte("{}"), 0)
 		default:
 			reply(503, http1.ErrorBody("not ready"), 0)
 		}
-	case n.api.Route(req, reply):
+	case n.userAPI.Route(req, reply):
 	default:
 		reply(404, http1.ErrorBody("no such path"), 0)
 	}
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -11,9 +11,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// drains is what a node keeps for stepwise drains; a node has none if they are off.
-type drains struct {
-	book        *drain.Records
+// drainParts is what a node keeps for stepwise drains; a node has none if they are off.
+type drainParts struct {
+	records     *drain.Records
 	coordinator *drain.Coordinator
 }
 
@@ -27,32 +27,32 @@
 // buildDrains makes the part for drains, if it is on.
 func (n *Node) buildDrains() {
 	n.drains = nil
-	if n.set.Operator.Drains == nil {
+	if n.settings.Operator.Drains == nil {
 		return
 	}
 	var tracer *drain.Tracer
-	if path := n.set.Operator.Drains.TraceFile; path != "" {
+	if path := n.settings.Operator.Drains.TraceFile; path != "" {
 		var err error
 		if tracer, err = drain.OpenTracer(path); err != nil {
 			n.log.Error("drains are not traced", "err", err)
 		}
 	}
-	book := drain.NewRecords(n.rt, n.state, n.log)
-	cluster := &drainCluster{n, book}
-	n.drains = &drains{book, drain.NewCoordinator(n.rt, n.state, n.leases, book, cluster, n.set, tracer, n.log)}
-	for _, o := range n.owners {
-		o.workers.ClosedByDrain = book.IsClosed
-		o.drains = drain.NewExecutor(n.rt, book, o.workers, o.tasks, func() bool {
-			return o.token != 0 && o.tasks.IsLoaded() && o.LeaseValid()
+	records := drain.NewRecords(n.runtime, n.stateClient, n.log)
+	cluster := &drainCluster{n, records}
+	n.drains = &drainParts{records, drain.NewCoordinator(n.runtime, n.stateClient, n.leases, records, cluster, n.settings, tracer, n.log)}
+	for _, owner := range n.shardOwners {
+		owner.workers.ClosedByDrain = records.IsClosed
+		owner.drainExecutor = drain.NewExecutor(n.runtime, records, owner.workers, owner.tasks, func() bool {
+			return owner.token != 0 && owner.tasks.IsLoaded() && owner.LeaseValid()
 		})
 	}
-	book.OnChange = n.actOnDrains
+	records.OnChange = n.haltGranted
 }
 
-// actOnDrains has the owners here carry out what is granted.
-func (n *Node) actOnDrains() {
-	for _, o := range n.owners {
-		o.drains.HaltGranted()
+// haltGranted has the owners here carry out what is granted.
+func (n *Node) haltGranted() {
+	for _, owner := range n.shardOwners {
+		owner.drainExecutor.HaltGranted()
 	}
 }
 
@@ -61,19 +61,19 @@
 	if n.drains == nil {
 		return
 	}
-	n.actOnDrains()
+	n.haltGranted()
 	n.drains.coordinator.Tick()
 }
 
-// operatorRequest serves an operator's request on drains: here if this node leads,
+// handleOperatorRequest serves an operator's request on drains: here if this node leads,
 // else through the leader.
-func (n *Node) operatorRequest(body []byte, answer func([]byte, bool)) {
-	reply := func(r drain.Response) {
-		raw, err := json.Marshal(r)
+func (n *Node) handleOperatorRequest(body []byte, answer func([]byte, bool)) {
+	reply := func(response drain.Response) {
+		raw, err := json.Marshal(response)
 		answer(raw, err == nil)
 	}
-	unavailable := func(why string) {
-		reply(drain.Response{Status: drain.StatusUnavailable, Node: n.set.Node, Reason: why, RetryMS: tuning.OperatorRetryDelay.Milliseconds()})
+	unavailable := func(reason string) {
+		reply(drain.Response{Status: drain.StatusUnavailable, Node: n.settings.Node, Reason: reason, RetryMS: tuning.OperatorRetryDelay.Milliseconds()})
 	}
 	var request drain.Request
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -81,14 +81,14 @@
 		return
 	}
 	if n.drains == nil {
-		reply(drain.Response{Status: drain.StatusRefused, Node: n.set.Node, Field: "drains", Reason: "not turned on in the operators' settings of this node"})
+		reply(drain.Response{Status: drain.StatusRefused, Node: n.settings.Node, Field: "drains", Reason: "not turned on in the operators' settings of this node"})
 		return
 	}
 	if n.leases.LeaderToken() != 0 {
 		n.drains.coordinator.Handle(&request, reply)
 		return
 	}
-	endpoint := n.peers[n.leases.LeaderNode()]
+	endpoint := n.peerEndpoints[n.leases.LeaderNode()]
 	if request.Forwarded || endpoint == "" {
 		unavailable("no leader is known to this node")
 		return
@@ -99,45 +99,45 @@
 		answer(nil, false)
 		return
 	}
-	n.rt.CallPeer(endpoint, drain.RequestPath, forward, tuning.PeerRequestTimeout, func(theirs []byte, err error) {
+	n.runtime.CallPeer(endpoint, drain.RequestPath, forward, tuning.PeerRequestTimeout, func(leaderAnswer []byte, err error) {
 		if err != nil {
 			unavailable("the leader does not answer")
 			return
 		}
-		answer(theirs, true)
+		answer(leaderAnswer, true)
 	})
 }
 
 // drainCluster is the leader's slices as the drains see them.
 type drainCluster struct {
-	n    *Node
-	book *drain.Records
+	node    *Node
+	records *drain.Records
 }
 
-func (c *drainCluster) IsKnown() bool { return c.n.leader.IsLoaded() && c.n.fleet.IsListed() }
+func (c *drainCluster) IsKnown() bool { return c.node.leader.IsLoaded() && c.node.fleet.IsListed() }
 
-func machineInfo(i fleet.MachineInfo) drain.MachineInfo {
-	return drain.MachineInfo{ID: i.ID, Addr: i.Addr, Zone: i.Zone, Type: i.MachineType, Spot: i.Spot, Shard: i.Shard, HasReported: i.HasReported, AcceptsTasks: i.AcceptsTasks}
+func machineInfo(info fleet.MachineInfo) drain.MachineInfo {
+	return drain.MachineInfo{ID: info.ID, Addr: info.Addr, Zone: info.Zone, Type: info.MachineType, Spot: info.Spot, Shard: info.Shard, HasReported: info.HasReported, AcceptsTasks: info.AcceptsTasks}
 }
 
 func (c *drainCluster) EachMachine(fn func(*drain.MachineInfo)) {
-	c.n.fleet.EachMachine(func(i fleet.MachineInfo) {
+	c.node.fleet.EachMachine(func(i fleet.MachineInfo) {
 		info := machineInfo(i)
 		fn(&info)
 	})
 }
 
 func (c *drainCluster) Machine(id string) (drain.MachineInfo, bool) {
-	i, known := c.n.fleet.Machine(id)
+	i, known := c.node.fleet.Machine(id)
 	return machineInfo(i), known
 }
 
-func (c *drainCluster) IsGone(id string) bool { return c.n.fleet.IsGone(id) }
+func (c *drainCluster) IsGone(id string) bool { return c.node.fleet.IsGone(id) }
 
-func (c *drainCluster) CPUsPlacedOn(id string) float64 { return c.n.leader.CPUsPlacedOn(id) }
+func (c *drainCluster) CPUsPlacedOn(id string) float64 { return c.node.leader.CPUsPlacedOn(id) }
 
 func (c *drainCluster) Job(id string) (*jobs.Spec, bool) {
-	e := c.n.cat.Get(id)
+	e := c.node.catalog.Get(id)
 	if e == nil || e.Phase != "" || e.Spec == nil {
 		return nil, false
 	}
@@ -145,38 +145,38 @@
 }
 
 func (c *drainCluster) TaskStatus(job string, index int) (taskstate.TaskStatus, bool) {
-	return c.n.leader.TaskStatus(job, index)
+	return c.node.leader.TaskStatus(job, index)
 }
 
 func (c *drainCluster) PlacedReplicas(job string) int {
-	_, placed := c.n.store.Progress(job)
+	_, placed := c.node.taskStates.Progress(job)
 	return placed
 }
 
 func (c *drainCluster) EachPlacement(fn func(*jobs.Spec, taskstate.TaskStatus)) {
-	c.n.leader.EachPlacement(fn)
+	c.node.leader.EachPlacement(fn)
 }
 
 func (c *drainCluster) EachInterrupted(fn func(*jobs.Spec, int)) {
-	c.n.leader.EachReturnedTask(func(d *jobs.Spec, index int) {
-		if !c.book.IsGranted(d.ID, index, d.IsGang()) {
+	c.node.leader.EachReturnedTask(func(d *jobs.Spec, index int) {
+		if !c.records.IsGranted(d.ID, index, d.IsGang()) {
 			fn(d, 1)
 		}
 	})
 }
 
 func (c *drainCluster) CapacityFor(d *jobs.Spec, zone string) int {
-	return c.n.leader.CapacityFor(d, zone)
+	return c.node.leader.CapacityFor(d, zone)
 }
 
-func (c *drainCluster) HasUrgentWaiting(p jobs.Priority) bool { return c.n.fleet.HasWaitingWork(p) }
+func (c *drainCluster) HasUrgentWaiting(p jobs.Priority) bool { return c.node.fleet.HasWaitingWork(p) }
 
 func (c *drainCluster) RentMachine(name string, like drain.MachineInfo) (string, bool) {
-	return c.n.fleet.RentNamed(name, fleet.MachineKind{MachineType: like.Type, Zone: like.Zone, Spot: like.Spot})
+	return c.node.fleet.RentNamed(name, fleet.MachineKind{MachineType: like.Type, Zone: like.Zone, Spot: like.Spot})
 }
 
-func (c *drainCluster) KeepIdle(machines map[string]bool) { c.n.fleet.KeepIdle(machines) }
+func (c *drainCluster) KeepIdle(machines map[string]bool) { c.node.fleet.KeepIdle(machines) }
 
 func (c *drainCluster) ShardKey(block int) string { return statestore.ShardKey(block) }
 
-func (c *drainCluster) ShardCount() int { return c.n.set.ShardCount() }
+func (c *drainCluster) ShardCount() int { return c.node.settings.ShardCount() }
--- a/internal/controller/drains_cases_test.go
+++ b/internal/controller/drains_cases_test.go
@@ -307,7 +307,7 @@
 		t.Error("cancelled too late")
 	}
 	for _, n := range w.nodes {
-		for _, o := range n.node.owners {
+		for _, o := range n.node.shardOwners {
 			for _, h := range o.workers.Workers() {
 				if o.token != 0 && h.HasReported && !o.workers.AcceptsTasks(h) {
 					t.Errorf("%s does not take tasks", h.ID)
--- a/internal/controller/dump_test.go
+++ b/internal/controller/dump_test.go
@@ -20,11 +20,11 @@
 			if j.told != "" {
 				continue
 			}
-			for key, r := range n.node.store.JobRecords(j.id) {
+			for key, r := range n.node.taskStates.JobRecords(j.id) {
 				fmt.Printf("  %s stamp %d index %v marks %+v pages %v\n", key, r.Revision, r.TaskIndexes, r.Statuses, r.LogPages)
 			}
 		}
-		for b, o := range n.node.owners {
+		for b, o := range n.node.shardOwners {
 			fmt.Println("  block", b, "token", o.token, "owner", n.node.leases.ShardOwner(b), "loaded", o.tasks.IsLoaded())
 			for _, h := range o.workers.Workers() {
 				fmt.Printf("    %s up %v open %v deaf %v drain %q silent %v token %d heard %v tasks %d stray %d\n", h.ID, h.HasReported, o.workers.AcceptsTasks(h), h.Deaf, h.DrainReason, h.LeaseExpired, h.Token, h.LastHeartbeatAt, len(h.Tasks), h.UnknownTasks)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -91,7 +91,7 @@
 					some(which, func(k *worker) { k.sick = true })
 				case 5: // a new owner, within a fraction of a second
 					for _, n := range w.nodes {
-						if n.node != nil && n.node.owning() {
+						if n.node != nil && n.node.ownsShard() {
 							n.crash(span / 40)
 						}
 					}
@@ -130,7 +130,7 @@
 		w.run(at)
 		for _, j := range w.jobs {
 			n := w.nodes[0].node
-			if e := n.cat.Get(j.id); e != nil && e.Phase == "" && n.store.RunningTasks(j.id) > 0 && j.gangStarts == 0 {
+			if e := n.catalog.Get(j.id); e != nil && e.Phase == "" && n.taskStates.RunningTasks(j.id) > 0 && j.gangStarts == 0 {
 				early++
 			}
 		}
@@ -275,7 +275,7 @@
 		t.Errorf("24 of 24 processors: %d", got)
 	}
 	for _, n := range w.nodes {
-		n.node.set.Deployment.Teams[0].CPUsMax, n.node.set.Deployment.Teams[1].CPUsMax = 10, 10
+		n.node.settings.Deployment.Teams[0].CPUsMax, n.node.settings.Deployment.Teams[1].CPUsMax = 10, 10
 	}
 	if got := ask(j); got != 200 {
 		t.Errorf("known already: %d", got)
@@ -334,7 +334,7 @@
 				}
 				w.after(time.Second, func() {
 					for _, n := range w.nodes {
-						n.node.store.EachRecord(func(r *taskstate.Record) {
+						n.node.taskStates.EachRecord(func(r *taskstate.Record) {
 							for k, m := range r.Statuses {
 								if r.Job == id && m.State == taskstate.StateDone {
 									j.done[r.TaskIndexes[k]] = true
@@ -397,8 +397,8 @@
 	for w.now < 150*time.Second && len(owned) < 3 {
 		w.run(w.now + 500*time.Millisecond)
 		for _, n := range w.nodes {
-			for _, h := range n.node.owners[0].workers.Workers() {
-				if n.node.owning() && h.HasReported {
+			for _, h := range n.node.shardOwners[0].workers.Workers() {
+				if n.node.ownsShard() && h.HasReported {
 					owned[n.name] = true
 				}
 			}
--- a/internal/controller/giveup_test.go
+++ b/internal/controller/giveup_test.go
@@ -31,7 +31,7 @@
 			if o := first.node.leases; o.Relinquished(0) || o.ShardToken(0) == 0 {
 				given = w.now
 			}
-			if first.node.leases.Relinquished(0) && first.node.answering(first.node.owners[0]) {
+			if first.node.leases.Relinquished(0) && first.node.mayAnswer(first.node.shardOwners[0]) {
 				t.Fatalf("seed %d: answers under a token that is given up", seed)
 			}
 		}
--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -9,15 +9,15 @@
 )
 
 // knowing is a deployment whose block has an owner that answers its workers.
-func knowing(t *testing.T) (*world, *Node, *owner) {
+func knowing(t *testing.T) (*world, *Node, *shardOwner) {
 	t.Helper()
 	w := newWorld(1)
 	w.run(15 * time.Second)
 	n := w.owner(0).node
-	if o := n.owners[0]; !n.answering(o) {
+	if o := n.shardOwners[0]; !n.mayAnswer(o) {
 		t.Fatal("the owner answers nobody")
 	}
-	return w, n, n.owners[0]
+	return w, n, n.shardOwners[0]
 }
 
 // TestAnswersNeedRecentKnowledgeOfCancellations: an owner whose leases are proven and renewed
@@ -26,15 +26,15 @@
 	w, n, o := knowing(t)
 	w.mute = userapi.KeyPrefix
 	w.run(w.now + w.set.MaxKnowledgeAge() - 3*tuning.KnowledgeVerifyInterval)
-	if !n.answering(o) {
+	if !n.mayAnswer(o) {
 		t.Error("answers nobody while its knowledge is young enough")
 	}
 	w.run(w.now + 3*tuning.KnowledgeVerifyInterval)
-	if n.answering(o) {
-		proven, _ := n.cat.VerifiedAt()
-		t.Errorf("answers on knowledge %v old", n.rt.Now()-proven)
+	if n.mayAnswer(o) {
+		proven, _ := n.catalog.VerifiedAt()
+		t.Errorf("answers on knowledge %v old", n.runtime.Now()-proven)
 	}
-	if n.rt.Now() >= n.leases.AnswersUntil() {
+	if n.runtime.Now() >= n.leases.AnswersUntil() {
 		t.Error("its leases alone would have ended that")
 	}
 }
@@ -43,15 +43,15 @@
 // is one that is older than a launch may rest on.
 func TestLaunchProofIsNewerThanThePlacementAndRecent(t *testing.T) {
 	w, n, _ := knowing(t)
-	proven, known := n.cat.VerifiedAt()
-	if !known || !n.fresh(proven) {
-		t.Fatalf("known %v, fresh %v", known, n.fresh(proven))
+	proven, known := n.catalog.VerifiedAt()
+	if !known || !n.cancellationsVerifiedSince(proven) {
+		t.Fatalf("known %v, fresh %v", known, n.cancellationsVerifiedSince(proven))
 	}
-	if n.fresh(proven + time.Millisecond) {
+	if n.cancellationsVerifiedSince(proven + time.Millisecond) {
 		t.Error("a proof of before the placement counts")
 	}
 	w.now += tuning.MaxLaunchKnowledgeAge + time.Second // nothing happens meanwhile
-	if n.fresh(proven) {
+	if n.cancellationsVerifiedSince(proven) {
 		t.Error("an old proof counts")
 	}
 }
@@ -65,7 +65,7 @@
 	if n.leases.ShardToken(0) == 0 || !n.leases.LeaseValid() {
 		t.Fatal("the lease is gone at once")
 	}
-	if n.answering(o) {
+	if n.mayAnswer(o) {
 		t.Error("answers under a token that is given up")
 	}
 }
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -14,59 +14,59 @@
 const layoutKey = "layout"
 
 type layout struct {
-	Blocks int `json:"blocks"`
+	ShardCount int `json:"blocks"`
 }
 
-// settleLayout calls fn with the number of blocks that the state service holds,
+// readLayout calls fn with the number of blocks that the state service holds,
 // or that follows from the settings if it holds none yet.
-func (n *Node) settleLayout(try int, fn func(blocks int)) {
-	again := func() { n.rt.After(n.state.Backoff(try), func() { n.settleLayout(try+1, fn) }) }
-	n.state.List(layoutKey, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
-		if out != statestore.OutcomeOK {
-			again()
+func (n *Node) readLayout(attempt int, done func(blocks int)) {
+	retry := func() { n.runtime.After(n.stateClient.Backoff(attempt), func() { n.readLayout(attempt+1, done) }) }
+	n.stateClient.List(layoutKey, func(entries []statestore.KeyValue, _ uint64, outcome statestore.Outcome) {
+		if outcome != statestore.OutcomeOK {
+			retry()
 			return
 		}
-		for _, r := range rows {
-			var l layout
-			if r.Key != layoutKey {
+		for _, entry := range entries {
+			var stored layout
+			if entry.Key != layoutKey {
 				continue
 			}
-			if err := json.Unmarshal(r.Value, &l); err != nil || l.Blocks < 1 {
-				if !n.misread {
-					n.misread = true // said once, not with each try
-					n.log.Error("stored layout does not parse, nothing is done until it is put right", "value", string(r.Value), "err", err)
+			if err := json.Unmarshal(entry.Value, &stored); err != nil || stored.ShardCount < 1 {
+				if !n.layoutErrorLogged {
+					n.layoutErrorLogged = true // said once, not with each try
+					n.log.Error("stored layout does not parse, nothing is done until it is put right", "value", string(entry.Value), "err", err)
 				}
-				again()
+				retry()
 				return
 			}
-			fn(l.Blocks)
+			done(stored.ShardCount)
 			return
 		}
 		// None is stored: a new deployment, or work of a version that kept none.
-		n.state.List(taskstate.KeyPrefix, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
-			if out != statestore.OutcomeOK {
-				again()
+		n.stateClient.List(taskstate.KeyPrefix, func(entries []statestore.KeyValue, _ uint64, outcome statestore.Outcome) {
+			if outcome != statestore.OutcomeOK {
+				retry()
 				return
 			}
-			l := layout{n.set.ShardCount()}
-			if len(rows) > 0 {
-				l.Blocks = 1
+			stored := layout{n.settings.ShardCount()}
+			if len(entries) > 0 {
+				stored.ShardCount = 1
 			}
-			for _, r := range rows {
-				l.Blocks = max(l.Blocks, taskstate.ShardOfKey(r.Key)+1)
+			for _, entry := range entries {
+				stored.ShardCount = max(stored.ShardCount, taskstate.ShardOfKey(entry.Key)+1)
 			}
-			value, err := json.Marshal(l)
+			value, err := json.Marshal(stored)
 			if err != nil {
 				n.log.Error("layout does not encode", "err", err)
 				return
 			}
 			// Whoever is first decides; the others read what it has written.
-			n.state.Commit([]statestore.Condition{{Key: layoutKey}}, []statestore.Operation{{PutKey: layoutKey, Value: value}}, func(r statestore.CommitResult) {
-				if r.Outcome == statestore.OutcomeOK {
-					fn(l.Blocks)
+			n.stateClient.Commit([]statestore.Condition{{Key: layoutKey}}, []statestore.Operation{{PutKey: layoutKey, Value: value}}, func(entry statestore.CommitResult) {
+				if entry.Outcome == statestore.OutcomeOK {
+					done(stored.ShardCount)
 					return
 				}
-				again()
+				retry()
 			})
 		})
 	})
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -80,7 +80,7 @@
 		var refuse func()
 		refuse = func() {
 			n := w.owner(0)
-			for _, h := range n.node.owners[0].workers.Workers() {
+			for _, h := range n.node.shardOwners[0].workers.Workers() {
 				for k := range h.Tasks {
 					if k.PlacementDurable && !k.LaunchSent {
 						placed++
--- a/internal/controller/messages_test.go
+++ b/internal/controller/messages_test.go
@@ -61,7 +61,7 @@
 	w := newWorld(60)
 	w.run(15e9)
 	for _, n := range w.nodes {
-		for path, body := range map[string]string{"/novel": "{}", statusPath: "not JSON", beatPath: "[]"} {
+		for path, body := range map[string]string{"/novel": "{}", statusPath: "not JSON", heartbeatPath: "[]"} {
 			answered := 0
 			n.node.HandlePeer(path, []byte(body), func(b []byte, ok bool) {
 				answered++
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -18,7 +18,7 @@
 	var token uint64
 	w.after(10*time.Second, func() {
 		for _, n := range w.nodes {
-			if o := n.node.owners[0]; o.token != 0 {
+			if o := n.node.shardOwners[0]; o.token != 0 {
 				owner, token = n, o.token
 			}
 		}
@@ -47,7 +47,7 @@
 	w.outage = true
 	w.run(32 * time.Second)
 	for _, n := range w.nodes {
-		if !n.node.healthy() {
+		if !n.node.isHealthy() {
 			t.Errorf("%s is unhealthy in an outage that all share", n.name)
 		}
 	}
@@ -56,7 +56,7 @@
 	w.cut["node-1|state"] = true
 	w.run(55 * time.Second)
 	for _, n := range w.nodes {
-		if got, want := n.node.healthy(), n.name != "node-1"; got != want {
+		if got, want := n.node.isHealthy(), n.name != "node-1"; got != want {
 			t.Errorf("%s healthy: %v", n.name, got)
 		}
 	}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -252,7 +252,7 @@
 	}
 	most := uint64(0)
 	for _, n := range w.nodes {
-		n.node.store.EachRecord(func(r *taskstate.Record) {
+		n.node.taskStates.EachRecord(func(r *taskstate.Record) {
 			for _, m := range r.Statuses {
 				most = max(most, m.Attempt)
 			}
@@ -319,7 +319,7 @@
 			w.after(time.Duration(i*2)*time.Second, func() { w.user(j, 0) })
 		}
 		w.run(30 * time.Second)
-		if n := len(w.nodes[0].node.owners); n != 2 {
+		if n := len(w.nodes[0].node.shardOwners); n != 2 {
 			t.Fatalf("%d blocks for the settings", n)
 		}
 		if !stored {
@@ -334,7 +334,7 @@
 		if w.starts != 48 {
 			t.Errorf("stored %v: %d starts for 48 tasks", stored, w.starts)
 		}
-		if n := len(w.nodes[0].node.owners); n != 2 {
+		if n := len(w.nodes[0].node.shardOwners); n != 2 {
 			t.Errorf("stored %v: %d blocks after settings that make it one", stored, n)
 		}
 		for _, b := range w.broken {
@@ -458,7 +458,7 @@
 		}
 		w.run(w.now + 20*time.Second)
 		for _, n := range w.nodes {
-			if n.node.leases.LeaderToken() != 0 || n.node.healthy() {
+			if n.node.leases.LeaderToken() != 0 || n.node.isHealthy() {
 				t.Errorf("%s acts under the layout %s", n.name, bad)
 			}
 		}
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("a status message of a node that does not own the block: %s", answer)
 	}
 	const report = `{"host":"vm-000000","addr":"w:1","build":"b","yard":"a","loaners":false,"shift":1,"tick":1,"baton":0,"pieces":[]}`
-	token, _ := json.Marshal(owner.node.owners[0].token)
+	token, _ := json.Marshal(owner.node.shardOwners[0].token)
 	if answer, taken := told(t, owner, "/beat", report); !taken || answer != `{"baton":`+string(token)+`,"orders":[]}` {
 		t.Errorf("a report passed on: %s, %v", answer, taken)
 	}
@@ -108,7 +108,7 @@
 		t.Fatal("no owner")
 	}
 	const report = `{"host":"vm-000000","addr":"w:1","build":"b","yard":"a","loaners":false,"shift":1,"tick":1,"baton":0,"pieces":[]}`
-	token, _ := json.Marshal(owner.node.owners[0].token)
+	token, _ := json.Marshal(owner.node.shardOwners[0].token)
 	for _, n := range w.nodes {
 		expect(n, "GET", "/up", "", 200, `{}`)
 		expect(n, "POST", "/up", "", 405, `{"error":"method not allowed"}`)
