--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -93,8 +93,10 @@
 func (n *Node) build(nonce uint64, rank int) {
 	runtime, settings, log := n.runtime, n.settings, n.log
 	n.shardOwners = nil
-	n.leases = statestore.NewLeaseManager(runtime, n.stateClient, log, settings.Node, nonce, rank, settings.ShardCount())
-	n.leases.AnswerGracePeriod = settings.AnswerGracePeriod()
+	n.leases = statestore.NewLeaseManager(runtime, n.stateClient, log, statestore.LeaseConfig{
+		Node: settings.Node, Nonce: nonce, Rank: rank, ShardCount: settings.ShardCount(),
+		AnswerGracePeriod: settings.AnswerGracePeriod(), Observer: leaseObserver{n},
+	})
 	n.catalog = userapi.NewCatalog(runtime, n.stateClient, settings.Deployment.Teams, log)
 	n.taskStates = taskstate.NewStore(runtime, n.stateClient, log)
 	n.fleet = fleet.New(runtime, settings.External.Cloud, n.leases, settings, log)
@@ -106,34 +108,36 @@
 	n.statusInFlight = make([]bool, len(n.shardOwners))
 	n.buildDrains()
 
-	n.connectLeases()
 	n.connectRecords()
 	n.connectUsers()
 }
 
-// connectLeases has the slices told of what this node wins and loses.
-func (n *Node) connectLeases() {
-	n.leases.LeadershipAcquired = func(token uint64) {
-		n.leader.BeginTerm(token)
-		n.fleet.BeginTerm()
-		if n.drains != nil {
-			n.drains.coordinator.BeginTerm(token)
-		}
-	}
-	n.leases.LeadershipLost = func() {
-		n.leader.EndTerm()
-		n.fleet.EndTerm()
-		if n.drains != nil {
-			n.drains.coordinator.EndTerm()
-		}
+// leaseObserver begins and ends the terms of a node's slices with its leases.
+type leaseObserver struct{ node *Node }
+
+func (o leaseObserver) LeadershipAcquired(token uint64) {
+	o.node.leader.BeginTerm(token)
+	o.node.fleet.BeginTerm()
+	if o.node.drains != nil {
+		o.node.drains.coordinator.BeginTerm(token)
 	}
-	n.leases.ShardAcquired = func(shardIndex int, token uint64) {
-		n.lastHeartbeatAt = n.runtime.Now() // its workers need time to come here
-		n.shardOwners[shardIndex].beginTerm(token)
+}
+
+func (o leaseObserver) LeadershipLost() {
+	o.node.leader.EndTerm()
+	o.node.fleet.EndTerm()
+	if o.node.drains != nil {
+		o.node.drains.coordinator.EndTerm()
 	}
-	n.leases.ShardLost = func(shardIndex int) { n.shardOwners[shardIndex].endTerm() }
 }
 
+func (o leaseObserver) ShardAcquired(shardIndex int, token uint64) {
+	o.node.lastHeartbeatAt = o.node.runtime.Now() // its workers need time to come here
+	o.node.shardOwners[shardIndex].beginTerm(token)
+}
+
+func (o leaseObserver) ShardLost(shardIndex int) { o.node.shardOwners[shardIndex].endTerm() }
+
 // connectRecords has the slices told of the jobs and the records.
 func (n *Node) connectRecords() {
 	n.catalog.JobChanged = func(entry *userapi.Entry) {
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -41,7 +41,6 @@
 	cluster := &drainCluster{n, records}
 	n.drains = &drainParts{records, drain.NewCoordinator(n.runtime, n.stateClient, n.leases, records, cluster, n.settings, tracer, n.log)}
 	for _, owner := range n.shardOwners {
-		owner.workers.ClosedByDrain = records.IsClosed
 		owner.drainExecutor = drain.NewExecutor(n.runtime, records, owner.workers, owner.tasks, func() bool {
 			return owner.token != 0 && owner.tasks.IsLoaded() && owner.LeaseValid()
 		})
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -21,12 +21,12 @@
 // or that follows from the settings if it holds none yet.
 func (n *Node) readLayout(attempt int, done func(blocks int)) {
 	retry := func() { n.runtime.After(n.stateClient.Backoff(attempt), func() { n.readLayout(attempt+1, done) }) }
-	n.stateClient.List(layoutKey, func(entries []statestore.KeyValue, _ uint64, outcome statestore.Outcome) {
-		if outcome != statestore.OutcomeOK {
+	n.stateClient.List(layoutKey, func(listing statestore.ListResult) {
+		if listing.Outcome != statestore.OutcomeOK {
 			retry()
 			return
 		}
-		for _, entry := range entries {
+		for _, entry := range listing.Entries {
 			var stored layout
 			if entry.Key != layoutKey {
 				continue
@@ -43,16 +43,16 @@
 			return
 		}
 		// None is stored: a new deployment, or work of a version that kept none.
-		n.stateClient.List(taskstate.KeyPrefix, func(entries []statestore.KeyValue, _ uint64, outcome statestore.Outcome) {
-			if outcome != statestore.OutcomeOK {
+		n.stateClient.List(taskstate.KeyPrefix, func(listing statestore.ListResult) {
+			if listing.Outcome != statestore.OutcomeOK {
 				retry()
 				return
 			}
 			stored := layout{n.settings.ShardCount()}
-			if len(entries) > 0 {
+			if len(listing.Entries) > 0 {
 				stored.ShardCount = 1
 			}
-			for _, entry := range entries {
+			for _, entry := range listing.Entries {
 				stored.ShardCount = max(stored.ShardCount, taskstate.ShardOfKey(entry.Key)+1)
 			}
 			value, err := json.Marshal(stored)
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -5,6 +5,7 @@
 
 	"lemonmoor/internal/drain"
 	"lemonmoor/internal/fleet"
+	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/placement"
 	"lemonmoor/internal/shard"
 	"lemonmoor/internal/taskstate"
@@ -57,26 +58,39 @@
 func newShardOwner(node *Node, shardIndex int) *shardOwner {
 	owner := &shardOwner{node: node, shardIndex: shardIndex, lastSent: map[string]fleet.MachineStatus{}}
 	owner.tasks = shard.NewTaskStore(node.runtime, node.stateClient, node.leases, node.catalog, node.taskStates, node.settings, node.log, shardIndex)
-	owner.workers = workers.NewRegistry(node.runtime, owner, owner.tasks, node.settings, node.log)
-	owner.planner = placement.New(node.settings.WaitBound())
+	owner.workers = workers.NewRegistry(workers.Dependencies{Runtime: node.runtime, Lease: owner, Tasks: owner.tasks, Scheduler: owner, Settings: node.settings, Log: node.log})
+	owner.planner = placement.New(owner.workers, owner, node.settings.WaitBound())
 	owner.tasks.TaskWaiting = owner.enqueueTask
 	owner.tasks.PlacementDurable = owner.workers.PlacementDurable
 	owner.tasks.DiscardTask = owner.workers.DiscardTask
 	owner.tasks.GangDone = owner.workers.GangDone
 	owner.tasks.CancelJob = owner.workers.CancelJob
 	owner.tasks.RecordsLoaded = owner.workers.BeginTerm
-	owner.workers.TaskWaiting = owner.enqueueTask
-	owner.workers.MachineType = node.fleet.MachineType
-	owner.planner.AcceptsTasks = owner.workers.AcceptsTasks
-	owner.planner.FindWorker = owner.workers.Worker
-	owner.planner.PlaceTask = owner.workers.Place
-	owner.planner.StartsPromptly = node.settings.StartsPromptly
-	owner.planner.UpdateRank = func(job *taskstate.Job, wallMS int64) bool {
-		return job.Rank.Update(job.Spec, node.settings, wallMS, job.OpenTasks())
-	}
 	return owner
 }
 
+// TaskWaiting has a task placed that has become free for another machine.
+func (s *shardOwner) TaskWaiting(task *taskstate.Task) { s.enqueueTask(task) }
+
+// MachineType finds a machine type by its name, nil if it is not known.
+func (s *shardOwner) MachineType(name string) *jobs.MachineType {
+	return s.node.fleet.MachineType(name)
+}
+
+// IsClosedByDrain tells whether operators' drains keep new tasks off a machine.
+func (s *shardOwner) IsClosedByDrain(workerID string) bool {
+	return s.node.drains != nil && s.node.drains.records.IsClosed(workerID)
+}
+
+// UpdateRank brings a job's rank up to a time of day in milliseconds and tells whether it
+// changed.
+func (s *shardOwner) UpdateRank(job *taskstate.Job, wallMS int64) bool {
+	return job.Rank.Update(job.Spec, s.node.settings, wallMS, job.OpenTasks())
+}
+
+// StartsPromptly tells whether gangs of a class should find room at once.
+func (s *shardOwner) StartsPromptly(class string) bool { return s.node.settings.StartsPromptly(class) }
+
 func (s *shardOwner) enqueueTask(task *taskstate.Task) {
 	if task.Job.Gang != nil && task.Job.ChosenAttemptOver() {
 		s.tasks.RecallTasks(task.Job.Spec.ID, len(task.Job.Tasks)) // the leader divides it anew
