--- /dev/null
+++ b/internal/controller/wiring.go
@@ -0,0 +1,149 @@
+package controller
+
+import (
+	"log/slog"
+	"time"
+
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/fleet"
+	"lemonmoor/internal/leader"
+	"lemonmoor/internal/settings"
+	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/tuning"
+	"lemonmoor/internal/userapi"
+)
+
+// identity tells a node apart from others, and from earlier processes of the same name.
+type identity struct {
+	nonce uint64 // differs for every process
+	rank  int    // among the nodes, by name; staggers their elections
+}
+
+// New wires a node for the number of shards by the settings. nonce differs for every
+// process.
+func New(runtime eventloop.Runtime, settings *settings.Settings, nonce uint64, log *slog.Logger) *Node {
+	client := statestore.New(runtime, settings.External.State, log)
+	client.FreshnessCheckInterval = settings.FreshnessCheckInterval()
+	client.SetLimits(statestore.Limits{
+		MaxOperations: settings.MaxOperations(), MaxValueBytes: settings.MaxValueBytes(), FutureWriteShare: settings.FutureWriteShare(),
+	})
+	node := &Node{
+		platform:     platform{runtime: runtime, settings: settings, log: log, stateClient: client},
+		identity:     identity{nonce: nonce, rank: rankOf(settings)},
+		membership:   newMembership(runtime, client, settings.Seeds),
+		redirections: redirections{},
+	}
+	node.ownership = &ownershipMonitor{runtime: runtime, settings: settings, membership: node.membership, shards: node}
+	node.peerHandlers = node.routePeerMessages()
+	node.build()
+	return node
+}
+
+// rankOf is the number of nodes whose names come before this one's.
+func rankOf(settings *settings.Settings) int {
+	rank := 0
+	for _, seed := range settings.Seeds {
+		if seed.Node < settings.Node {
+			rank++
+		}
+	}
+	return rank
+}
+
+// build makes the parts for the number of shards by the settings and connects them.
+func (n *Node) build() {
+	n.leases = statestore.NewLeaseManager(n.runtime, n.stateClient, n.log, statestore.LeaseConfig{
+		Node: n.settings.Node, Nonce: n.identity.nonce, Rank: n.identity.rank, ShardCount: n.settings.ShardCount(),
+		AnswerGracePeriod: n.settings.AnswerGracePeriod(), Observer: leaseObserver{n},
+	})
+	n.catalog = userapi.NewCatalog(n.runtime, n.stateClient, n.settings.Deployment.Teams, n.log)
+	n.taskStates = taskstate.NewStore(n.runtime, n.stateClient, n.log)
+	n.fleet = fleet.New(n.runtime, n.settings.External.Cloud, n.leases, n.settings, n.log)
+	n.leader = leader.New(n.runtime, n.stateClient, n.leases, n.catalog, n.taskStates, n.fleet, n.settings, n.log)
+	n.userAPI = userapi.NewAPI(n.runtime, n.stateClient, n.catalog, n.settings, n.log)
+	n.shardOwners = nil
+	for shardIndex := range n.settings.ShardCount() {
+		n.shardOwners = append(n.shardOwners, newShardOwner(n, shardIndex))
+	}
+	n.drains = n.newDrainParts()
+
+	n.connectRecords()
+	n.connectUsers()
+}
+
+// leaseObserver begins and ends the terms of a node's parts with its leases.
+type leaseObserver struct{ node *Node }
+
+// LeadershipAcquired begins the leader's parts under a new fencing token.
+func (o leaseObserver) LeadershipAcquired(token uint64) {
+	o.node.leader.BeginTerm(token)
+	o.node.fleet.BeginTerm()
+	if o.node.drains != nil {
+		o.node.drains.coordinator.BeginTerm(token)
+	}
+}
+
+// LeadershipLost ends the leader's parts.
+func (o leaseObserver) LeadershipLost() {
+	o.node.leader.EndTerm()
+	o.node.fleet.EndTerm()
+	if o.node.drains != nil {
+		o.node.drains.coordinator.EndTerm()
+	}
+}
+
+// ShardAcquired begins a shard's owner under a new fencing token.
+func (o leaseObserver) ShardAcquired(shardIndex int, token uint64) {
+	o.node.ownership.shardAcquired()
+	o.node.shardOwners[shardIndex].beginTerm(token)
+}
+
+// ShardLost ends a shard's owner.
+func (o leaseObserver) ShardLost(shardIndex int) { o.node.shardOwners[shardIndex].endTerm() }
+
+// connectRecords tells the leader and the shard owners of jobs and records.
+func (n *Node) connectRecords() {
+	n.catalog.JobChanged = func(entry *userapi.Entry) {
+		n.leader.JobChanged(entry)
+		for _, owner := range n.shardOwners {
+			owner.tasks.JobChanged(entry)
+		}
+	}
+	n.taskStates.RecordAdded = func(record *taskstate.Record) {
+		n.leader.RecordAdded(record)
+		for _, owner := range n.shardOwners {
+			owner.tasks.RecordAdded(record)
+		}
+	}
+	n.taskStates.RecordRemoved = func(record *taskstate.Record) {
+		n.leader.RecordRemoved(record)
+		for _, owner := range n.shardOwners {
+			owner.tasks.RecordRemoved(record)
+		}
+	}
+	n.taskStates.TaskStatusChanged = func(record *taskstate.Record, taskNumber int, before taskstate.TaskStatus) {
+		n.leader.TaskStatusChanged(record, taskNumber, before)
+		for _, owner := range n.shardOwners {
+			owner.tasks.TaskStatusChanged(record, taskNumber)
+		}
+	}
+	n.taskStates.SetWatchPause(n.watchPause)
+	n.catalog.SetWatchPause(n.watchPause)
+}
+
+// watchPause is how long the copies of jobs and records wait between two watches. A node
+// that neither leads nor owns a shard only answers users from them.
+func (n *Node) watchPause() time.Duration {
+	if n.leases.LeaderToken() != 0 || n.ownsShard() {
+		return n.settings.WatchPause()
+	}
+	return max(tuning.PassiveWatchPause, n.settings.WatchPause())
+}
+
+// connectUsers gives the user API what it answers from.
+func (n *Node) connectUsers() {
+	n.userAPI.MachineTypes = n.fleet.MachineTypes
+	n.userAPI.Progress = n.taskStates.Progress
+	n.userAPI.RunningGangTasks = n.taskStates.RunningTasks
+}
