--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -16,10 +16,11 @@
 	if n.settings.Operator.Drains == nil {
 		return nil
 	}
-	records := drain.NewRecords(n.runtime, n.stateClient, n.log)
-	records.OnChange = n.haltGranted
-	cluster := &drainCluster{n, records}
-	coordinator := drain.NewCoordinator(n.runtime, n.stateClient, n.leases, records, cluster, n.settings, n.openDrainTracer(), n.log)
+	records := drain.NewRecords(n.runtime, n.stateClient, n.log, n.haltGranted)
+	coordinator := drain.NewCoordinator(drain.Dependencies{
+		Runtime: n.runtime, State: n.stateClient, Lease: n.leases, Records: records, Cluster: &drainCluster{n, records},
+		Settings: n.settings, Tracer: n.openDrainTracer(), Log: n.log,
+	})
 	for _, owner := range n.shardOwners {
 		owner.drainExecutor = drain.NewExecutor(n.runtime, records, owner.workers, owner.tasks, func() bool {
 			return owner.token != 0 && owner.tasks.IsLoaded() && owner.LeaseValid()
--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -8,51 +8,51 @@
 	"lemonmoor/internal/userapi"
 )
 
-// knowing is a deployment whose block has an owner that answers its workers.
-func knowing(t *testing.T) (*world, *Node, *shardOwner) {
+// newAnsweringOwner is a deployment whose shard has an owner that answers its workers.
+func newAnsweringOwner(t *testing.T) (*simulation, *Node, *shardOwner) {
 	t.Helper()
-	w := newWorld(1)
-	w.run(15 * time.Second)
-	n := w.owner(0).node
-	if o := n.shardOwners[0]; !n.mayAnswer(o) {
+	sim := newSimulation(1)
+	sim.run(15 * time.Second)
+	node := sim.ownerOfShard0().node
+	if owner := node.shardOwners[0]; !node.mayAnswer(owner) {
 		t.Fatal("the owner answers nobody")
 	}
-	return w, n, n.shardOwners[0]
+	return sim, node, node.shardOwners[0]
 }
 
 // TestAnswersNeedRecentKnowledgeOfCancellations: an owner whose leases are proven and renewed
 // all the time answers workers no longer than its knowledge of cancellations is young enough.
 func TestAnswersNeedRecentKnowledgeOfCancellations(t *testing.T) {
-	w, n, o := knowing(t)
-	w.mute = userapi.KeyPrefix
-	w.run(w.now + w.set.MaxKnowledgeAge() - 3*tuning.KnowledgeVerifyInterval)
-	if !n.mayAnswer(o) {
+	sim, node, owner := newAnsweringOwner(t)
+	sim.stateFaults.silentWatchPrefix = userapi.KeyPrefix
+	sim.run(sim.now + sim.settings.MaxKnowledgeAge() - 3*tuning.KnowledgeVerifyInterval)
+	if !node.mayAnswer(owner) {
 		t.Error("answers nobody while its knowledge is young enough")
 	}
-	w.run(w.now + 3*tuning.KnowledgeVerifyInterval)
-	if n.mayAnswer(o) {
-		proven, _ := n.catalog.VerifiedAt()
-		t.Errorf("answers on knowledge %v old", n.runtime.Now()-proven)
+	sim.run(sim.now + 3*tuning.KnowledgeVerifyInterval)
+	if node.mayAnswer(owner) {
+		proven, _ := node.catalog.VerifiedAt()
+		t.Errorf("answers on knowledge %v old", node.runtime.Now()-proven)
 	}
-	if n.runtime.Now() >= n.leases.AnswersUntil() {
+	if node.runtime.Now() >= node.leases.AnswersUntil() {
 		t.Error("its leases alone would have ended that")
 	}
 }
 
-// TestLaunchProofIsNewerThanThePlacementAndRecent: a proof of before the placement is none, nor
-// is one that is older than a launch may rest on.
-func TestLaunchProofIsNewerThanThePlacementAndRecent(t *testing.T) {
-	w, n, _ := knowing(t)
-	proven, known := n.catalog.VerifiedAt()
-	if !known || !n.cancellationsVerifiedSince(proven) {
-		t.Fatalf("known %v, fresh %v", known, n.cancellationsVerifiedSince(proven))
+// TestLaunchNeedsRecentVerificationAfterPlacement: a verification of before the placement
+// is none, nor is one that is older than a launch may rest on.
+func TestLaunchNeedsRecentVerificationAfterPlacement(t *testing.T) {
+	sim, node, _ := newAnsweringOwner(t)
+	proven, known := node.catalog.VerifiedAt()
+	if !known || !node.cancellationsVerifiedSince(proven) {
+		t.Fatalf("known %v, fresh %v", known, node.cancellationsVerifiedSince(proven))
 	}
-	if n.cancellationsVerifiedSince(proven + time.Millisecond) {
-		t.Error("a proof of before the placement counts")
+	if node.cancellationsVerifiedSince(proven + time.Millisecond) {
+		t.Error("a verification of before the placement counts")
 	}
-	w.now += tuning.MaxLaunchKnowledgeAge + time.Second // nothing happens meanwhile
-	if n.cancellationsVerifiedSince(proven) {
-		t.Error("an old proof counts")
+	sim.now += tuning.MaxLaunchKnowledgeAge + time.Second // nothing happens meanwhile
+	if node.cancellationsVerifiedSince(proven) {
+		t.Error("an old verification counts")
 	}
 }
 
@@ -60,12 +60,12 @@
 // answers nobody under that token, also while it still holds the lease: the next owner may
 // begin before this one hears of it.
 func TestNoAnswersUnderARelinquishedToken(t *testing.T) {
-	_, n, o := knowing(t)
-	n.leases.RelinquishShards()
-	if n.leases.ShardToken(0) == 0 || !n.leases.LeaseValid() {
+	_, node, owner := newAnsweringOwner(t)
+	node.leases.RelinquishShards()
+	if node.leases.ShardToken(0) == 0 || !node.leases.LeaseValid() {
 		t.Fatal("the lease is gone at once")
 	}
-	if n.mayAnswer(o) {
+	if node.mayAnswer(owner) {
 		t.Error("answers under a token that is given up")
 	}
 }
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -62,7 +62,7 @@
 		return fleet.StatusReply{}
 	}
 	if n.drains != nil {
-		n.drains.coordinator.HandleReport(message.Shard, message.Token, message.Seq, message.Drains)
+		n.drains.coordinator.HandleShardReport(message.Shard, message.Token, message.Seq, message.Drains)
 	}
 	reply := n.fleet.HandleStatus(message.ShardStatus)
 	reply.Recall = n.leader.TakeRecalls(message.Shard)
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -59,8 +59,14 @@
 	})
 	n.catalog = userapi.NewCatalog(n.runtime, n.stateClient, n.settings.Deployment.Teams, n.log)
 	n.taskStates = taskstate.NewStore(n.runtime, n.stateClient, n.log)
-	n.fleet = fleet.New(n.runtime, n.settings.External.Cloud, n.leases, n.settings, n.log)
-	n.leader = leader.New(n.runtime, n.stateClient, n.leases, n.catalog, n.taskStates, n.fleet, n.settings, n.log)
+	machines := leader.NewMachineUsage(n.settings.ShardCount())
+	n.fleet = fleet.New(fleet.Dependencies{
+		Runtime: n.runtime, Address: n.settings.External.Cloud, Leases: n.leases, Loads: machines, Settings: n.settings, Log: n.log,
+	})
+	n.leader = leader.New(leader.Dependencies{
+		Runtime: n.runtime, State: n.stateClient, Leases: n.leases, Catalog: n.catalog, Records: n.taskStates,
+		Fleet: n.fleet, Machines: machines, Settings: n.settings, Log: n.log,
+	})
 	n.userAPI = userapi.NewAPI(n.runtime, n.stateClient, n.catalog, n.settings, n.log)
 	n.shardOwners = nil
 	for shardIndex := range n.settings.ShardCount() {
