--- a/cmd/lemonmoor/surface_test.go
+++ b/cmd/lemonmoor/surface_test.go
@@ -94,10 +94,10 @@
 		"lemonmoor drain resume": id,
 		"lemonmoor drain cancel": id,
 	}
-	var walk func(c *cobra.Command)
-	walk = func(c *cobra.Command) {
+	var walk func(command *cobra.Command)
+	walk = func(command *cobra.Command) {
 		var flags []string
-		usages := c.LocalNonPersistentFlags().FlagUsages() + c.PersistentFlags().FlagUsages()
+		usages := command.LocalNonPersistentFlags().FlagUsages() + command.PersistentFlags().FlagUsages()
 		for _, line := range flagLine.FindAllStringSubmatch(usages, -1) {
 			text := strings.TrimSpace(line[1] + " " + line[2])
 			if line[3] != "" {
@@ -106,39 +106,33 @@
 			flags = append(flags, text)
 		}
 		slices.Sort(flags)
-		expected, known := want[c.CommandPath()]
+		expected, known := want[command.CommandPath()]
 		if !known || !slices.Equal(flags, expected) || len(flags) != strings.Count(usages, "\n") {
-			t.Errorf("%s: %q, not %q", c.CommandPath(), flags, expected)
+			t.Errorf("%s: %q, not %q", command.CommandPath(), flags, expected)
 		}
-		delete(want, c.CommandPath())
-		for _, sub := range c.Commands() {
+		delete(want, command.CommandPath())
+		for _, sub := range command.Commands() {
 			walk(sub)
 		}
 	}
-	walk(command())
+	walk(newRootCommand())
 	for path := range want {
 		t.Errorf("%s is missing", path)
 	}
 }
 
-// TestSurfaceExits: exit statuses and the one line that says why.
-func TestSurfaceExits(t *testing.T) {
-	config := configOf(t, "127.0.0.1:1")
-	bad := filepath.Join(t.TempDir(), "bad.hcl")
-	if err := os.WriteFile(bad, []byte("\nnovel = 1\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	empty := filepath.Join(t.TempDir(), "names")
-	if err := os.WriteFile(empty, []byte("# none\n\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	missing := filepath.Join(t.TempDir(), "missing.json")
-	for _, c := range []struct {
-		args   string
-		status int
-		stdout string // regular expressions of the whole
-		stderr string
-	}{
+// exitCase is a command line and how it ends.
+type exitCase struct {
+	args   string
+	status int
+	stdout string // regular expressions of the whole
+	stderr string
+}
+
+// exitCases are command lines with a good settings file (config), one that is missing, an
+// operators' file with an unknown setting (bad), and a file without machines' names (empty).
+func exitCases(config, missing, bad, empty string) []exitCase {
+	return []exitCase{
 		{"version", 0, `lemonmoor 0\.1\.0 go1\.[0-9a-z.-]+\n`, ``},
 		{"--config " + config + " check", 0, `settings are in order\n`, ``},
 		{"check --config " + config + " --operator ../../deploy/drains.hcl", 0, `settings are in order\n`, ``},
@@ -166,111 +160,153 @@
 		{"drain cancel --config " + config, 2, ``, `lemonmoor: id: missing, name the drain with --id\n`},
 		{"drain plan --id d", 1, ``, `lemonmoor: unknown flag: --id\n`},
 		{"drain status --timeout 100ms --config " + config, 3, ``, `lemonmoor: no leader reachable; asked n0 \(127\.0\.0\.1:1\): .*\n`},
-	} {
-		r := run(t, strings.Fields(c.args)...)
-		if r.status != c.status {
-			t.Errorf("lemonmoor %s: status %d, not %d", c.args, r.status, c.status)
+	}
+}
+
+// TestSurfaceExits: exit statuses and the one line that says why.
+func TestSurfaceExits(t *testing.T) {
+	config := configOf(t, "127.0.0.1:1")
+	bad := filepath.Join(t.TempDir(), "bad.hcl")
+	if err := os.WriteFile(bad, []byte("\nnovel = 1\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	empty := filepath.Join(t.TempDir(), "names")
+	if err := os.WriteFile(empty, []byte("# none\n\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	missing := filepath.Join(t.TempDir(), "missing.json")
+	for _, test := range exitCases(config, missing, bad, empty) {
+		ended := run(t, strings.Fields(test.args)...)
+		if ended.status != test.status {
+			t.Errorf("lemonmoor %s: status %d, not %d", test.args, ended.status, test.status)
 		}
-		for what, pair := range map[string][2]string{"standard output": {r.stdout, c.stdout}, "standard error": {r.stderr, c.stderr}} {
+		for what, pair := range map[string][2]string{"standard output": {ended.stdout, test.stdout}, "standard error": {ended.stderr, test.stderr}} {
 			if !regexp.MustCompile(`^(?:` + pair[1] + `)$`).MatchString(pair[0]) {
-				t.Errorf("lemonmoor %s: %s is %q", c.args, what, pair[0])
+				t.Errorf("lemonmoor %s: %s is %q", test.args, what, pair[0])
 			}
 		}
 	}
 }
 
-// TestSurfaceDrain: what the command sends to a controller, and what it prints of the
-// answer.
-func TestSurfaceDrain(t *testing.T) {
+// What a controller answers, and what the command prints of it.
+const (
+	drainsAnswer = `{"status":"ok","node":"n0","drains":[{"id":"d-1","phase":"running","replace":true,"machines":5,"states":{"waiting":3,"closed":2},` +
+		`"disturbed":4,"waits":["no room"]}],"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},` +
+		`"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}}}`
+	drainsText = "drain d-1: running, 5 machines, 2 closed, 3 waiting; 4 tasks disturbed\n  waits: no room\n" +
+		"team  running  disturbed by drains  otherwise  CPUs disturbed  budget\n" +
+		"red   1        3                    5          11              tasks 8\n"
+	planAnswer = `{"status":"ok","node":"n0","plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`
+	planText   = "1 machines, with tasks of 5 jobs\nteam  tasks  CPUs  budget used up at least  budget\nred   2      3.5   4 times                  cpus 9\n"
+)
+
+// message is what the command sends to a controller.
+type message struct{ path, body string }
+
+// scriptedController answers the command's messages one after the other.
+type scriptedController struct {
+	address string
+	asked   chan message
+	answers chan string
+}
+
+func newScriptedController(t *testing.T) *scriptedController {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := listener.Addr().String()
+	controller := &scriptedController{listener.Addr().String(), make(chan message, 100), make(chan string, 100)}
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	type message struct{ path, body string }
-	asked, answers := make(chan message, 100), make(chan string, 100)
 	go func() {
-		_ = peer.Serve(address, func(path string, body []byte, answer func([]byte, bool)) {
-			asked <- message{path, string(body)}
-			answer([]byte(<-answers), true)
+		_ = peer.Serve(controller.address, func(path string, body []byte, answer func([]byte, bool)) {
+			controller.asked <- message{path, string(body)}
+			answer([]byte(<-controller.answers), true)
 		}, slog.New(slog.DiscardHandler))
 	}()
 	for range 100 {
-		connection, err := net.Dial("tcp", address)
+		connection, err := net.Dial("tcp", controller.address)
 		if err == nil {
 			_ = connection.Close()
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	config := configOf(t, address)
-	names := filepath.Join(t.TempDir(), "names")
-	if err := os.WriteFile(names, []byte("vm-3 # old\n\nvm-4\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	const (
-		drains = `{"status":"ok","node":"n0","drains":[{"id":"d-1","phase":"running","replace":true,"machines":5,"states":{"waiting":3,"closed":2},` +
-			`"disturbed":4,"waits":["no room"]}],"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},` +
-			`"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}}}`
-		drainsText = "drain d-1: running, 5 machines, 2 closed, 3 waiting; 4 tasks disturbed\n  waits: no room\n" +
-			"team  running  disturbed by drains  otherwise  CPUs disturbed  budget\n" +
-			"red   1        3                    5          11              tasks 8\n"
-		plan     = `{"status":"ok","node":"n0","plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`
-		planText = "1 machines, with tasks of 5 jobs\nteam  tasks  CPUs  budget used up at least  budget\nred   2      3.5   4 times                  cpus 9\n"
-	)
-	for _, c := range []struct {
-		args, sent, answer string
-		status             int
-		stdout, stderr     string
-	}{
+	return controller
+}
+
+// drainCase is what the command sends, what it is answered, and how it ends.
+type drainCase struct {
+	args, sent, answer string
+	status             int
+	stdout, stderr     string
+}
+
+// drainCases are commands of each verb, to a controller at an address; names is a file
+// with the names vm-3 and vm-4.
+func drainCases(address, names string) []drainCase {
+	return []drainCase{
 		{
 			"plan --machine vm-1,vm-2 --from " + names + " --zone yard-a --type g8 --prefix 10.0.0.0/8 --kind spot --replace",
 			`{"verb":"plan","selection":{"machines":["vm-1","vm-2","vm-3","vm-4"],"zones":["yard-a"],"types":["g8"],"kind":"spot",` +
-				`"prefixes":["10.0.0.0/8"]},"replace":true}`, plan, 0, planText, "",
+				`"prefixes":["10.0.0.0/8"]},"replace":true}`, planAnswer, 0, planText, "",
 		},
-		{"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`, drains, 0, drainsText, ""},
+		{"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`, drainsAnswer, 0, drainsText, ""},
 		{
 			"start --id d-1 --kind ordinary", `{"verb":"start","id":"d-1","selection":{"kind":"ordinary"}}`,
 			`{"status":"refused","node":"n0","field":"id","reason":"d-1 selects others"}`, 2, "", "lemonmoor: id: d-1 selects others\n",
 		},
-		{"status", `{"verb":"status","selection":{}}`, drains, 0, drainsText, ""},
+		{"status", `{"verb":"status","selection":{}}`, drainsAnswer, 0, drainsText, ""},
 		{"status --id d-1", `{"verb":"status","id":"d-1","selection":{}}`, `{"status":"ok","node":"n0"}`, 0, "no drains\n", ""},
-		{"pause --id d-1", `{"verb":"pause","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
-		{"resume --id d-1", `{"verb":"resume","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
-		{"cancel --id d-1", `{"verb":"cancel","id":"d-1","selection":{}}`, drains, 0, drainsText, ""},
+		{"pause --id d-1", `{"verb":"pause","id":"d-1","selection":{}}`, drainsAnswer, 0, drainsText, ""},
+		{"resume --id d-1", `{"verb":"resume","id":"d-1","selection":{}}`, drainsAnswer, 0, drainsText, ""},
+		{"cancel --id d-1", `{"verb":"cancel","id":"d-1","selection":{}}`, drainsAnswer, 0, drainsText, ""},
 		{
 			"status --timeout 1s", `{"verb":"status","selection":{}}`, `{"status":"unavailable","node":"n0","reason":"no leader is known to this node","retryMs":3000}`,
 			3, "", "lemonmoor: no leader reachable; asked n0 (" + address + "): no leader is known to this node\n",
 		},
-	} {
-		answers <- c.answer
-		r := run(t, append([]string{"drain", "--config", config}, strings.Fields(c.args)...)...)
-		if r != (result{c.status, c.stdout, c.stderr}) {
-			t.Errorf("drain %s: %+v", c.args, r)
-		}
-		if m := <-asked; m != (message{"/operator/drain", c.sent}) {
-			t.Errorf("drain %s sends %+v", c.args, m)
-		}
 	}
+}
 
-	answers <- drains
-	r := run(t, "drain", "status", "--json", "--config", config)
-	<-asked
-	var compact bytes.Buffer
-	if err := json.Compact(&compact, []byte(r.stdout)); err != nil || r.status != 0 || r.stderr != "" ||
-		compact.String() != strings.Replace(drains, `{"waiting":3,"closed":2}`, `{"closed":2,"waiting":3}`, 1) {
-		t.Errorf("as JSON: %+v (%v)", r, err)
-	}
-	if !strings.HasPrefix(r.stdout, "{\n  \"status\": \"ok\",\n") {
-		t.Errorf("not indented: %s", r.stdout)
+// TestSurfaceDrain: what the command sends to a controller, and what it prints of the
+// answer.
+func TestSurfaceDrain(t *testing.T) {
+	controller := newScriptedController(t)
+	config := configOf(t, controller.address)
+	names := filepath.Join(t.TempDir(), "names")
+	if err := os.WriteFile(names, []byte("vm-3 # old\n\nvm-4\n"), 0o600); err != nil {
+		t.Fatal(err)
 	}
-
-	answers <- drains
-	run(t, "drain", "start", "--kind", "spot", "--config", config)
-	if m := <-asked; !regexp.MustCompile(`^{"verb":"start","id":"d-[0-9a-z]{1,13}","selection":{"kind":"spot"}}$`).MatchString(m.body) {
-		t.Errorf("a start without an id sends %s", m.body)
+	for _, test := range drainCases(controller.address, names) {
+		controller.answers <- test.answer
+		ended := run(t, append([]string{"drain", "--config", config}, strings.Fields(test.args)...)...)
+		if ended != (result{test.status, test.stdout, test.stderr}) {
+			t.Errorf("drain %s: %+v", test.args, ended)
+		}
+		if sent := <-controller.asked; sent != (message{"/operator/drain", test.sent}) {
+			t.Errorf("drain %s sends %+v", test.args, sent)
+		}
 	}
+	t.Run("prints JSON", func(t *testing.T) {
+		controller.answers <- drainsAnswer
+		ended := run(t, "drain", "status", "--json", "--config", config)
+		<-controller.asked
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, []byte(ended.stdout)); err != nil || ended.status != 0 || ended.stderr != "" ||
+			compact.String() != strings.Replace(drainsAnswer, `{"waiting":3,"closed":2}`, `{"closed":2,"waiting":3}`, 1) {
+			t.Errorf("as JSON: %+v (%v)", ended, err)
+		}
+		if !strings.HasPrefix(ended.stdout, "{\n  \"status\": \"ok\",\n") {
+			t.Errorf("not indented: %s", ended.stdout)
+		}
+	})
+	t.Run("names a drain without an id", func(t *testing.T) {
+		controller.answers <- drainsAnswer
+		run(t, "drain", "start", "--kind", "spot", "--config", config)
+		if sent := <-controller.asked; !regexp.MustCompile(`^{"verb":"start","id":"d-[0-9a-z]{1,13}","selection":{"kind":"spot"}}$`).MatchString(sent.body) {
+			t.Errorf("a start without an id sends %s", sent.body)
+		}
+	})
 }
