--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -92,7 +92,7 @@
 	sim.stateFaults.outage = true
 	sim.run(32 * time.Second)
 	for _, controller := range sim.controllers {
-		if !controller.node.healthy() {
+		if !controller.node.isHealthy() {
 			t.Errorf("%s is unhealthy in an outage that all share", controller.name)
 		}
 	}
@@ -101,7 +101,7 @@
 	sim.network.partitions["node-1|state"] = true
 	sim.run(55 * time.Second)
 	for _, controller := range sim.controllers {
-		if got, want := controller.node.healthy(), controller.name != "node-1"; got != want {
+		if got, want := controller.node.isHealthy(), controller.name != "node-1"; got != want {
 			t.Errorf("%s healthy: %v", controller.name, got)
 		}
 	}
--- a/internal/controller/production_messages_test.go
+++ b/internal/controller/production_messages_test.go
@@ -78,7 +78,7 @@
 	sim := newSimulation(60)
 	sim.run(15 * time.Second)
 	for _, controller := range sim.controllers {
-		for path, body := range map[string]string{"/novel": "{}", statusPath: "not JSON", beatPath: "[]"} {
+		for path, body := range map[string]string{"/novel": "{}", statusPath: "not JSON", heartbeatPath: "[]"} {
 			if answer, taken := askPeer(t, controller, path, body); taken || strings.TrimSpace(answer) != "" {
 				t.Errorf("%s answers %s to %s", controller.name, answer, path)
 			}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -17,7 +17,7 @@
 	var token uint64
 	sim.after(10*time.Second, func() {
 		for _, controller := range sim.controllers {
-			if owner := controller.node.owners[0]; owner.token != 0 {
+			if owner := controller.node.shardOwners[0]; owner.token != 0 {
 				relayed, token = controller, owner.token
 			}
 		}
--- a/internal/controller/scenarios_test.go
+++ b/internal/controller/scenarios_test.go
@@ -78,7 +78,7 @@
 	}
 	most := uint64(0)
 	for _, controller := range sim.controllers {
-		controller.node.store.EachRecord(func(record *taskstate.Record) {
+		controller.node.taskStates.EachRecord(func(record *taskstate.Record) {
 			for _, status := range record.Statuses {
 				most = max(most, status.Attempt)
 			}
--- a/internal/controller/two_faults_test.go
+++ b/internal/controller/two_faults_test.go
@@ -35,7 +35,7 @@
 		var refuse func()
 		refuse = func() {
 			controller := sim.ownerOfShard0()
-			for _, tracked := range controller.node.owners[0].workers.Workers() {
+			for _, tracked := range controller.node.shardOwners[0].workers.Workers() {
 				for k := range tracked.Tasks {
 					if k.PlacementDurable && !k.Launch.Sent {
 						placed++
