--- /dev/null
+++ b/internal/statestore/lease_keys.go
@@ -0,0 +1,50 @@
+package statestore
+
+import (
+	"encoding/json"
+	"strconv"
+)
+
+// Keys of the leases. They share one prefix, so that one watch sees them all.
+const (
+	leasePrefix = "lease/"
+	nodePrefix  = leasePrefix + "node/"
+	shardPrefix = leasePrefix + "block/"
+	// LeaderKey is the key of the leader's lease. Its revision is the leader's fencing token.
+	LeaderKey = leasePrefix + "lead"
+)
+
+// ShardKey returns the key of a shard's lease. Its revision is the owner's fencing token.
+func ShardKey(shard int) string { return shardPrefix + strconv.Itoa(shard) }
+
+// leaseHolder is the value of a lease key. A restarted node is another holder: its nonce
+// differs.
+type leaseHolder struct {
+	Node  string `json:"node"`
+	Nonce uint64 `json:"nonce"`
+	// LeaseID, in a node's own entry, is the lease that keys assigned to the node are
+	// attached to.
+	LeaseID uint64 `json:"permit,omitempty"`
+	// Abstains, in a node's own entry, tells that it wants no shards now.
+	Abstains bool `json:"unfit,omitempty"`
+}
+
+// isProcess tells whether two entries name the same process.
+func (h leaseHolder) isProcess(other leaseHolder) bool {
+	return h.Node == other.Node && h.Nonce == other.Nonce
+}
+
+// isEarlierProcess tells whether the holder is another process of the same node, which must
+// be dead, since nodes run one.
+func (h leaseHolder) isEarlierProcess(current leaseHolder) bool {
+	return h.Node == current.Node && h.Nonce != current.Nonce
+}
+
+// encode returns the value to store.
+func (h leaseHolder) encode() json.RawMessage {
+	raw, err := json.Marshal(h)
+	if err != nil {
+		panic(err) // strings, numbers and a boolean always encode
+	}
+	return raw
+}
--- /dev/null
+++ b/internal/statestore/lease_table.go
@@ -0,0 +1,83 @@
+package statestore
+
+import (
+	"encoding/json"
+	"log/slog"
+	"strconv"
+	"strings"
+	"time"
+
+	"lemonmoor/internal/eventloop"
+)
+
+// leaseTable is this process's copy of the lease keys. It learns of them from the mirror
+// alone, also of its own changes, so that it sees all changes in their order.
+type leaseTable struct {
+	rt         eventloop.Runtime
+	log        *slog.Logger
+	shardCount int
+	answers    *answerDeadlines // told of every change of a shard's owner
+
+	revisions       map[string]uint64
+	holders         map[string]leaseHolder
+	shardsChangedAt time.Duration // latest change of the shards' leases
+}
+
+func newLeaseTable(rt eventloop.Runtime, log *slog.Logger, shardCount int, answers *answerDeadlines) *leaseTable {
+	return &leaseTable{
+		rt: rt, log: log, shardCount: shardCount, answers: answers,
+		revisions: map[string]uint64{}, holders: map[string]leaseHolder{},
+	}
+}
+
+// reset forgets all keys before a complete listing is applied. How the shards came to their
+// present owners is not known then.
+func (t *leaseTable) reset(entries []KeyValue) {
+	clear(t.revisions)
+	clear(t.holders)
+	owned := map[string]bool{}
+	for _, entry := range entries {
+		owned[entry.Key] = true
+	}
+	for shard := range t.shardCount {
+		t.answers.ownerChanged(shard, owned[ShardKey(shard)])
+	}
+}
+
+// apply takes one change in.
+func (t *leaseTable) apply(key string, value json.RawMessage, revision uint64) {
+	shard, isShard := t.shardOfKey(key)
+	if strings.HasPrefix(key, shardPrefix) {
+		t.shardsChangedAt = t.rt.Now()
+	}
+	if value == nil {
+		delete(t.revisions, key)
+		delete(t.holders, key)
+		if isShard {
+			t.answers.ownerChanged(shard, false)
+		}
+		return
+	}
+	var holder leaseHolder
+	if err := json.Unmarshal(value, &holder); err != nil {
+		t.log.Warn("lease value cannot be decoded", "key", key, "err", err)
+	}
+	if earlier, known := t.holders[key]; isShard && known && !earlier.isProcess(holder) {
+		t.answers.ownerChanged(shard, true)
+	}
+	t.revisions[key], t.holders[key] = revision, holder
+}
+
+// shardOfKey returns the shard of a lease key; ok is false for other keys and for shards
+// that this deployment does not have.
+func (t *leaseTable) shardOfKey(key string) (shard int, ok bool) {
+	number, isShard := strings.CutPrefix(key, shardPrefix)
+	if !isShard {
+		return 0, false
+	}
+	shard, err := strconv.Atoi(number)
+	return shard, err == nil && shard >= 0 && shard < t.shardCount
+}
+
+// condition demands that a key is as this copy has it.
+func (t *leaseTable) condition(key string) Condition { return Condition{key, t.revisions[key]} }
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -75,7 +75,7 @@
 	return c.Guards
 }
 
-func holderValue(t *testing.T, h holder) json.RawMessage {
+func holderValue(t *testing.T, h leaseHolder) json.RawMessage {
 	t.Helper()
 	raw, err := json.Marshal(h)
 	if err != nil {
@@ -119,8 +119,8 @@
 func TestExpiredGrantHoldsNothing(t *testing.T) {
 	s, o := newLeases(t)
 	s.reply(t, "/grants", `{"permit":5}`)
-	o.apply(ShardKey(0), holderValue(t, holder{Node: "node-0", Nonce: 1}), 7)
-	o.look()
+	o.table.apply(ShardKey(0), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 7)
+	o.evaluate()
 	if o.ShardToken(0) != 7 || !o.LeaseValid() {
 		t.Fatalf("token %d, valid %v", o.ShardToken(0), o.LeaseValid())
 	}
@@ -137,31 +137,31 @@
 // expired, the lease time besides if the block was taken from a live holder or if how it
 // changed hands was not seen; a renewal by the same process moves nothing.
 func TestEarlierOwnersLastAnswer(t *testing.T) {
-	first, second := holder{Node: "node-1", Nonce: 1}, holder{Node: "node-0", Nonce: 1}
+	first, second := leaseHolder{Node: "node-1", Nonce: 1}, leaseHolder{Node: "node-0", Nonce: 1}
 	for _, c := range []struct {
 		name string
 		do   func(*LeaseManager)
 		wait time.Duration
 	}{
 		{"expired", func(o *LeaseManager) {
-			o.apply(ShardKey(0), nil, 8)
-			o.apply(ShardKey(0), holderValue(t, second), 9)
+			o.table.apply(ShardKey(0), nil, 8)
+			o.table.apply(ShardKey(0), holderValue(t, second), 9)
 		}, 4 * time.Second},
 		{"taken from a live holder", func(o *LeaseManager) {
-			o.apply(ShardKey(0), holderValue(t, second), 8)
+			o.table.apply(ShardKey(0), holderValue(t, second), 8)
 		}, 4*time.Second + tuning.LeaseTTL},
 		{"read anew", func(o *LeaseManager) {
 			rows := []KeyValue{{ShardKey(0), holderValue(t, second), 8}}
-			o.reset(rows)
-			o.apply(rows[0].Key, rows[0].Value, rows[0].Revision)
+			o.table.reset(rows)
+			o.table.apply(rows[0].Key, rows[0].Value, rows[0].Revision)
 		}, 4*time.Second + tuning.LeaseTTL},
 		{"renewed by its holder", func(o *LeaseManager) {
-			o.apply(ShardKey(0), holderValue(t, first), 8)
+			o.table.apply(ShardKey(0), holderValue(t, first), 8)
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, o := newLeases(t)
-			o.apply(ShardKey(0), holderValue(t, first), 7)
+			o.table.apply(ShardKey(0), holderValue(t, first), 7)
 			before := o.PreviousOwnerAnswersUntil(0)
 			s.now += time.Hour
 			c.do(o)
@@ -186,7 +186,7 @@
 	s.now += 5 * time.Second
 	s.fire()
 	s.reply(t, "/grants/5/touch", `{}`)
-	if got, want := o.AnswersUntil(), proven+tuning.LeaseTTL+o.answerGracePeriod; got != want {
+	if got, want := o.AnswersUntil(), proven+tuning.LeaseTTL+o.answers.gracePeriod; got != want {
 		t.Errorf("answers until %v after the proof, want %v", got-proven, want-proven)
 	}
 }
@@ -214,16 +214,16 @@
 	if g := next(LeaderKey).guards(t); !slices.Contains(g, Condition{LeaderKey, 0}) {
 		t.Errorf("leadership is taken under %v", g)
 	}
-	o.apply(nodePrefix+"node-1", holderValue(t, holder{Node: "node-1", Nonce: 1, Permit: 9}), 3)
-	o.apply(LeaderKey, holderValue(t, holder{Node: "node-0", Nonce: 1}), 4)
+	o.table.apply(nodePrefix+"node-1", holderValue(t, leaseHolder{Node: "node-1", Nonce: 1, LeaseID: 9}), 3)
+	o.table.apply(LeaderKey, holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 4)
 	s.now += time.Second // it has let the controllers enrol
-	o.look()
-	o.valid = s.now + time.Hour
+	o.evaluate()
+	o.node.validUntil = s.now + time.Hour
 	if g := next(ShardKey(0)).guards(t); !slices.Contains(g, Condition{LeaderKey, 4}) || !slices.Contains(g, Condition{ShardKey(0), 0}) {
 		t.Errorf("a block is assigned under %v", g)
 	}
-	o.apply(ShardKey(1), holderValue(t, holder{Node: "node-0", Nonce: 1}), 6)
-	o.look()
+	o.table.apply(ShardKey(1), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 6)
+	o.evaluate()
 	o.RenewToken(1)
 	if g := next(ShardKey(1)).guards(t); !slices.Contains(g, Condition{ShardKey(1), 6}) {
 		t.Errorf("a token is renewed under %v", g)
--- a/internal/statestore/mirror_test.go
+++ b/internal/statestore/mirror_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net/url"
@@ -364,7 +365,7 @@
 	s.calls = s.calls[:1]
 	s.step(false) // the watch: gone
 	check.fn(given, nil)
-	if outcome != ErrNotVerified {
+	if !errors.Is(outcome, ErrNotVerified) {
 		t.Errorf("the check came to %v", outcome)
 	}
 }
--- /dev/null
+++ b/internal/statestore/outcome.go
@@ -0,0 +1,63 @@
+package statestore
+
+import "strconv"
+
+// Outcome is what is known of a request to the state service.
+type Outcome int
+
+// The outcomes of a request.
+const (
+	// OutcomeOK means that the request was carried out.
+	OutcomeOK Outcome = iota
+	// OutcomeConflict means that a condition did not hold; nothing was changed.
+	OutcomeConflict
+	// OutcomeRefused means that the request was surely not carried out and may be sent
+	// again after a pause.
+	OutcomeRefused
+	// OutcomeUnknown means that no valid answer came: the request may have been carried out,
+	// or may yet be.
+	OutcomeUnknown
+	// OutcomeGone means that the lease or the watched history no longer exists.
+	OutcomeGone
+	// OutcomeInvalid means that the service calls the request malformed, too large or made
+	// under a lease that has ended. It was surely not carried out.
+	OutcomeInvalid
+)
+
+// String returns the outcome's name in logs.
+func (o Outcome) String() string {
+	switch o {
+	case OutcomeOK:
+		return "ok"
+	case OutcomeConflict:
+		return "conflict"
+	case OutcomeRefused:
+		return "refused"
+	case OutcomeUnknown:
+		return "unknown"
+	case OutcomeGone:
+		return "gone"
+	case OutcomeInvalid:
+		return "invalid"
+	}
+	return "outcome " + strconv.Itoa(int(o))
+}
+
+// outcomeOfStatus translates the status of an answer. A status outside the protocol proves
+// nothing.
+func outcomeOfStatus(status int) Outcome {
+	switch status {
+	case 200, 201, 204:
+		return OutcomeOK
+	case 409:
+		return OutcomeConflict
+	case 429, 503:
+		return OutcomeRefused
+	case 404, 410:
+		return OutcomeGone
+	case 400:
+		return OutcomeInvalid
+	default:
+		return OutcomeUnknown
+	}
+}
--- /dev/null
+++ b/internal/statestore/shard_leases.go
@@ -0,0 +1,132 @@
+package statestore
+
+import (
+	"log/slog"
+	"time"
+
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/tuning"
+)
+
+// shardLeases are the shards that this process owns: it replaces their fencing tokens,
+// gives them up and takes back those of an earlier process of this node. It never takes
+// others; the leader assigns them.
+type shardLeases struct {
+	rt      eventloop.Runtime
+	log     *slog.Logger
+	client  *Client
+	table   *leaseTable
+	node    *nodeLease
+	commits *leaseCommits
+
+	tokens map[int]uint64 // fencing tokens of the shards owned
+	// relinquished are the tokens under which nothing may be answered any more, also if
+	// the commit that gives the shard up fails or its answer is lost.
+	relinquished map[int]uint64
+	abstainUntil time.Duration // no shards are taken before
+}
+
+func (s *shardLeases) isAbstaining() bool { return s.rt.Now() < s.abstainUntil }
+
+func (s *shardLeases) isRelinquished(shard int) bool {
+	return s.tokens[shard] != 0 && s.relinquished[shard] == s.tokens[shard]
+}
+
+// register keeps the node's own entry current, by which the leader knows it as a candidate.
+func (s *shardLeases) register() {
+	key := nodePrefix + s.node.process.Node
+	slot := commitSlot{purposeRegister, noShard}
+	entry := s.ownEntry(s.isAbstaining())
+	if s.table.holders[key] == entry || s.commits.isBusy(slot) {
+		return
+	}
+	s.commits.send(slot, nil, []Operation{{PutKey: key, Value: entry.encode(), LeaseID: s.node.id}})
+}
+
+func (s *shardLeases) ownEntry(abstains bool) leaseHolder {
+	return leaseHolder{s.node.process.Node, s.node.process.Nonce, s.node.id, abstains}
+}
+
+// reclaim takes back the shards of an earlier process of this node: it is dead, and under
+// the new token nothing that it sends counts.
+func (s *shardLeases) reclaim() {
+	slot := commitSlot{purposeReclaim, noShard}
+	if s.isAbstaining() || s.commits.isBusy(slot) {
+		return
+	}
+	var conditions []Condition
+	var operations []Operation
+	for shard := range s.table.shardCount {
+		key := ShardKey(shard)
+		if owner, owned := s.table.holders[key]; owned && owner.isEarlierProcess(s.node.process) {
+			conditions = append(conditions, s.table.condition(key))
+			operations = append(operations, s.node.attach(key))
+		}
+	}
+	if count := min(len(operations), s.client.MaxOperations()); count > 0 {
+		s.commits.send(slot, conditions[:count], operations[:count])
+	}
+}
+
+// renewToken replaces the fencing token of a shard.
+func (s *shardLeases) renewToken(shard int) {
+	slot := commitSlot{purposeRenewToken, shard}
+	token := s.tokens[shard]
+	if token == 0 || s.commits.isBusy(slot) {
+		return
+	}
+	key := ShardKey(shard)
+	s.commits.send(slot, []Condition{{key, token}}, []Operation{s.node.attach(key)})
+}
+
+// relinquishAll gives up all shards and takes none for a while.
+func (s *shardLeases) relinquishAll() {
+	if len(s.tokens) == 0 || s.commits.isBusy(commitSlot{purposeRelinquish, noShard}) {
+		return
+	}
+	for shard, token := range s.tokens {
+		s.relinquished[shard] = token
+	}
+	s.log.Info("relinquishing all shards: no worker reaches this node", "count", len(s.tokens))
+	s.abstainUntil = s.rt.Now() + tuning.AbstainAfterStepDown
+	s.release()
+}
+
+// release commits that the relinquished shards have no owner.
+func (s *shardLeases) release() {
+	slot := commitSlot{purposeRelinquish, noShard}
+	if s.commits.isBusy(slot) {
+		return
+	}
+	var conditions []Condition
+	operations := []Operation{{
+		PutKey: nodePrefix + s.node.process.Node, Value: s.ownEntry(true).encode(), LeaseID: s.node.id,
+	}}
+	for shard, token := range s.tokens {
+		if !s.isRelinquished(shard) {
+			continue
+		}
+		if len(operations) == s.client.MaxOperations() {
+			s.commits.send(slot, conditions, operations)
+			slot, conditions, operations = commitSlot{purposeRelinquish, shard}, nil, nil
+		}
+		conditions = append(conditions, Condition{ShardKey(shard), token})
+		operations = append(operations, Operation{DeleteKey: ShardKey(shard)})
+	}
+	s.commits.send(slot, conditions, operations)
+}
+
+// finishRelinquishing repeats a release that was refused or whose answer was lost. Shards
+// still owned after the time of abstaining are owned anew, under new tokens.
+func (s *shardLeases) finishRelinquishing() {
+	for shard := range s.tokens {
+		if !s.isRelinquished(shard) {
+			continue
+		}
+		if s.isAbstaining() {
+			s.release()
+			return
+		}
+		s.renewToken(shard)
+	}
+}
--- a/internal/statestore/wire_test.go
+++ b/internal/statestore/wire_test.go
@@ -24,8 +24,8 @@
 
 // TestWireLeases: the keys and values of leases.
 func TestWireLeases(t *testing.T) {
-	wiretest.Same(t, `{"node":"n0","nonce":1125899906842623,"permit":3,"unfit":true}`, &holder{})
-	wiretest.Written(t, holder{}, `{"node":"","nonce":0}`)
+	wiretest.Same(t, `{"node":"n0","nonce":1125899906842623,"permit":3,"unfit":true}`, &leaseHolder{})
+	wiretest.Written(t, leaseHolder{}, `{"node":"","nonce":0}`)
 	if LeaderKey != "lease/lead" || ShardKey(12) != "lease/block/12" || nodePrefix != "lease/node/" || leasePrefix != "lease/" {
 		t.Error(LeaderKey, ShardKey(12), nodePrefix, leasePrefix)
 	}
