--- a/internal/statestore/answer_deadlines.go
+++ b/internal/statestore/answer_deadlines.go
@@ -10,7 +10,7 @@
 // answerDeadlines is until when earlier owners of the shards may answer workers, so that a
 // new owner can wait until none does.
 type answerDeadlines struct {
-	rt             eventloop.Runtime
+	runtime        eventloop.Runtime
 	gracePeriod    time.Duration // of every owner, see LeaseConfig
 	previousOwners map[int]time.Duration
 }
@@ -20,7 +20,7 @@
 // while its lease was valid, it goes on until its copy of the leases is too old besides,
 // see LeaseManager.AnswersUntil.
 func (d *answerDeadlines) ownerChanged(shard int, leaseMayBeValid bool) {
-	until := d.rt.Now() + d.gracePeriod
+	until := d.runtime.Now() + d.gracePeriod
 	if leaseMayBeValid {
 		until += tuning.LeaseTTL
 	}
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -32,7 +32,7 @@
 	// FreshnessCheckInterval is the least time between two verifications of one mirror.
 	FreshnessCheckInterval time.Duration
 
-	rt             eventloop.Runtime
+	runtime        eventloop.Runtime
 	address        string
 	log            *slog.Logger
 	averageLatency time.Duration // of the answers to POST requests, moving
@@ -42,9 +42,9 @@
 
 // New returns a client of the state service at an address. Until SetLimits is called its
 // commits hold one operation.
-func New(rt eventloop.Runtime, address string, log *slog.Logger) *Client {
+func New(runtime eventloop.Runtime, address string, log *slog.Logger) *Client {
 	return &Client{
-		rt: rt, address: address, log: log,
+		runtime: runtime, address: address, log: log,
 		FreshnessCheckInterval: tuning.FreshnessCheckInterval,
 		limits:                 Limits{MaxOperations: 1, MaxValueBytes: tuning.MaxPageBytes, FutureWriteShare: 1},
 		throttle:               writeThrottle{share: 1},
@@ -63,11 +63,11 @@
 			return
 		}
 	}
-	sentAt := c.rt.Now()
+	sentAt := c.runtime.Now()
 	request := http1.ClientRequest{Method: method, Target: target, Body: raw}
-	c.rt.CallHTTP(c.address, request, timeout, func(response http1.Response, err error) {
+	c.runtime.CallHTTP(c.address, request, timeout, func(response http1.Response, err error) {
 		if err == nil && method == "POST" {
-			c.averageLatency += (c.rt.Now() - sentAt - c.averageLatency) / tuning.LatencyAverageCount
+			c.averageLatency += (c.runtime.Now() - sentAt - c.averageLatency) / tuning.LatencyAverageCount
 		}
 		switch {
 		case errors.Is(err, eventloop.ErrNotSent):
@@ -87,14 +87,14 @@
 	if outcome == OutcomeRefused {
 		c.log.Debug("state service refused a request", "target", target, "status", response.Status)
 		if response.Status == 429 && target == commitTarget {
-			c.throttle.refused(c.rt.Now(), c.limits.FutureWriteShare)
+			c.throttle.refused(c.runtime.Now(), c.limits.FutureWriteShare)
 		}
 		return outcome
 	}
 	if outcome == OutcomeInvalid {
 		c.log.Warn("state service rejected a request as invalid", "target", target, "body", string(response.Body))
 	}
-	c.LastResponseAt, c.HasResponded = c.rt.Now(), true
+	c.LastResponseAt, c.HasResponded = c.runtime.Now(), true
 	return outcome
 }
 
--- a/internal/statestore/election.go
+++ b/internal/statestore/election.go
@@ -9,7 +9,7 @@
 
 // election stands for leadership and remembers whether this process has it.
 type election struct {
-	rt      eventloop.Runtime
+	runtime eventloop.Runtime
 	table   *leaseTable
 	node    *nodeLease
 	commits *leaseCommits
@@ -27,8 +27,8 @@
 		return
 	}
 	e.commits.reserve(slot)
-	pause := time.Duration(float64(tuning.ElectionJitter) * (float64(e.rank) + e.rt.Rand()))
-	e.rt.After(pause, func() {
+	pause := time.Duration(float64(tuning.ElectionJitter) * (float64(e.rank) + e.runtime.Rand()))
+	e.runtime.After(pause, func() {
 		e.commits.free(slot)
 		if !e.node.isValid() || !e.isVacant() {
 			return
--- a/internal/statestore/lease_commit.go
+++ b/internal/statestore/lease_commit.go
@@ -51,7 +51,7 @@
 // leaseCommits sends lease changes, one commit at a time for each slot. The watch shows
 // what came of them. Repeats do no harm: their conditions fail.
 type leaseCommits struct {
-	rt       eventloop.Runtime
+	runtime  eventloop.Runtime
 	client   *Client
 	log      *slog.Logger
 	node     *nodeLease
@@ -74,13 +74,13 @@
 	leaseID := c.node.id
 	c.client.Commit(conditions, operations, func(result CommitResult) {
 		if result.Outcome == OutcomeInvalid && leaseID == c.node.id {
-			c.log.Info("lease commit rejected as invalid", "purpose", slot.purpose, "shard", slot.shard)
+			c.log.Info("lease commit rejected as invalid", "purpose", slot.purpose.String(), "shard", slot.shard)
 		}
 		pause := c.client.Backoff(1)
 		if result.Outcome == OutcomeOK {
 			pause = tuning.MinStateBackoff // time for the watch
 		}
-		c.rt.After(pause, func() {
+		c.runtime.After(pause, func() {
 			c.free(slot)
 			c.evaluate()
 		})
--- a/internal/statestore/lease_table.go
+++ b/internal/statestore/lease_table.go
@@ -13,7 +13,7 @@
 // leaseTable is this process's copy of the lease keys. It learns of them from the mirror
 // alone, also of its own changes, so that it sees all changes in their order.
 type leaseTable struct {
-	rt         eventloop.Runtime
+	runtime    eventloop.Runtime
 	log        *slog.Logger
 	shardCount int
 	answers    *answerDeadlines // told of every change of a shard's owner
@@ -23,9 +23,9 @@
 	shardsChangedAt time.Duration // latest change of the shards' leases
 }
 
-func newLeaseTable(rt eventloop.Runtime, log *slog.Logger, shardCount int, answers *answerDeadlines) *leaseTable {
+func newLeaseTable(runtime eventloop.Runtime, log *slog.Logger, shardCount int, answers *answerDeadlines) *leaseTable {
 	return &leaseTable{
-		rt: rt, log: log, shardCount: shardCount, answers: answers,
+		runtime: runtime, log: log, shardCount: shardCount, answers: answers,
 		revisions: map[string]uint64{}, holders: map[string]leaseHolder{},
 	}
 }
@@ -48,7 +48,7 @@
 func (t *leaseTable) apply(key string, value json.RawMessage, revision uint64) {
 	shard, isShard := t.shardOfKey(key)
 	if strings.HasPrefix(key, shardPrefix) {
-		t.shardsChangedAt = t.rt.Now()
+		t.shardsChangedAt = t.runtime.Now()
 	}
 	if value == nil {
 		delete(t.revisions, key)
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -47,7 +47,7 @@
 // attached to. What this process holds it learns from the watch alone, so that it sees all
 // changes in their order.
 type LeaseManager struct {
-	rt       eventloop.Runtime
+	runtime  eventloop.Runtime
 	log      *slog.Logger
 	observer LeaseObserver
 	mirror   *Mirror
@@ -61,23 +61,23 @@
 }
 
 // NewLeaseManager returns the lease manager of a node.
-func NewLeaseManager(rt eventloop.Runtime, client *Client, log *slog.Logger, config LeaseConfig) *LeaseManager {
-	m := &LeaseManager{rt: rt, log: log, observer: config.Observer}
-	m.answers = &answerDeadlines{rt: rt, gracePeriod: config.AnswerGracePeriod, previousOwners: map[int]time.Duration{}}
-	m.table = newLeaseTable(rt, log, config.ShardCount, m.answers)
-	m.node = &nodeLease{
-		rt: rt, client: client, log: log, changed: m.evaluateIfReady,
+func NewLeaseManager(runtime eventloop.Runtime, client *Client, log *slog.Logger, config LeaseConfig) *LeaseManager {
+	manager := &LeaseManager{runtime: runtime, log: log, observer: config.Observer}
+	manager.answers = &answerDeadlines{runtime: runtime, gracePeriod: config.AnswerGracePeriod, previousOwners: map[int]time.Duration{}}
+	manager.table = newLeaseTable(runtime, log, config.ShardCount, manager.answers)
+	manager.node = &nodeLease{
+		runtime: runtime, client: client, log: log, changed: manager.evaluateIfReady,
 		process: leaseHolder{Node: config.Node, Nonce: config.Nonce},
 	}
-	commits := &leaseCommits{rt: rt, client: client, log: log, node: m.node, evaluate: m.evaluate, busy: map[commitSlot]bool{}}
-	m.election = &election{rt: rt, table: m.table, node: m.node, commits: commits, rank: config.Rank}
-	m.shards = &shardLeases{
-		rt: rt, log: log, client: client, table: m.table, node: m.node, commits: commits,
+	commits := &leaseCommits{runtime: runtime, client: client, log: log, node: manager.node, evaluate: manager.evaluate, busy: map[commitSlot]bool{}}
+	manager.election = &election{runtime: runtime, table: manager.table, node: manager.node, commits: commits, rank: config.Rank}
+	manager.shards = &shardLeases{
+		runtime: runtime, log: log, client: client, table: manager.table, node: manager.node, commits: commits,
 		tokens: map[int]uint64{}, relinquished: map[int]uint64{},
 	}
-	m.assigner = &shardAssigner{rt: rt, client: client, table: m.table, node: m.node, commits: commits, election: m.election}
-	m.mirror = NewMirror(rt, client, leasePrefix, MirrorHandler{Reset: m.table.reset, Apply: m.table.apply, Updated: m.evaluate})
-	return m
+	manager.assigner = &shardAssigner{runtime: runtime, client: client, table: manager.table, node: manager.node, commits: commits, election: manager.election}
+	manager.mirror = NewMirror(runtime, client, leasePrefix, MirrorHandler{Reset: manager.table.reset, Apply: manager.table.apply, Updated: manager.evaluate})
+	return manager
 }
 
 // Start begins to follow the leases and to stand for leadership.
@@ -89,7 +89,7 @@
 
 func (m *LeaseManager) evaluatePeriodically() {
 	m.evaluateIfReady()
-	m.rt.After(evaluateInterval, m.evaluatePeriodically)
+	m.runtime.After(evaluateInterval, m.evaluatePeriodically)
 }
 
 func (m *LeaseManager) evaluateIfReady() {
@@ -135,7 +135,7 @@
 	}
 	if token != 0 {
 		m.log.Info("leadership acquired", "token", token)
-		m.election.acquiredAt = m.rt.Now()
+		m.election.acquiredAt = m.runtime.Now()
 		m.observer.LeadershipAcquired(token)
 	}
 }
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -13,221 +13,223 @@
 	"lemonmoor/internal/tuning"
 )
 
-// newLeases returns the lease manager of node-0 for two blocks, with its empty copy of
-// the leases read, and the requests that it has sent since.
-func newLeases(t *testing.T) (*store, *LeaseManager) {
+// newTestManager returns the lease manager of node-0 for two shards, which has listed an
+// empty set of leases, and the service that holds the requests it has sent since.
+func newTestManager(t *testing.T) (*fakeService, *LeaseManager) {
 	t.Helper()
-	s := newStore()
-	s.now = time.Hour
+	service := newFakeService()
+	service.now = time.Hour
 	log := slog.New(slog.DiscardHandler)
-	o := NewLeaseManager(s, New(s, "state", log), log, LeaseConfig{
-		Node: "node-0", Nonce: 1, ShardCount: 2, AnswerGracePeriod: 4 * time.Second, Observer: ignoreLeases{},
+	manager := NewLeaseManager(service, New(service, "state", log), log, LeaseConfig{
+		Node: "node-0", Nonce: 1, ShardCount: 2, AnswerGracePeriod: 4 * time.Second, Observer: noObserver{},
 	})
-	o.Start()
-	s.reply(t, "/keys", `{"rows":[],"epoch":1}`)
-	return s, o
+	manager.Start()
+	service.reply(t, "/keys", `{"rows":[],"epoch":1}`)
+	return service, manager
 }
 
-// ignoreLeases is an observer that does nothing.
-type ignoreLeases struct{}
+// noObserver is an observer that does nothing.
+type noObserver struct{}
 
-func (ignoreLeases) LeadershipAcquired(uint64) {}
-func (ignoreLeases) LeadershipLost()           {}
-func (ignoreLeases) ShardAcquired(int, uint64) {}
-func (ignoreLeases) ShardLost(int)             {}
+func (noObserver) LeadershipAcquired(uint64) {}
+func (noObserver) LeadershipLost()           {}
+func (noObserver) ShardAcquired(int, uint64) {}
+func (noObserver) ShardLost(int)             {}
 
 // take finds the first request to a path that has not been answered.
-func (s *store) take(t *testing.T, path string) request {
+func (f *fakeService) take(t *testing.T, path string) request {
 	t.Helper()
-	i := slices.IndexFunc(s.calls, func(r request) bool { return strings.HasPrefix(r.call.Target, path) })
+	i := slices.IndexFunc(f.requests, func(r request) bool { return strings.HasPrefix(r.call.Target, path) })
 	if i < 0 {
 		t.Fatalf("no request to %s", path)
 	}
-	r := s.calls[i]
-	s.calls = slices.Delete(s.calls, i, i+1)
+	r := f.requests[i]
+	f.requests = slices.Delete(f.requests, i, i+1)
 	return r
 }
 
 // reply answers the first request to a path.
-func (s *store) reply(t *testing.T, path, body string) {
+func (f *fakeService) reply(t *testing.T, path, body string) {
 	t.Helper()
-	s.take(t, path).fn(http1.Response{Status: 200, Body: []byte(body)}, nil)
+	f.take(t, path).answer(http1.Response{Status: 200, Body: []byte(body)}, nil)
 }
 
-// fire lets the timers run that are set now.
-func (s *store) fire() {
-	timers := s.timers
-	s.timers = nil
+// fire runs the timers that are set now.
+func (f *fakeService) fire() {
+	timers := f.timers
+	f.timers = nil
 	for _, fn := range timers {
 		fn()
 	}
 }
 
-// guards are those of a commit.
-func (r request) guards(t *testing.T) []Condition {
+// conditions returns those of a commit.
+func (r request) conditions(t *testing.T) []Condition {
 	t.Helper()
-	var c struct {
+	var commit struct {
 		Guards []Condition `json:"guards"`
 	}
-	if err := json.Unmarshal(r.call.Body, &c); err != nil {
+	if err := json.Unmarshal(r.call.Body, &commit); err != nil {
 		t.Fatal(err)
 	}
-	return c.Guards
+	return commit.Guards
 }
 
-func holderValue(t *testing.T, h leaseHolder) json.RawMessage {
+func holderValue(t *testing.T, holder leaseHolder) json.RawMessage {
 	t.Helper()
-	raw, err := json.Marshal(h)
+	raw, err := json.Marshal(holder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return raw
 }
 
-// TestValidityCountsFromBeforeTheRequest: however late its answer, a grant or a renewal
+// TestLeaseValidityCountsFromBeforeTheRequest: however late its answer, a grant or a renewal
 // counts from when the request left, less the drift of the clocks and a margin.
-func TestValidityCountsFromBeforeTheRequest(t *testing.T) {
-	s, o := newLeases(t)
-	ends := func(asked time.Duration) time.Duration {
-		return asked + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
+func TestLeaseValidityCountsFromBeforeTheRequest(t *testing.T) {
+	service, manager := newTestManager(t)
+	validUntil := func(sentAt time.Duration) time.Duration {
+		return sentAt + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
 	}
-	check := func(what string, asked time.Duration) {
+	check := func(what string, sentAt time.Duration) {
 		t.Helper()
-		for _, c := range []struct {
+		for _, moment := range []struct {
 			at    time.Duration
 			valid bool
-		}{{ends(asked) - time.Millisecond, true}, {ends(asked), false}} {
-			if s.now = c.at; o.LeaseValid() != c.valid {
-				t.Errorf("%s: valid %v, %v after the request", what, o.LeaseValid(), c.at-asked)
+		}{{validUntil(sentAt) - time.Millisecond, true}, {validUntil(sentAt), false}} {
+			if service.now = moment.at; manager.LeaseValid() != moment.valid {
+				t.Errorf("%s: valid %v, %v after the request", what, manager.LeaseValid(), moment.at-sentAt)
 			}
 		}
 	}
-	asked := s.now
-	s.now += 2 * time.Second
-	s.reply(t, "/grants", `{"permit":5}`)
-	check("grant", asked)
-	s.now = asked + 3*time.Second
-	s.fire() // the renewal leaves
-	asked = s.now
-	s.now += 2 * time.Second
-	s.reply(t, "/grants/5/touch", `{}`)
-	check("renewal", asked)
+	sentAt := service.now
+	service.now += 2 * time.Second
+	service.reply(t, "/grants", `{"permit":5}`)
+	check("grant", sentAt)
+	service.now = sentAt + 3*time.Second
+	service.fire() // the renewal leaves
+	sentAt = service.now
+	service.now += 2 * time.Second
+	service.reply(t, "/grants/5/touch", `{}`)
+	check("renewal", sentAt)
 }
 
-// TestExpiredGrantHoldsNothing: when its grant has expired, a process holds nothing any
-// more, also while its copy of the leases still shows its old entries.
-func TestExpiredGrantHoldsNothing(t *testing.T) {
-	s, o := newLeases(t)
-	s.reply(t, "/grants", `{"permit":5}`)
-	o.table.apply(ShardKey(0), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 7)
-	o.evaluate()
-	if o.ShardToken(0) != 7 || !o.LeaseValid() {
-		t.Fatalf("token %d, valid %v", o.ShardToken(0), o.LeaseValid())
+// TestExpiredNodeLeaseHoldsNothing: when its node lease has expired, a process holds nothing
+// any more, also while its copy of the leases still shows its old entries.
+func TestExpiredNodeLeaseHoldsNothing(t *testing.T) {
+	service, manager := newTestManager(t)
+	service.reply(t, "/grants", `{"permit":5}`)
+	manager.table.apply(ShardKey(0), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 7)
+	manager.evaluate()
+	if manager.ShardToken(0) != 7 || !manager.LeaseValid() {
+		t.Fatalf("token %d, valid %v", manager.ShardToken(0), manager.LeaseValid())
 	}
-	s.fire()
-	s.take(t, "/grants/5/touch").fn(http1.Response{Status: 404, Body: []byte(`{}`)}, nil)
-	s.fire()
-	s.reply(t, "/grants", `{"permit":6}`)
-	if o.ShardToken(0) != 0 {
-		t.Errorf("holds a block of the expired grant under token %d", o.ShardToken(0))
+	service.fire()
+	service.take(t, "/grants/5/touch").answer(http1.Response{Status: 404, Body: []byte(`{}`)}, nil)
+	service.fire()
+	service.reply(t, "/grants", `{"permit":6}`)
+	if manager.ShardToken(0) != 0 {
+		t.Errorf("holds a shard of the expired lease under token %d", manager.ShardToken(0))
 	}
 }
 
-// TestEarlierOwnersLastAnswer: a new owner waits out the hold after a lease that has
-// expired, the lease time besides if the block was taken from a live holder or if how it
-// changed hands was not seen; a renewal by the same process moves nothing.
-func TestEarlierOwnersLastAnswer(t *testing.T) {
+// TestPreviousOwnerAnswersUntilItsDeadline: a new owner waits out the grace period after a
+// lease that has expired, and the lease's time to live besides if the shard was taken from a
+// live owner or if how it changed hands was not seen; a new token of the same process moves
+// nothing.
+func TestPreviousOwnerAnswersUntilItsDeadline(t *testing.T) {
 	first, second := leaseHolder{Node: "node-1", Nonce: 1}, leaseHolder{Node: "node-0", Nonce: 1}
-	for _, c := range []struct {
-		name string
-		do   func(*LeaseManager)
-		wait time.Duration
+	for _, test := range []struct {
+		name   string
+		change func(*LeaseManager)
+		wait   time.Duration
 	}{
-		{"expired", func(o *LeaseManager) {
-			o.table.apply(ShardKey(0), nil, 8)
-			o.table.apply(ShardKey(0), holderValue(t, second), 9)
+		{"expired", func(manager *LeaseManager) {
+			manager.table.apply(ShardKey(0), nil, 8)
+			manager.table.apply(ShardKey(0), holderValue(t, second), 9)
 		}, 4 * time.Second},
-		{"taken from a live holder", func(o *LeaseManager) {
-			o.table.apply(ShardKey(0), holderValue(t, second), 8)
+		{"taken from a live owner", func(manager *LeaseManager) {
+			manager.table.apply(ShardKey(0), holderValue(t, second), 8)
 		}, 4*time.Second + tuning.LeaseTTL},
-		{"read anew", func(o *LeaseManager) {
-			rows := []KeyValue{{ShardKey(0), holderValue(t, second), 8}}
-			o.table.reset(rows)
-			o.table.apply(rows[0].Key, rows[0].Value, rows[0].Revision)
+		{"listed anew", func(manager *LeaseManager) {
+			entries := []KeyValue{{ShardKey(0), holderValue(t, second), 8}}
+			manager.table.reset(entries)
+			manager.table.apply(entries[0].Key, entries[0].Value, entries[0].Revision)
 		}, 4*time.Second + tuning.LeaseTTL},
-		{"renewed by its holder", func(o *LeaseManager) {
-			o.table.apply(ShardKey(0), holderValue(t, first), 8)
+		{"token renewed by its owner", func(manager *LeaseManager) {
+			manager.table.apply(ShardKey(0), holderValue(t, first), 8)
 		}, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s, o := newLeases(t)
-			o.table.apply(ShardKey(0), holderValue(t, first), 7)
-			before := o.PreviousOwnerAnswersUntil(0)
-			s.now += time.Hour
-			c.do(o)
+		t.Run(test.name, func(t *testing.T) {
+			service, manager := newTestManager(t)
+			manager.table.apply(ShardKey(0), holderValue(t, first), 7)
+			before := manager.PreviousOwnerAnswersUntil(0)
+			service.now += time.Hour
+			test.change(manager)
 			want := before
-			if c.wait > 0 {
-				want = s.now + c.wait
+			if test.wait > 0 {
+				want = service.now + test.wait
 			}
-			if got := o.PreviousOwnerAnswersUntil(0); got != want {
-				t.Errorf("answers of earlier owners until %v from now, want %v", got-s.now, want-s.now)
+			if got := manager.PreviousOwnerAnswersUntil(0); got != want {
+				t.Errorf("earlier owners answer until %v from now, want %v", got-service.now, want-service.now)
 			}
 		})
 	}
 }
 
-// TestAnswersEndWithTheCopyOfTheLeases: an owner answers no longer than its copy of the
-// leases is young enough, however often its grant is renewed, since the block may be
+// TestAnswersEndWhenTheLeaseTableIsTooOld: an owner answers no longer than its copy of the
+// leases is young enough, however often its node lease is renewed, since the shard may be
 // another's.
-func TestAnswersEndWithTheCopyOfTheLeases(t *testing.T) {
-	s, o := newLeases(t)
-	proven := s.now
-	s.reply(t, "/grants", `{"permit":5}`)
-	s.now += 5 * time.Second
-	s.fire()
-	s.reply(t, "/grants/5/touch", `{}`)
-	if got, want := o.AnswersUntil(), proven+tuning.LeaseTTL+o.answers.gracePeriod; got != want {
-		t.Errorf("answers until %v after the proof, want %v", got-proven, want-proven)
+func TestAnswersEndWhenTheLeaseTableIsTooOld(t *testing.T) {
+	service, manager := newTestManager(t)
+	verifiedAt := service.now
+	service.reply(t, "/grants", `{"permit":5}`)
+	service.now += 5 * time.Second
+	service.fire()
+	service.reply(t, "/grants/5/touch", `{}`)
+	if got, want := manager.AnswersUntil(), verifiedAt+tuning.LeaseTTL+manager.answers.gracePeriod; got != want {
+		t.Errorf("answers until %v after the verification, want %v", got-verifiedAt, want-verifiedAt)
 	}
 }
 
-// TestLeaseChangesAreGuarded: leadership is taken only if it is as it was seen; a block is
-// assigned only under the leader's token, and taken or renewed only as it was seen.
-func TestLeaseChangesAreGuarded(t *testing.T) {
-	s, o := newLeases(t)
-	s.reply(t, "/grants", `{"permit":5}`)
+// TestLeaseCommitsAreConditional: leadership is taken only if its key is as it was seen; a
+// shard is assigned only under the leader's token, and its key is replaced only as it was
+// seen.
+func TestLeaseCommitsAreConditional(t *testing.T) {
+	service, manager := newTestManager(t)
+	service.reply(t, "/grants", `{"permit":5}`)
 	next := func(key string) request {
 		t.Helper()
 		for range 20 {
-			for i, r := range s.calls {
+			for i, r := range service.requests {
 				if r.call.Target == "/commit" && strings.Contains(string(r.call.Body), `"set":"`+key+`"`) {
-					s.calls = slices.Delete(s.calls, i, i+1)
+					service.requests = slices.Delete(service.requests, i, i+1)
 					return r
 				}
 			}
-			s.now += 100 * time.Millisecond
-			s.fire()
+			service.now += 100 * time.Millisecond
+			service.fire()
 		}
 		t.Fatalf("no commit of %s", key)
 		return request{}
 	}
-	if g := next(LeaderKey).guards(t); !slices.Contains(g, Condition{LeaderKey, 0}) {
-		t.Errorf("leadership is taken under %v", g)
+	if conditions := next(LeaderKey).conditions(t); !slices.Contains(conditions, Condition{LeaderKey, 0}) {
+		t.Errorf("leadership is taken under %v", conditions)
 	}
-	o.table.apply(nodePrefix+"node-1", holderValue(t, leaseHolder{Node: "node-1", Nonce: 1, LeaseID: 9}), 3)
-	o.table.apply(LeaderKey, holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 4)
-	s.now += time.Second // it has let the controllers enrol
-	o.evaluate()
-	o.node.validUntil = s.now + time.Hour
-	if g := next(ShardKey(0)).guards(t); !slices.Contains(g, Condition{LeaderKey, 4}) || !slices.Contains(g, Condition{ShardKey(0), 0}) {
-		t.Errorf("a block is assigned under %v", g)
+	manager.table.apply(nodePrefix+"node-1", holderValue(t, leaseHolder{Node: "node-1", Nonce: 1, LeaseID: 9}), 3)
+	manager.table.apply(LeaderKey, holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 4)
+	service.now += time.Second // it has let the nodes register
+	manager.evaluate()
+	manager.node.validUntil = service.now + time.Hour
+	if conditions := next(ShardKey(0)).conditions(t); !slices.Contains(conditions, Condition{LeaderKey, 4}) || !slices.Contains(conditions, Condition{ShardKey(0), 0}) {
+		t.Errorf("a shard is assigned under %v", conditions)
 	}
-	o.table.apply(ShardKey(1), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 6)
-	o.evaluate()
-	o.RenewToken(1)
-	if g := next(ShardKey(1)).guards(t); !slices.Contains(g, Condition{ShardKey(1), 6}) {
-		t.Errorf("a token is renewed under %v", g)
+	manager.table.apply(ShardKey(1), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 6)
+	manager.evaluate()
+	manager.RenewToken(1)
+	if conditions := next(ShardKey(1)).conditions(t); !slices.Contains(conditions, Condition{ShardKey(1), 6}) {
+		t.Errorf("a token is renewed under %v", conditions)
 	}
 }
 
-var _ eventloop.Runtime = (*store)(nil)
+var _ eventloop.Runtime = (*fakeService)(nil)
--- a/internal/statestore/limits.go
+++ b/internal/statestore/limits.go
@@ -28,11 +28,11 @@
 
 // WriteShare returns the share of the writes a second that this node may use, from 0 to 1:
 // it backs off while the service refuses writes, where its limits are to fall.
-func (c *Client) WriteShare() float64 { return c.throttle.currentShare(c.rt.Now()) }
+func (c *Client) WriteShare() float64 { return c.throttle.currentShare(c.runtime.Now()) }
 
 // WritesThrottled tells whether the service has lately refused commits because there were
 // too many writes in a second.
-func (c *Client) WritesThrottled() bool { return c.throttle.isActive(c.rt.Now()) }
+func (c *Client) WritesThrottled() bool { return c.throttle.isActive(c.runtime.Now()) }
 
 // halveLimits takes note of a commit that the service finds too large: its limits are not
 // what the settings say. Sent again as it was, the commit would fail for ever.
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -25,7 +25,7 @@
 // follows their changes by a watch, and lists them anew when the service has dropped the
 // history in between. The handler holds the copy; the mirror owns how far it has come.
 type Mirror struct {
-	rt      eventloop.Runtime
+	runtime eventloop.Runtime
 	client  *Client
 	prefix  string
 	handler MirrorHandler
@@ -45,8 +45,8 @@
 }
 
 // NewMirror returns a mirror of the key-values under prefix.
-func NewMirror(rt eventloop.Runtime, client *Client, prefix string, handler MirrorHandler) *Mirror {
-	return &Mirror{rt: rt, client: client, prefix: prefix, handler: handler}
+func NewMirror(runtime eventloop.Runtime, client *Client, prefix string, handler MirrorHandler) *Mirror {
+	return &Mirror{runtime: runtime, client: client, prefix: prefix, handler: handler}
 }
 
 // SetWatchPause sets how long the mirror waits after changes before it opens the watch
@@ -65,13 +65,13 @@
 	m.generation++
 	m.listing = true
 	generation := m.generation
-	sentAt := m.rt.Now()
+	sentAt := m.runtime.Now()
 	m.client.List(m.prefix, func(listed ListResult) {
 		if generation != m.generation {
 			return
 		}
 		if listed.Outcome != OutcomeOK {
-			m.rt.After(m.client.Backoff(attempt), func() {
+			m.runtime.After(m.client.Backoff(attempt), func() {
 				if generation == m.generation {
 					m.list(attempt + 1)
 				}
@@ -105,7 +105,7 @@
 
 // watch follows the changes of one generation.
 func (m *Mirror) watch(generation, attempt int) {
-	sentAt := m.rt.Now()
+	sentAt := m.runtime.Now()
 	m.client.Watch(m.prefix, m.revision, tuning.WatchTimeout, func(watched WatchResult) {
 		if generation != m.generation {
 			return
@@ -116,7 +116,7 @@
 			m.verified.advance(sentAt)
 			pause := time.Duration(0)
 			if len(watched.Events) > 0 {
-				pause = m.pacer.next(m.rt.Now())
+				pause = m.pacer.next(m.runtime.Now())
 			}
 			m.watchAgain(generation, 0, pause)
 		case OutcomeGone:
@@ -133,7 +133,7 @@
 		m.watch(generation, attempt)
 		return
 	}
-	m.rt.After(pause, func() {
+	m.runtime.After(pause, func() {
 		if generation == m.generation {
 			m.watch(generation, attempt)
 		}
--- a/internal/statestore/mirror_verify.go
+++ b/internal/statestore/mirror_verify.go
@@ -52,7 +52,7 @@
 // VerifyIfOlder verifies the mirror, by a request sent from now on, unless VerifiedAt is
 // younger than age. While a verification waits to be sent, no other is asked for.
 func (m *Mirror) VerifyIfOlder(age time.Duration) {
-	if !m.ready || m.listing || (m.verified.known && m.rt.Now()-m.verified.at < age) || len(m.checks.waiters) > 0 {
+	if !m.ready || m.listing || (m.verified.known && m.runtime.Now()-m.verified.at < age) || len(m.checks.waiters) > 0 {
 		return
 	}
 	m.Verify(func(error) {})
@@ -66,14 +66,14 @@
 	}
 	pause := time.Duration(0)
 	if m.checks.everSent {
-		pause = max(0, m.checks.lastSentAt+m.client.FreshnessCheckInterval-m.rt.Now())
+		pause = max(0, m.checks.lastSentAt+m.client.FreshnessCheckInterval-m.runtime.Now())
 	}
 	if pause == 0 {
 		m.check()
 		return
 	}
 	m.checks.scheduled = true
-	m.rt.After(pause, func() {
+	m.runtime.After(pause, func() {
 		m.checks.scheduled = false
 		m.check()
 	})
@@ -90,7 +90,7 @@
 		answerAll(waiters, ErrNotVerified)
 		return
 	}
-	sentAt := m.rt.Now()
+	sentAt := m.runtime.Now()
 	m.checks.inFlight, m.checks.everSent, m.checks.lastSentAt = true, true, sentAt
 	generation := m.generation
 	m.client.Watch(m.prefix, m.revision, 0, func(watched WatchResult) {
--- a/internal/statestore/node_lease.go
+++ b/internal/statestore/node_lease.go
@@ -11,9 +11,9 @@
 // nodeLease is this node's one lease at the state service. All lease keys that the process
 // holds are attached to it, so that renewing it renews them all and none is put anew.
 type nodeLease struct {
-	rt     eventloop.Runtime
-	client *Client
-	log    *slog.Logger
+	runtime eventloop.Runtime
+	client  *Client
+	log     *slog.Logger
 	// changed is called when a lease has been granted or has expired.
 	changed func()
 
@@ -23,7 +23,7 @@
 }
 
 // isValid tells whether the keys attached to the lease are surely held now.
-func (l *nodeLease) isValid() bool { return l.id != 0 && l.rt.Now() < l.validUntil }
+func (l *nodeLease) isValid() bool { return l.id != 0 && l.runtime.Now() < l.validUntil }
 
 // attach returns the operation that puts a lease key, held by this process.
 func (l *nodeLease) attach(key string) Operation {
@@ -33,7 +33,7 @@
 // keepAlive renews the lease, or asks for one if there is none, and goes on doing so. The
 // validity counts from before the request: when the service carried it out is not known.
 func (l *nodeLease) keepAlive() {
-	validUntil := l.rt.Now() + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
+	validUntil := l.runtime.Now() + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
 	if l.id == 0 {
 		l.grant(validUntil)
 	} else {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l *nodeLease) keepAliveAfter(pause time.Duration) { l.rt.After(pause, l.keepAlive) }
+func (l *nodeLease) keepAliveAfter(pause time.Duration) { l.runtime.After(pause, l.keepAlive) }
 
 func (l *nodeLease) grant(validUntil time.Duration) {
 	l.client.GrantLease(tuning.LeaseTTL, func(granted GrantResult) {
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -20,5 +20,5 @@
 // Backoff returns the pause before another attempt, with jitter; attempt counts from 0.
 func (c *Client) Backoff(attempt int) time.Duration {
 	pause := min(tuning.MinStateBackoff<<min(attempt, maxBackoffDoublings), tuning.MaxStateBackoff)
-	return time.Duration(float64(pause) * (0.5 + c.rt.Rand()))
+	return time.Duration(float64(pause) * (0.5 + c.runtime.Rand()))
 }
--- a/internal/statestore/shard_assignment.go
+++ b/internal/statestore/shard_assignment.go
@@ -10,7 +10,7 @@
 
 // shardAssigner assigns shards to nodes while this process leads.
 type shardAssigner struct {
-	rt       eventloop.Runtime
+	runtime  eventloop.Runtime
 	client   *Client
 	table    *leaseTable
 	node     *nodeLease
@@ -22,7 +22,7 @@
 // moves one from a node with many to one with few.
 func (a *shardAssigner) assign() {
 	slot := commitSlot{purposeAssign, noShard}
-	if a.commits.isBusy(slot) || a.rt.Now() < a.election.acquiredAt+tuning.FirstAssignmentDelay {
+	if a.commits.isBusy(slot) || a.runtime.Now() < a.election.acquiredAt+tuning.FirstAssignmentDelay {
 		return
 	}
 	candidates := a.candidates()
@@ -31,7 +31,7 @@
 	}
 	shards := a.unownedShards()
 	a.countShards(candidates)
-	if len(shards) == 0 && a.rt.Now() > a.table.shardsChangedAt+tuning.ShardRebalanceDelay {
+	if len(shards) == 0 && a.runtime.Now() > a.table.shardsChangedAt+tuning.ShardRebalanceDelay {
 		shards = a.shardToMove(candidates)
 	}
 	if len(shards) == 0 {
--- a/internal/statestore/shard_leases.go
+++ b/internal/statestore/shard_leases.go
@@ -12,7 +12,7 @@
 // gives them up and takes back those of an earlier process of this node. It never takes
 // others; the leader assigns them.
 type shardLeases struct {
-	rt      eventloop.Runtime
+	runtime eventloop.Runtime
 	log     *slog.Logger
 	client  *Client
 	table   *leaseTable
@@ -26,7 +26,7 @@
 	abstainUntil time.Duration // no shards are taken before
 }
 
-func (s *shardLeases) isAbstaining() bool { return s.rt.Now() < s.abstainUntil }
+func (s *shardLeases) isAbstaining() bool { return s.runtime.Now() < s.abstainUntil }
 
 func (s *shardLeases) isRelinquished(shard int) bool {
 	return s.tokens[shard] != 0 && s.relinquished[shard] == s.tokens[shard]
@@ -88,7 +88,7 @@
 		s.relinquished[shard] = token
 	}
 	s.log.Info("relinquishing all shards: no worker reaches this node", "count", len(s.tokens))
-	s.abstainUntil = s.rt.Now() + tuning.AbstainAfterStepDown
+	s.abstainUntil = s.runtime.Now() + tuning.AbstainAfterStepDown
 	s.release()
 }
 
--- a/internal/statestore/verify_test.go
+++ b/internal/statestore/verify_test.go
@@ -31,8 +31,8 @@
 	fn(err)
 }
 
-func newVerifyClient() (*store, *Client) {
-	service := newStore()
+func newVerifyClient() (*fakeService, *Client) {
+	service := newFakeService()
 	return service, New(service, "state", slog.New(slog.DiscardHandler))
 }
 
