--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,68 +1,64 @@
-// Package eventloop is the owner loop: one goroutine owns all state of the
-// process and works through a queue of commands in batches. Everything else
-// (sockets, timers, calls to other services) only posts commands.
+// Package eventloop runs the owner loop: one goroutine owns all state of the process and
+// works through queues of commands in batches. Everything else (sockets, timers, calls to
+// other services) only posts commands.
+//
+// The package owns the queues and nothing of what the commands work on. It must never run
+// two commands at the same time, nor run a command on another goroutine than Run's.
 package eventloop
 
 import (
 	"context"
-	"errors"
+	"strconv"
 	"sync"
-	"time"
 
-	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
-// Lane ranks commands: under overload, reports of workers and answers to the
-// program's own calls come first, then decisions, then users.
+// Lane ranks commands. Under overload heartbeats come first, so that no work is lost for
+// want of an answer, then the program's own decisions, then users, who can come back.
 type Lane int
 
 // The lanes in their order of service.
 const (
+	// HeartbeatLane is for workers' heartbeats, for peers' messages and for the answers to
+	// the program's own calls.
 	HeartbeatLane Lane = iota
+	// DecisionLane is for timers.
 	DecisionLane
+	// UserLane is for users' requests.
 	UserLane
-	lanes
-)
-
-// ErrNotSent says that a call surely never reached its target.
-var ErrNotSent = errors.New("not sent")
 
-// ErrNoAnswer says that a call may have been carried out, or may yet be.
-var ErrNoAnswer = errors.New("no answer")
+	laneCount = iota
+)
 
-// Runtime is all that the slices know of the world outside the loop. Every
-// callback runs on the loop.
-type Runtime interface {
-	// Now reads the steady clock.
-	Now() time.Duration
-	// WallClock reads the time of day.
-	WallClock() time.Time
-	// After runs fn on the loop once d has passed.
-	After(d time.Duration, fn func())
-	// CallHTTP sends a request and hands the answer, ErrNotSent or ErrNoAnswer
-	// to fn.
-	CallHTTP(addr string, req http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error))
-	// CallPeer sends a message to another controller; err is as with Call.
-	CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func(body []byte, err error))
-	// Rand returns a random number in [0,1).
-	Rand() float64
+// String returns the lane's name in logs.
+func (l Lane) String() string {
+	switch l {
+	case HeartbeatLane:
+		return "heartbeat"
+	case DecisionLane:
+		return "decision"
+	case UserLane:
+		return "user"
+	}
+	return "lane " + strconv.Itoa(int(l))
 }
 
-// Loop is the queue of commands and its one worker.
+// Loop is the queues of commands and the one goroutine that runs them. Post and
+// QueueLength are safe for concurrent use.
 type Loop struct {
-	mu    sync.Mutex
-	queue [lanes][]func()
-	wake  chan struct{}
+	mu     sync.Mutex
+	queues [laneCount][]func()
+	wake   chan struct{} // holds one element while Run may have missed a command
 }
 
-// NewLoop returns an empty loop.
+// NewLoop returns a loop without commands.
 func NewLoop() *Loop { return &Loop{wake: make(chan struct{}, 1)} }
 
-// Post queues a command.
-func (l *Loop) Post(lane Lane, fn func()) {
+// Post queues a command. It never blocks for longer than the queue's lock is held.
+func (l *Loop) Post(lane Lane, command func()) {
 	l.mu.Lock()
-	l.queue[lane] = append(l.queue[lane], fn)
+	l.queues[lane] = append(l.queues[lane], command)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -70,18 +66,19 @@
 	}
 }
 
-// QueueLength is the number of commands queued in a lane.
+// QueueLength returns the number of commands queued in a lane.
 func (l *Loop) QueueLength(lane Lane) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.queue[lane])
+	return len(l.queues[lane])
 }
 
-// Run works through the queue until ctx ends. After every batch it calls
-// settle, where the slices take the decisions the batch made necessary.
-func (l *Loop) Run(ctx context.Context, settle func()) {
+// Run works through the queues until the context ends and they are empty. After every batch
+// it calls afterBatch, where the owners of state take the decisions that the batch has made
+// necessary.
+func (l *Loop) Run(ctx context.Context, afterBatch func()) {
 	for {
-		batch := l.take()
+		batch := l.takeBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -90,30 +87,29 @@
 				continue
 			}
 		}
-		for _, fn := range batch {
-			fn()
+		for _, command := range batch {
+			command()
 		}
-		settle()
+		afterBatch()
 	}
 }
 
-// take removes the next batch: all of the first non-empty lane, users in
-// small portions.
-func (l *Loop) take() []func() {
+// takeBatch takes the next batch off: all of the first lane that is not empty, but users'
+// commands in small portions, so that the other lanes are served in between.
+func (l *Loop) takeBatch() []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for lane := range l.queue {
-		q := l.queue[lane]
-		if len(q) == 0 {
+	for lane := range l.queues {
+		queue := l.queues[lane]
+		if len(queue) == 0 {
 			continue
 		}
-		if Lane(lane) == UserLane && len(q) > tuning.UserCommandBatch {
-			batch := q[:tuning.UserCommandBatch:tuning.UserCommandBatch]
-			l.queue[lane] = q[tuning.UserCommandBatch:]
-			return batch
+		if Lane(lane) == UserLane && len(queue) > tuning.UserCommandBatch {
+			l.queues[lane] = queue[tuning.UserCommandBatch:]
+			return queue[:tuning.UserCommandBatch:tuning.UserCommandBatch]
 		}
-		l.queue[lane] = nil
-		return q
+		l.queues[lane] = nil
+		return queue
 	}
 	return nil
 }
--- a/internal/eventloop/system_runtime.go
+++ b/internal/eventloop/system_runtime.go
@@ -8,73 +8,78 @@
 	"lemonmoor/internal/tuning"
 )
 
-// SystemRuntime is the Runtime of a running process.
-type SystemRuntime struct {
-	loop   *Loop
-	client *http1.Client
-	peers  PeerSender
-	start  time.Time
-}
-
 // PeerSender sends a message to another controller and waits for its answer.
 type PeerSender interface {
+	// Send may be called concurrently; timeout is for the message and its answer together.
 	Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// NewSystemRuntime returns a runtime that posts to loop and calls through client.
+// SystemRuntime is the Runtime of a running process: it reads the machine's clocks and sends
+// each call from a goroutine of its own, whose only other deed is to post the answer.
+type SystemRuntime struct {
+	loop      *Loop
+	client    *http1.Client
+	peers     PeerSender
+	startedAt time.Time
+}
+
+var _ Runtime = (*SystemRuntime)(nil)
+
+// NewSystemRuntime returns a runtime that posts to loop and calls through client and peers.
+// From then on it closes the client's idle connections regularly, as long as the process
+// runs.
 func NewSystemRuntime(loop *Loop, client *http1.Client, peers PeerSender) *SystemRuntime {
-	r := &SystemRuntime{loop: loop, client: client, peers: peers, start: time.Now()}
-	r.sweep()
-	return r
+	runtime := &SystemRuntime{loop: loop, client: client, peers: peers, startedAt: time.Now()}
+	runtime.closeIdlePeriodically()
+	return runtime
 }
 
-func (r *SystemRuntime) sweep() {
+func (s *SystemRuntime) closeIdlePeriodically() {
 	time.AfterFunc(tuning.SocketSweepInterval, func() {
-		r.client.CloseIdle()
-		r.sweep()
+		s.client.CloseIdle()
+		s.closeIdlePeriodically()
 	})
 }
 
 // Now reads the steady clock, from the start of the process.
-func (r *SystemRuntime) Now() time.Duration { return time.Since(r.start) }
+func (s *SystemRuntime) Now() time.Duration { return time.Since(s.startedAt) }
 
 // WallClock reads the time of day.
-func (r *SystemRuntime) WallClock() time.Time { return time.Now() }
+func (s *SystemRuntime) WallClock() time.Time { return time.Now() }
 
 // Rand returns a random number in [0,1).
-func (r *SystemRuntime) Rand() float64 { return rand.Float64() }
+func (s *SystemRuntime) Rand() float64 { return rand.Float64() }
 
-// After runs fn on the loop once d has passed.
-func (r *SystemRuntime) After(d time.Duration, fn func()) {
-	if d <= 0 {
-		r.loop.Post(DecisionLane, fn)
+// After runs fn on the loop once delay has passed.
+func (s *SystemRuntime) After(delay time.Duration, fn func()) {
+	if delay <= 0 {
+		s.loop.Post(DecisionLane, fn)
 		return
 	}
-	time.AfterFunc(d, func() { r.loop.Post(DecisionLane, fn) })
+	time.AfterFunc(delay, func() { s.loop.Post(DecisionLane, fn) })
 }
 
-// CallHTTP sends a request from a goroutine of its own; the answer comes back
-// through the loop.
-func (r *SystemRuntime) CallHTTP(addr string, req http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
+// CallHTTP sends a request; the response comes back through the loop.
+func (s *SystemRuntime) CallHTTP(address string, request http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
 	go func() {
-		ans, sent, err := r.client.Send(addr, req, timeout)
-		var a http1.Response
+		var response http1.Response
+		received, sent, err := s.client.Send(address, request, timeout)
 		switch {
 		case err == nil:
-			a = *ans
+			response = *received
 		case sent:
 			err = ErrNoAnswer
 		default:
 			err = ErrNotSent
 		}
-		r.loop.Post(HeartbeatLane, func() { fn(a, err) })
+		s.loop.Post(HeartbeatLane, func() { fn(response, err) })
 	}()
 }
 
-// CallPeer sends a message to another controller from a goroutine of its own.
-func (r *SystemRuntime) CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
+// CallPeer sends a message to another controller; its answer comes back through the loop.
+func (s *SystemRuntime) CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
 	go func() {
-		answer, err := r.peers.Send(endpoint, path, body, timeout)
-		r.loop.Post(HeartbeatLane, func() { fn(answer, err) })
+		answer, err := s.peers.Send(endpoint, path, body, timeout)
+		s.loop.Post(HeartbeatLane, func() { fn(answer, err) })
 	}()
 }
