--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"bytes"
 	"fmt"
 	"math"
 	"time"
@@ -33,17 +34,17 @@
 	Limits DrainLimits `hcl:",remain"`
 }
 
-// DrainLimits is how much of a team's work may be disturbed at once.
+// DrainLimits is how much of a team's work may be disturbed at once; nil for no limit.
 type DrainLimits struct {
 	Tasks *int     `hcl:"tasks,optional"`
-	CPUs  *float64 `hcl:"cpus,optional"`
-	// Share is the part of the processors of its running work.
+	CPUs  *float64 `hcl:"cpus,optional"` // processors of the disturbed tasks
+	// Share is of the processors of the team's running work, the disturbed included, 0 to 1.
 	Share *float64 `hcl:"share,optional"`
 	// ReplicasUp is the fewest replicas of each service that stay up.
 	ReplicasUp *int `hcl:"replicas_up,optional"`
 }
 
-// MachinesAtOnceOrDefault is how many machines of a drain are emptied at a time.
+// MachinesAtOnceOrDefault returns how many machines of a drain are emptied at a time.
 func (d *Drains) MachinesAtOnceOrDefault() int {
 	if d.MachinesAtOnce != nil {
 		return *d.MachinesAtOnce
@@ -51,7 +52,7 @@
 	return tuning.DefaultDrainMachinesAtOnce
 }
 
-// WaitOrDefault is how long tasks that are about to end are waited for.
+// WaitOrDefault returns how long tasks that are about to end are waited for.
 func (d *Drains) WaitOrDefault() time.Duration {
 	if d.WaitS != nil {
 		return seconds(*d.WaitS)
@@ -59,73 +60,79 @@
 	return tuning.DefaultDrainWait
 }
 
-// drainFault is a setting that makes no sense.
-type drainFault struct {
-	block string // text that its block begins with, as it stands in the file
-	key   string
-	why   string
+// drainError is a setting of the drains block that makes no sense.
+type drainError struct {
+	block  string // text that its inner block begins with, as it stands in the file; "" for none
+	key    string
+	reason string
 }
 
-// fault finds a setting that makes no sense; nil if there is none.
-func (d *Drains) fault() *drainFault {
-	if n := d.MachinesAtOnceOrDefault(); n < 1 || n > tuning.MaxDrainMachinesAtOnce {
-		return &drainFault{key: "machines_at_once", why: fmt.Sprintf("%d is outside 1 to %d", n, tuning.MaxDrainMachinesAtOnce)}
+// line returns the line of the setting in the file.
+func (e *drainError) line(source []byte) int {
+	start := max(0, bytes.Index(source, []byte(e.block)))
+	return bytes.Count(source[:start], []byte("\n")) + lineOf(source[start:], e.key)
+}
+
+// check finds the first setting that makes no sense; nil if there is none.
+func (d *Drains) check() *drainError {
+	if machines := d.MachinesAtOnceOrDefault(); machines < 1 || machines > tuning.MaxDrainMachinesAtOnce {
+		return &drainError{key: "machines_at_once", reason: fmt.Sprintf("%d is outside 1 to %d", machines, tuning.MaxDrainMachinesAtOnce)}
 	}
-	if s := d.WaitOrDefault().Seconds(); s < 0 || s > 86400 || math.IsNaN(s) {
-		return &drainFault{key: "wait_s", why: fmt.Sprintf("%g is outside 0 to 86400", s)}
+	if waitSeconds := d.WaitOrDefault().Seconds(); !isOperatorTime(waitSeconds) {
+		return &drainError{key: "wait_s", reason: fmt.Sprintf("%g is outside 0 to %d", waitSeconds, maxOperatorSeconds)}
 	}
 	if d.Default != nil {
-		if f := d.Default.Limits.fault(); f != nil {
-			f.block = "default"
-			return f
+		if err := d.Default.Limits.check(); err != nil {
+			err.block = "default"
+			return err
 		}
 	}
-	named := map[string]bool{}
+	seenTeams := map[string]bool{}
 	for i := range d.Teams {
 		label := fmt.Sprintf("team %q", d.Teams[i].Name)
-		if named[label] {
-			return &drainFault{key: label, why: "the team is named twice"}
+		if seenTeams[label] {
+			return &drainError{key: label, reason: "the team is named twice"}
 		}
-		named[label] = true
-		if f := d.Teams[i].Limits.fault(); f != nil {
-			f.block, f.why = label, label+": "+f.why
-			return f
+		seenTeams[label] = true
+		if err := d.Teams[i].Limits.check(); err != nil {
+			err.block, err.reason = label, label+": "+err.reason
+			return err
 		}
 	}
 	return nil
 }
 
-// fault finds a limit below zero, or one under which nothing could ever move.
-func (l *DrainLimits) fault() *drainFault {
-	const never = "0: under it nothing could ever move"
+// check finds a limit below zero, or one under which nothing could ever move.
+func (l *DrainLimits) check() *drainError {
+	const neverMoves = "0: under it nothing could ever move"
 	switch {
 	case l.Tasks != nil && *l.Tasks < 0:
-		return &drainFault{key: "tasks", why: fmt.Sprintf("%d is below 0", *l.Tasks)}
+		return &drainError{key: "tasks", reason: fmt.Sprintf("%d is below 0", *l.Tasks)}
 	case l.Tasks != nil && *l.Tasks == 0:
-		return &drainFault{key: "tasks", why: never}
+		return &drainError{key: "tasks", reason: neverMoves}
 	case l.CPUs != nil && (*l.CPUs < 0 || math.IsNaN(*l.CPUs)):
-		return &drainFault{key: "cpus", why: fmt.Sprintf("%g is below 0", *l.CPUs)}
+		return &drainError{key: "cpus", reason: fmt.Sprintf("%g is below 0", *l.CPUs)}
 	case l.CPUs != nil && *l.CPUs == 0:
-		return &drainFault{key: "cpus", why: never}
+		return &drainError{key: "cpus", reason: neverMoves}
 	case l.Share != nil && (*l.Share < 0 || *l.Share > 1 || math.IsNaN(*l.Share)):
-		return &drainFault{key: "share", why: fmt.Sprintf("%g is outside 0 to 1", *l.Share)}
+		return &drainError{key: "share", reason: fmt.Sprintf("%g is outside 0 to 1", *l.Share)}
 	case l.Share != nil && *l.Share == 0:
-		return &drainFault{key: "share", why: never}
+		return &drainError{key: "share", reason: neverMoves}
 	case l.ReplicasUp != nil && *l.ReplicasUp < 0:
-		return &drainFault{key: "replicas_up", why: fmt.Sprintf("%d is below 0", *l.ReplicasUp)}
+		return &drainError{key: "replicas_up", reason: fmt.Sprintf("%d is below 0", *l.ReplicasUp)}
 	}
 	return nil
 }
 
-// unknownTeam is a team with a budget that the platform's settings do not name, "" if
+// unknownTeam returns a team with a budget that the platform's settings do not name, "" if
 // there is none.
 func (s *Settings) unknownTeam() string {
 	if s.Operator.Drains == nil {
 		return ""
 	}
 	known := map[string]bool{}
-	for _, t := range s.Deployment.Teams {
-		known[t.Name] = true
+	for _, team := range s.Deployment.Teams {
+		known[team.Name] = true
 	}
 	for i := range s.Operator.Drains.Teams {
 		if name := s.Operator.Drains.Teams[i].Name; !known[name] {
--- a/internal/workers/drains_test.go
+++ b/internal/workers/drains_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/taskstate"
 )
 
@@ -12,7 +13,7 @@
 // run on.
 func TestDrainedMachineMovesWork(t *testing.T) {
 	for name, test := range map[string]struct {
-		shape     string
+		shape     jobs.Shape
 		saveEvery float64
 		notice    float64
 		moves     bool
