--- /dev/null
+++ b/internal/controller/processes_drain_test.go
@@ -0,0 +1,208 @@
+package controller
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/settings"
+)
+
+// liveBudgets are the budgets of the drains on loopback.
+const liveBudgets = `
+drains {
+  machines_at_once = 4
+  wait_s           = 0
+  trace_file       = "%s"
+  default {
+    tasks = 1
+  }
+  team "red" {
+    tasks       = 2
+    cpus        = 5
+    replicas_up = 1
+  }
+}
+`
+
+// budgetSample is how the budgets stood at a moment.
+type budgetSample struct {
+	AtMS      int64          `json:"atMs"`
+	Disturbed map[string]int `json:"disturbed"`
+	Gone      int            `json:"machinesGone"`
+}
+
+// drainReport is what TestDrainOfRealProcesses has measured.
+type drainReport struct {
+	Machines     int            `json:"machines"`
+	LeaderKilled int64          `json:"leaderKilledAtMs"`
+	EndedMS      int64          `json:"endedAtMs"`
+	Changes      int            `json:"stateChangesOfDrains"`
+	Moves        int            `json:"halts"`
+	Limits       map[string]int `json:"limits"`
+	Samples      []budgetSample `json:"samples"`
+}
+
+// TestDrainOfRealProcesses drains and replaces all machines of a deployment of real processes on
+// loopback, while two teams' work runs, with the leader killed midway. With
+// LEMONMOOR_LIVE_DRAIN=DIR there are twenty machines, and DIR gets the log of budgets.
+func TestDrainOfRealProcesses(t *testing.T) {
+	report := os.Getenv("LEMONMOOR_LIVE_DRAIN")
+	tasks := 2
+	if report != "" {
+		tasks = 10
+	}
+	deployment := newProcessDeployment(t, func(sim *simulation) {
+		sim.cloud.available = 2 * tasks
+		sim.imageFetchTime = 2 * time.Second
+		sim.drainChecker = newBudgetChecker(sim, map[string]settings.DrainLimits{"red": teamBudget(2, 5, 1), "blue": teamBudget(1, 100, 0)})
+	})
+	program := buildProgram(t, deployment.dir)
+	trace := filepath.Join(deployment.dir, "trace.json")
+	deployment.start(t, program, fmt.Sprintf(liveBudgets, trace))
+	deployment.submit(tasks)
+	deployment.waitFor(t, "all tasks run", 30*time.Second, func() bool { return deployment.running() == 2*tasks })
+	var names []string
+	deployment.do(func() { names = deployment.workerIDs(hasTasks) })
+	deployment.nameMachines(names)
+	deployment.do(func() { deployment.cloud.available += 4 * tasks }) // for the replacements
+
+	result := drainReport{Machines: len(names), Limits: map[string]int{"red": 2, "blue": 1}}
+	began := time.Now()
+	deployment.drainCLI(t, program, 0, "start", "--id", "rack", "--replace", "--machine", strings.Join(names, ","))
+	var killed *controllerProcess
+	deployment.waitFor(t, "all machines are gone", 120*time.Second, func() bool {
+		gone := deployment.countGone(names)
+		result.Samples = append(result.Samples, budgetSample{time.Since(began).Milliseconds(), deployment.drainChecker.disturbedNow(), gone})
+		if killed == nil && gone*2 >= len(names) {
+			killed = deployment.killLeader()
+			result.LeaderKilled = time.Since(began).Milliseconds()
+		}
+		return gone == len(names)
+	})
+	deployment.waitFor(t, "all tasks run again", 30*time.Second, func() bool { return deployment.running() == 2*tasks })
+	result.EndedMS = time.Since(began).Milliseconds()
+	deployment.do(func() {
+		result.Moves, result.Changes = deployment.drainChecker.halts, deployment.countDrainChanges()
+		deployment.checkRules(t)
+	})
+	if killed == nil || result.Moves < len(names) {
+		t.Errorf("leader killed: %v, %d halts", killed != nil, result.Moves)
+	}
+	deployment.checkCommands(t, program, killed)
+	if report != "" {
+		result.write(t, report)
+	}
+}
+
+// submit has one array of long tasks for each team, one task to a machine.
+func (d *processDeployment) submit(tasks int) {
+	d.do(func() {
+		for i, team := range []string{"red", "blue"} {
+			job := newJob(jobSpec{
+				id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: time.Hour, estimateSeconds: 3600,
+				spot: true, urgent: true, machineTypes: []string{"small"},
+			})
+			d.submitAndPoll(job, 0)
+		}
+	})
+}
+
+// running counts the tasks that run, inside do.
+func (d *processDeployment) running() int {
+	n := 0
+	for _, worker := range d.cloud.workers {
+		for _, task := range worker.tasks {
+			if task.phase == phaseRunning && !worker.dead {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// nameMachines notes machines that operators name.
+func (d *processDeployment) nameMachines(names []string) {
+	d.do(func() {
+		for _, name := range names {
+			d.drainChecker.namedMachines[name] = true
+		}
+	})
+}
+
+// killLeader ends the leader's process, inside do.
+func (d *processDeployment) killLeader() *controllerProcess {
+	var h struct {
+		Node string `json:"node"`
+	}
+	stored := d.state.keys["lease/lead"]
+	if stored == nil || json.Unmarshal(stored.value, &h) != nil {
+		return nil
+	}
+	for _, process := range d.processes {
+		if process.name == h.Node {
+			_ = process.command.Process.Kill()
+			return process
+		}
+	}
+	return nil
+}
+
+// drainCLI runs `lemonmoor drain` as an operator does, and returns what it prints.
+func (d *processDeployment) drainCLI(t *testing.T, program string, status int, args ...string) string {
+	t.Helper()
+	args = append([]string{"drain", "--config", d.processes[0].config, "--timeout", "20s"}, args...)
+	out, err := exec.Command(program, args...).CombinedOutput()
+	code := 0
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		code = exit.ExitCode()
+	}
+	if code != status {
+		d.dumpLogs(t)
+		t.Fatalf("%v: status %d, not %d: %s", args, code, status, out)
+	}
+	return string(out)
+}
+
+// checkCommands tries the drain commands on the deployment, one of whose controllers is
+// dead.
+func (d *processDeployment) checkCommands(t *testing.T, program string, killed *controllerProcess) {
+	t.Helper()
+	for _, test := range []struct {
+		status int
+		args   []string
+		words  string
+	}{
+		{0, []string{"status"}, "drain rack: "},
+		{0, []string{"status", "--json"}, `"id": "rack"`},
+		{0, []string{"plan", "--type", "small"}, "team"},
+		{2, []string{"plan", "--prefix", "127.0.0.1"}, "prefix: "},
+		{2, []string{"plan", "--machine", "vm-999999"}, "machine: "},
+		{2, []string{"start"}, "selection: "},
+		{2, []string{"cancel"}, "id: "},
+		{2, []string{"pause", "--id", "rack-2"}, "id: "},
+	} {
+		out := d.drainCLI(t, program, test.status, test.args...)
+		if !strings.Contains(out, test.words) || (test.status != 0 && strings.Count(out, "\n") != 1) {
+			t.Errorf("%v prints %q, without %q", test.args, out, test.words)
+		}
+	}
+	for _, process := range d.processes {
+		if process != killed {
+			_ = process.command.Process.Kill()
+		}
+	}
+	out := d.drainCLI(t, program, 3, "status", "--timeout", "3s")
+	for _, process := range d.processes {
+		if !strings.Contains(out, process.peerBind) {
+			t.Errorf("%s is not named: %s", process.name, out)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/sim_dump_test.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"fmt"
+	"os"
+)
+
+// dump writes what the controllers hold, for the search after a failed day; only with
+// LEMONMOOR_SIM_LOG set.
+func (s *simulation) dump() {
+	if os.Getenv("LEMONMOOR_SIM_LOG") == "" {
+		return
+	}
+	for _, controller := range s.controllers {
+		if controller.node == nil {
+			fmt.Println(controller.name, "down")
+			continue
+		}
+		fmt.Println(controller.name, "leader token", controller.node.leases.LeaderToken(), "leader", controller.node.leases.LeaderNode(), "valid", controller.node.leases.LeaseValid())
+		for _, job := range s.jobs {
+			if job.over() {
+				continue
+			}
+			for key, record := range controller.node.store.JobRecords(job.id) {
+				fmt.Printf("  %s revision %d index %v statuses %+v pages %v\n", key, record.Revision, record.TaskIndexes, record.Statuses, record.LogPages)
+			}
+		}
+		for shard, owner := range controller.node.owners {
+			fmt.Println("  shard", shard, "token", owner.token, "owner", controller.node.leases.ShardOwner(shard), "loaded", owner.tasks.IsLoaded())
+			for _, tracked := range owner.workers.Workers() {
+				fmt.Printf("    %s up %v open %v deaf %v drain %q silent %v token %d heard %v tasks %d stray %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Deaf, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
+				for k := range tracked.Tasks {
+					fmt.Printf("      %s %+v\n", k.Name(), *k)
+				}
+			}
+		}
+	}
+	for _, worker := range s.cloud.workers {
+		if !worker.released {
+			fmt.Printf("  worker %s up %v dead %v deaf %v session %d sequence %d token %d controller %d tasks %d\n", worker.id, worker.up, worker.dead, worker.faults.deaf, worker.session, worker.sequence, worker.token, worker.controllerIndex, len(worker.tasks))
+		}
+	}
+}
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -22,15 +22,15 @@
 	token               uint64
 	registry            *Registry
 	job                 *taskstate.Job
-	calls               []sentRequest // direct orders on their way
+	calls               []sentRequest // direct messages on their way
 	onTaskWaiting       func(*taskstate.Task)
-	turnsHeartbeatsAway bool   // reports are turned away
-	phase               string // of the tasks in reports, "" for running
+	turnsHeartbeatsAway bool      // heartbeats are not answered
+	phase               TaskPhase // of the tasks in heartbeats, "" for running
 	// Of cancellations: when the user was told, 0 for never, and up to when the owner
 	// knows of them; knows: it rests on that.
 	cancelledAt, verifiedAt   time.Duration
 	needsVerification         bool
-	noNewToken                bool          // there is no new token to be had
+	noNewToken                bool          // no new token is to be had
 	leaseInvalid              bool          // the lease is not surely valid
 	closedByDrain             bool          // operators' drains keep new tasks off the machine
 	previousOwnerAnswersUntil time.Duration // until then an earlier owner may answer
@@ -106,9 +106,9 @@
 
 func newRegistryFixture(tasks int) *registryFixture {
 	fixture := &registryFixture{token: 1, now: time.Hour}
-	set := &settings.Settings{}
-	set.Deployment.Workers.ReportS, set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 5, 36, 66
-	fixture.registry = NewRegistry(Dependencies{Runtime: fixture, Lease: fixture, Tasks: fixture, Scheduler: fixture, Settings: set, Log: slog.New(slog.DiscardHandler)})
+	config := &settings.Settings{}
+	config.Deployment.Workers.ReportS, config.Deployment.Workers.LeaseS, config.Deployment.Workers.CancelS = 5, 36, 66
+	fixture.registry = NewRegistry(Dependencies{Runtime: fixture, Lease: fixture, Tasks: fixture, Scheduler: fixture, Settings: config, Log: slog.New(slog.DiscardHandler)})
 	index := make([]int, tasks)
 	for i := range index {
 		index[i] = i
@@ -142,28 +142,29 @@
 	worker := &f.worker
 	worker.sequence++
 	heartbeat := &Heartbeat{WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: worker.session, Sequence: worker.sequence, Token: worker.token}
-	for ref, attempt := range worker.tasks {
+	for name, attempt := range worker.tasks {
 		phase := f.phase
 		if phase == "" {
-			phase = "running"
+			phase = PhaseRunning
 		}
-		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: ref, Attempt: attempt, Phase: phase})
+		heartbeat.Tasks = append(heartbeat.Tasks, ReportedTask{Name: name, Attempt: attempt, Phase: phase})
 	}
 	return heartbeat
 }
 
-// executeCommands carries orders out.
-func (f *registryFixture) executeCommands(token uint64, orders []Command) {
+// executeCommands carries commands out.
+func (f *registryFixture) executeCommands(token uint64, commands []Command) {
 	worker := &f.worker
 	worker.token = token
-	for _, command := range orders {
+	for _, command := range commands {
 		switch command.Verb {
-		case "launch":
+		case VerbLaunch:
 			if key := fmt.Sprint(command.TaskName, "@", command.Attempt); !worker.everLaunched[key] {
 				worker.everLaunched[key] = true
 				worker.tasks[command.TaskName] = command.Attempt
 			}
-		case "halt":
+		case VerbForget: // only ended tasks, which this worker does not keep
+		case VerbHalt:
 			if worker.tasks[command.TaskName] == command.Attempt {
 				delete(worker.tasks, command.TaskName)
 			}
@@ -171,18 +172,18 @@
 	}
 }
 
-// receiveAnswer takes the answer to a report that was sent at a time.
-func (f *registryFixture) receiveAnswer(body []byte, shift uint64, sent time.Duration) {
+// receiveAnswer takes the answer to a heartbeat that was sent at a time.
+func (f *registryFixture) receiveAnswer(body []byte, session uint64, sentAt time.Duration) {
 	f.expireLease()
 	var message CommandMessage
-	if json.Unmarshal(body, &message) != nil || message.Token < f.worker.token || shift != f.worker.session {
+	if json.Unmarshal(body, &message) != nil || message.Token < f.worker.token || session != f.worker.session {
 		return
 	}
-	f.worker.leaseRenewedAt = max(f.worker.leaseRenewedAt, sent)
+	f.worker.leaseRenewedAt = max(f.worker.leaseRenewedAt, sentAt)
 	f.executeCommands(message.Token, message.Commands)
 }
 
-// deliverDirect carries a direct order out, perhaps late.
+// deliverDirect carries a direct message out, perhaps late.
 func (f *registryFixture) deliverDirect(direct sentRequest) http1.Response {
 	f.expireLease()
 	var message CommandMessage
@@ -195,7 +196,7 @@
 	return http1.Response{Status: 200, Body: raw}
 }
 
-// placeAndLaunchAll places all tasks of the bench's job on its machine and lets the worker
+// placeAndLaunchAll places all tasks of the job on the machine and lets the worker
 // launch them.
 func (f *registryFixture) placeAndLaunchAll(t *testing.T) *Worker {
 	t.Helper()
@@ -229,8 +230,8 @@
 	return worker
 }
 
-// reportAll reports the tasks in a state, and returns the orders of the answer.
-func (f *registryFixture) reportAll(t *testing.T, phase, cause string) []Command {
+// reportAll reports all tasks in a phase, and returns the commands of the answer.
+func (f *registryFixture) reportAll(t *testing.T, phase TaskPhase, cause EndCause) []Command {
 	t.Helper()
 	f.now += time.Second
 	heartbeat := f.heartbeat()
@@ -245,17 +246,17 @@
 	return message.Commands
 }
 
-// exchangeHeartbeats has the worker report and hear the answer, and then show the token.
+// exchangeHeartbeats has the worker send a heartbeat and hear the answer, and then show the token.
 func (f *registryFixture) exchangeHeartbeats(t *testing.T) *Worker {
 	t.Helper()
 	for range 2 {
 		f.now += time.Second
-		sent, heartbeat := f.now, f.heartbeat()
+		sentAt, heartbeat := f.now, f.heartbeat()
 		status, body := f.registry.HandleHeartbeat(heartbeat)
 		if status != 200 {
 			t.Fatalf("answered %d", status)
 		}
-		f.receiveAnswer(body, heartbeat.Session, sent)
+		f.receiveAnswer(body, heartbeat.Session, sentAt)
 	}
 	return f.registry.Worker("vm-1")
 }
@@ -269,19 +270,19 @@
 	return task
 }
 
-// takeDirectMessage lets the next direct order leave.
+// takeDirectMessage lets a direct message leave, which must be the only one, and returns it.
 func (f *registryFixture) takeDirectMessage(t *testing.T) sentRequest {
 	t.Helper()
 	f.registry.AfterBatch()
 	if len(f.calls) != 1 {
-		t.Fatalf("%d direct orders", len(f.calls))
+		t.Fatalf("%d direct messages", len(f.calls))
 	}
 	direct := f.calls[0]
 	f.calls = nil
 	return direct
 }
 
-// commandsOf are those of an answer to a heartbeat.
+// commandsOf reads the commands of an answer to a heartbeat.
 func commandsOf(t *testing.T, body []byte) []Command {
 	t.Helper()
 	var message CommandMessage
@@ -291,6 +292,6 @@
 	return message.Commands
 }
 
-func hasVerb(list []Command, verb string) bool {
+func hasVerb(list []Command, verb Verb) bool {
 	return slices.ContainsFunc(list, func(command Command) bool { return command.Verb == verb })
 }
