--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -104,7 +104,7 @@
 	workWaits       bool               // work waits for room
 }
 
-// surveyMovable looks at all machines; spotCost is that of a task on the cheapest spot
+// surveyMovable sums up all machines and demand; spotCost is that of a task on the cheapest spot
 // machines.
 func (f *Fleet) surveyMovable(spec *jobs.Spec, spotCost float64) *movableSurvey {
 	survey := &movableSurvey{}
--- a/internal/leader/capacity.go
+++ b/internal/leader/capacity.go
@@ -102,7 +102,7 @@
 	machineCount int
 }
 
-// newCapacityView looks at all available machines.
+// newCapacityView sums up what all available machines have left.
 func newCapacityView(shards int, machines *fleet.Fleet, usage *MachineUsage, now time.Duration) *capacityView {
 	view := &capacityView{totalCPUs: make([]float64, shards), queuedCPUs: make([]float64, shards)}
 	type groupKey struct {
@@ -148,7 +148,7 @@
 	})
 }
 
-// machineSet is the machines on which a job looks for room.
+// machineSet is the machines on which room for a job is sought.
 type machineSet struct {
 	zone    string // "" for any
 	shard   int    // or anyShard
@@ -179,8 +179,9 @@
 	return total
 }
 
-// discard takes room without anything being dispatched into it.
-func (v *capacityView) discard(job *jobState, set machineSet, limit int) int {
+// occupy takes room for tasks that are not dispatched by it: they are in a shard already, are
+// being recalled, or the room is kept for them. It returns for how many there was room.
+func (v *capacityView) occupy(job *jobState, set machineSet, limit int) int {
 	return v.take(job, set, limit, func(int, int) {})
 }
 
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -7,7 +7,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// dispatchRound is one look at all jobs and machines: it plans which tasks go to which
+// dispatchRound evaluates all jobs and machines once: it plans which tasks go to which
 // shards, and collects the demand for which there is no room.
 type dispatchRound struct {
 	leader   *Leader
@@ -86,14 +86,14 @@
 
 func (r *dispatchRound) serveQueue(job *jobState, queue shardQueue) {
 	set := machineSet{zone: queue.zone, shard: queue.shard}
-	waiting := queue.tasks - r.capacity.discard(job, set, queue.tasks)
+	waiting := queue.tasks - r.capacity.occupy(job, set, queue.tasks)
 	if waiting == 0 {
 		return
 	}
 	// Machines of another shard that are up are better than this one's that boot.
 	waiting -= r.recallFrom(queue, job, waiting)
 	set.booting = true
-	waiting -= r.capacity.discard(job, set, waiting)
+	waiting -= r.capacity.occupy(job, set, waiting)
 	r.capacity.queuedCPUs[queue.shard] += float64(waiting) * job.spec.CPUs
 	r.addDemand(job, queue.zone, waiting)
 }
--- a/internal/leader/gang_capacity.go
+++ b/internal/leader/gang_capacity.go
@@ -37,8 +37,8 @@
 // takeAll takes the room for so many tasks by zone, first on machines that are up.
 func (v *capacityView) takeAll(job *jobState, tasksByZone map[string]int, shard int) {
 	for zone, tasks := range tasksByZone {
-		tasks -= v.discard(job, machineSet{zone, shard, false}, tasks)
-		v.discard(job, machineSet{zone, shard, true}, tasks)
+		tasks -= v.occupy(job, machineSet{zone, shard, false}, tasks)
+		v.occupy(job, machineSet{zone, shard, true}, tasks)
 	}
 }
 
--- a/internal/leader/gang_dispatch.go
+++ b/internal/leader/gang_dispatch.go
@@ -124,7 +124,7 @@
 	if job.starved {
 		// Room comes free bit by bit: what there is is kept for it.
 		for zone, count := range job.pending.tasksByZone(job.zones, tasks) {
-			r.capacity.discard(job, machineSet{zone, anyShard, false}, count)
+			r.capacity.occupy(job, machineSet{zone, anyShard, false}, count)
 		}
 	}
 	return false
--- a/internal/leader/job_end.go
+++ b/internal/leader/job_end.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// recheckEnd looks at a job again when the copies are verified to be current.
+// recheckEnd checks a job again when the copies are verified to be current.
 func (l *Leader) recheckEnd(job *jobState) {
 	check := l.terms.Guard(func() {
 		if l.jobs.has(job) {
@@ -120,7 +120,7 @@
 	job.ending = false
 	for _, record := range l.unseenRecords {
 		if record.Job == job.entry.ID {
-			return // looked at again when the record shows up
+			return // checked again when the record shows up
 		}
 	}
 	before := len(commit.operations)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -187,7 +187,7 @@
 	return job
 }
 
-// RequestRound has the next AfterBatch look at everything again.
+// RequestRound has the next AfterBatch evaluate all jobs and machines again.
 func (l *Leader) RequestRound() { l.pacing.requested = true }
 
 // AfterBatch dispatches and commits what is due. The event loop calls it after every batch
@@ -228,7 +228,7 @@
 	l.runtime.After(wait, l.terms.Guard(func() { l.pacing.timerSet = false }))
 }
 
-// commitAnswered has everything looked at again: what the commit held up may go on.
+// commitAnswered requests a round: what the commit held up may go on.
 func (l *Leader) commitAnswered() { l.RequestRound() }
 
 // tokenRejected starts the term anew. If another node leads by now, the watch of the leases
--- a/internal/leader/pacing.go
+++ b/internal/leader/pacing.go
@@ -22,7 +22,7 @@
 	return max(0, p.lastTurnAt+p.minTurnSpacing-now)
 }
 
-// setMachineCount adapts the spacing to the cost of a round, which looks at every machine.
+// setMachineCount adapts the spacing to the cost of a round, which visits every machine.
 func (p *pacing) setMachineCount(machines int) {
 	p.minTurnSpacing = tuning.MinRoundInterval + time.Duration(machines)*tuning.RoundIntervalPerMachine
 }
--- a/internal/leader/recall.go
+++ b/internal/leader/recall.go
@@ -90,7 +90,7 @@
 	found := 0
 	for shard := range r.capacity.totalCPUs {
 		if shard != queue.shard && found < limit {
-			found += r.capacity.discard(job, machineSet{zone: queue.zone, shard: shard}, limit-found)
+			found += r.capacity.occupy(job, machineSet{zone: queue.zone, shard: shard}, limit-found)
 		}
 	}
 	if found > 0 {
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -102,8 +102,8 @@
 	c.leader.commits.backOff(attempt, c.send)
 }
 
-// dropUnlessStored looks which of the records exist. Some of the keys do: an earlier attempt
-// was carried out. If the records are there, the watch has counted them.
+// dropUnlessStored drops the records that the verified copy does not have. Some of the keys
+// exist: an earlier attempt was carried out, and the watch has counted its records.
 func (c *recordCommit) dropUnlessStored() {
 	leader := c.leader
 	leader.commits.verify(leader.records, func(err error) {
