--- /dev/null
+++ b/internal/controller/drain_measurement_test.go
@@ -0,0 +1,113 @@
+package controller
+
+import (
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/drain"
+	"lemonmoor/internal/settings"
+)
+
+// meanBoot is what a machine of the simulated cloud takes to boot, in seconds.
+const meanBoot = 2.5
+
+// drainMeasurement is one row of what TestMeasureDrains prints.
+type drainMeasurement struct {
+	duration     time.Duration
+	halts        int
+	maxDisturbed map[string]int
+	changes      int
+	meanDownTime time.Duration // the mean time from a halt until the task runs again
+}
+
+// measureDrain drains all machines of a deployment with so many tasks of red, a part as
+// large of blue, and one task to a machine.
+func measureDrain(seed uint64, tasks, budget, atOnce int, replace bool) drainMeasurement {
+	sim := newSimulation(seed)
+	sim.imageFetchTime = 2 * second
+	sim.cloud.available = 2 * tasks
+	sim.withDrains(map[string]settings.DrainLimits{"red": teamBudget(budget, 1000, 0), "blue": teamBudget(budget, 1000, 0)}, atOnce, 0)
+	for i, team := range []string{"red", "blue"} {
+		job := newJob(jobSpec{
+			id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: 10 * time.Hour, estimateSeconds: 3600, spot: true, urgent: true,
+			machineTypes: []string{"small"},
+		})
+		sim.after(0, func() { sim.submitAndPoll(job, 0) })
+	}
+	sim.run(30 * second)
+	names := sim.workerIDs(hasTasks)
+	sim.cloud.available += 2 * tasks
+	began := sim.now
+	sim.requestDrain(startDrain("a", names, replace), func(drain.Response) {})
+	for sim.now < began+time.Hour && (sim.countGone(names) < len(names) || len(sim.drainChecker.disturbed) > 0) {
+		sim.run(sim.now + 100*millisecond)
+	}
+	t := drainMeasurement{duration: sim.now - began, halts: sim.drainChecker.halts, maxDisturbed: sim.drainChecker.maxDisturbed, changes: sim.countDrainChanges()}
+	if sim.drainChecker.halts > 0 {
+		t.meanDownTime = sim.drainChecker.downTime / time.Duration(sim.drainChecker.halts)
+	}
+	return t
+}
+
+// measureRelease returns all machines to the cloud at once, as operators would without
+// drains.
+func measureRelease(seed uint64, tasks int) drainMeasurement {
+	sim := newSimulation(seed)
+	sim.imageFetchTime = 2 * second
+	sim.cloud.available = 2 * tasks
+	sim.withDrains(nil, 1, 0)
+	for i, team := range []string{"red", "blue"} {
+		job := newJob(jobSpec{
+			id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: 10 * time.Hour, estimateSeconds: 3600, spot: true, urgent: true,
+			machineTypes: []string{"small"},
+		})
+		sim.after(0, func() { sim.submitAndPoll(job, 0) })
+	}
+	sim.run(30 * second)
+	sim.cloud.available += 2 * tasks
+	began := sim.now
+	for _, worker := range sim.cloud.workers {
+		if !worker.dead {
+			sim.cloud.takeBack(worker)
+		}
+	}
+	lost := 2 * tasks
+	for sim.now < began+time.Hour && sim.usedCPUs("red")+sim.usedCPUs("blue") < 2*float64(tasks)*2.3-0.01 {
+		sim.run(sim.now + 100*millisecond)
+	}
+	return drainMeasurement{duration: sim.now - began, halts: lost, maxDisturbed: map[string]int{"red": tasks, "blue": tasks}}
+}
+
+// TestMeasureDrains prints how long drains take, with LEMONMOOR_MEASURE set: a
+// measurement, not a test.
+func TestMeasureDrains(t *testing.T) {
+	if os.Getenv("LEMONMOOR_MEASURE") == "" {
+		t.Skip("a measurement: set LEMONMOOR_MEASURE")
+	}
+	fmt.Println("| machines | budget of each team | at once | replace | seconds | least | disturbed at once | halt to run, s | changes a machine |")
+	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	const tasks, seeds = 10, 5
+	for _, replace := range []bool{false, true} {
+		for _, budget := range []int{1, 2, 5} {
+			for _, atOnce := range []int{4, 20} {
+				var took, gap, changes float64
+				most := map[string]int{}
+				for seed := range uint64(seeds) {
+					r := measureDrain(seed+1, tasks, budget, atOnce, replace)
+					took += r.duration.Seconds() / seeds
+					gap += r.meanDownTime.Seconds() / seeds
+					changes += float64(r.changes) / (2 * tasks * seeds)
+					most["red"], most["blue"] = max(most["red"], r.maxDisturbed["red"]), max(most["blue"], r.maxDisturbed["blue"])
+				}
+				least := meanBoot + gap*float64((tasks+budget-1)/budget)
+				fmt.Printf("| %d | %d | %d | %v | %.1f | %.1f | %d, %d | %.2f | %.1f |\n", 2*tasks, budget, atOnce, replace, took, least, most["red"], most["blue"], gap, changes)
+			}
+		}
+	}
+	for seed := range uint64(3) {
+		r := measureRelease(seed+1, 10)
+		fmt.Printf("| 20 | returned at once | - | - | %.1f | - | %d, %d | - | - |\n", r.duration.Seconds(), r.maxDisturbed["red"], r.maxDisturbed["blue"])
+	}
+}
--- /dev/null
+++ b/internal/controller/fault_injection_test.go
@@ -0,0 +1,219 @@
+package controller
+
+import "time"
+
+// The faults that are drawn or meet in scenarios. Each lasts from its injection on for a
+// while; the faults of single messages are shares in networkFaults, stateFaults and
+// heartbeatFaults.
+
+// faultName names a fault of the table.
+type faultName string
+
+const (
+	leaderCrashes             faultName = "leader crashes"
+	ownerCrashes              faultName = "owner crashes"
+	leaderRestartsAtOnce      faultName = "leader restarts at once"
+	allCrashOneRestarts       faultName = "all controllers crash, one is back within a second"
+	allControllersDown        faultName = "all controllers are down"
+	leaderChangesRepeatedly   faultName = "leader changes five times"
+	stateRefusesLeader        faultName = "state service refuses the leader"
+	stateRefusesOwner         faultName = "state service refuses the owner"
+	stateOutage               faultName = "state service is down"
+	leaderIsolated            faultName = "leader is isolated from state service and peers"
+	ownerIsolated             faultName = "owner is isolated from state service and peers"
+	stateSlow                 faultName = "state service is slow"
+	commitsLate               faultName = "transactions are applied late"
+	commitAnswersLost         faultName = "answers to transactions are lost"
+	heartbeatCopiesLate       faultName = "copies of heartbeats arrive late"
+	heartbeatCopiesAtTakeover faultName = "copies of heartbeats arrive when a lease changes hands"
+	machinesHang              faultName = "machines hang"
+	workersDeaf               faultName = "workers are deaf"
+	workersMute               faultName = "workers reach no controller"
+	machinesPartitioned       faultName = "machines are partitioned"
+	machinesDie               faultName = "machines die"
+	workersCutFromOwner       faultName = "workers are partitioned from the owner"
+	jobsCancelled             faultName = "jobs are cancelled"
+	jobsCancelledRepeatedly   faultName = "jobs are cancelled one after the other"
+	commandsHeldUp            faultName = "commands are held up"
+)
+
+// fault is something that goes wrong.
+type fault struct {
+	name   faultName
+	inject func(sim *simulation, drawn injection)
+}
+
+// injection is one occurrence of a fault.
+type injection struct {
+	variant  int // picks a machine, a number or a length, as the fault has them
+	duration time.Duration
+}
+
+// faults are all faults. Drawn days pick them by their places in the table.
+var faults = []fault{
+	{leaderCrashes, func(sim *simulation, drawn injection) {
+		if controller := sim.leader(); controller != nil {
+			controller.crash(drawn.duration / 4)
+		}
+	}},
+	{ownerCrashes, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			controller.crash(drawn.duration / 4)
+		}
+	}},
+	{leaderRestartsAtOnce, func(sim *simulation, drawn injection) {
+		if controller := sim.leader(); controller != nil {
+			controller.crash(time.Duration(100+drawn.variant*50) * millisecond)
+		}
+	}},
+	{allCrashOneRestarts, func(sim *simulation, drawn injection) {
+		for i, controller := range sim.controllers {
+			controller.crash(time.Duration(300+drawn.variant*40)*millisecond + time.Duration(i)*drawn.duration/2)
+		}
+	}},
+	{allControllersDown, func(sim *simulation, drawn injection) {
+		for _, controller := range sim.controllers {
+			controller.crash(drawn.duration)
+		}
+	}},
+	{leaderChangesRepeatedly, func(sim *simulation, drawn injection) {
+		for i := range 5 {
+			sim.after(time.Duration(i)*drawn.duration/5, func() {
+				if controller := sim.leader(); controller != nil {
+					controller.crash(time.Duration(200+drawn.variant*100) * millisecond)
+				}
+			})
+		}
+	}},
+	{stateRefusesLeader, func(sim *simulation, drawn injection) {
+		if controller := sim.leader(); controller != nil {
+			sim.refuseControllerFor(controller.name, drawn.duration)
+		}
+	}},
+	{stateRefusesOwner, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			sim.refuseControllerFor(controller.name, drawn.duration)
+		}
+	}},
+	{stateOutage, func(sim *simulation, drawn injection) { sim.outageFor(drawn.duration) }},
+	{leaderIsolated, func(sim *simulation, drawn injection) {
+		if controller := sim.leader(); controller != nil {
+			sim.isolate(controller.name, drawn.duration)
+		}
+	}},
+	{ownerIsolated, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			sim.isolate(controller.name, drawn.duration)
+		}
+	}},
+	{stateSlow, func(sim *simulation, drawn injection) {
+		sim.stateFaults.latency = time.Duration(40+drawn.variant*10) * millisecond
+		sim.after(drawn.duration, func() { sim.stateFaults.latency = 0 })
+	}},
+	{commitsLate, func(sim *simulation, drawn injection) {
+		sim.stateFaults.lateCommitShare = 0.3
+		sim.after(drawn.duration, func() { sim.stateFaults.lateCommitShare = 0 })
+	}},
+	{commitAnswersLost, func(sim *simulation, drawn injection) {
+		sim.stateFaults.lostAnswerShare = 0.3
+		sim.after(drawn.duration, func() { sim.stateFaults.lostAnswerShare = 0 })
+	}},
+	{heartbeatCopiesLate, func(sim *simulation, drawn injection) {
+		sim.heartbeats.lateCopyShare = 0.3
+		sim.after(drawn.duration, func() { sim.heartbeats.lateCopyShare = 0 })
+	}},
+	{heartbeatCopiesAtTakeover, func(sim *simulation, drawn injection) {
+		sim.heartbeats.retainedShare = 0.3
+		sim.after(drawn.duration, func() { sim.heartbeats.retainedShare = 0 })
+	}},
+	{machinesHang, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.hungUntil = sim.now + drawn.duration*2/3 })
+	}},
+	{workersDeaf, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) {
+			worker.faults.deaf = true
+			sim.after(drawn.duration, func() { worker.faults.deaf = false })
+		})
+	}},
+	{workersMute, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.muteUntil = sim.now + drawn.duration })
+	}},
+	{machinesPartitioned, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.partitionedUntil = sim.now + drawn.duration })
+	}},
+	{machinesDie, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(2, drawn.variant, func(worker *simWorker) { worker.die() })
+	}},
+	{workersCutFromOwner, func(sim *simulation, drawn injection) {
+		if controller := sim.ownerOfShard0(); controller != nil {
+			sim.network.partitions["workers|"+controller.name] = true
+			sim.after(drawn.duration, func() { delete(sim.network.partitions, "workers|"+controller.name) })
+		}
+	}},
+	{jobsCancelled, func(sim *simulation, drawn injection) { sim.cancelRunningJobs(1 + drawn.variant) }},
+	{jobsCancelledRepeatedly, func(sim *simulation, drawn injection) {
+		for i := range 6 {
+			sim.after(time.Duration(i)*drawn.duration/6, func() { sim.cancelRunningJobs(1) })
+		}
+	}},
+	{commandsHeldUp, func(sim *simulation, drawn injection) {
+		sim.network.lateShare = 0.05
+		sim.after(drawn.duration, func() { sim.network.lateShare = 0 })
+	}},
+}
+
+// inject has a fault happen now.
+func (s *simulation) inject(name faultName, variant int, duration time.Duration) {
+	for _, fault := range faults {
+		if fault.name == name {
+			fault.inject(s, injection{variant, duration})
+			return
+		}
+	}
+	panic("no fault " + name)
+}
+
+// busyWorker is a worker with tasks, or any that is alive; variant picks where the search
+// begins.
+func (s *simulation) busyWorker(variant int) *simWorker {
+	workers := s.cloud.workers
+	for i := range workers {
+		if worker := workers[(variant+i)%len(workers)]; !worker.dead && len(worker.tasks) > 0 {
+			return worker
+		}
+	}
+	if len(workers) > 0 && !workers[variant%len(workers)].dead {
+		return workers[variant%len(workers)]
+	}
+	return nil
+}
+
+// forBusyWorkers does something to up to so many busy workers.
+func (s *simulation) forBusyWorkers(number, variant int, fn func(*simWorker)) {
+	seen := map[*simWorker]bool{}
+	for i := range number {
+		if worker := s.busyWorker(variant + i); worker != nil && !seen[worker] {
+			seen[worker] = true
+			fn(worker)
+		}
+	}
+}
+
+// isolate cuts a controller from the state service and the other controllers, but not from
+// workers and users.
+func (s *simulation) isolate(name string, duration time.Duration) {
+	others := []string{"state"}
+	for _, controller := range s.controllers {
+		if controller.name != name {
+			others = append(others, controller.name)
+		}
+	}
+	for _, other := range others {
+		s.network.partitions[name+"|"+other] = true
+	}
+	s.after(duration, func() {
+		for _, other := range others {
+			delete(s.network.partitions, name+"|"+other)
+		}
+	})
+}
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -68,6 +68,11 @@
 	MinFailurePause = 2 * time.Second
 	// MaxFailurePause is the longest pause of a job that fails.
 	MaxFailurePause = 60 * time.Second
+	// SlowdownFailures is the number of failures in a row from which on a job is paused:
+	// fewer may be the fault of a machine.
+	SlowdownFailures = 3
+	// MaxFailurePauseDoublings keeps the doubling of the pause from overflowing.
+	MaxFailurePauseDoublings = 6
 	// FaultyWorkerFailures is the number of failures in a row, of one job or of several,
 	// after which a machine gets no more tasks.
 	FaultyWorkerFailures = 2
--- a/internal/workers/gangs_test.go
+++ b/internal/workers/gangs_test.go
@@ -7,39 +7,41 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestGangCausesAreNoFaults: alone and mates_gone say nothing against the machine
+// TestGangCausesCountAsNoFailures: alone and mates_gone say nothing against the machine
 // or the job, however often; a gang that was never complete is tried again after a
 // pause that grows.
-func TestGangCausesAreNoFaults(t *testing.T) {
-	for _, cause := range []string{"alone", "mates_gone"} {
-		fixture := newGangFixture(3)
-		fixture.phase = "fetching"
-		var pause time.Duration
-		for round := range 5 {
-			worker := fixture.placeAndLaunchAll(t)
-			fixture.reportAll(t, "waiting", "")
-			fixture.reportAll(t, "ended", cause)
-			clear(fixture.worker.tasks)
-			if worker.DrainReason != "" || worker.ConsecutiveFailures > 0 || fixture.job.ConsecutiveFailures > 0 {
-				t.Fatalf("%s counts as a fault: %+v", cause, worker)
-			}
-			if fixture.job.Gang.Attempt != 0 || len(worker.Tasks) != 0 {
-				t.Fatalf("%s: the attempt is not through", cause)
-			}
-			if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
-				if round > 0 && wait <= pause {
-					t.Errorf("round %d: a pause of %v after one of %v", round, wait, pause)
+func TestGangCausesCountAsNoFailures(t *testing.T) {
+	for _, cause := range []EndCause{CauseAlone, CauseMatesGone} {
+		t.Run(string(cause), func(t *testing.T) {
+			fixture := newGangFixture(3)
+			fixture.phase = "fetching"
+			var pause time.Duration
+			for round := range 5 {
+				worker := fixture.placeAndLaunchAll(t)
+				fixture.reportAll(t, "waiting", "")
+				fixture.reportAll(t, "ended", cause)
+				clear(fixture.worker.tasks)
+				if worker.DrainReason != "" || worker.ConsecutiveFailures > 0 || fixture.job.ConsecutiveFailures > 0 {
+					t.Fatalf("%s counts as a fault: %+v", cause, worker)
+				}
+				if fixture.job.Gang.Attempt != 0 || len(worker.Tasks) != 0 {
+					t.Fatalf("%s: the attempt is not through", cause)
 				}
-				pause = wait
+				if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
+					if round > 0 && wait <= pause {
+						t.Errorf("round %d: a pause of %v after one of %v", round, wait, pause)
+					}
+					pause = wait
+				}
+				fixture.now += time.Minute
 			}
-			fixture.now += time.Minute
-		}
+		})
 	}
 }
 
-// TestOneDoneAllDone: one task of a gang proven done means that all are; those not
+// TestOneTaskDoneMeansTheGangIsDone: one task of a gang proven done means that all are; those not
 // heard of occupy their places until they are proven gone, and nothing is launched.
-func TestOneDoneAllDone(t *testing.T) {
+func TestOneTaskDoneMeansTheGangIsDone(t *testing.T) {
 	fixture := newGangFixture(3)
 	worker := fixture.placeAndLaunchAll(t)
 	fixture.reportAll(t, "running", "")
