--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -22,7 +22,7 @@
 		sim.run(at)
 		for _, job := range sim.jobs {
 			node := sim.controllers[0].node
-			if e := node.cat.Get(job.id); e != nil && e.Phase == "" && node.store.RunningTasks(job.id) > 0 && job.gangStarts == 0 {
+			if e := node.cat.Get(job.id); e != nil && e.Phase == "" && node.store.RunningGangTasks(job.id) > 0 && job.gangStarts == 0 {
 				early++
 			}
 		}
--- a/internal/controller/two_faults_test.go
+++ b/internal/controller/two_faults_test.go
@@ -37,7 +37,7 @@
 			controller := sim.ownerOfShard0()
 			for _, tracked := range controller.node.owners[0].workers.Workers() {
 				for k := range tracked.Tasks {
-					if k.PlacementDurable && !k.LaunchSent {
+					if k.PlacementDurable && !k.Launch.Sent {
 						placed++
 					}
 				}
--- a/internal/drain/executor_report.go
+++ b/internal/drain/executor_report.go
@@ -76,7 +76,7 @@
 		if task == nil || !r.isUp(task) {
 			return 0, false, false
 		}
-		return task.Attempt, !task.HaltDecided, true
+		return task.Attempt, !task.Halt.Decided, true
 	}
 	if job.Gang == nil || !job.Gang.Started || job.Gang.AttemptOver {
 		return 0, false, false
@@ -86,7 +86,7 @@
 		if !r.isUp(task) {
 			return 0, false, false
 		}
-		isUntouched = isUntouched && !task.HaltDecided
+		isUntouched = isUntouched && !task.Halt.Decided
 	}
 	return job.Gang.Attempt, isUntouched, true
 }
@@ -100,7 +100,7 @@
 		}
 		machine := ClosedMachine{ID: worker.ID}
 		for task := range worker.Tasks {
-			if task.LaunchSent && !task.Job.Cancelled {
+			if task.Launch.Sent && !task.Job.Cancelled {
 				machine.Tasks = append(machine.Tasks, placedTask(task, now))
 			}
 		}
@@ -116,8 +116,8 @@
 	if task.Job.Gang != nil {
 		placed.Attempt = task.WireAttempt()
 	}
-	if task.Running {
-		placed.RunningMS = max(1, (now - task.RunningSince).Milliseconds())
+	if task.Observed.Running {
+		placed.RunningMS = max(1, (now - task.Observed.RunningSince).Milliseconds())
 	}
 	return placed
 }
@@ -154,7 +154,7 @@
 
 // isUp reports whether a task surely runs.
 func (r *reporter) isUp(task *taskstate.Task) bool {
-	if task.State != taskstate.StatePlaced || !task.Running {
+	if task.State != taskstate.StatePlaced || !task.Observed.Running {
 		return false
 	}
 	worker := r.workers.Worker(task.WorkerID)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -57,7 +57,7 @@
 		Fleet: node.fleet, Machines: machines, Settings: config, Log: log,
 	})
 	node.catalog.JobChanged = node.leader.JobChanged
-	node.store.RecordAdded, node.store.RecordRemoved, node.store.TaskStatusChanged = node.leader.RecordAdded, node.leader.RecordRemoved, node.leader.TaskStatusChanged
+	node.store.Observe(node.leader)
 	node.fleet.Start()
 	node.catalog.Start()
 	node.store.Start()
@@ -130,11 +130,11 @@
 	for _, task := range group.Tasks {
 		change(task)
 	}
-	pages, _, _, err := taskstate.PackPages(group.Tasks, 1<<16, 1)
+	pages, _, err := taskstate.PackPages(group.Tasks, 1<<16, 1)
 	if err != nil || len(pages) != 1 {
 		t.Fatalf("%d pages, %v", len(pages), err)
 	}
-	service.Set(t, taskstate.PageKey(record.Shard, page), pages[0])
+	service.Set(t, taskstate.PageKey(record.Shard, page), pages[0].Value)
 }
 
 // putRecord stores a record of tasks of a job, as an earlier leader has.
@@ -281,7 +281,7 @@
 			if !ok {
 				t.Fatal("not dispatched again")
 			}
-			again, err := taskstate.Decode(next.Key, next.Value, next.Revision)
+			again, err := taskstate.DecodeRecord(next.Key, next.Value, next.Revision)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -333,7 +333,7 @@
 	if !ok {
 		t.Fatal("its other task is not dispatched")
 	}
-	last, err := taskstate.Decode(stored.Key, stored.Value, stored.Revision)
+	last, err := taskstate.DecodeRecord(stored.Key, stored.Value, stored.Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -29,17 +29,17 @@
 }
 
 func fitsIn(task *taskstate.Task, worker *workers.Worker, available resource.Vector) bool {
-	return task.Job.Spec.Resources().Fits(available) && task.AvoidWorker != worker.ID && Allowed(task, worker)
+	return task.Job.Spec.Resources().Fits(available) && task.Queue.AvoidWorker != worker.ID && Allowed(task, worker)
 }
 
 // couldFit tells whether a machine could take a task if it were empty.
 func couldFit(task *taskstate.Task, worker *workers.Worker) bool {
-	return worker.MachineType != nil && worker.MachineType.CanRun(task.Job.Spec) && task.AvoidWorker != worker.ID && Allowed(task, worker)
+	return worker.MachineType != nil && worker.MachineType.CanRun(task.Job.Spec) && task.Queue.AvoidWorker != worker.ID && Allowed(task, worker)
 }
 
 // isBarred tells whether a task may not go to a machine, whatever is free there.
 func isBarred(task *taskstate.Task, worker *workers.Worker) bool {
-	return task.AvoidWorker == worker.ID || slices.Contains(task.TriedWorkers, worker.ID) || !Allowed(task, worker)
+	return task.Queue.AvoidWorker == worker.ID || slices.Contains(task.Tried.Workers, worker.ID) || !Allowed(task, worker)
 }
 
 // countThatFit tells how many tasks of a job a machine has room for.
@@ -63,8 +63,10 @@
 
 // isDue tells whether a task is not paused, after a failure for example.
 func isDue(task *taskstate.Task, now time.Duration) bool {
-	return now >= task.NotBefore && now >= task.Job.NotBefore
+	return now >= task.Queue.NotBefore && now >= task.Job.NotBefore
 }
 
 // isUnconstrained tells whether a task may go wherever any other of its job may.
-func isUnconstrained(task *taskstate.Task) bool { return task.Zone == "" && task.AvoidWorker == "" }
+func isUnconstrained(task *taskstate.Task) bool {
+	return task.Zone == "" && task.Queue.AvoidWorker == ""
+}
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	hasBarred := slices.ContainsFunc(s.left, func(i int) bool {
-		return s.tasks[i].AvoidWorker != "" || len(s.tasks[i].TriedWorkers) > 0
+		return s.tasks[i].Queue.AvoidWorker != "" || len(s.tasks[i].Tried.Workers) > 0
 	})
 	for len(s.left) > 0 {
 		best := s.bestCandidate(hasBarred)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -62,8 +62,8 @@
 
 // AddTask takes in a task that waits for a machine from now on, by the event loop's clock.
 func (p *Planner) AddTask(task *taskstate.Task, now time.Duration) {
-	task.Queued = false
-	task.EnqueuedAt = now
+	task.Queue.Queued = false
+	task.Queue.EnqueuedAt = now
 	if task.Job.Gang != nil {
 		p.addGang(task.Job, now)
 		return
@@ -100,7 +100,7 @@
 		queue = slices.DeleteFunc(queue, isSettled)
 		if worker := p.machines.Worker(id); worker == nil || !p.machines.AcceptsTasks(worker) {
 			for _, task := range queue {
-				task.Queued = false
+				task.Queue.Queued = false
 				p.arrivals = append(p.arrivals, task)
 			}
 			queue = nil
--- a/internal/workers/drains.go
+++ b/internal/workers/drains.go
@@ -34,7 +34,7 @@
 // that is drained, or a task that can write a checkpoint, in time before the cloud takes
 // its machine. The worker is told at once, and with each answer until the task is gone.
 func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
-	if worker.DrainReason == "" || task.HaltDecided || !task.Running || task.Job.Gang != nil {
+	if worker.DrainReason == "" || task.Halt.Decided || !task.Observed.Running || task.Job.Gang != nil {
 		return
 	}
 	spec := task.Job.Spec
@@ -49,13 +49,13 @@
 // for a checkpoint. The worker is told at once, and with each answer until the task is
 // gone.
 func (r *Registry) HaltTask(task *taskstate.Task) {
-	if worker := r.workers[task.WorkerID]; worker != nil && !task.HaltDecided {
+	if worker := r.workers[task.WorkerID]; worker != nil && !task.Halt.Decided {
 		r.haltToMove(worker, task, OperatorDrain)
 	}
 }
 
 func (r *Registry) haltToMove(worker *Worker, task *taskstate.Task, reason string) {
-	task.Halt(task.Job.Spec.CheckpointSeconds)
+	task.DecideHalt(task.Job.Spec.CheckpointSeconds)
 	r.commandsDue[worker] = true
 	r.log.Info("moving task", "worker", worker.ID, "task", task.Name(), "reason", reason)
 }
@@ -71,8 +71,8 @@
 	}
 	job.EndAttempt(now)
 	for _, task := range job.Tasks {
-		if worker := r.workers[task.WorkerID]; worker != nil && task.State == taskstate.StatePlaced && task.LaunchSent {
-			task.Halt(0)
+		if worker := r.workers[task.WorkerID]; worker != nil && task.State == taskstate.StatePlaced && task.Launch.Sent {
+			task.DecideHalt(0)
 			r.commandsDue[worker] = true
 		}
 	}
