--- a/internal/controller/drain_requests_test.go
+++ b/internal/controller/drain_requests_test.go
@@ -119,7 +119,7 @@
 		t.Error("cancelled too late")
 	}
 	for _, controller := range sim.controllers {
-		for _, owner := range controller.node.owners {
+		for _, owner := range controller.node.shardOwners {
 			for _, tracked := range owner.workers.Workers() {
 				if owner.token != 0 && tracked.HasReported && !owner.workers.AcceptsTasks(tracked) {
 					t.Errorf("%s does not take tasks", tracked.ID)
--- a/internal/controller/gang_random_faults_test.go
+++ b/internal/controller/gang_random_faults_test.go
@@ -46,7 +46,7 @@
 	}},
 	{"owners restart within a fraction of a second", func(sim *simulation, fault gangFault) {
 		for _, controller := range sim.controllers {
-			if controller.node != nil && controller.node.owning() {
+			if controller.node != nil && controller.node.ownsShard() {
 				controller.crash(fault.span / 40)
 			}
 		}
--- a/internal/controller/production_state_test.go
+++ b/internal/controller/production_state_test.go
@@ -95,7 +95,7 @@
 // markCompletedTasks notes which tasks of a job are done by the stored records.
 func (s *simulation) markCompletedTasks(job *simJob) {
 	for _, controller := range s.controllers {
-		controller.node.store.EachRecord(func(record *taskstate.Record) {
+		controller.node.taskStates.EachRecord(func(record *taskstate.Record) {
 			for i, status := range record.Statuses {
 				if record.Job == job.id && status.State == taskstate.StateDone {
 					job.completed[record.TaskIndexes[i]] = true
--- a/internal/controller/sim_dump_test.go
+++ b/internal/controller/sim_dump_test.go
@@ -21,11 +21,11 @@
 			if job.over() {
 				continue
 			}
-			for key, record := range controller.node.store.JobRecords(job.id) {
+			for key, record := range controller.node.taskStates.JobRecords(job.id) {
 				fmt.Printf("  %s revision %d index %v statuses %+v pages %v\n", key, record.Revision, record.TaskIndexes, record.Statuses, record.LogPages)
 			}
 		}
-		for shard, owner := range controller.node.owners {
+		for shard, owner := range controller.node.shardOwners {
 			fmt.Println("  shard", shard, "token", owner.token, "owner", controller.node.leases.ShardOwner(shard), "loaded", owner.tasks.IsLoaded())
 			for _, tracked := range owner.workers.Workers() {
 				fmt.Printf("    %s up %v open %v deaf %v drain %q silent %v token %d heard %v tasks %d stray %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Deaf, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
