--- a/internal/controller/incidents_test.go
+++ b/internal/controller/incidents_test.go
@@ -220,9 +220,8 @@
 func TestStateLimitsFallDuringWork(t *testing.T) {
 	sim := newSimulation(36)
 	ops, kb, rate := 1, 1.0, 8.0
-	sim.settings.Deployment.State.WriteRPS = 15
+	sim.limitWrites(15)
 	sim.settings.Deployment.State.Next = &settings.NextLimits{TxnOps: &ops, ValueKB: &kb, WriteRPS: &rate}
-	sim.stateLimits.writesPerSecond = 15
 	sim.restart()
 	for i := range 14 {
 		job := newGang(i, 2+i%5, 1)
--- a/internal/controller/sim_dump_test.go
+++ b/internal/controller/sim_dump_test.go
@@ -29,8 +29,8 @@
 			fmt.Println("  shard", shard, "token", owner.token, "owner", controller.node.leases.ShardOwner(shard), "loaded", owner.tasks.IsLoaded())
 			for _, tracked := range owner.workers.Workers() {
 				fmt.Printf("    %s up %v open %v deaf %v drain %q silent %v token %d heard %v tasks %d stray %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Deaf, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
-				for k := range tracked.Tasks {
-					fmt.Printf("      %s %+v\n", k.Name(), *k)
+				for task := range tracked.Tasks {
+					fmt.Printf("      %s %+v\n", task.Name(), *task)
 				}
 			}
 		}
--- a/internal/controller/two_faults_test.go
+++ b/internal/controller/two_faults_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -16,7 +17,7 @@
 	begin func(sim *simulation, seed int) (met func() bool)
 }
 
-// meetingScenarios are all others.
+// meetingScenarios are the scenarios besides refusalScenarios.
 var meetingScenarios = []scenario{
 	{"state service refuses the owner while launches wait for heartbeats and their jobs are cancelled", func(sim *simulation, _ int) func() bool {
 		sim.checker.commandsPrompt = true
@@ -36,8 +37,8 @@
 		refuse = func() {
 			controller := sim.ownerOfShard0()
 			for _, tracked := range controller.node.owners[0].workers.Workers() {
-				for k := range tracked.Tasks {
-					if k.PlacementDurable && !k.LaunchSent {
+				for task := range tracked.Tasks {
+					if task.PlacementDurable && !task.LaunchSent {
 						placed++
 					}
 				}
@@ -155,8 +156,8 @@
 		return func() bool { return changes > 5 }
 	}},
 	{"one-task jobs at the write limit, a quarter cancelled, meet a fault of leader or state service", func(sim *simulation, seed int) func() bool {
-		sim.stateLimits.writesPerSecond = 25
-		sim.settings.Deployment.State.WriteRPS, sim.settings.Deployment.State.RPS = 25, 70
+		sim.limitWrites(25)
+		sim.settings.Deployment.State.RPS = 70
 		sim.restart()
 		sim.cloud.available = 40
 		cancelled := 0
@@ -175,7 +176,7 @@
 		return func() bool {
 			pages := 0
 			for key := range sim.state.keys {
-				if len(key) > 9 && key[:9] == "work/0/lo" {
+				if strings.HasPrefix(key, "work/0/log/") {
 					pages++
 				}
 			}
@@ -191,7 +192,7 @@
 		return func() bool { return sim.cancelledBetween(20*second, 60*second) > 0 }
 	}},
 	{"tasks of small jobs end far apart across a change of leader or owner", func(sim *simulation, seed int) func() bool {
-		over := 0
+		partlyDone := 0
 		for i := range 12 {
 			job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 2 + i%2, cpus: 1, runTime: 3 * second, runTimeStep: 8 * second, spot: true})
 			sim.after(time.Duration(i*700)*millisecond, func() { sim.submitAndPoll(job, 0) })
@@ -199,12 +200,12 @@
 		sim.after(14*second, func() {
 			for _, job := range sim.jobs {
 				if len(job.completed) > 0 && len(job.completed) < job.tasks {
-					over++
+					partlyDone++
 				}
 			}
 			sim.inject([]faultName{leaderCrashes, stateRefusesLeader, ownerCrashes}[seed%3], seed, 16*second)
 		})
-		return func() bool { return over > 0 }
+		return func() bool { return partlyDone > 0 }
 	}},
 	{"commands are held up while machines hang and go on", func(sim *simulation, seed int) func() bool {
 		sim.submitMixedJobs(16, 12*second)
