--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -22,7 +22,7 @@
 		sim.run(at)
 		for _, job := range sim.jobs {
 			node := sim.controllers[0].node
-			if e := node.cat.Get(job.id); e != nil && e.Phase == "" && node.store.RunningTasks(job.id) > 0 && job.gangStarts == 0 {
+			if e := node.catalog.Get(job.id); e != nil && e.Phase == "" && node.taskStates.RunningGangTasks(job.id) > 0 && job.gangStarts == 0 {
 				early++
 			}
 		}
@@ -170,7 +170,7 @@
 		t.Errorf("24 of 24 processors: %d", got)
 	}
 	for _, controller := range sim.controllers {
-		controller.node.set.Deployment.Teams[0].CPUsMax, controller.node.set.Deployment.Teams[1].CPUsMax = 10, 10
+		controller.node.settings.Deployment.Teams[0].CPUsMax, controller.node.settings.Deployment.Teams[1].CPUsMax = 10, 10
 	}
 	if got := ask(job); got != 200 {
 		t.Errorf("known already: %d", got)
--- a/internal/controller/incidents_test.go
+++ b/internal/controller/incidents_test.go
@@ -58,7 +58,7 @@
 				sim.after(time.Duration(i*2)*time.Second, func() { sim.submitAndPoll(job, 0) })
 			}
 			sim.run(30 * time.Second)
-			if n := len(sim.controllers[0].node.owners); n != 2 {
+			if n := len(sim.controllers[0].node.shardOwners); n != 2 {
 				t.Fatalf("%d shards for the settings", n)
 			}
 			if !stored {
@@ -73,7 +73,7 @@
 			if sim.checker.starts != 48 {
 				t.Errorf("stored %v: %d starts for 48 tasks", stored, sim.checker.starts)
 			}
-			if n := len(sim.controllers[0].node.owners); n != 2 {
+			if n := len(sim.controllers[0].node.shardOwners); n != 2 {
 				t.Errorf("stored %v: %d shards after settings that make it one", stored, n)
 			}
 			sim.checkRules(t)
@@ -188,8 +188,8 @@
 	for sim.now < 150*time.Second && len(owned) < 3 {
 		sim.run(sim.now + 500*time.Millisecond)
 		for _, controller := range sim.controllers {
-			for _, tracked := range controller.node.owners[0].workers.Workers() {
-				if controller.node.owning() && tracked.HasReported {
+			for _, tracked := range controller.node.shardOwners[0].workers.Workers() {
+				if controller.node.ownsShard() && tracked.HasReported {
 					owned[controller.name] = true
 				}
 			}
@@ -249,7 +249,7 @@
 		}
 		sim.run(sim.now + 20*time.Second)
 		for _, controller := range sim.controllers {
-			if controller.node.leases.LeaderToken() != 0 || controller.node.healthy() {
+			if controller.node.leases.LeaderToken() != 0 || controller.node.isHealthy() {
 				t.Errorf("%s acts under the layout %s", controller.name, bad)
 			}
 		}
--- a/internal/controller/two_faults_test.go
+++ b/internal/controller/two_faults_test.go
@@ -36,9 +36,9 @@
 		var refuse func()
 		refuse = func() {
 			controller := sim.ownerOfShard0()
-			for _, tracked := range controller.node.owners[0].workers.Workers() {
+			for _, tracked := range controller.node.shardOwners[0].workers.Workers() {
 				for task := range tracked.Tasks {
-					if task.PlacementDurable && !task.LaunchSent {
+					if task.PlacementDurable && !task.Launch.Sent {
 						placed++
 					}
 				}
--- a/internal/placement/arrivals.go
+++ b/internal/placement/arrivals.go
@@ -13,7 +13,7 @@
 // The tasks of a job are alike and are placed together.
 func (p *Planner) placeArrivals(round *placementRound) {
 	tasks := slices.DeleteFunc(p.arrivals, func(task *taskstate.Task) bool {
-		return task.State != taskstate.StateWaiting || task.Job.Cancelled || task.Queued
+		return task.State != taskstate.StateWaiting || task.Job.Cancelled || task.Queue.Queued
 	})
 	p.arrivals = nil
 	slices.SortStableFunc(tasks, compare)
@@ -104,7 +104,7 @@
 // else into the extra queue.
 func (p *Planner) enqueue(tasks []*taskstate.Task, round *placementRound) {
 	for _, task := range tasks {
-		task.Queued = true
+		task.Queue.Queued = true
 	}
 	image := tasks[0].Job.Spec.Image
 	var caching []*workers.Worker
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -55,8 +55,8 @@
 				t.Fatal(err)
 			}
 			direct.fn(http1.Response{Status: 200, Body: raw}, nil)
-			if worker.UnknownTasks > 0 || task.LaunchInDoubt != test.doubt {
-				t.Errorf("tasks not on record: %d, in doubt: %v", worker.UnknownTasks, task.LaunchInDoubt)
+			if worker.UnknownTasks > 0 || task.Launch.InDoubt != test.doubt {
+				t.Errorf("tasks not on record: %d, in doubt: %v", worker.UnknownTasks, task.Launch.InDoubt)
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 	}
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // which makes the registry take a new token
-	task.LaunchInDoubt = false                            // which settles it: tasks are read anew
+	task.Launch.InDoubt = false                           // which settles it: tasks are read anew
 	fixture.worker.token = fixture.token
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if !fixture.registry.AcceptsTasks(worker) {
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -63,7 +63,7 @@
 	}
 	task := fixture.job.Tasks[0]
 	fixture.registry.PlaceTask(task, fixture.registry.Worker("vm-1"))
-	task.PlacementDurable, task.LaunchSent = true, true
+	task.PlacementDurable, task.Launch.Sent = true, true
 	fixture.beginTerm()
 	worker := fixture.registry.Worker("vm-1")
 	end := fixture.registry.leaseExpiresAt(worker)
--- a/internal/workers/properties_test.go
+++ b/internal/workers/properties_test.go
@@ -96,7 +96,7 @@
 // beginTermFromRecords begins a term in which nothing is known but what the records say.
 func (e *drawnExchange) beginTermFromRecords() {
 	for _, task := range e.job.Tasks {
-		task.LaunchInFlight, task.LaunchInDoubt, task.GoneSession, task.GoneAfterSequence, task.Reported = false, false, 0, 0, false
+		task.Launch.InFlight, task.Launch.InDoubt, task.Gone.Session, task.Gone.AfterSequence, task.Observed.Reported = false, false, 0, 0, false
 	}
 	e.beginTerm()
 }
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -80,24 +80,24 @@
 		return
 	}
 	listed[task] = true
-	if task.GoneSession > 0 && !task.Reported {
+	if task.Gone.Session > 0 && !task.Observed.Reported {
 		c.worker.LostLaunches = 0 // it has heard of this one
 	}
-	task.Reported, task.LaunchSent = true, true
-	if task.LaunchInFlight {
+	task.Observed.Reported, task.Launch.Sent = true, true
+	if task.Launch.InFlight {
 		return // the answer to the launch is still to come and tells the rest
 	}
-	task.LaunchInDoubt = false
+	task.Launch.InDoubt = false
 	if reported.Phase == PhaseEnded {
 		c.takeEnded(task, reported)
 		return
 	}
-	if reported.Phase.hasImage() && !task.HasImage {
-		task.HasImage = true
+	if reported.Phase.hasImage() && !task.Observed.HasImage {
+		task.Observed.HasImage = true
 		c.worker.FetchingTasks--
 	}
-	if reported.Phase == PhaseRunning && !task.Running {
-		task.Running, task.RunningSince = true, registry.runtime.Now()
+	if reported.Phase == PhaseRunning && !task.Observed.Running {
+		task.Observed.Running, task.Observed.RunningSince = true, registry.runtime.Now()
 	}
 	registry.gangTaskReported(task, reported.Phase)
 }
@@ -150,17 +150,17 @@
 	registry, worker, heartbeat := c.registry, c.worker, c.heartbeat
 	launchLost := false
 	for task := range worker.Tasks {
-		if listed[task] || !task.LaunchSent || task.LaunchInFlight {
+		if listed[task] || !task.Launch.Sent || task.Launch.InFlight {
 			continue
 		}
 		switch {
-		case task.GoneSession > 0 && heartbeat.Session > task.GoneSession, isLaterSession && task.Reported:
+		case task.Gone.Session > 0 && heartbeat.Session > task.Gone.Session, isLaterSession && task.Observed.Reported:
 			// The worker killed all of the earlier session.
 			registry.endPlacement(worker, task, taskstate.LossVanished)
-		case c.tokenShown && !task.LaunchInDoubt && isNewerThanLaunch(heartbeat, task):
-			launchLost = launchLost || (task.GoneSession > 0 && !task.Reported)
+		case c.tokenShown && !task.Launch.InDoubt && isNewerThanLaunch(heartbeat, task):
+			launchLost = launchLost || (task.Gone.Session > 0 && !task.Observed.Reported)
 			registry.endPlacement(worker, task, taskstate.LossVanished)
-		case task.LaunchInDoubt:
+		case task.Launch.InDoubt:
 			// The launch may still be under way; a new token settles it.
 			registry.log.Info("launch in doubt, renewing the fencing token", "worker", worker.ID, "task", task.Name())
 			registry.lease.RenewToken()
@@ -174,8 +174,8 @@
 // isNewerThanLaunch tells whether a heartbeat would list a task if its launch had been
 // carried out: it shows the token of the placement, and left after the launch was sent.
 func isNewerThanLaunch(heartbeat *Heartbeat, task *taskstate.Task) bool {
-	return heartbeat.Token >= task.GoneMinToken &&
-		(task.GoneSession == 0 || (heartbeat.Session == task.GoneSession && heartbeat.Sequence > task.GoneAfterSequence))
+	return heartbeat.Token >= task.Gone.MinToken &&
+		(task.Gone.Session == 0 || (heartbeat.Session == task.Gone.Session && heartbeat.Sequence > task.Gone.AfterSequence))
 }
 
 // appendHalts adds the halts of listed tasks that are to end.
@@ -187,8 +187,8 @@
 		switch {
 		case task.Job.Cancelled:
 			c.commands = append(c.commands, haltCommand(task.Name(), task.WireAttempt(), 0))
-		case task.HaltDecided:
-			c.commands = append(c.commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
+		case task.Halt.Decided:
+			c.commands = append(c.commands, haltCommand(task.Name(), task.WireAttempt(), task.Halt.WindDownSeconds))
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	}
 	for task := range c.worker.Tasks {
 		if len(c.commands) < tuning.MaxCommandsPerMessage && task.Launchable() && registry.lease.CancellationsVerifiedSince(task.PlacedAt) {
-			task.LaunchSent, task.GoneSession, task.GoneAfterSequence = true, c.heartbeat.Session, c.heartbeat.Sequence
+			task.Launch.Sent, task.Gone.Session, task.Gone.AfterSequence = true, c.heartbeat.Session, c.heartbeat.Sequence
 			c.commands = append(c.commands, launchCommand(task.Name(), task.WireAttempt()))
 		}
 	}
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -38,14 +38,14 @@
 	direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
-	if task.State != taskstate.StatePlaced || !task.LaunchInDoubt {
-		t.Fatalf("state %v, in doubt %v", task.State, task.LaunchInDoubt)
+	if task.State != taskstate.StatePlaced || !task.Launch.InDoubt {
+		t.Fatalf("state %v, in doubt %v", task.State, task.Launch.InDoubt)
 	}
 	fixture.deliverDirect(direct) // late
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
-	if task.State != taskstate.StatePlaced || !task.Reported {
-		t.Errorf("state %v, seen %v when it runs", task.State, task.Reported)
+	if task.State != taskstate.StatePlaced || !task.Observed.Reported {
+		t.Errorf("state %v, seen %v when it runs", task.State, task.Observed.Reported)
 	}
 }
 
@@ -95,15 +95,15 @@
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	task := fixture.job.Tasks[0]
-	task.State, task.WorkerID, task.Attempt, task.LaunchSent, task.PlacementDurable = taskstate.StatePlaced, "vm-1", 2, true, true
+	task.State, task.WorkerID, task.Attempt, task.Launch.Sent, task.PlacementDurable = taskstate.StatePlaced, "vm-1", 2, true, true
 	fixture.registry.addTask(worker, task)
 	fixture.worker.tasks[task.Name()] = 1
 	fixture.now += time.Second
 	_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	want := haltCommand(task.Name(), 1, 0)
 	commands := commandsOf(t, body)
-	if task.Reported || len(commands) != 1 || commands[0].Verb != want.Verb || commands[0].Attempt != 1 {
-		t.Errorf("seen %v, told %+v", task.Reported, commands)
+	if task.Observed.Reported || len(commands) != 1 || commands[0].Verb != want.Verb || commands[0].Attempt != 1 {
+		t.Errorf("seen %v, told %+v", task.Observed.Reported, commands)
 	}
 	if fixture.registry.AcceptsTasks(worker) {
 		t.Error("gets tasks beside one that is not on record")
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -166,7 +166,7 @@
 	for _, group := range job.Groups {
 		for _, task := range group.Tasks {
 			if task.State == taskstate.StatePlaced {
-				task.GoneMinToken, task.LaunchSent = token, true
+				task.Gone.MinToken, task.Launch.Sent = token, true
 				r.addTask(r.ensureWorker(task.WorkerID), task)
 			}
 		}
@@ -218,7 +218,7 @@
 		r.checkDeafWorker(worker, now)
 	}
 	for task := range worker.Tasks {
-		if task.LaunchSent {
+		if task.Launch.Sent {
 			r.checkLaunchedTask(worker, task, now)
 		} else if r.cannotLaunch(worker, task, now) {
 			r.endPlacement(worker, task, taskstate.LossBeforeWaiting)
@@ -233,7 +233,7 @@
 
 // checkLaunchedTask repeats the halt of a cancelled task, and halts one that has to leave.
 func (r *Registry) checkLaunchedTask(worker *Worker, task *taskstate.Task, now time.Duration) {
-	if task.Job.Cancelled && now-task.CancelHaltSentAt >= tuning.HaltRetryInterval {
+	if task.Job.Cancelled && now-task.Halt.CancelSentAt >= tuning.HaltRetryInterval {
 		r.Announce(worker.ID, worker.Addr) // if it has not seen the token
 		r.commandsDue[worker] = true
 	}
--- a/internal/workers/task_ends.go
+++ b/internal/workers/task_ends.go
@@ -20,12 +20,12 @@
 	case CauseFull:
 		loss = taskstate.LossBeforeWaiting
 		c.worker.RefusesUntil = registry.runtime.Now() + tuning.RefusedTaskPause
-		task.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause/4
+		task.Queue.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause/4
 	case CauseBusy, CauseUnknown:
 		loss = taskstate.LossBeforeWaiting
-		task.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause
+		task.Queue.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause
 	case CauseHalted:
-		if gang := task.Job.Gang; gang != nil && !gang.AttemptOver && task.HaltDecided {
+		if gang := task.Job.Gang; gang != nil && !gang.AttemptOver && task.Halt.Decided {
 			loss = taskstate.LossVanished // one that waited was told to leave its machine
 		}
 	case CauseAlone:
@@ -76,7 +76,7 @@
 func (r *Registry) noteTaskFailed(worker *Worker, task *taskstate.Task) {
 	job := task.Job
 	worker.noteFailure(job)
-	task.AvoidWorker = worker.ID
+	task.Queue.AvoidWorker = worker.ID
 	r.log.Info("task failed", "worker", worker.ID, "task", task.Name(), "count", worker.ConsecutiveFailures)
 	job.ConsecutiveFailures++
 	if job.ConsecutiveFailures >= tuning.SlowdownFailures {
