--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -57,7 +57,7 @@
 		Node: n.settings.Node, Nonce: n.identity.nonce, Rank: n.identity.rank, ShardCount: n.settings.ShardCount(),
 		AnswerGracePeriod: n.settings.AnswerGracePeriod(), Observer: leaseObserver{n},
 	})
-	n.catalog = userapi.NewCatalog(n.runtime, n.stateClient, n.settings.Deployment.Teams, n.log)
+	n.catalog = userapi.NewCatalog(n.runtime, n.stateClient, n.settings.Deployment.Teams, n.log, jobObserver{n})
 	n.taskStates = taskstate.NewStore(n.runtime, n.stateClient, n.log)
 	machines := leader.NewMachineUsage(n.settings.ShardCount())
 	n.fleet = fleet.New(fleet.Dependencies{
@@ -67,7 +67,9 @@
 		Runtime: n.runtime, State: n.stateClient, Leases: n.leases, Catalog: n.catalog, Records: n.taskStates,
 		Fleet: n.fleet, Machines: machines, Settings: n.settings, Log: n.log,
 	})
-	n.userAPI = userapi.NewAPI(n.runtime, n.stateClient, n.catalog, n.settings, n.log)
+	n.userAPI = userapi.NewAPI(userapi.Config{
+		Runtime: n.runtime, Client: n.stateClient, Catalog: n.catalog, Settings: n.settings, Progress: n.taskStates, Machines: n.fleet,
+	})
 	n.shardOwners = nil
 	for shardIndex := range n.settings.ShardCount() {
 		n.shardOwners = append(n.shardOwners, newShardOwner(n, shardIndex))
@@ -75,7 +77,6 @@
 	n.drains = n.newDrainParts()
 
 	n.connectRecords()
-	n.connectUsers()
 }
 
 // leaseObserver begins and ends the terms of a node's parts with its leases.
@@ -108,14 +109,19 @@
 // ShardLost ends a shard's owner.
 func (o leaseObserver) ShardLost(shardIndex int) { o.node.shardOwners[shardIndex].endTerm() }
 
-// connectRecords tells the leader and the shard owners of jobs and records.
-func (n *Node) connectRecords() {
-	n.catalog.JobChanged = func(entry *userapi.Entry) {
-		n.leader.JobChanged(entry)
-		for _, owner := range n.shardOwners {
-			owner.tasks.JobChanged(entry)
-		}
+// jobObserver tells a node's parts of jobs.
+type jobObserver struct{ node *Node }
+
+// JobChanged tells the leader and the shard owners of a job.
+func (o jobObserver) JobChanged(entry *userapi.Entry) {
+	o.node.leader.JobChanged(entry)
+	for _, owner := range o.node.shardOwners {
+		owner.tasks.JobChanged(entry)
 	}
+}
+
+// connectRecords tells the leader and the shard owners of records.
+func (n *Node) connectRecords() {
 	n.taskStates.Observe(n.leader)
 	for _, owner := range n.shardOwners {
 		n.taskStates.Observe(owner.tasks)
@@ -132,10 +138,3 @@
 	}
 	return max(tuning.PassiveWatchPause, n.settings.WatchPause())
 }
-
-// connectUsers gives the user API what it answers from.
-func (n *Node) connectUsers() {
-	n.userAPI.MachineTypes = n.fleet.MachineTypes
-	n.userAPI.Progress = n.taskStates.Progress
-	n.userAPI.RunningGangTasks = n.taskStates.RunningGangTasks
-}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -48,7 +48,7 @@
 	}
 	node := &node{service: service}
 	node.leases = statestore.NewLeaseManager(service, state, log, statestore.LeaseConfig{Node: "node-0", Nonce: 1, ShardCount: 1, Observer: node})
-	node.catalog = userapi.NewCatalog(service, state, config.Deployment.Teams, log)
+	node.catalog = userapi.NewCatalog(service, state, config.Deployment.Teams, log, node)
 	node.store = taskstate.NewStore(service, state, log)
 	machines := NewMachineUsage(1)
 	node.fleet = fleet.New(fleet.Dependencies{Runtime: service, Address: "cloud", Leases: node.leases, Loads: machines, Settings: config, Log: log})
@@ -56,7 +56,6 @@
 		Runtime: service, State: state, Leases: node.leases, Catalog: node.catalog, Records: node.store,
 		Fleet: node.fleet, Machines: machines, Settings: config, Log: log,
 	})
-	node.catalog.JobChanged = node.leader.JobChanged
 	node.store.Observe(node.leader)
 	node.fleet.Start()
 	node.catalog.Start()
@@ -65,6 +64,9 @@
 	return node
 }
 
+// JobChanged tells the leader of a job.
+func (n *node) JobChanged(entry *userapi.Entry) { n.leader.JobChanged(entry) }
+
 // LeadershipAcquired begins a term.
 func (n *node) LeadershipAcquired(token uint64) {
 	n.leader.BeginTerm(token)
--- a/internal/shard/node_test.go
+++ b/internal/shard/node_test.go
@@ -36,13 +36,12 @@
 	state.SetLimits(statestore.Limits{MaxOperations: 10, MaxValueBytes: 1 << 16, FutureWriteShare: 1})
 	node := &testNode{}
 	node.leases = statestore.NewLeaseManager(service, state, log, statestore.LeaseConfig{Node: "node-0", Nonce: 1, ShardCount: 1, Observer: node})
-	catalog := userapi.NewCatalog(service, state, nil, log)
+	catalog := userapi.NewCatalog(service, state, nil, log, node)
 	node.store = taskstate.NewStore(service, state, log)
 	node.tasks = NewTaskStore(0, Dependencies{
 		Runtime: service, State: state, Leases: node.leases, Catalog: catalog, Records: node.store,
 		Settings: nodeSettings, Handler: node, Log: log,
 	})
-	catalog.JobChanged = node.tasks.JobChanged
 	node.store.Observe(node.tasks)
 	catalog.Start()
 	node.store.Start()
@@ -50,6 +49,9 @@
 	return node
 }
 
+// JobChanged tells the shard of a job.
+func (n *testNode) JobChanged(entry *userapi.Entry) { n.tasks.JobChanged(entry) }
+
 // LeadershipAcquired is of no interest here.
 func (n *testNode) LeadershipAcquired(uint64) {}
 
