--- a/internal/placement/gangs_test.go
+++ b/internal/placement/gangs_test.go
@@ -139,3 +139,27 @@
 		t.Errorf("%g processors are still kept", free.CPUs)
 	}
 }
+
+// TestOverdueGangHoldsMachinesFromWorkOfItsPriority: small tasks that arrive without end
+// would else take every processor that comes free.
+func TestOverdueGangHoldsMachinesFromWorkOfItsPriority(t *testing.T) {
+	fixture := newGangFixture(small, small)
+	running := fixture.addJob(1, "standard", "x", 1, 8)
+	fixture.runRound()
+	job := fixture.addGangJob(2, "y", 4, 2)
+	for step := range int(tuning.StarvedAfter/time.Second) - 1 { // a starved job holds them from all work
+		fixture.now += time.Second
+		running = append(running, fixture.addJob(3+step, "standard", "x", 1, 2)...)
+		fixture.runRound()
+		if countPlaced(job) > 0 {
+			if waited := time.Duration(step+1) * time.Second; countPlaced(job) != 2 || waited < tuning.WaitBound {
+				t.Fatalf("%d of 2 tasks placed after %v", countPlaced(job), waited)
+			}
+			return
+		}
+		if i := slices.IndexFunc(running, func(task *taskstate.Task) bool { return task.State == taskstate.StatePlaced }); i >= 0 {
+			fixture.endTask(running[i])
+		}
+	}
+	t.Error("the gang never ran")
+}
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -19,7 +19,12 @@
 	if task.State != taskstate.StatePlaced {
 		t.Fatal("called gone while its worker's clock may not have ended the lease")
 	}
-	fixture.now += tuning.WorkerLeaseMargin + time.Millisecond
+	fixture.now += tuning.WorkerLeaseMargin
+	fixture.registry.Tick()
+	if task.State != taskstate.StatePlaced {
+		t.Fatal("called gone within the drift and the margin")
+	}
+	fixture.now += time.Millisecond
 	fixture.registry.Tick()
 	if task.State != taskstate.StateWaiting {
 		t.Error("never called gone")
