--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -224,7 +224,7 @@
 			r.endPlacement(worker, task, taskstate.LossBeforeWaiting)
 		}
 	}
-	if !worker.LeaseExpired && now > r.leaseExpiresAt(worker) && len(worker.Tasks) > 0 {
+	if len(worker.Tasks) > 0 && !worker.LeaseExpired && now > r.leaseExpiresAt(worker) {
 		r.log.Info("worker lease expired", "worker", worker.ID, "count", len(worker.Tasks))
 		worker.LeaseExpired = true
 		r.endAllPlacements(worker)
