--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -26,8 +26,8 @@
 	onTaskWaiting       func(*taskstate.Task)
 	turnsHeartbeatsAway bool      // heartbeats are not answered
 	phase               TaskPhase // of the tasks in heartbeats, "" for running
-	// Of cancellations: when the user was told, 0 for never, and up to when the owner
-	// knows of them; knows: it rests on that.
+	// cancelledAt is when the user was told that the job is cancelled, 0 for never;
+	// verifiedAt is up to when the owner knows of cancellations, if it needs to.
 	cancelledAt, verifiedAt   time.Duration
 	needsVerification         bool
 	noNewToken                bool          // no new token is to be had
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestNewOwnerCountsFromTheLastAnswer: also for a machine that this process has known for
-// long, an earlier owner may answer for a while after the block has changed hands.
+// long, an earlier owner may answer for a while after the shard has changed hands.
 func TestNewOwnerCountsFromTheLastAnswer(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -9,7 +9,7 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// recordingFixture is a bench that keeps where calls go to.
+// recordingFixture is a registryFixture that records what is sent, and where to.
 type recordingFixture struct {
 	*registryFixture
 	sent []string
