--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -9,15 +9,15 @@
 )
 
 // newAnsweringOwner is a deployment whose shard has an owner that answers its workers.
-func newAnsweringOwner(t *testing.T) (*simulation, *Node, *owner) {
+func newAnsweringOwner(t *testing.T) (*simulation, *Node, *shardOwner) {
 	t.Helper()
 	sim := newSimulation(1)
 	sim.run(15 * time.Second)
 	node := sim.ownerOfShard0().node
-	if owner := node.owners[0]; !node.answering(owner) {
+	if owner := node.shardOwners[0]; !node.mayAnswer(owner) {
 		t.Fatal("the owner answers nobody")
 	}
-	return sim, node, node.owners[0]
+	return sim, node, node.shardOwners[0]
 }
 
 // TestAnswersNeedRecentKnowledgeOfCancellations: an owner whose leases are proven and renewed
@@ -26,15 +26,15 @@
 	sim, node, owner := newAnsweringOwner(t)
 	sim.stateFaults.silentWatchPrefix = userapi.KeyPrefix
 	sim.run(sim.now + sim.settings.MaxKnowledgeAge() - 3*tuning.KnowledgeVerifyInterval)
-	if !node.answering(owner) {
+	if !node.mayAnswer(owner) {
 		t.Error("answers nobody while its knowledge is young enough")
 	}
 	sim.run(sim.now + 3*tuning.KnowledgeVerifyInterval)
-	if node.answering(owner) {
-		proven, _ := node.cat.VerifiedAt()
-		t.Errorf("answers on knowledge %v old", node.rt.Now()-proven)
+	if node.mayAnswer(owner) {
+		proven, _ := node.catalog.VerifiedAt()
+		t.Errorf("answers on knowledge %v old", node.runtime.Now()-proven)
 	}
-	if node.rt.Now() >= node.leases.AnswersUntil() {
+	if node.runtime.Now() >= node.leases.AnswersUntil() {
 		t.Error("its leases alone would have ended that")
 	}
 }
@@ -43,15 +43,15 @@
 // is none, nor is one that is older than a launch may rest on.
 func TestLaunchNeedsRecentVerificationAfterPlacement(t *testing.T) {
 	sim, node, _ := newAnsweringOwner(t)
-	proven, known := node.cat.VerifiedAt()
-	if !known || !node.fresh(proven) {
-		t.Fatalf("known %v, fresh %v", known, node.fresh(proven))
+	proven, known := node.catalog.VerifiedAt()
+	if !known || !node.cancellationsVerifiedSince(proven) {
+		t.Fatalf("known %v, fresh %v", known, node.cancellationsVerifiedSince(proven))
 	}
-	if node.fresh(proven + time.Millisecond) {
+	if node.cancellationsVerifiedSince(proven + time.Millisecond) {
 		t.Error("a verification of before the placement counts")
 	}
 	sim.now += tuning.MaxLaunchKnowledgeAge + time.Second // nothing happens meanwhile
-	if node.fresh(proven) {
+	if node.cancellationsVerifiedSince(proven) {
 		t.Error("an old verification counts")
 	}
 }
@@ -65,7 +65,7 @@
 	if node.leases.ShardToken(0) == 0 || !node.leases.LeaseValid() {
 		t.Fatal("the lease is gone at once")
 	}
-	if node.answering(owner) {
+	if node.mayAnswer(owner) {
 		t.Error("answers under a token that is given up")
 	}
 }
--- a/internal/drain/executor_test.go
+++ b/internal/drain/executor_test.go
@@ -49,7 +49,7 @@
 	job := taskstate.NewJob(&jobs.Spec{ID: "wk-1", Team: "red", Shape: jobs.ShapeArray, Tasks: 1, CPUs: 1}, 0, true)
 	task := &taskstate.Task{}
 	task.Job, task.State, task.WorkerID = job, taskstate.StatePlaced, "vm-1"
-	task.Attempt, task.LaunchSent, task.Running = 3, true, true
+	task.Attempt, task.Launch.Sent, task.Observed.Running = 3, true, true
 	job.Tasks[0] = task
 	worker := &workers.Worker{ID: "vm-1"}
 	worker.HasReported = true
@@ -151,8 +151,8 @@
 	}{
 		"granted attempt":  {func(*testing.T, *executorFixture) {}, 1},
 		"later attempt":    {func(_ *testing.T, f *executorFixture) { f.shard.task.Attempt = 4 }, 0},
-		"not launched":     {func(_ *testing.T, f *executorFixture) { f.shard.task.LaunchSent = false }, 0},
-		"halted already":   {func(_ *testing.T, f *executorFixture) { f.shard.task.HaltDecided = true }, 0},
+		"not launched":     {func(_ *testing.T, f *executorFixture) { f.shard.task.Launch.Sent = false }, 0},
+		"halted already":   {func(_ *testing.T, f *executorFixture) { f.shard.task.Halt.Decided = true }, 0},
 		"job is cancelled": {func(_ *testing.T, f *executorFixture) { f.shard.job.Cancelled = true }, 0},
 		"drain is paused":  {func(t *testing.T, f *executorFixture) { f.setPhase(t, PhasePaused) }, 1},
 		"drain is over":    {func(t *testing.T, f *executorFixture) { f.setPhase(t, PhaseCancelled) }, 0},
@@ -184,7 +184,7 @@
 		},
 		"halted before the drain was cancelled": {
 			phase:   PhaseCancelled,
-			prepare: func(s *fakeShard) { s.task.HaltDecided = true },
+			prepare: func(s *fakeShard) { s.task.Halt.Decided = true },
 		},
 		"runs again": {
 			phase:   PhaseRunning,
@@ -193,7 +193,7 @@
 		},
 		"placed again, not seen running": {
 			phase:   PhaseRunning,
-			prepare: func(s *fakeShard) { s.task.Attempt, s.task.Running = 4, false },
+			prepare: func(s *fakeShard) { s.task.Attempt, s.task.Observed.Running = 4, false },
 		},
 		"runs again on a silent machine": {
 			phase:   PhaseRunning,
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -48,7 +48,7 @@
 	}
 	node := &node{service: service}
 	node.leases = statestore.NewLeaseManager(service, state, log, statestore.LeaseConfig{Node: "node-0", Nonce: 1, ShardCount: 1, Observer: node})
-	node.catalog = userapi.NewCatalog(service, state, config.Deployment.Teams, log)
+	node.catalog = userapi.NewCatalog(service, state, config.Deployment.Teams, log, node)
 	node.store = taskstate.NewStore(service, state, log)
 	machines := NewMachineUsage(1)
 	node.fleet = fleet.New(fleet.Dependencies{Runtime: service, Address: "cloud", Leases: node.leases, Loads: machines, Settings: config, Log: log})
@@ -56,8 +56,7 @@
 		Runtime: service, State: state, Leases: node.leases, Catalog: node.catalog, Records: node.store,
 		Fleet: node.fleet, Machines: machines, Settings: config, Log: log,
 	})
-	node.catalog.JobChanged = node.leader.JobChanged
-	node.store.RecordAdded, node.store.RecordRemoved, node.store.TaskStatusChanged = node.leader.RecordAdded, node.leader.RecordRemoved, node.leader.TaskStatusChanged
+	node.store.Observe(node.leader)
 	node.fleet.Start()
 	node.catalog.Start()
 	node.store.Start()
@@ -65,6 +64,9 @@
 	return node
 }
 
+// JobChanged tells the leader of a job.
+func (n *node) JobChanged(entry *userapi.Entry) { n.leader.JobChanged(entry) }
+
 // LeadershipAcquired begins a term.
 func (n *node) LeadershipAcquired(token uint64) {
 	n.leader.BeginTerm(token)
@@ -130,11 +132,11 @@
 	for _, task := range group.Tasks {
 		change(task)
 	}
-	pages, _, _, err := taskstate.PackPages(group.Tasks, 1<<16, 1)
+	pages, _, err := taskstate.PackPages(group.Tasks, 1<<16, 1)
 	if err != nil || len(pages) != 1 {
 		t.Fatalf("%d pages, %v", len(pages), err)
 	}
-	service.Set(t, taskstate.PageKey(record.Shard, page), pages[0])
+	service.Set(t, taskstate.PageKey(record.Shard, page), pages[0].Value)
 }
 
 // putRecord stores a record of tasks of a job, as an earlier leader has.
@@ -281,7 +283,7 @@
 			if !ok {
 				t.Fatal("not dispatched again")
 			}
-			again, err := taskstate.Decode(next.Key, next.Value, next.Revision)
+			again, err := taskstate.DecodeRecord(next.Key, next.Value, next.Revision)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -333,7 +335,7 @@
 	if !ok {
 		t.Fatal("its other task is not dispatched")
 	}
-	last, err := taskstate.Decode(stored.Key, stored.Value, stored.Revision)
+	last, err := taskstate.DecodeRecord(stored.Key, stored.Value, stored.Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -54,7 +54,7 @@
 	record := taskstate.NewRecord(batch.shard, job.entry.ID, job.nextRecord, batch.tasks, job.zones, job.pending.attempts)
 	record.GangAttempt, record.PartSize = batch.gangAttempt, batch.partSize
 	if batch.allDone {
-		record.MarkAllDone()
+		record.SetAllDone()
 	}
 	job.nextRecord++
 	value, err := record.Encode()
--- a/internal/placement/overdue.go
+++ b/internal/placement/overdue.go
@@ -30,7 +30,7 @@
 		return round.now-gang.job.Gang.EnqueuedAt >= p.waitBound && !round.isStarved(gang.job)
 	})
 	for _, task := range p.extraQueue {
-		if isQueued(task) && round.now-task.EnqueuedAt >= p.waitBound && isDue(task, round.now) && task.Job != holding && !round.isStarved(task.Job) &&
+		if isQueued(task) && round.now-task.Queue.EnqueuedAt >= p.waitBound && isDue(task, round.now) && task.Job != holding && !round.isStarved(task.Job) &&
 			!p.startOrHold(round, task, task.Job.Spec.Priority()+1) {
 			holding = task.Job
 		}
--- a/internal/placement/pull.go
+++ b/internal/placement/pull.go
@@ -78,6 +78,6 @@
 
 // startQueued places a task of a queue. It leaves the queue in the next round.
 func (p *Planner) startQueued(task *taskstate.Task, worker *workers.Worker) {
-	task.Queued = false
+	task.Queue.Queued = false
 	p.machines.PlaceTask(task, worker)
 }
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -33,7 +33,7 @@
 
 // isQueued tells whether a task of a queue still waits.
 func isQueued(task *taskstate.Task) bool {
-	return task.State == taskstate.StateWaiting && task.Queued && !task.Job.Cancelled
+	return task.State == taskstate.StateWaiting && task.Queue.Queued && !task.Job.Cancelled
 }
 
 func isSettled(task *taskstate.Task) bool { return !isQueued(task) }
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -3,173 +3,182 @@
 import (
 	"strconv"
 	"time"
-
-	"lemonmoor/internal/jobs"
 )
 
-// State of a task, for the block's owner.
+// State is where a task stands, as far as the owner of its shard is concerned.
 type State uint8
 
 const (
-	// StateWaiting: on no machine.
+	// StateWaiting is the state of a task that is on no machine and is to run.
 	StateWaiting State = iota
-	// StatePlaced: given to a machine, or may still be on one.
+	// StatePlaced is the state of a task that was given to a machine, and of one that
+	// may still be on it: only a proof ends it.
 	StatePlaced
-	// StateDone: completed.
+	// StateDone is the state of a completed task. It is final.
 	StateDone
-	// StateDropped: will not run here, and is on no machine.
+	// StateDropped is the state of a task that will not run in this shard and is on no
+	// machine: its job is cancelled, or its record is gone.
 	StateDropped
-	// StateReturned to the leader, and on no machine.
+	// StateReturned is the state of a task that was given back to the leader and is on no
+	// machine. The task may come back in a later record.
 	StateReturned
 )
 
-// Task is one task that has been handed to a block.
+// String returns the state's name for logs and tests.
+func (s State) String() string {
+	switch s {
+	case StateWaiting:
+		return "waiting"
+	case StatePlaced:
+		return "placed"
+	case StateDone:
+		return "done"
+	case StateDropped:
+		return "dropped"
+	case StateReturned:
+		return "returned"
+	}
+	return "state " + strconv.Itoa(int(s))
+}
+
+// Task is one task that has been handed to a shard. The shard's owner holds it; it is used
+// within the owner's event loop only.
 type Task struct {
 	Job   *Job
 	Group *TaskGroup
 	Index int
 	State State
-	// LogPage of the log that tells of it, -1 for none; Dirty: it has changed since.
-	LogPage      int
-	Dirty        bool
-	LoggedCommit uint64 // the newest commit that has told of it
-	// Attempt is the last one used; attempts are never used twice. See Try.
+	// Zone was fixed when the task was handed out; "" for any.
+	Zone string
+
+	// Attempt is the last attempt used; attempts are never used twice. Workers know it
+	// as WireAttempt.
 	Attempt uint64
-	// WorkerID is the machine that has, or may have, the task while it is Placed.
+	// WorkerID names the worker that has, or may have, the task while it is placed.
 	WorkerID string
-
-	// PlacedAt is when the task was placed: its launch needs a later proof that its job
-	// is not cancelled. Halted is when it was last ordered to end because it is.
-	PlacedAt, CancelHaltSentAt time.Duration
-
-	// PlacementDurable: the placement is committed, so the launch may be sent.
+	// PlacedAt is when the task was placed: its launch needs a proof, later than that,
+	// that its job is not cancelled.
+	PlacedAt time.Duration
+	// PlacementDurable is set once the placement is committed, so that the launch may be
+	// sent.
 	PlacementDurable bool
-	// DoneDurable: the completion is committed, so the machine may forget it.
+	// DoneDurable is set once the completion is committed, so that the worker may forget
+	// the task.
 	DoneDurable bool
-	// LaunchSent: a launch has left, or may have left under an earlier token. Each
-	// launch leaves in exactly one message.
-	LaunchSent bool
-	// LaunchInFlight: that message is a direct order not answered yet.
-	LaunchInFlight bool
-	// LaunchInDoubt: it is a direct order that got no answer. It may be carried out
-	// any time until the worker has seen a higher token.
-	LaunchInDoubt bool
-	// A report that does not list the task proves it gone only at GoneMinToken
-	// or higher and, within the session Session, after Sequence.
-	GoneMinToken, GoneSession, GoneAfterSequence uint64
-	// Reported: listed in a report.
-	Reported        bool
-	Running         bool
-	HasImage        bool          // it has its image: it runs, or waits for its gang
-	HasRun          bool          // of a gang: seen running under this attempt; stored
-	RunningSince    time.Duration // when it was first seen running
-	HaltDecided     bool          // a halt has been decided
-	WindDownSeconds float64
-	HaltSent        bool // a direct message with the halt has left
 
-	// Of a gang: the machines that have had the task within the attempt, and
-	// whether there are others, not known any more.
-	TriedWorkers           []string
-	TriedWorkersIncomplete bool
+	Launch   Launch
+	Gone     GoneProof
+	Observed Observation
+	Halt     Halt
+	Tried    TriedWorkers
+	Queue    QueueEntry
+	Log      LogPosition
+}
 
-	// For the queues.
-	Queued      bool
-	EnqueuedAt  time.Duration
-	NotBefore   time.Duration
-	AvoidWorker string // a machine that failed it
-	Zone        string // fixed at hand-out, "" for any
+// Launch is what is known of the launch command of a placed task. The command leaves in
+// exactly one message, so that it cannot be carried out twice.
+type Launch struct {
+	// Sent is set when the command has left, or may have left under an earlier token.
+	Sent bool
+	// InFlight is set while the command is in a direct message that is not answered yet.
+	InFlight bool
+	// InDoubt is set when that direct message got no answer. The worker may carry it out
+	// any time until it has seen a higher token.
+	InDoubt bool
 }
 
-// Name names a task on the wire.
-func (t *Task) Name() string { return t.Job.Spec.ID + "/" + strconv.Itoa(t.Index) }
+// GoneProof tells which heartbeats prove a placed task gone from its worker by not listing
+// it: those that show MinToken or a higher token and, if Session is set, are of that
+// session and later than AfterSequence. A heartbeat of a later session than Session proves
+// it too.
+type GoneProof struct {
+	MinToken, Session, AfterSequence uint64
+}
 
-// Halt decides that the task is to be halted, with so many seconds to save.
-func (t *Task) Halt(windDown float64) {
-	t.HaltDecided, t.WindDownSeconds, t.HaltSent = true, windDown, false
+// Observation is what heartbeats have shown of a placed task.
+type Observation struct {
+	// Reported is set once a heartbeat has listed the task.
+	Reported bool
+	// Running is set once the task was seen running, RunningSince is when.
+	Running      bool
+	RunningSince time.Duration
+	// HasImage is set once the task has its image: it runs, or waits for its gang.
+	HasImage bool
+	// HasRun is set once a gang's task was seen running under the present attempt. It is
+	// stored in the log.
+	HasRun bool
 }
 
-// Job is a job of which a block has tasks.
-type Job struct {
-	Spec                *jobs.Spec
-	SubmittedMS         int64 // ms since the epoch, by the accepting node's clock
-	Rank                jobs.Rank
-	Cancelled           bool
-	HasPlacedTask       bool // a task of it has been placed
-	Tasks               map[int]*Task
-	Groups              map[string]*TaskGroup
-	ConsecutiveFailures int           // failures in a row
-	NotBefore           time.Duration // pause after failures
-	Gang                *Gang         // nil if the tasks need not run together
-	PartDoneElsewhere   bool          // a part of a divided gang is done in another block
+// Halt is what is known of the commands to end a placed task.
+type Halt struct {
+	// Decided is set when the task is to be halted, with WindDownSeconds to save its
+	// progress.
+	Decided         bool
+	WindDownSeconds float64
+	// Sent is set when a direct message with the command has left.
+	Sent bool
+	// CancelSentAt is when the worker was last told to end the task because its job is
+	// cancelled.
+	CancelSentAt time.Duration
 }
 
-// NewJob returns a job of which no task is known yet.
-func NewJob(d *jobs.Spec, submitted int64, within bool) *Job {
-	return &Job{
-		Spec: d, SubmittedMS: submitted, Rank: jobs.NewRank(d, submitted, within),
-		Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{},
-	}
+// TriedWorkers lists the workers that have had a gang's task within the present attempt.
+// None of them may get it again under that attempt: it would be taken for the lost one.
+type TriedWorkers struct {
+	Workers []string
+	// Incomplete is set when there are others that are not known any more.
+	Incomplete bool
 }
 
-// OpenTasks counts the block's tasks of the job that are neither done nor given back.
-func (j *Job) OpenTasks() int {
-	open := 0
-	for _, c := range j.Groups {
-		open += c.OpenTasks
-	}
-	return open
+// QueueEntry is what the planner's queues keep with a waiting task.
+type QueueEntry struct {
+	Queued      bool
+	EnqueuedAt  time.Duration
+	NotBefore   time.Duration
+	AvoidWorker string // a worker on which the task has failed; "" for none
 }
 
-// JobBefore orders jobs by their ranks.
-func JobBefore(a, b *Job) bool { return a.Rank.Before(&b.Rank) }
-
-// TaskGroup is the owner's working copy of a record.
-type TaskGroup struct {
-	Job       *Job
-	Key       string
-	Number    int
-	Tasks     []*Task
-	Zones     []string
-	OpenTasks int // tasks that are neither done nor given back
-	// GangAttempt is the attempt that the leader has chosen for a divided gang, Part how
-	// many of its tasks it has given to the block; 0 if it is not divided.
-	GangAttempt uint64
-	PartSize    int
+// LogPosition tells where the shard's log holds the status of a task.
+type LogPosition struct {
+	// Page is the log page that holds the newest committed status, -1 for none.
+	Page int
+	// Dirty is set when the task has changed since it was last written.
+	Dirty bool
+	// Commit is the number of the newest commit that has written the task's status.
+	Commit uint64
 }
 
-// LoadRecord makes an owner's working copy of a record. Every placement in it is one
-// that an earlier token's launch may have carried out.
-func LoadRecord(j *Job, r *Record) *TaskGroup {
-	c := &TaskGroup{Job: j, Key: r.Key, Number: r.Number, Zones: r.Zones, GangAttempt: r.GangAttempt, PartSize: r.PartSize, Tasks: make([]*Task, len(r.TaskIndexes))}
-	tasks := make([]Task, len(r.TaskIndexes))
-	for k, i := range r.TaskIndexes {
-		m := r.Statuses[k]
-		t := &tasks[k]
-		*t = Task{Job: j, Group: c, Index: i, State: m.State, Attempt: m.Attempt, WorkerID: m.WorkerID, HasRun: m.Running, LogPage: int(r.LogPages[k]), Zone: ZoneOf(r.Zones, i)}
-		j.HasPlacedTask = j.HasPlacedTask || m.Attempt > 0 || m.State == StateDone
-		switch m.State {
-		case StateDone:
-			t.DoneDurable = true
-		case StatePlaced:
-			t.PlacementDurable, t.LaunchSent = true, true
-		}
-		if m.State == StateWaiting || m.State == StatePlaced {
-			c.OpenTasks++
-		}
-		c.Tasks[k] = t
-		if t.State != StateReturned {
-			j.Tasks[i] = t // a returned task may be back in a later record
-		}
+// Name returns the name by which workers know the task: JOB/INDEX.
+func (t *Task) Name() string { return t.Job.Spec.ID + "/" + strconv.Itoa(t.Index) }
+
+// PlaceOn gives a waiting task to a worker; nothing is launched yet.
+func (t *Task) PlaceOn(workerID string) {
+	t.State, t.WorkerID = StatePlaced, workerID
+	t.Job.HasPlacedTask = true
+	t.beginAttempt()
+	if t.Job.Gang != nil {
+		t.Tried.Workers = append(t.Tried.Workers, workerID)
 	}
-	j.Groups[c.Key] = c
-	return c
+	t.clearPlacement()
+	t.Observed.Running, t.Observed.HasImage = false, false
 }
 
-// ZoneOf is the zone fixed for a task, "" for any: one for samePlace, in turn
-// for spread.
-func ZoneOf(zones []string, index int) string {
-	if len(zones) == 0 {
-		return ""
-	}
-	return zones[index%len(zones)]
+// TakeOffWorker makes a placed task wait again. It must have been proven gone from its
+// worker.
+func (t *Task) TakeOffWorker() {
+	t.State, t.WorkerID = StateWaiting, ""
+	t.clearPlacement()
+}
+
+// clearPlacement forgets what was known of a placement.
+func (t *Task) clearPlacement() {
+	t.PlacementDurable, t.Launch = false, Launch{}
+	t.Observed.Reported, t.Observed.HasRun = false, false
+	t.Halt.Decided, t.Halt.Sent = false, false
+}
+
+// DecideHalt decides that the task is to be halted, with so many seconds to save its
+// progress.
+func (t *Task) DecideHalt(windDownSeconds float64) {
+	t.Halt.Decided, t.Halt.WindDownSeconds, t.Halt.Sent = true, windDownSeconds, false
 }
--- a/internal/workers/cancellations.go
+++ b/internal/workers/cancellations.go
@@ -22,8 +22,8 @@
 func (r *Registry) appendCancellationHalts(worker *Worker, commands []Command) []Command {
 	now := r.runtime.Now()
 	for task := range worker.Tasks {
-		if task.Job.Cancelled && task.LaunchSent && len(commands) < tuning.MaxCommandsPerMessage {
-			task.CancelHaltSentAt = now
+		if task.Job.Cancelled && task.Launch.Sent && len(commands) < tuning.MaxCommandsPerMessage {
+			task.Halt.CancelSentAt = now
 			commands = append(commands, haltCommand(task.Name(), task.WireAttempt(), 0))
 		}
 	}
@@ -54,7 +54,7 @@
 // lease if not.
 func (r *Registry) mayOutliveCancellation(worker *Worker, heartbeat *Heartbeat) bool {
 	for task := range worker.Tasks {
-		if task.Job.Cancelled && task.LaunchSent && r.isCancelledLongAgo(task.Job.Spec.ID) {
+		if task.Job.Cancelled && task.Launch.Sent && r.isCancelledLongAgo(task.Job.Spec.ID) {
 			return true
 		}
 	}
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -77,8 +77,8 @@
 	}
 	attempts := make([]uint64, len(launched))
 	for i, task := range launched {
-		task.LaunchSent, task.LaunchInFlight = true, true
-		task.GoneSession, task.GoneAfterSequence = worker.Session, worker.Sequence
+		task.Launch.Sent, task.Launch.InFlight = true, true
+		task.Gone.Session, task.Gone.AfterSequence = worker.Session, worker.Sequence
 		attempts[i] = task.Attempt
 	}
 	worker.delivery.inFlight = true
@@ -98,8 +98,8 @@
 func landLaunches(worker *Worker, launched []*taskstate.Task, attempts []uint64) []*taskstate.Task {
 	unchanged := launched[:0]
 	for i, task := range launched {
-		if worker.Tasks[task] && task.Attempt == attempts[i] && task.LaunchInFlight {
-			task.LaunchInFlight = false
+		if worker.Tasks[task] && task.Attempt == attempts[i] && task.Launch.InFlight {
+			task.Launch.InFlight = false
 			unchanged = append(unchanged, task)
 		}
 	}
@@ -132,13 +132,13 @@
 // message. Repeated or late, a halt does no harm: it names the attempt.
 func (r *Registry) appendHalts(worker *Worker, message *CommandMessage) {
 	for task := range worker.Tasks {
-		if task.HaltDecided && task.Reported && !task.HaltSent && len(message.Commands) < tuning.MaxCommandsPerMessage {
-			task.HaltSent = true // if this is lost, the answer to the next heartbeat has it
-			message.Commands = append(message.Commands, haltCommand(task.Name(), task.WireAttempt(), task.WindDownSeconds))
+		if task.Halt.Decided && task.Observed.Reported && !task.Halt.Sent && len(message.Commands) < tuning.MaxCommandsPerMessage {
+			task.Halt.Sent = true // if this is lost, the answer to the next heartbeat has it
+			message.Commands = append(message.Commands, haltCommand(task.Name(), task.WireAttempt(), task.Halt.WindDownSeconds))
 		}
 	}
 	for task := range worker.Tasks {
-		if task.Job.Cancelled && task.LaunchSent && r.runtime.Now()-task.CancelHaltSentAt >= tuning.HaltRetryInterval {
+		if task.Job.Cancelled && task.Launch.Sent && r.runtime.Now()-task.Halt.CancelSentAt >= tuning.HaltRetryInterval {
 			message.Commands = r.appendCancellationHalts(worker, message.Commands)
 			break
 		}
@@ -189,18 +189,18 @@
 	switch outcome {
 	case deliveryRefused:
 		for _, task := range launched {
-			task.LaunchSent, task.GoneSession, task.GoneAfterSequence = task.Reported, 0, 0
+			task.Launch.Sent, task.Gone.Session, task.Gone.AfterSequence = task.Observed.Reported, 0, 0
 		}
 	case deliveryExecuted:
 		for _, task := range launched {
-			task.GoneSession, task.GoneAfterSequence = answer.Session, answer.Sequence
+			task.Gone.Session, task.Gone.AfterSequence = answer.Session, answer.Sequence
 		}
 		if answer.Session == worker.Session && answer.Sequence > worker.Sequence && answer.Token <= r.lease.Token() {
 			r.reconcileCommandAnswer(worker, answer)
 		}
 	case deliveryInDoubt:
 		for _, task := range launched {
-			task.LaunchInDoubt = !task.Reported
+			task.Launch.InDoubt = !task.Observed.Reported
 		}
 	}
 	if err != nil || response.Status != statusExecuted {
--- a/internal/workers/drains_test.go
+++ b/internal/workers/drains_test.go
@@ -41,8 +41,8 @@
 			fixture.registry.Tick()
 			fixture.calls = nil
 			fixture.registry.AfterBatch()
-			if task.HaltDecided != test.moves || len(fixture.calls) > 0 != test.moves {
-				t.Errorf("halt decided: %v, %d messages", task.HaltDecided, len(fixture.calls))
+			if task.Halt.Decided != test.moves || len(fixture.calls) > 0 != test.moves {
+				t.Errorf("halt decided: %v, %d messages", task.Halt.Decided, len(fixture.calls))
 				return
 			}
 			if test.moves {
--- a/internal/workers/gangs.go
+++ b/internal/workers/gangs.go
@@ -57,8 +57,8 @@
 				"worker", task.WorkerID, "age_s", r.ageSeconds(job))
 		}
 		job.ReportedRunning(now)
-		if !task.HasRun {
-			task.HasRun = true
+		if !task.Observed.HasRun {
+			task.Observed.HasRun = true
 			r.tasks.TaskChanged(task, false) // for users who ask whether it runs
 		}
 	case PhaseWaiting, PhaseFetching:
@@ -82,7 +82,7 @@
 		switch {
 		case task.State == taskstate.StateWaiting:
 			r.tasks.TaskDone(task)
-		case task.State == taskstate.StatePlaced && !task.LaunchSent && worker != nil && worker.Tasks[task]:
+		case task.State == taskstate.StatePlaced && !task.Launch.Sent && worker != nil && worker.Tasks[task]:
 			r.endPlacement(worker, task, taskstate.LossBeforeWaiting)
 		}
 	}
@@ -94,9 +94,9 @@
 		return
 	}
 	for _, task := range job.Tasks {
-		isHalting := task.HaltDecided && task.WindDownSeconds == 0
-		if worker := r.workers[task.WorkerID]; task.State == taskstate.StatePlaced && task.LaunchSent && worker != nil && !isHalting {
-			task.Halt(0)
+		isHalting := task.Halt.Decided && task.Halt.WindDownSeconds == 0
+		if worker := r.workers[task.WorkerID]; task.State == taskstate.StatePlaced && task.Launch.Sent && worker != nil && !isHalting {
+			task.DecideHalt(0)
 			r.commandsDue[worker] = true
 		}
 	}
@@ -129,8 +129,8 @@
 			continue
 		}
 		if !job.Gang.Started {
-			if task.Reported && !task.HaltDecided {
-				task.Halt(0)
+			if task.Observed.Reported && !task.Halt.Decided {
+				task.DecideHalt(0)
 				r.commandsDue[worker] = true
 			}
 			continue
@@ -159,7 +159,7 @@
 	job.Gang.Checkpointing = true
 	for _, member := range job.Tasks {
 		if worker := r.workers[member.WorkerID]; member.State == taskstate.StatePlaced && worker != nil {
-			member.Halt(job.Spec.CheckpointSeconds)
+			member.DecideHalt(job.Spec.CheckpointSeconds)
 			r.commandsDue[worker] = true
 		}
 	}
--- a/internal/workers/placements.go
+++ b/internal/workers/placements.go
@@ -28,7 +28,7 @@
 	task.PlacedAt = r.runtime.Now()
 	// Asked for now, so that the verification comes while the placement is committed.
 	r.lease.CancellationsVerifiedSince(task.PlacedAt)
-	task.GoneMinToken, task.GoneSession, task.GoneAfterSequence = r.lease.Token(), 0, 0
+	task.Gone.MinToken, task.Gone.Session, task.Gone.AfterSequence = r.lease.Token(), 0, 0
 	r.addTask(worker, task)
 	r.tasks.TaskChanged(task, true)
 }
@@ -71,7 +71,7 @@
 }
 
 func (r *Registry) addTask(worker *Worker, task *taskstate.Task) {
-	if !task.HasImage {
+	if !task.Observed.HasImage {
 		worker.FetchingTasks++
 	}
 	worker.AddTask(task)
@@ -85,19 +85,17 @@
 	if len(worker.Tasks) == 0 {
 		worker.IdleSince = r.runtime.Now()
 	}
-	if !task.HasImage {
+	if !task.Observed.HasImage {
 		worker.FetchingTasks--
 	}
-	task.Running, task.HasImage = false, false
+	task.Observed.Running, task.Observed.HasImage = false, false
 }
 
 // endPlacement ends a placement: the task is surely not on its machine. How it was lost
 // only matters for a gang.
 func (r *Registry) endPlacement(worker *Worker, task *taskstate.Task, loss taskstate.Loss) {
 	r.removeTask(worker, task)
-	task.State, task.WorkerID = taskstate.StateWaiting, ""
-	task.PlacementDurable, task.LaunchSent, task.LaunchInFlight, task.LaunchInDoubt = false, false, false, false
-	task.Reported, task.HaltDecided, task.HaltSent, task.HasRun = false, false, false, false
+	task.TakeOffWorker()
 	if task.Job.Cancelled {
 		r.tasks.DropTask(task)
 		return
