--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -45,7 +45,7 @@
 		}
 		// Of a worker that this process has not heard of, the session is a guess;
 		// refused for another one, the message does no harm.
-		body, ok := r.encodeMessage(worker, &CommandMessage{
+		body, ok := r.encodeMessage(worker, CommandMessage{
 			Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{}),
 		})
 		if !ok {
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -47,7 +47,7 @@
 func (r *Registry) currentTerm() termID { return termID{r.termBeganAt, r.lease.Token()} }
 
 // encodeMessage encodes a direct message; not ok, and logged, if it can't be.
-func (r *Registry) encodeMessage(worker *Worker, message *CommandMessage) (body []byte, ok bool) {
+func (r *Registry) encodeMessage(worker *Worker, message CommandMessage) (body []byte, ok bool) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		r.log.Error("commands cannot be encoded", "worker", worker.ID, "err", err)
@@ -71,7 +71,7 @@
 		return
 	}
 	worker.delivery.probesTasks = false
-	body, ok := r.encodeMessage(worker, &message)
+	body, ok := r.encodeMessage(worker, message)
 	if !ok {
 		return
 	}
--- a/internal/workers/deaf_workers.go
+++ b/internal/workers/deaf_workers.go
@@ -37,7 +37,7 @@
 func (r *Registry) probeDeafWorker(worker *Worker, now time.Duration) {
 	worker.probedAt = now
 	token := r.lease.Token()
-	body, ok := r.encodeMessage(worker, &CommandMessage{
+	body, ok := r.encodeMessage(worker, CommandMessage{
 		Token: token, Session: worker.Session, Commands: r.appendCancellationHalts(worker, []Command{}),
 	})
 	if !ok {
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -50,7 +50,7 @@
 			}
 		}
 		return ReleaseSilent
-	case worker.TerminationAt > 0:
+	case worker.TerminationAt != 0:
 		return "" // the cloud takes it
 	case worker.DrainReason != "":
 		// What a deaf worker lists beside its tasks ends with its lease, if not before.
