--- a/internal/taskstate/page_encoding.go
+++ b/internal/taskstate/page_encoding.go
@@ -97,7 +97,7 @@
 type entryPacker struct {
 	group                   *TaskGroup
 	record                  string // JOB/NUMBER
-	placed, running         map[string]*rangeList
+	placed, running         map[string]*rangeList // by worker; nil while there are none
 	waiting, returned, done rangeList
 	size                    int // of the page so far, at most
 }
@@ -105,10 +105,7 @@
 // newEntryPacker begins an entry on a page that already has so many bytes.
 func newEntryPacker(group *TaskGroup, size int) *entryPacker {
 	record := group.Job.Spec.ID + "/" + strconv.Itoa(group.Number)
-	return &entryPacker{
-		group: group, record: record, size: size + frameBytes + len(record),
-		placed: map[string]*rangeList{}, running: map[string]*rangeList{},
-	}
+	return &entryPacker{group: group, record: record, size: size + frameBytes + len(record)}
 }
 
 // addTasks adds the first tasks of the record, as many as fit, and returns their number.
@@ -135,6 +132,9 @@
 		return false
 	}
 	if task.State == StatePlaced {
+		if p.placed == nil {
+			p.placed = map[string]*rangeList{}
+		}
 		p.placed[task.WorkerID] = list
 		p.addRunning(task)
 	}
@@ -170,6 +170,9 @@
 	if !task.Observed.HasRun {
 		return
 	}
+	if p.running == nil {
+		p.running = map[string]*rangeList{}
+	}
 	if p.running[task.WorkerID] == nil {
 		p.running[task.WorkerID] = &rangeList{}
 	}
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -42,7 +42,8 @@
 }
 
 // Task is one task that has been handed to a shard. The shard's owner holds it; it is used
-// within the owner's event loop only.
+// within the owner's event loop only. An owner may hold a hundred thousand of them: in the
+// structs below flags stand together, so that they share a word.
 type Task struct {
 	Job   *Job
 	Group *TaskGroup
@@ -100,23 +101,23 @@
 	// Reported is set once a heartbeat has listed the task.
 	Reported bool
 	// Running is set once the task was seen running, RunningSince is when.
-	Running      bool
-	RunningSince time.Duration
+	Running bool
 	// HasImage is set once the task has its image: it runs, or waits for its gang.
 	HasImage bool
 	// HasRun is set once a gang's task was seen running under the present attempt. It is
 	// stored in the log.
-	HasRun bool
+	HasRun       bool
+	RunningSince time.Duration
 }
 
 // Halt is what is known of the commands to end a placed task.
 type Halt struct {
 	// Decided is set when the task is to be halted, with WindDownSeconds to save its
 	// progress.
-	Decided         bool
-	WindDownSeconds float64
+	Decided bool
 	// Sent is set when a direct message with the command has left.
-	Sent bool
+	Sent            bool
+	WindDownSeconds float64
 	// CancelSentAt is when the worker was last told to end the task because its job is
 	// cancelled.
 	CancelSentAt time.Duration
