--- a/internal/taskstate/page_encoding.go
+++ b/internal/taskstate/page_encoding.go
@@ -96,7 +96,7 @@
 // entryPacker gathers what a page says of the tasks of one record.
 type entryPacker struct {
 	group                   *TaskGroup
-	record                  string // JOB/NUMBER
+	record                  string                // JOB/NUMBER
 	placed, running         map[string]*rangeList // by worker; nil while there are none
 	waiting, returned, done rangeList
 	size                    int // of the page so far, at most
