--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -243,7 +243,7 @@
 	}
 	if err := drain.store(key, value, revision); err != nil {
 		r.unreadableKeys[rawKey] = true
-		r.log.Error("drain record does not parse, nothing more is granted", "key", rawKey, "err", err)
+		r.log.Error("failed to decode a drain record, nothing more is granted", "key", rawKey, "err", err)
 	}
 }
 
--- a/internal/leader/job_end.go
+++ b/internal/leader/job_end.go
@@ -145,7 +145,7 @@
 	}
 	value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: entry.SubmittedMS, TaskCount: job.spec.Tasks})
 	if err != nil {
-		l.log.Error("job record does not encode", "job", id, "err", err)
+		l.log.Error("failed to encode a job record", "job", id, "err", err)
 		return
 	}
 	key := userapi.KeyPrefix + id
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -59,7 +59,7 @@
 	job.nextRecord++
 	value, err := record.Encode()
 	if err != nil {
-		leader.log.Error("task record does not encode", "job", job.entry.ID, "err", err)
+		leader.log.Error("failed to encode a task record", "job", job.entry.ID, "err", err)
 		batch.putBack()
 		return
 	}
--- a/internal/shard/log_writer.go
+++ b/internal/shard/log_writer.go
@@ -118,7 +118,7 @@
 func (w *logWriter) commit(maxPages int) {
 	pages, rest, err := taskstate.PackPages(w.tasksToWrite(), w.pageBytes(), maxPages)
 	if err != nil {
-		w.deps.Log.Error("log pages not encoded", "shard", w.shardIndex, "err", err)
+		w.deps.Log.Error("failed to encode log pages", "shard", w.shardIndex, "err", err)
 		return
 	}
 	w.changes.keep(rest)
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -58,7 +58,7 @@
 	if body != nil {
 		var err error
 		if raw, err = json.Marshal(body); err != nil {
-			c.log.Error("state service request cannot be encoded", "target", target, "err", err)
+			c.log.Error("failed to encode a state service request", "target", target, "err", err)
 			fn(OutcomeInvalid, nil)
 			return
 		}
--- a/internal/statestore/lease_table.go
+++ b/internal/statestore/lease_table.go
@@ -60,7 +60,7 @@
 	}
 	var holder leaseHolder
 	if err := json.Unmarshal(value, &holder); err != nil {
-		t.log.Warn("lease value cannot be decoded", "key", key, "err", err)
+		t.log.Warn("failed to decode a lease value", "key", key, "err", err)
 	}
 	if earlier, known := t.holders[key]; isShard && known && !earlier.isProcess(holder) {
 		t.answers.ownerChanged(shard, true)
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -138,7 +138,7 @@
 	}
 	record, err := DecodeRecord(key, value, revision)
 	if err != nil {
-		s.log.Error("record not decoded", "key", key, "err", err)
+		s.log.Error("failed to decode a record", "key", key, "err", err)
 		return
 	}
 	s.records[key] = record
@@ -179,7 +179,7 @@
 func (s *Store) applyPage(shardIndex, page int, value json.RawMessage) {
 	statuses, err := decodePage(value)
 	if err != nil {
-		s.log.Error("log page not decoded", "shard", shardIndex, "page", page, "err", err)
+		s.log.Error("failed to decode a log page", "shard", shardIndex, "page", page, "err", err)
 		return
 	}
 	var record *Record
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -105,7 +105,7 @@
 	}
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
-		c.log.Error("job record cannot be decoded", "job", id, "err", err)
+		c.log.Error("failed to decode a job record", "job", id, "err", err)
 		return
 	}
 	if entry != nil && entry.Phase != "" && entry.Phase != record.Phase {
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -50,7 +50,7 @@
 func (r *Registry) encodeMessage(worker *Worker, message CommandMessage) (body []byte, ok bool) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		r.log.Error("commands cannot be encoded", "worker", worker.ID, "err", err)
+		r.log.Error("failed to encode commands", "worker", worker.ID, "err", err)
 		return nil, false
 	}
 	return body, true
