--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -75,22 +75,22 @@
 // workers for a bounded time after, which every takeover waits out, though its knowledge of
 // cancellations would be young enough for longer.
 func TestAnswersEndWithTheLeaseAndItsGracePeriod(t *testing.T) {
-	w, n, o := knowing(t)
-	w.outage = true
-	w.run(w.now + time.Second)
-	left := n.leases.AnswersUntil() - n.rt.Now()
-	if left <= 0 || left > tuning.LeaseTTL+w.set.AnswerGracePeriod() {
+	sim, node, owner := newAnsweringOwner(t)
+	sim.stateFaults.outage = true
+	sim.run(sim.now + time.Second)
+	left := node.leases.AnswersUntil() - node.runtime.Now()
+	if left <= 0 || left > tuning.LeaseTTL+sim.settings.AnswerGracePeriod() {
 		t.Fatalf("answers for %v more", left)
 	}
-	w.run(w.now + left - time.Millisecond)
-	if !n.answering(o) {
+	sim.run(sim.now + left - time.Millisecond)
+	if !node.mayAnswer(owner) {
 		t.Error("answers nobody in the grace period")
 	}
-	w.run(w.now + time.Millisecond)
-	if n.answering(o) {
+	sim.run(sim.now + time.Millisecond)
+	if node.mayAnswer(owner) {
 		t.Error("answers after the grace period")
 	}
-	if proven, _ := n.cat.VerifiedAt(); n.rt.Now() >= proven+w.set.MaxKnowledgeAge() {
+	if proven, _ := node.catalog.VerifiedAt(); node.runtime.Now() >= proven+sim.settings.MaxKnowledgeAge() {
 		t.Error("its knowledge alone would have ended that")
 	}
 }
@@ -98,22 +98,22 @@
 // TestOnlyTheOwnersStatusCounts: a leader takes no status of a shard from a node that does not
 // hold it, whatever token that names.
 func TestOnlyTheOwnersStatusCounts(t *testing.T) {
-	w, _, _ := knowing(t)
+	sim, _, _ := newAnsweringOwner(t)
 	var leader *Node
-	for _, n := range w.nodes {
-		if n.node.leases.LeaderToken() != 0 {
-			leader = n.node
+	for _, controller := range sim.controllers {
+		if controller.node.leases.LeaderToken() != 0 {
+			leader = controller.node
 		}
 	}
 	holder := leader.leases.ShardOwner(0)
-	for _, n := range w.nodes {
+	for _, controller := range sim.controllers {
 		status := &fleet.ShardStatus{
-			Node: n.name, Shard: 0, Token: 1 << 40, Seq: 1, Full: true,
-			Hosts: []fleet.MachineStatus{{ID: "vm-900001-" + n.name, MachineType: "big", Zone: "a", HasReported: true, AcceptsTasks: true}},
+			Node: controller.name, Shard: 0, Token: 1 << 40, Seq: 1, Full: true,
+			Hosts: []fleet.MachineStatus{{ID: "vm-900001-" + controller.name, MachineType: "big", Zone: "a", HasReported: true, AcceptsTasks: true}},
 		}
-		leader.takeStatus(&statusMessage{ShardStatus: status})
-		if _, known := leader.fleet.Machine(status.Hosts[0].ID); known != (n.name == holder) {
-			t.Errorf("status of %s, the holder is %s: taken %v", n.name, holder, known)
+		leader.receiveStatus(&statusMessage{ShardStatus: status})
+		if _, known := leader.fleet.Machine(status.Hosts[0].ID); known != (controller.name == holder) {
+			t.Errorf("status of %s, the holder is %s: taken %v", controller.name, holder, known)
 		}
 	}
 }
