--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -117,3 +117,32 @@
 		}
 	}
 }
+
+// TestOwnerKeepsItsKnowledgeVerified: also when no user asks anything, an owner's knowledge of
+// cancellations is never much older than the interval of its checks.
+func TestOwnerKeepsItsKnowledgeVerified(t *testing.T) {
+	sim, node, _ := newAnsweringOwner(t)
+	const checkDelay = 2 * time.Second // the next tick, and the check's pace
+	for range 30 {
+		sim.run(sim.now + time.Second)
+		if verifiedAt, _ := node.catalog.VerifiedAt(); node.runtime.Now()-verifiedAt > tuning.KnowledgeVerifyInterval+checkDelay {
+			t.Fatalf("verified %v ago", node.runtime.Now()-verifiedAt)
+		}
+	}
+}
+
+// TestNodeRefusedAloneIsUnhealthy: also just after an outage that its peers shared, a node that
+// the state service refuses while it answers the peers is no place for users.
+func TestNodeRefusedAloneIsUnhealthy(t *testing.T) {
+	_, node, _ := newAnsweringOwner(t)
+	members, now := node.membership, node.runtime.Now()
+	members.stateClient.LastResponseAt = now - tuning.UnhealthyAfter
+	members.serviceWideOutageAt = now
+	if !members.mayServeUsers() {
+		t.Error("unhealthy in an outage that the peers share")
+	}
+	members.nodeOnlyOutageAt = now
+	if members.mayServeUsers() {
+		t.Error("healthy though the peers are answered")
+	}
+}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -388,3 +388,22 @@
 		})
 	}
 }
+
+// TestRecordMadeAgainAfterItsJobEndedIsRemoved: a dispatch carried out once more, late, makes a
+// record that nobody acts on.
+func TestRecordMadeAgainAfterItsJobEndedIsRemoved(t *testing.T) {
+	service := statetest.New()
+	node := startNode(service)
+	spec := newSpec("wk-1", 1)
+	submit(t, service, spec)
+	putPage(t, service, 0, putRecord(t, service, spec.ID, 0, 0), markDone)
+	node.run(5 * time.Second)
+	if entry := node.catalog.Get(spec.ID); entry.Phase != userapi.PhaseDone {
+		t.Fatalf("the job is %q", entry.Phase)
+	}
+	again := putRecord(t, service, spec.ID, 1, 0)
+	node.run(10 * time.Second)
+	if _, stored := service.Get(again.Key); stored {
+		t.Error("the record stays")
+	}
+}
