--- a/internal/placement/longest_queue_test.go
+++ b/internal/placement/longest_queue_test.go
@@ -6,7 +6,7 @@
 // empty takes the last task of the longest queue, of those with an image that it caches if
 // there are any.
 func TestLongestQueueGivesItsLastTask(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		caches []string
 		want   string
@@ -15,27 +15,27 @@
 		{"caches both", []string{"x", "y"}, "wk-5/2"},
 		{"caches the shorter one's", []string{"x"}, "wk-4/0"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := newPlannerFixture(small, small, small)
-			busy := y.addJob(1, "standard", "z", 4, 1)
-			y.addJob(2, "standard", "x", 4, 1)
-			y.addJob(3, "standard", "y", 4, 1)
-			y.runRound()
-			y.addJob(4, "standard", "x", 4, 1)
-			y.addJob(5, "standard", "y", 4, 3)
-			y.runRound()
-			machine := y.Worker(busy[0].WorkerID)
-			for _, image := range c.caches {
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newPlannerFixture(small, small, small)
+			busy := fixture.addJob(1, "standard", "z", 4, 1)
+			fixture.addJob(2, "standard", "x", 4, 1)
+			fixture.addJob(3, "standard", "y", 4, 1)
+			fixture.runRound()
+			fixture.addJob(4, "standard", "x", 4, 1)
+			fixture.addJob(5, "standard", "y", 4, 3)
+			fixture.runRound()
+			machine := fixture.Worker(busy[0].WorkerID)
+			for _, image := range test.caches {
 				machine.UseImage(image, 1)
 			}
-			y.endTask(busy[0])
-			y.runRound()
+			fixture.endTask(busy[0])
+			fixture.runRound()
 			if len(machine.Tasks) != 1 {
 				t.Fatalf("%d tasks are taken", len(machine.Tasks))
 			}
 			for task := range machine.Tasks {
-				if task.Name() != c.want {
-					t.Errorf("takes %s, not %s", task.Name(), c.want)
+				if task.Name() != test.want {
+					t.Errorf("takes %s, not %s", task.Name(), test.want)
 				}
 			}
 		})
