--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -41,7 +41,8 @@
 		Settings: node.settings, Handler: owner, Log: node.log,
 	})
 	owner.workers = workers.NewRegistry(workers.Dependencies{
-		Runtime: node.runtime, Lease: owner, Tasks: owner.tasks, Scheduler: owner, Settings: node.settings, Log: node.log,
+		Runtime: node.runtime, Lease: owner, Tasks: owner.tasks, Scheduler: owner, Settings: node.settings,
+		Log: node.log.With("shard", shardIndex),
 	})
 	owner.planner = placement.New(owner.workers, owner, node.settings.WaitBound())
 	return owner
