--- a/internal/controller/production_state_test.go
+++ b/internal/controller/production_state_test.go
@@ -56,11 +56,7 @@
 		s.settings.Deployment.State.Next = &settings.NextLimits{TxnOps: &operations, ValueKB: &kilobytes, WriteRPS: &rate}
 	}
 	s.restart()
-	for key, value := range snapshot.Keys {
-		if !strings.HasPrefix(key, "lease/") { // leases ended with the processes
-			s.state.put(key, value)
-		}
-	}
+	s.storeSnapshot(snapshot)
 	for key, value := range snapshot.Keys {
 		id, isJob := strings.CutPrefix(key, userapi.KeyPrefix)
 		var record userapi.Record
@@ -83,6 +79,32 @@
 	return large
 }
 
+// storeSnapshot puts the keys of a snapshot into the state service. Their revisions are not
+// recorded. Whatever they were, every log page was written after the records that it names:
+// a shard owner writes of a record only after it has read it, and a record is written once.
+// So pages come last; otherwise the order is that of the map, another one in every run.
+func (s *simulation) storeSnapshot(snapshot productionSnapshot) {
+	pages := map[string]json.RawMessage{}
+	for key, value := range snapshot.Keys {
+		switch {
+		case strings.HasPrefix(key, "lease/"): // leases ended with the processes
+		case isLogPageKey(key):
+			pages[key] = value
+		default:
+			s.state.put(key, value)
+		}
+	}
+	for key, value := range pages {
+		s.state.put(key, value)
+	}
+}
+
+// isLogPageKey tells the key of a page of a shard's log, work/SHARD/log/NUMBER, from others.
+func isLogPageKey(key string) bool {
+	parts := strings.Split(key, "/")
+	return strings.HasPrefix(key, taskstate.KeyPrefix) && len(parts) == 4 && parts[2] == "log"
+}
+
 // jobOfRecord is a stored job, with short tasks.
 func jobOfRecord(id string, record *userapi.Record) *simJob {
 	spec := record.Spec
