--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -103,9 +103,6 @@
 // Start begins to follow the records.
 func (r *Records) Start() { r.mirror.Start() }
 
-// Ready reports whether the records have been read.
-func (r *Records) Ready() bool { return r.mirror.IsReady() }
-
 // Verify calls done when the copy is proven to hold all that was committed before, or
 // with an error if that could not be shown.
 func (r *Records) Verify(done func(error)) { r.mirror.Verify(done) }
@@ -114,9 +111,6 @@
 // complete; isKnown is false before the first proof.
 func (r *Records) VerifiedAt() (at time.Duration, isKnown bool) { return r.mirror.VerifiedAt() }
 
-// VerifyIfOlder has the copy shown to be current if that was longer ago than maxAge.
-func (r *Records) VerifyIfOlder(maxAge time.Duration) { r.mirror.VerifyIfOlder(maxAge) }
-
 // Get finds a drain; nil if none of that name was accepted.
 func (r *Records) Get(id string) *Drain {
 	if drain := r.drains[id]; drain != nil && drain.isAccepted() {
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -177,15 +177,6 @@
 // HasImage tells whether the machine has, or is fetching, an image.
 func (w *Worker) HasImage(image string) bool { return w.images.Contains(image) }
 
-// Images lists the images that the machine has, the least recently used first.
-func (w *Worker) Images() []string {
-	names := make([]string, len(w.images))
-	for i, entry := range w.images {
-		names[i] = entry.name
-	}
-	return names
-}
-
 // UseImage notes that a task with an image of a size in gigabytes starts on the machine.
 func (w *Worker) UseImage(image string, sizeGB float64) {
 	w.images.Use(image, sizeGB, w.MachineType)
