--- /dev/null
+++ b/internal/controller/wire_test.go
@@ -0,0 +1,172 @@
+package controller
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"lemonmoor/internal/engine"
+	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/wiretest"
+)
+
+// TestWireStatusMessage: an owner's status message is the block's status with the drains'
+// report beside its fields, not below them.
+func TestWireStatusMessage(t *testing.T) {
+	wiretest.Same(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
+		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}],"drains":{"machines":[{"id":"vm-1",`+
+		`"tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
+		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}}`, &statusMessage{})
+}
+
+// TestWireLayout: the number of blocks as it is stored.
+func TestWireLayout(t *testing.T) {
+	wiretest.Same(t, `{"blocks":3}`, &layout{})
+	if layoutKey != "layout" {
+		t.Error(layoutKey)
+	}
+}
+
+// told is what a node answers to a message of another controller.
+func told(t *testing.T, n *simNode, path, body string) (answer string, taken bool) {
+	t.Helper()
+	answers := 0
+	n.node.Peer(path, []byte(body), func(b []byte, ok bool) {
+		answers++
+		answer, taken = string(b), ok
+	})
+	if answers != 1 {
+		t.Fatalf("%d answers to %s", answers, path)
+	}
+	return answer, taken
+}
+
+// TestWirePeers: what controllers answer each other, by paths and bytes.
+func TestWirePeers(t *testing.T) {
+	w := newWorld(61)
+	if answer, taken := told(t, w.nodes[0], "/heard", "{}"); !taken || answer != "9223372036854" {
+		t.Errorf("nothing heard ever: %s", answer)
+	}
+	if answer, taken := told(t, w.nodes[0], "/state", "{}"); !taken || answer != "false" {
+		t.Errorf("a state service that has not answered yet: %s", answer)
+	}
+	w.run(15 * time.Second)
+	leader, owner := w.leader(), w.owner(0)
+	if leader == nil || owner == nil {
+		t.Fatal("no leader or owner")
+	}
+	if answer, taken := told(t, leader, "/state", "{}"); !taken || answer != "true" {
+		t.Errorf("a state service that answers: %s", answer)
+	}
+	if answer, taken := told(t, leader, "/digest", `{"node":"novel","block":0,"token":1,"seq":1,"hosts":[]}`); !taken || answer != "{}" {
+		t.Errorf("a status message of a node that does not own the block: %s", answer)
+	}
+	const report = `{"host":"vm-000000","addr":"w:1","build":"b","yard":"a","loaners":false,"shift":1,"tick":1,"baton":0,"pieces":[]}`
+	token, _ := json.Marshal(owner.node.owners[0].token)
+	if answer, taken := told(t, owner, "/beat", report); !taken || answer != `{"baton":`+string(token)+`,"orders":[]}` {
+		t.Errorf("a report passed on: %s, %v", answer, taken)
+	}
+	if answer, taken := told(t, leader, "/operator/drain", `{"verb":"status","selection":{}}`); !taken ||
+		answer != `{"status":"refused","node":"`+leader.name+`","field":"drains","reason":"not turned on in the operators' settings of this node"}` {
+		t.Errorf("an operator's request: %s", answer)
+	}
+	for _, n := range w.nodes {
+		if answer, taken := told(t, n, "/operator/drain", "[]"); taken || answer != "" {
+			t.Errorf("a malformed request: %s", answer)
+		}
+		if answer, taken := told(t, n, "/status", "{}"); taken || answer != "" {
+			t.Errorf("an unknown path: %s", answer)
+		}
+		if n != leader {
+			if _, taken := told(t, n, "/digest", `{"node":"node-0","block":0,"token":1,"seq":1,"hosts":[]}`); taken {
+				t.Errorf("%s does not lead and takes a status message", n.name)
+			}
+		}
+	}
+}
+
+// TestWirePaths: what workers, users and health checks are answered, by paths and bytes.
+func TestWirePaths(t *testing.T) {
+	w := newWorld(62)
+	ask := func(n *simNode, method, path, body string) (int, string) {
+		status, answer := 0, ""
+		n.node.Handle(&httpwire.Request{Method: method, Path: path, Body: []byte(body)}, func(s int, b []byte, _ int) { status, answer = s, string(b) })
+		return status, answer
+	}
+	expect := func(n *simNode, method, path, body string, wantStatus int, want string) {
+		t.Helper()
+		if status, answer := ask(n, method, path, body); status != wantStatus || answer != want {
+			t.Errorf("%s %s: %d %s, not %d %s", method, path, status, answer, wantStatus, want)
+		}
+	}
+	expect(w.nodes[0], "GET", "/up", "", 503, `{"error":"not ready"}`)
+	w.run(15 * time.Second)
+	owner := w.owner(0)
+	if owner == nil {
+		t.Fatal("no owner")
+	}
+	const report = `{"host":"vm-000000","addr":"w:1","build":"b","yard":"a","loaners":false,"shift":1,"tick":1,"baton":0,"pieces":[]}`
+	token, _ := json.Marshal(owner.node.owners[0].token)
+	for _, n := range w.nodes {
+		expect(n, "GET", "/up", "", 200, `{}`)
+		expect(n, "POST", "/up", "", 405, `{"error":"method not allowed"}`)
+		expect(n, "GET", "/agent/beat", "", 405, `{"error":"method not allowed"}`)
+		expect(n, "POST", "/agent/beat", "{}", 400, `{"error":"report: \"host\" or \"shift\" missing"}`)
+		expect(n, "GET", "/novel", "", 404, `{"error":"no such path"}`)
+		expect(n, "GET", "/work", "", 405, `{"error":"method not allowed"}`)
+		if n == owner {
+			expect(n, "POST", "/agent/beat", report, 200, `{"baton":`+string(token)+`,"orders":[]}`)
+		} else {
+			expect(n, "POST", "/agent/beat", report, 421, `{"upstream":"`+owner.name+`"}`)
+		}
+	}
+	for path, lane := range map[string]engine.Lane{"/work": engine.Users, "/work/wk-1/cancel": engine.Users, "/agent/beat": engine.Reports, "/up": engine.Reports} {
+		if got := LaneOf(&httpwire.Request{Path: path}); got != lane {
+			t.Errorf("%s is in lane %d, not %d", path, got, lane)
+		}
+	}
+}
+
+// TestWireKeysOfADay: a day's work leaves no key of another form than these.
+func TestWireKeysOfADay(t *testing.T) {
+	w := newWorld(63)
+	w.withDrains(nil, 2, 1)
+	w.reboot()
+	prefixes := map[string]bool{"lease/lead": false, "lease/node/node-": false, "lease/block/": false, "job/wk-": false, "work/0/wk-": false,
+		"work/0/log/": false, "drain/all/head": false, "drain/all/page/0": false, "drain/all/grant/": false, "layout": false}
+	for i := range 3 {
+		j := aGang(i, 2, 1)
+		j.gang, j.length = i > 0, 100*time.Second
+		w.after(time.Duration(2+i)*time.Second, func() { w.user(j, 0) })
+	}
+	for at := time.Duration(1); at <= 120; at++ {
+		w.run(at * time.Second)
+		for key := range w.state.keys {
+			known := false
+			for prefix := range prefixes {
+				if strings.HasPrefix(key, prefix) {
+					prefixes[prefix], known = true, true
+				}
+			}
+			if !known {
+				t.Fatalf("a key of another form: %s", key)
+			}
+		}
+		if at == 20 {
+			w.drainAll(t, "all", func(*worker) bool { return true })
+		}
+	}
+	for prefix, met := range prefixes {
+		if !met {
+			t.Errorf("no key %s has been written", prefix)
+		}
+	}
+	if string(w.state.keys["layout"].value) != `{"blocks":1}` {
+		t.Errorf("layout %s", w.state.keys["layout"].value)
+	}
+	if statestore.LeadKey != "lease/lead" {
+		t.Error(statestore.LeadKey)
+	}
+}
