--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -61,7 +61,7 @@
 		Short: "Empty and replace machines in steps, within the teams' budgets",
 	}
 	root.PersistentFlags().BoolVar(&d.asJSON, "json", false, "print the answer as JSON")
-	root.PersistentFlags().DurationVar(&d.timeout, "timeout", tuning.OperatorTimeout, "how long to look for a leader")
+	root.PersistentFlags().DurationVar(&d.timeout, "timeout", tuning.DefaultOperatorTimeout, "how long to look for a leader")
 	for _, c := range []struct {
 		verb   drain.Verb
 		short  string
@@ -154,11 +154,11 @@
 	if err := d.prepare(); err != nil {
 		return err
 	}
-	if refusal := d.request.Check(); refusal != nil {
+	if refusal := d.request.Validate(); refusal != nil {
 		return refuse("%w", refusal)
 	}
 	var response drain.Response
-	client := operator.NewClient(peers.New(), operator.Nodes(set), d.timeout)
+	client := operator.NewClient(peers.NewClient(), operator.Nodes(set), d.timeout)
 	err = client.Ask(drain.RequestPath, &d.request, func(answer []byte) (operator.Verdict, error) {
 		response = drain.Response{}
 		if err := json.Unmarshal(answer, &response); err != nil {
@@ -167,7 +167,7 @@
 		return operator.Verdict{Final: response.Status == drain.StatusOK || response.Status == drain.StatusRefused,
 			Reason: response.Reason, Retry: time.Duration(response.RetryMS) * time.Millisecond}, nil
 	})
-	var silent *operator.NoAnswer
+	var silent *operator.NoAnswerError
 	if errors.As(err, &silent) {
 		return &exitError{exitNoAnswer, err}
 	}
--- a/cmd/lemonmoor/main.go
+++ b/cmd/lemonmoor/main.go
@@ -99,26 +99,26 @@
 // serve runs the node until the process is killed or cannot listen.
 func serve(ctx context.Context, set *settings.Settings) error {
 	quota := set.Deployment.Quota.MemMB * 1e6
-	debug.SetMemoryLimit(int64(quota * tuning.MemoryShare))
+	debug.SetMemoryLimit(int64(quota * tuning.GoMemoryShare))
 	debug.SetGCPercent(tuning.GCPercent)
 
 	log := logger(set.Node)
 	loop := engine.NewLoop()
-	sockets := httpwire.NewSockets(set.Deployment.Quota.Sockets)
+	sockets := httpwire.NewSocketBudget(set.Deployment.Quota.Sockets)
 	client := httpwire.NewClient(sockets, set.External.State, set.External.Cloud)
-	rt := engine.NewReal(loop, client, peers.New())
+	rt := engine.NewSystemRuntime(loop, client, peers.NewClient())
 	// Below 2^50, exact wherever JSON numbers are read as floating point.
 	node := controller.New(rt, set, rand.Uint64()>>14, log)
-	server := httpwire.NewServer(func(req *httpwire.Request, reply httpwire.Reply) {
-		lane := controller.LaneOf(req)
-		if lane == engine.Users && loop.Waiting(lane) > tuning.QueueLimit {
-			reply(503, httpwire.ErrorBody("overloaded"), tuning.RetryAfter)
+	server := httpwire.NewServer(func(req *httpwire.Request, reply httpwire.ResponseWriter) {
+		lane := controller.RequestLane(req)
+		if lane == engine.UserLane && loop.QueueLength(lane) > tuning.MaxQueuedUserRequests {
+			reply(503, httpwire.ErrorBody("overloaded"), tuning.RetryAfterSeconds)
 			return
 		}
 		loop.Post(lane, func() { node.Handle(req, reply) })
 	}, sockets, log)
-	server.IsUser = func(req *httpwire.Request) bool { return controller.LaneOf(req) == engine.Users }
-	server.IdleOthers = tuning.ForsakenReports * set.Report()
+	server.IsUser = func(req *httpwire.Request) bool { return controller.RequestLane(req) == engine.UserLane }
+	server.WorkerIdleTimeout = tuning.AbandonedConnectionHeartbeats * set.HeartbeatInterval()
 
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
@@ -128,11 +128,11 @@
 	}()
 	go func() {
 		err := peers.Serve(set.PeerBind, func(path string, body []byte, answer func([]byte, bool)) {
-			loop.Post(engine.Reports, func() { node.Peer(path, body, answer) })
+			loop.Post(engine.HeartbeatLane, func() { node.HandlePeer(path, body, answer) })
 		}, log)
 		cancel(err)
 	}()
-	loop.Post(engine.Decisions, node.Start)
-	loop.Run(ctx, node.Settle)
+	loop.Post(engine.DecisionLane, node.Start)
+	loop.Run(ctx, node.AfterBatch)
 	return context.Cause(ctx)
 }
--- a/internal/agents/announce.go
+++ b/internal/agents/announce.go
@@ -26,7 +26,7 @@
 
 // announceNext sends the announcements that wait, a few at a time.
 func (t *Registry) announceNext() {
-	for t.greeting < tuning.AnnounceAhead && len(t.greets) > 0 {
+	for t.greeting < tuning.MaxConcurrentAnnouncements && len(t.greets) > 0 {
 		h := t.greets[0]
 		t.greets, h.announcing = t.greets[1:], false
 		token := t.lease.Token()
@@ -35,14 +35,14 @@
 		}
 		// Of a machine that this process has not heard of, the session is a
 		// guess; refused for another one, the message does no harm.
-		body, err := json.Marshal(Orders{Token: token, Session: max(h.Session, 1), Orders: t.halts(h, []Order{})})
+		body, err := json.Marshal(CommandMessage{Token: token, Session: max(h.Session, 1), Commands: t.halts(h, []Command{})})
 		if err != nil {
 			return
 		}
 		t.greeting++
 		begun := t.begun
-		t.rt.Call(h.Addr, httpwire.Call{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
-			func(ans httpwire.Answer, err error) {
+		t.rt.CallHTTP(h.Addr, httpwire.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
+			func(ans httpwire.Response, err error) {
 				if t.begun != begun || t.lease.Token() != token {
 					return // a new term greets anew
 				}
@@ -58,18 +58,18 @@
 // the machine hears, and what it lists; like any answer to an order it proves
 // nothing gone.
 func (t *Registry) announced(h *Worker, body []byte, token uint64) {
-	r, err := ParseReport(body)
-	if err != nil || r.Host != h.ID || r.Token != token || r.Session < h.Session {
+	r, err := ParseHeartbeat(body)
+	if err != nil || r.WorkerID != h.ID || r.Token != token || r.Session < h.Session {
 		return
 	}
-	if !h.Up {
-		h.Up, h.Addr, h.Build, h.Zone, h.Spot = true, r.Addr, r.Build, r.Zone, r.Spot
-		h.Type = t.Type(r.Build)
+	if !h.HasReported {
+		h.HasReported, h.Addr, h.MachineTypeName, h.Zone, h.Spot = true, r.Addr, r.MachineType, r.Zone, r.Spot
+		h.MachineType = t.MachineType(r.MachineType)
 	}
 	if h.Session == 0 {
 		h.Session = r.Session
 	}
-	h.Heard = t.rt.Now()
+	h.LastHeartbeatAt = t.rt.Now()
 	if r.Session == h.Session && r.Sequence > h.Sequence {
 		t.read(h, r, false)
 	}
--- a/internal/agents/cache.go
+++ b/internal/agents/cache.go
@@ -9,7 +9,7 @@
 // Cache is the images that a machine has, or is fetching, the least recently used
 // first. Reports do not list them; it follows from the tasks that were started
 // there, the least recently used image going first.
-type Cache []cached
+type ImageCache []cached
 
 type cached struct {
 	name string
@@ -17,13 +17,13 @@
 }
 
 // Has tells whether an image is there.
-func (c Cache) Has(image string) bool {
+func (c ImageCache) Contains(image string) bool {
 	return slices.ContainsFunc(c, func(o cached) bool { return o.name == image })
 }
 
 // Use notes that a task with an image starts on a machine of a type; nil: not
 // known, so nothing goes.
-func (c *Cache) Use(image string, gb float64, t *jobs.MachineType) {
+func (c *ImageCache) Use(image string, gb float64, t *jobs.MachineType) {
 	if n := len(*c); n > 0 && (*c)[n-1].name == image {
 		return
 	}
--- a/internal/agents/cancel.go
+++ b/internal/agents/cancel.go
@@ -8,12 +8,12 @@
 // halts adds the orders that end what a machine may have of cancelled jobs. They are
 // repeated until each task is proven gone, by whichever message there is: a halt
 // names the attempt, so that repeated or late it does no harm.
-func (t *Registry) halts(h *Worker, orders []Order) []Order {
+func (t *Registry) halts(h *Worker, orders []Command) []Command {
 	now := t.rt.Now()
 	for k := range h.Tasks {
-		if k.Job.Cancelled && k.Sent && len(orders) < tuning.OrdersPerMessage {
-			k.Halted = now
-			orders = append(orders, halt(k.Ref(), k.Try(), 0))
+		if k.Job.Cancelled && k.LaunchSent && len(orders) < tuning.MaxCommandsPerMessage {
+			k.CancelHaltSentAt = now
+			orders = append(orders, halt(k.Name(), k.WireAttempt(), 0))
 		}
 	}
 	return orders
@@ -22,9 +22,9 @@
 // Cancel has the tasks of a cancelled job halted at once: with the next report the
 // order would leave seconds later, and a machine whose reports are lost can still
 // be reached.
-func (t *Registry) Cancel(j *work.Job) {
+func (t *Registry) CancelJob(j *work.Job) {
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.Host]; h != nil && k.State == work.Placed {
+		if h := t.hosts[k.WorkerID]; h != nil && k.State == work.StatePlaced {
 			t.ready[h] = true
 		}
 	}
@@ -35,18 +35,18 @@
 // lease runs on from the report, and nothing more may reach it. Such a machine is
 // not answered until the task is proven gone, by direct orders if they reach it, by
 // the end of its lease if not.
-func (t *Registry) outlives(h *Worker, r *Report) bool {
+func (t *Registry) outlives(h *Worker, r *Heartbeat) bool {
 	old := func(job string) bool {
-		age, cancelled := t.tasks.CancelledFor(job)
-		return cancelled && age >= t.set.AnswerWithin()
+		age, cancelled := t.tasks.CancellationAge(job)
+		return cancelled && age >= t.set.MaxKnowledgeAge()
 	}
 	for k := range h.Tasks {
-		if k.Job.Cancelled && k.Sent && old(k.Job.Desc.ID) {
+		if k.Job.Cancelled && k.LaunchSent && old(k.Job.Spec.ID) {
 			return true
 		}
 	}
 	for i := range r.Tasks {
-		if job, _, ok := splitRef(r.Tasks[i].Task); ok && r.Tasks[i].Phase != "ended" && old(job) {
+		if job, _, ok := splitRef(r.Tasks[i].Name); ok && r.Tasks[i].Phase != "ended" && old(job) {
 			return true
 		}
 	}
@@ -54,16 +54,16 @@
 }
 
 // cancelled gives the orders that end the tasks of cancelled jobs in a report.
-func (t *Registry) cancelled(r *Report) []Order {
-	var orders []Order
+func (t *Registry) cancelled(r *Heartbeat) []Command {
+	var orders []Command
 	for i := range r.Tasks {
 		l := &r.Tasks[i]
-		job, _, ok := splitRef(l.Task)
-		if !ok || l.Phase == "ended" || len(orders) >= tuning.OrdersPerMessage {
+		job, _, ok := splitRef(l.Name)
+		if !ok || l.Phase == "ended" || len(orders) >= tuning.MaxCommandsPerMessage {
 			continue
 		}
-		if _, off := t.tasks.CancelledFor(job); off {
-			orders = append(orders, halt(l.Task, l.Attempt, 0))
+		if _, off := t.tasks.CancellationAge(job); off {
+			orders = append(orders, halt(l.Name, l.Attempt, 0))
 		}
 	}
 	return orders
--- a/internal/agents/deaf.go
+++ b/internal/agents/deaf.go
@@ -10,50 +10,50 @@
 // listen decides whether a machine that reports hears us too. To have been heard
 // is no proof of that: seen as alive, it swallowed task after task.
 func (t *Registry) listen(h *Worker) {
-	if h.Deaf || (h.Unheard < tuning.DeafReports && h.Lost < tuning.DeafLaunches) {
+	if h.Deaf || (h.UnacknowledgedHeartbeats < tuning.DeafHeartbeats && h.LostLaunches < tuning.DeafLaunches) {
 		return
 	}
 	h.Deaf, h.deaf, h.probed = true, t.rt.Now(), t.rt.Now()
-	t.log.Info("machine reports but does not hear", "host", h.ID, "unheard", h.Unheard, "lost", h.Lost)
+	t.log.Info("machine reports but does not hear", "host", h.ID, "unheard", h.UnacknowledgedHeartbeats, "lost", h.LostLaunches)
 }
 
 // probe asks a deaf machine directly. No order is in the message and it renews
 // no lease; its answer is the proof that the machine hears again.
 func (t *Registry) probe(h *Worker) {
 	now := t.rt.Now()
-	if now-h.probed < tuning.ProbeEvery {
+	if now-h.probed < tuning.DeafProbeInterval {
 		return
 	}
 	h.probed = now
 	token := t.lease.Token()
-	body, err := json.Marshal(Orders{Token: token, Session: h.Session, Orders: t.halts(h, []Order{})})
+	body, err := json.Marshal(CommandMessage{Token: token, Session: h.Session, Commands: t.halts(h, []Command{})})
 	if err != nil {
 		return
 	}
-	t.rt.Call(h.Addr, httpwire.Call{Method: "POST", Target: "/orders", Body: body}, tuning.OrderTimeout,
-		func(ans httpwire.Answer, err error) {
+	t.rt.CallHTTP(h.Addr, httpwire.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
+		func(ans httpwire.Response, err error) {
 			if err != nil || t.lease.Token() != token || t.hosts[h.ID] != h || !h.Deaf {
 				return
 			}
-			r, err := ParseReport(ans.Body)
-			if err != nil || r.Host != h.ID || r.Token < token {
+			r, err := ParseHeartbeat(ans.Body)
+			if err != nil || r.WorkerID != h.ID || r.Token < token {
 				return
 			}
 			t.log.Info("machine hears again", "host", h.ID)
 			h.markHearing()
-			if h.Draining == deafDrain {
-				h.Draining = ""
+			if h.DrainReason == deafDrain {
+				h.DrainReason = ""
 			}
 		})
 }
 
-func (h *Worker) markHearing() { h.Deaf, h.Unheard, h.Lost = false, 0, 0 }
+func (h *Worker) markHearing() { h.Deaf, h.UnacknowledgedHeartbeats, h.LostLaunches = false, 0, 0 }
 
 // Deaf tells how many of the machines that report do not hear, and how many
 // report.
-func (t *Registry) Deaf() (deaf, up int) {
+func (t *Registry) CountDeaf() (deaf, up int) {
 	for _, h := range t.list {
-		if h.Up && !h.Silent {
+		if h.HasReported && !h.LeaseExpired {
 			up++
 			if h.Deaf {
 				deaf++
--- a/internal/agents/drain.go
+++ b/internal/agents/drain.go
@@ -9,39 +9,39 @@
 
 // accepts tells whether a machine may be given tasks as far as drains go, those of the
 // daemon's own and the operators'.
-func (t *Registry) accepts(h *Worker) bool { return h.Draining == "" && !t.Closed(h.ID) }
+func (t *Registry) accepts(h *Worker) bool { return h.DrainReason == "" && !t.ClosedByDrain(h.ID) }
 
 // Reports tells whether a machine is heard under the present token, so that what its
 // reports list is so.
-func (t *Registry) Reports(h *Worker) bool {
-	return h.Up && !h.Silent && !h.Deaf && h.Token >= t.lease.Token() && !t.Quiet(h)
+func (t *Registry) IsCurrent(h *Worker) bool {
+	return h.HasReported && !h.LeaseExpired && !h.Deaf && h.Token >= t.lease.Token() && !t.IsSuspect(h)
 }
 
 // Stop has a task halted that an operators' drain moves, with the time that it needs to
 // save. The machine is told at once, and with each report until the task is gone.
-func (t *Registry) Stop(k *work.Task) {
-	h := t.hosts[k.Host]
-	if h == nil || k.Stopping {
+func (t *Registry) HaltTask(k *work.Task) {
+	h := t.hosts[k.WorkerID]
+	if h == nil || k.HaltDecided {
 		return
 	}
-	k.Stop(k.Job.Desc.SaveS)
+	k.Halt(k.Job.Spec.CheckpointSeconds)
 	t.ready[h] = true
-	t.log.Info("moving task", "host", h.ID, "task", k.Ref(), "why", OperatorDrain)
+	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", OperatorDrain)
 }
 
 // StopGang has all tasks of a gang halted, at the same time. One that has not started
 // has nothing to save.
-func (t *Registry) StopGang(j *work.Job) {
+func (t *Registry) HaltGang(j *work.Job) {
 	now := t.rt.Now()
-	t.log.Info("moving gang", "job", j.Desc.ID, "why", OperatorDrain)
-	if j.Gang.Started && j.Desc.SaveEvery > 0 {
+	t.log.Info("moving gang", "job", j.Spec.ID, "why", OperatorDrain)
+	if j.Gang.Started && j.Spec.CheckpointIntervalSeconds > 0 {
 		t.saveAll(j, now)
 		return
 	}
-	j.End(now)
+	j.EndAttempt(now)
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.Host]; h != nil && k.State == work.Placed && k.Sent {
-			k.Stop(0)
+		if h := t.hosts[k.WorkerID]; h != nil && k.State == work.StatePlaced && k.LaunchSent {
+			k.Halt(0)
 			t.ready[h] = true
 		}
 	}
--- a/internal/agents/gang.go
+++ b/internal/agents/gang.go
@@ -9,9 +9,9 @@
 
 // take works out what the records of a new token say of a gang.
 func (t *Registry) take(j *work.Job) {
-	j.Take(t.begun)
+	j.RecoverGang(t.begun)
 	if j.Gang.Done {
-		t.Done(j)
+		t.GangDone(j)
 	}
 }
 
@@ -19,15 +19,15 @@
 // how they are if that is what decides.
 func (t *Registry) lost(k *work.Task, how work.Loss) {
 	j, now := k.Job, t.rt.Now()
-	doubt, was := j.Gang.Doubt, *j.Gang
-	j.Lost(k, how, now)
-	if j.Gang.Attempt == 0 || (j.Gang.Over && !was.Over) {
-		t.log.Debug("gang's attempt comes to nothing", "job", j.Desc.ID, "attempt", was.Attempt, "task", k.Index, "started", was.Started,
-			"through", j.Gang.Attempt == 0, "saved", was.Saving)
+	doubt, was := j.Gang.StartInDoubtSince, *j.Gang
+	j.TaskGone(k, how, now)
+	if j.Gang.Attempt == 0 || (j.Gang.AttemptOver && !was.AttemptOver) {
+		t.log.Debug("gang's attempt comes to nothing", "job", j.Spec.ID, "attempt", was.Attempt, "task", k.Index, "started", was.Started,
+			"through", j.Gang.Attempt == 0, "saved", was.Checkpointing)
 	}
-	if j.Gang.Doubt != doubt && j.Gang.Doubt > 0 {
+	if j.Gang.StartInDoubtSince != doubt && j.Gang.StartInDoubtSince > 0 {
 		for _, o := range j.Tasks {
-			if h := t.hosts[o.Host]; o.State == work.Placed && h != nil {
+			if h := t.hosts[o.WorkerID]; o.State == work.StatePlaced && h != nil {
 				h.probeTasks, t.ready[h] = true, true
 			}
 		}
@@ -38,23 +38,23 @@
 // mate takes in the state of a task of a gang, which tells of the others too.
 func (t *Registry) mate(k *work.Task, phase string) {
 	j := k.Job
-	if j.Gang == nil || k.Try() != j.Gang.Attempt {
+	if j.Gang == nil || k.WireAttempt() != j.Gang.Attempt {
 		return
 	}
 	now := t.rt.Now()
 	switch phase {
 	case "running", "saving":
 		if !j.Gang.Started {
-			t.log.Debug("gang runs", "job", j.Desc.ID, "class", j.Desc.Class, "attempt", j.Gang.Attempt, "host", k.Host,
-				"age_s", float64(t.rt.Wall().UnixMilli()-j.Submitted)/1000)
+			t.log.Debug("gang runs", "job", j.Spec.ID, "class", j.Spec.Class, "attempt", j.Gang.Attempt, "host", k.WorkerID,
+				"age_s", float64(t.rt.WallClock().UnixMilli()-j.SubmittedMS)/1000)
 		}
-		j.SeenRunning(now)
-		if !k.Ran {
-			k.Ran = true
-			t.tasks.Changed(k, false) // for those who ask whether it runs
+		j.ReportedRunning(now)
+		if !k.HasRun {
+			k.HasRun = true
+			t.tasks.TaskChanged(k, false) // for those who ask whether it runs
 		}
 	case "waiting", "fetching":
-		j.SeenWaiting(now)
+		j.ReportedWaiting(now)
 	}
 	t.windUp(j, now)
 }
@@ -62,31 +62,31 @@
 // Done takes note that a task of a gang is proven done, and with it all are.
 // Those on no machine are written off at once, the others when they are proven
 // gone: their places are not free before.
-func (t *Registry) Done(j *work.Job) {
-	if j.Gang.Done && j.Gang.Over || j.Cancelled {
+func (t *Registry) GangDone(j *work.Job) {
+	if j.Gang.Done && j.Gang.AttemptOver || j.Cancelled {
 		return
 	}
 	j.Gang.Done, j.Gang.Started = true, true
-	j.End(t.rt.Now())
+	j.EndAttempt(t.rt.Now())
 	for _, k := range j.Tasks {
-		h := t.hosts[k.Host]
+		h := t.hosts[k.WorkerID]
 		switch {
-		case k.State == work.Waiting:
+		case k.State == work.StateWaiting:
 			t.tasks.TaskDone(k)
-		case k.State == work.Placed && !k.Sent && h != nil && h.Tasks[k]:
-			t.proveGone(h, k, work.Unready)
+		case k.State == work.StatePlaced && !k.LaunchSent && h != nil && h.Tasks[k]:
+			t.proveGone(h, k, work.LossBeforeWaiting)
 		}
 	}
 }
 
 // windUp halts what is left of an attempt that is over.
 func (t *Registry) windUp(j *work.Job, now time.Duration) {
-	if j.Cancelled || !j.WindUp(now, t.set.GangPeer()) {
+	if j.Cancelled || !j.MustHaltAttempt(now, t.set.GangPeerTimeout()) {
 		return
 	}
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.Host]; k.State == work.Placed && k.Sent && h != nil && !(k.Stopping && k.WindDown == 0) {
-			k.Stop(0)
+		if h := t.hosts[k.WorkerID]; k.State == work.StatePlaced && k.LaunchSent && h != nil && !(k.HaltDecided && k.WindDownSeconds == 0) {
+			k.Halt(0)
 			t.ready[h] = true
 		}
 	}
@@ -99,10 +99,10 @@
 	if g.Attempt == 0 || j.Cancelled {
 		return
 	}
-	if g.Doubt > 0 && now-g.Doubt > t.set.GangWait()+t.set.GangPeer() {
-		j.End(now)
+	if g.StartInDoubtSince > 0 && now-g.StartInDoubtSince > t.set.GangWaitTimeout()+t.set.GangPeerTimeout() {
+		j.EndAttempt(now)
 	}
-	if !g.Over {
+	if !g.AttemptOver {
 		t.leave(j, now)
 	}
 	t.windUp(j, now)
@@ -113,24 +113,24 @@
 // the time for it, it runs on: it may still complete, or pass a checkpoint. One
 // that waits just leaves the machine.
 func (t *Registry) leave(j *work.Job, now time.Duration) {
-	g, save := j.Gang, time.Duration(j.Desc.SaveS*float64(time.Second))
+	g, save := j.Gang, time.Duration(j.Spec.CheckpointSeconds*float64(time.Second))
 	for _, k := range j.Tasks {
-		h := t.hosts[k.Host]
-		if k.State != work.Placed || h == nil || h.Notice == 0 {
+		h := t.hosts[k.WorkerID]
+		if k.State != work.StatePlaced || h == nil || h.SpotNoticeAt == 0 {
 			continue
 		}
 		if !g.Started {
-			if k.Seen && !k.Stopping {
-				k.Stop(0)
+			if k.Reported && !k.HaltDecided {
+				k.Halt(0)
 				t.ready[h] = true
 			}
 			continue
 		}
-		last := h.Notice - save - tuning.NoticeReserve
-		if j.Desc.SaveEvery == 0 || now < last-tuning.SaveMargin || now > last {
+		last := h.SpotNoticeAt - save - tuning.SpotNoticeReserve
+		if j.Spec.CheckpointIntervalSeconds == 0 || now < last-tuning.CheckpointMargin || now > last {
 			continue
 		}
-		t.log.Info("saving gang", "job", j.Desc.ID, "host", h.ID)
+		t.log.Info("saving gang", "job", j.Spec.ID, "host", h.ID)
 		t.saveAll(j, now)
 		return
 	}
@@ -138,11 +138,11 @@
 
 // saveAll ends a gang's attempt: all its tasks are told to save, at the same time.
 func (t *Registry) saveAll(j *work.Job, now time.Duration) {
-	j.End(now)
-	j.Gang.Saving = true
+	j.EndAttempt(now)
+	j.Gang.Checkpointing = true
 	for _, o := range j.Tasks {
-		if h := t.hosts[o.Host]; o.State == work.Placed && h != nil {
-			o.Stop(j.Desc.SaveS)
+		if h := t.hosts[o.WorkerID]; o.State == work.StatePlaced && h != nil {
+			o.Halt(j.Spec.CheckpointSeconds)
 			t.ready[h] = true
 		}
 	}
--- a/internal/agents/orders.go
+++ b/internal/agents/orders.go
@@ -10,13 +10,13 @@
 )
 
 // Settle sends direct orders for placements that have become durable.
-func (t *Registry) Settle() {
-	if !t.tasks.IsLoaded() || !t.lease.Valid() {
+func (t *Registry) AfterBatch() {
+	if !t.tasks.IsLoaded() || !t.lease.LeaseValid() {
 		clear(t.ready)
 		return
 	}
 	t.announceNext()
-	if len(t.held) > 0 && t.lease.Fresh(t.heldAt) {
+	if len(t.held) > 0 && t.lease.CancellationsVerifiedSince(t.heldAt) {
 		for h := range t.held {
 			t.ready[h] = true
 		}
@@ -27,7 +27,7 @@
 			continue // looked at again when the answer is in
 		}
 		delete(t.ready, h)
-		if !h.Up || h.Token != t.lease.Token() || h.Silent || h.Deaf {
+		if !h.HasReported || h.Token != t.lease.Token() || h.LeaseExpired || h.Deaf {
 			continue
 		}
 		t.direct(h)
@@ -38,10 +38,10 @@
 // only.
 func (t *Registry) direct(h *Worker) {
 	token := t.lease.Token()
-	msg := Orders{Token: token, Session: h.Session, Orders: []Order{}}
+	msg := CommandMessage{Token: token, Session: h.Session, Commands: []Command{}}
 	carried := t.launches(h, &msg)
 	t.addHalts(h, &msg)
-	if len(msg.Orders) == 0 && !h.probeTasks {
+	if len(msg.Commands) == 0 && !h.probeTasks {
 		return
 	}
 	h.probeTasks = false
@@ -52,13 +52,13 @@
 	}
 	attempts := make([]uint64, len(carried))
 	for i, k := range carried {
-		k.Sent, k.Flying, k.Session, k.Sequence = true, true, h.Session, h.Sequence
+		k.LaunchSent, k.LaunchInFlight, k.GoneSession, k.GoneAfterSequence = true, true, h.Session, h.Sequence
 		attempts[i] = k.Attempt
 	}
 	h.orderInFlight = true
 	begun := t.begun
-	t.rt.Call(h.Addr, httpwire.Call{Method: "POST", Target: "/orders", Body: body}, tuning.OrderTimeout,
-		func(ans httpwire.Answer, err error) {
+	t.rt.CallHTTP(h.Addr, httpwire.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
+		func(ans httpwire.Response, err error) {
 			if t.begun != begun || t.lease.Token() != token || t.hosts[h.ID] != h {
 				return // another term has read the records anew
 			}
@@ -66,8 +66,8 @@
 			t.ready[h] = true
 			mine := carried[:0:0]
 			for i, k := range carried {
-				if h.Tasks[k] && k.Attempt == attempts[i] && k.Flying {
-					k.Flying = false
+				if h.Tasks[k] && k.Attempt == attempts[i] && k.LaunchInFlight {
+					k.LaunchInFlight = false
 					mine = append(mine, k)
 				}
 			}
@@ -77,66 +77,66 @@
 
 // launches adds the launches that wait for a machine to a message, and returns their
 // tasks.
-func (t *Registry) launches(h *Worker, msg *Orders) []*work.Task {
+func (t *Registry) launches(h *Worker, msg *CommandMessage) []*work.Task {
 	var carried []*work.Task
 	if !t.accepts(h) {
 		return nil
 	}
 	for k := range h.Tasks {
-		if len(carried) >= tuning.OrdersPerMessage || !k.Launchable() {
+		if len(carried) >= tuning.MaxCommandsPerMessage || !k.Launchable() {
 			continue
 		}
-		if !t.lease.Fresh(k.At) {
-			t.held[h], t.heldAt = true, max(t.heldAt, k.At)
+		if !t.lease.CancellationsVerifiedSince(k.PlacedAt) {
+			t.held[h], t.heldAt = true, max(t.heldAt, k.PlacedAt)
 			continue
 		}
 		carried = append(carried, k)
-		msg.Orders = append(msg.Orders, Order{Verb: "launch", Task: k.Ref(), Attempt: k.Try()})
+		msg.Commands = append(msg.Commands, Command{Verb: "launch", TaskName: k.Name(), Attempt: k.WireAttempt()})
 	}
 	return carried
 }
 
 // addHalts adds the halts that a machine has not been told, or has to be told again, to a
 // message. Repeated or late, a halt does no harm: it names the attempt.
-func (t *Registry) addHalts(h *Worker, msg *Orders) {
+func (t *Registry) addHalts(h *Worker, msg *CommandMessage) {
 	for k := range h.Tasks {
-		if k.Stopping && k.Seen && !k.Told && len(msg.Orders) < tuning.OrdersPerMessage {
-			k.Told = true // if this is lost, the next report's answer has it
-			msg.Orders = append(msg.Orders, halt(k.Ref(), k.Try(), k.WindDown))
+		if k.HaltDecided && k.Reported && !k.HaltSent && len(msg.Commands) < tuning.MaxCommandsPerMessage {
+			k.HaltSent = true // if this is lost, the next report's answer has it
+			msg.Commands = append(msg.Commands, halt(k.Name(), k.WireAttempt(), k.WindDownSeconds))
 		}
 	}
 	for k := range h.Tasks {
-		if k.Job.Cancelled && k.Sent && t.rt.Now()-k.Halted >= tuning.HaltEvery {
-			msg.Orders = t.halts(h, msg.Orders)
+		if k.Job.Cancelled && k.LaunchSent && t.rt.Now()-k.CancelHaltSentAt >= tuning.HaltRetryInterval {
+			msg.Commands = t.halts(h, msg.Commands)
 			break
 		}
 	}
-	msg.Orders, h.ends = append(msg.Orders, h.ends...), nil
+	msg.Commands, h.ends = append(msg.Commands, h.ends...), nil
 }
 
 // directAnswered takes what came of a direct message that carried launches.
-func (t *Registry) directAnswered(h *Worker, carried []*work.Task, ans httpwire.Answer, err error) {
-	var r *Report
+func (t *Registry) directAnswered(h *Worker, carried []*work.Task, ans httpwire.Response, err error) {
+	var r *Heartbeat
 	if err == nil && (ans.Status == 200 || ans.Status == 409) {
-		if r, err = ParseReport(ans.Body); err == nil && r.Host != h.ID {
+		if r, err = ParseHeartbeat(ans.Body); err == nil && r.WorkerID != h.ID {
 			r = nil
 		}
 	}
 	switch {
 	case err == engine.ErrNotSent || (err == nil && ans.Status == 409):
 		for _, k := range carried {
-			k.Sent, k.Session, k.Sequence = k.Seen, 0, 0
+			k.LaunchSent, k.GoneSession, k.GoneAfterSequence = k.Reported, 0, 0
 		}
 	case err == nil && ans.Status == 200 && r != nil:
 		for _, k := range carried {
-			k.Session, k.Sequence = r.Session, r.Sequence
+			k.GoneSession, k.GoneAfterSequence = r.Session, r.Sequence
 		}
 		if r.Session == h.Session && r.Sequence > h.Sequence && r.Token <= t.lease.Token() {
 			t.read(h, r, false)
 		}
 	default:
 		for _, k := range carried {
-			k.Doubt = !k.Seen
+			k.LaunchInDoubt = !k.Reported
 		}
 	}
 	if err != nil || ans.Status != 200 {
--- a/internal/agents/registry.go
+++ b/internal/agents/registry.go
@@ -16,16 +16,16 @@
 // Lease is what the table asks of the block's lease.
 type Lease interface {
 	Token() uint64
-	Valid() bool
+	LeaseValid() bool
 	// Answering tells whether reports are answered, and so taken in: only on
 	// knowledge of cancellations that is young enough.
-	Answering() bool
-	Renew()
+	MayAnswer() bool
+	RenewToken()
 	// Fresh tells whether the jobs not known to be cancelled are proven not to have
 	// been so at or after a moment, lately; if not, a proof is asked for.
-	Fresh(since time.Duration) bool
+	CancellationsVerifiedSince(since time.Duration) bool
 	// AnsweredBefore is when the last earlier owner stops answering, at the latest.
-	AnsweredBefore() time.Duration
+	PreviousOwnerAnswersUntil() time.Duration
 }
 
 // TaskStore is what the table asks of the block's records.
@@ -34,37 +34,37 @@
 	Job(id string) *work.Job
 	// CancelledFor is how long ago a job's user can have been told that it is
 	// cancelled, at most, if it is.
-	CancelledFor(id string) (time.Duration, bool)
-	Jobs(func(*work.Job))
-	Changed(t *work.Task, urgent bool)
+	CancellationAge(id string) (time.Duration, bool)
+	EachJob(func(*work.Job))
+	TaskChanged(t *work.Task, urgent bool)
 	TaskDone(t *work.Task)
-	Drop(t *work.Task)
+	DropTask(t *work.Task)
 }
 
 // Registry holds all machines.
 type Registry struct {
 	// Waiting is called for a task that has become free for another machine.
-	Waiting func(*work.Task)
+	TaskWaiting func(*work.Task)
 	// Type finds a machine type by its label.
-	Type func(label string) *jobs.MachineType
+	MachineType func(label string) *jobs.MachineType
 	// Closed tells whether operators' drains keep new tasks off a machine.
-	Closed   func(host string) bool
-	rt       engine.Runtime
-	lease    Lease
-	tasks    TaskStore
-	set      *settings.Settings
-	log      *slog.Logger
-	hosts    map[string]*Worker
-	list     []*Worker     // in the order of their names
-	begun    time.Duration // this term
-	since    time.Duration // when reports began to be taken in, this time
-	ready    map[*Worker]bool
-	held     map[*Worker]bool // have launches that wait for a proof, see Lease.Fresh
-	heldAt   time.Duration    // the newest placement of those
-	greets   []*Worker        // to be told of the token
-	greeting int              // being told
-	gone     map[string]bool  // returned machines
-	zones    map[string]*zone
+	ClosedByDrain func(host string) bool
+	rt            engine.Runtime
+	lease         Lease
+	tasks         TaskStore
+	set           *settings.Settings
+	log           *slog.Logger
+	hosts         map[string]*Worker
+	list          []*Worker     // in the order of their names
+	begun         time.Duration // this term
+	since         time.Duration // when reports began to be taken in, this time
+	ready         map[*Worker]bool
+	held          map[*Worker]bool // have launches that wait for a proof, see Lease.Fresh
+	heldAt        time.Duration    // the newest placement of those
+	greets        []*Worker        // to be told of the token
+	greeting      int              // being told
+	gone          map[string]bool  // returned machines
+	zones         map[string]*zone
 }
 
 // zone is what the table knows of a zone as a whole: one that is cut off falls
@@ -76,7 +76,7 @@
 
 // NewRegistry returns an empty table.
 func NewRegistry(rt engine.Runtime, lease Lease, tasks TaskStore, set *settings.Settings, log *slog.Logger) *Registry {
-	return &Registry{Closed: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
+	return &Registry{ClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
 		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{}}
 }
 
@@ -94,7 +94,7 @@
 func (t *Registry) ReachableZones() []string {
 	var list []string
 	for name, z := range t.zones {
-		if z.heard > 0 && t.rt.Now()-z.heard <= tuning.CutOffAfter {
+		if z.heard > 0 && t.rt.Now()-z.heard <= tuning.ZonePartitionAfter {
 			list = append(list, name)
 		}
 	}
@@ -106,11 +106,11 @@
 // and none has for a while, though others are heard.
 func (t *Registry) cutOff(name string) bool {
 	z := t.zones[name]
-	if z == nil || !t.set.CutOff(z.up, t.rt.Now()-max(z.heard, t.since)) {
+	if z == nil || !t.set.IsZonePartitioned(z.up, t.rt.Now()-max(z.heard, t.since)) {
 		return false
 	}
 	for _, o := range t.zones {
-		if o.heard > z.heard+tuning.CutOffAfter/2 {
+		if o.heard > z.heard+tuning.ZonePartitionAfter/2 {
 			return true
 		}
 	}
@@ -120,15 +120,15 @@
 // Begin starts a term: whatever the records place may be on its machine under
 // an earlier token, and any earlier owner may have answered reports until now
 // plus the hold.
-func (t *Registry) Begin() {
+func (t *Registry) BeginTerm() {
 	t.begun = t.rt.Now()
 	t.since = t.begun
 	for _, h := range t.hosts {
 		h.Tasks = map[*work.Task]bool{}
-		h.CPUs, h.Cards, h.Memory, h.orderInFlight, h.UnknownTasks, h.Fetching = 0, 0, 0, false, 0, 0
+		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
 		// Between two tokens of its own a process knows what it has answered.
-		h.LeaseFrom = max(h.LeaseFrom, t.lease.AnsweredBefore())
-		h.Silent, h.announcing = false, false
+		h.LeaseFrom = max(h.LeaseFrom, t.lease.PreviousOwnerAnswersUntil())
+		h.LeaseExpired, h.announcing = false, false
 		h.markHearing()
 	}
 	clear(t.ready)
@@ -138,21 +138,21 @@
 	// which is waited for, must not keep the others waiting.
 	for _, late := range []bool{false, true} {
 		for _, h := range t.list {
-			if (t.begun-h.Heard > t.set.DeadAfter()) == late {
+			if (t.begun-h.LastHeartbeatAt > t.set.WorkerDeadAfter()) == late {
 				t.Announce(h.ID, h.Addr)
 			}
 		}
 	}
 	token := t.lease.Token()
-	t.tasks.Jobs(func(j *work.Job) {
+	t.tasks.EachJob(func(j *work.Job) {
 		if j.Gang != nil {
 			t.take(j)
 		}
-		for _, c := range j.Chunks {
+		for _, c := range j.Groups {
 			for _, k := range c.Tasks {
-				if k.State == work.Placed {
-					k.MinToken, k.Sent = token, true
-					t.occupy(t.host(k.Host), k)
+				if k.State == work.StatePlaced {
+					k.GoneMinToken, k.LaunchSent = token, true
+					t.occupy(t.host(k.WorkerID), k)
 				}
 			}
 		}
@@ -160,10 +160,10 @@
 }
 
 // End forgets what only holds for a term.
-func (t *Registry) End() {
+func (t *Registry) EndTerm() {
 	for _, h := range t.hosts {
 		h.Tasks = map[*work.Task]bool{}
-		h.CPUs, h.Cards, h.Memory, h.orderInFlight, h.UnknownTasks, h.Fetching = 0, 0, 0, false, 0, 0
+		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
 	}
 	clear(t.ready)
 	clear(t.held)
@@ -174,8 +174,8 @@
 	h := t.hosts[id]
 	if h == nil {
 		now := t.rt.Now()
-		h = &Worker{ID: id, Known: now, Idle: now, LeaseFrom: max(now, t.lease.AnsweredBefore()),
-			Tasks: map[*work.Task]bool{}, FailedJ: map[string]bool{}}
+		h = &Worker{ID: id, KnownSince: now, IdleSince: now, LeaseFrom: max(now, t.lease.PreviousOwnerAnswersUntil()),
+			Tasks: map[*work.Task]bool{}, FailedJobs: map[string]bool{}}
 		t.hosts[id] = h
 		i, _ := slices.BinarySearchFunc(t.list, id, func(h *Worker, id string) int { return strings.Compare(h.ID, id) })
 		t.list = slices.Insert(t.list, i, h)
@@ -184,73 +184,73 @@
 }
 
 // Get finds a machine.
-func (t *Registry) Get(id string) *Worker { return t.hosts[id] }
+func (t *Registry) Worker(id string) *Worker { return t.hosts[id] }
 
 // All returns the machines in the order of their names. The list is the table's
 // own.
-func (t *Registry) All() []*Worker { return t.list }
+func (t *Registry) Workers() []*Worker { return t.list }
 
 // Open tells whether a machine may be given tasks now. One that has left an
 // order unanswered gets none before its next report: what is placed on a machine
 // that is cut off or dead waits there until its lease has run out.
-func (t *Registry) Open(h *Worker) bool {
+func (t *Registry) AcceptsTasks(h *Worker) bool {
 	now := t.rt.Now()
-	suspect := time.Duration(float64(t.set.Report()) * tuning.SuspectReports)
-	return h.Up && !h.Silent && !h.Deaf && t.accepts(h) && h.Type != nil && h.UnknownTasks == 0 &&
-		h.Token >= t.lease.Token() && now-h.Heard < suspect && now >= h.Refused &&
-		h.missed <= h.Heard && !t.cutOff(h.Zone)
+	suspect := time.Duration(float64(t.set.HeartbeatInterval()) * tuning.SuspectHeartbeats)
+	return h.HasReported && !h.LeaseExpired && !h.Deaf && t.accepts(h) && h.MachineType != nil && h.UnknownTasks == 0 &&
+		h.Token >= t.lease.Token() && now-h.LastHeartbeatAt < suspect && now >= h.RefusesUntil &&
+		h.missed <= h.LastHeartbeatAt && !t.cutOff(h.Zone)
 }
 
 func (t *Registry) occupy(h *Worker, k *work.Task) {
-	if !k.Imaged {
-		h.Fetching++
+	if !k.HasImage {
+		h.FetchingTasks++
 	}
-	h.Add(k)
+	h.AddTask(k)
 }
 
 func (t *Registry) vacate(h *Worker, k *work.Task) {
 	if !h.Tasks[k] {
 		return
 	}
-	h.Remove(k)
+	h.RemoveTask(k)
 	if len(h.Tasks) == 0 {
-		h.Idle = t.rt.Now()
+		h.IdleSince = t.rt.Now()
 	}
-	if !k.Imaged {
-		h.Fetching--
+	if !k.HasImage {
+		h.FetchingTasks--
 	}
-	k.Running, k.Imaged = false, false
+	k.Running, k.HasImage = false, false
 }
 
 // Place gives a waiting task to a machine. The launch leaves once the
 // placement is durable.
 func (t *Registry) Place(k *work.Task, h *Worker) {
-	if g := k.Job.Gang; g != nil && !h.Caches(k.Job.Desc.Image) {
-		g.Cold++
+	if g := k.Job.Gang; g != nil && !h.HasImage(k.Job.Spec.Image) {
+		g.UncachedPlacements++
 	}
-	k.Placing(h.ID)
-	k.At = t.rt.Now()
-	t.lease.Fresh(k.At) // the proof comes while the placement is committed
-	k.MinToken, k.Session, k.Sequence = t.lease.Token(), 0, 0
+	k.PlaceOn(h.ID)
+	k.PlacedAt = t.rt.Now()
+	t.lease.CancellationsVerifiedSince(k.PlacedAt) // the proof comes while the placement is committed
+	k.GoneMinToken, k.GoneSession, k.GoneAfterSequence = t.lease.Token(), 0, 0
 	t.occupy(h, k)
-	t.tasks.Changed(k, true)
+	t.tasks.TaskChanged(k, true)
 }
 
 // Launchable notes that a placement is durable.
-func (t *Registry) Launchable(k *work.Task) {
+func (t *Registry) PlacementDurable(k *work.Task) {
 	if k.Job.Gang != nil {
 		if k.Launchable() { // with the last of a gang, all of it
-			t.log.Debug("gang placed", "job", k.Job.Desc.ID, "attempt", k.Try(), "tasks", len(k.Job.Tasks), "fetching", k.Job.Gang.Cold,
-				"age_s", float64(t.rt.Wall().UnixMilli()-k.Job.Submitted)/1000)
+			t.log.Debug("gang placed", "job", k.Job.Spec.ID, "attempt", k.WireAttempt(), "tasks", len(k.Job.Tasks), "fetching", k.Job.Gang.UncachedPlacements,
+				"age_s", float64(t.rt.WallClock().UnixMilli()-k.Job.SubmittedMS)/1000)
 			for _, o := range k.Job.Tasks {
-				if h := t.hosts[o.Host]; h != nil {
+				if h := t.hosts[o.WorkerID]; h != nil {
 					t.ready[h] = true
 				}
 			}
 		}
 		return
 	}
-	if h := t.hosts[k.Host]; h != nil {
+	if h := t.hosts[k.WorkerID]; h != nil {
 		t.ready[h] = true
 	}
 }
@@ -259,10 +259,10 @@
 // matters for a gang.
 func (t *Registry) proveGone(h *Worker, k *work.Task, how work.Loss) {
 	t.vacate(h, k)
-	k.State, k.Host = work.Waiting, ""
-	k.Durable, k.Sent, k.Flying, k.Doubt, k.Seen, k.Stopping, k.Told, k.Ran = false, false, false, false, false, false, false, false
+	k.State, k.WorkerID = work.StateWaiting, ""
+	k.PlacementDurable, k.LaunchSent, k.LaunchInFlight, k.LaunchInDoubt, k.Reported, k.HaltDecided, k.HaltSent, k.HasRun = false, false, false, false, false, false, false, false
 	if k.Job.Cancelled {
-		t.tasks.Drop(k)
+		t.tasks.DropTask(k)
 		return
 	}
 	if g := k.Job.Gang; g != nil {
@@ -272,14 +272,14 @@
 		}
 		t.lost(k, how)
 	}
-	t.tasks.Changed(k, false)
-	t.Waiting(k)
+	t.tasks.TaskChanged(k, false)
+	t.TaskWaiting(k)
 }
 
 // leaseEnd is when all tasks of a machine that stays silent are surely gone.
 func (t *Registry) leaseEnd(h *Worker) time.Duration {
 	lease := t.set.WorkerLease()
-	return h.LeaseFrom + lease + lease*tuning.DriftPerMille/1000 + tuning.GoneMargin
+	return h.LeaseFrom + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
 }
 
 // Tick looks for machines whose lease has run out and for placements that can
@@ -289,7 +289,7 @@
 		return
 	}
 	now := t.rt.Now()
-	if !t.lease.Answering() {
+	if !t.lease.MayAnswer() {
 		// In an outage of the state service that outlasts the hold, reports are
 		// turned away: that is no silence of the machines.
 		t.since = now
@@ -298,18 +298,18 @@
 		z.up = 0
 	}
 	for _, h := range t.list {
-		if h.Up {
+		if h.HasReported {
 			t.zone(h.Zone).up++
 		}
 		if h.Deaf {
 			t.probe(h)
-			if len(h.Tasks) == 0 && h.Draining == "" && now-h.deaf > t.set.WorkerLease() {
-				t.Drain(h.ID, deafDrain) // settled, and it has not come back
+			if len(h.Tasks) == 0 && h.DrainReason == "" && now-h.deaf > t.set.WorkerLease() {
+				t.StopPlacements(h.ID, deafDrain) // settled, and it has not come back
 			}
 		}
 		for k := range h.Tasks {
-			if k.Sent {
-				if k.Job.Cancelled && now-k.Halted >= tuning.HaltEvery {
+			if k.LaunchSent {
+				if k.Job.Cancelled && now-k.CancelHaltSentAt >= tuning.HaltRetryInterval {
 					t.Announce(h.ID, h.Addr) // if it has not seen the token
 					t.ready[h] = true
 				}
@@ -318,17 +318,17 @@
 			}
 			// Never launched: free for another machine when this one does
 			// not take tasks any more.
-			if g := k.Job.Gang; (g != nil && (g.Over || g.Done)) || !t.accepts(h) || h.Deaf || k.Job.Cancelled || (h.Up && now-h.Heard > t.set.DeadAfter()/2) || !h.Up {
-				t.proveGone(h, k, work.Unready)
+			if g := k.Job.Gang; (g != nil && (g.AttemptOver || g.Done)) || !t.accepts(h) || h.Deaf || k.Job.Cancelled || (h.HasReported && now-h.LastHeartbeatAt > t.set.WorkerDeadAfter()/2) || !h.HasReported {
+				t.proveGone(h, k, work.LossBeforeWaiting)
 			}
 		}
-		if !h.Silent && now > t.leaseEnd(h) && len(h.Tasks) > 0 {
+		if !h.LeaseExpired && now > t.leaseEnd(h) && len(h.Tasks) > 0 {
 			t.log.Info("worker lease has run out", "host", h.ID, "tasks", len(h.Tasks))
-			h.Silent = true
+			h.LeaseExpired = true
 			t.clear(h)
 		}
 	}
-	t.tasks.Jobs(func(j *work.Job) {
+	t.tasks.EachJob(func(j *work.Job) {
 		if j.Gang != nil {
 			t.tend(j, now)
 		}
@@ -339,21 +339,21 @@
 // that is drained, or one that can save, in time before the cloud takes its
 // machine. The machine is told at once, and with each report until it is gone.
 func (t *Registry) move(h *Worker, k *work.Task, now time.Duration) {
-	d := k.Job.Desc
-	saves := d.SaveEvery > 0 && h.Notice > 0 &&
-		now > h.Notice-time.Duration(d.SaveS*float64(time.Second))-tuning.NoticeReserve-tuning.SaveMargin
-	if h.Draining == "" || k.Stopping || !k.Running || k.Job.Gang != nil || !(d.Service() || saves) {
+	d := k.Job.Spec
+	saves := d.CheckpointIntervalSeconds > 0 && h.SpotNoticeAt > 0 &&
+		now > h.SpotNoticeAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
+	if h.DrainReason == "" || k.HaltDecided || !k.Running || k.Job.Gang != nil || !(d.IsService() || saves) {
 		return
 	}
-	k.Stop(d.SaveS)
+	k.Halt(d.CheckpointSeconds)
 	t.ready[h] = true
-	t.log.Info("moving task", "host", h.ID, "task", k.Ref(), "why", h.Draining)
+	t.log.Info("moving task", "host", h.ID, "task", k.Name(), "why", h.DrainReason)
 }
 
 // Discard takes a task that was never launched off its machine; its record is
 // gone.
-func (t *Registry) Discard(k *work.Task) {
-	if h := t.hosts[k.Host]; h != nil {
+func (t *Registry) DiscardTask(k *work.Task) {
+	if h := t.hosts[k.WorkerID]; h != nil {
 		t.vacate(h, k)
 	}
 }
@@ -361,7 +361,7 @@
 // clear proves all tasks of a machine gone.
 func (t *Registry) clear(h *Worker) {
 	for k := range h.Tasks {
-		t.proveGone(h, k, work.Vanished)
+		t.proveGone(h, k, work.LossVanished)
 	}
 }
 
@@ -369,8 +369,8 @@
 // why one that may have urgent tasks on it: returned, they are surely gone, and
 // can run elsewhere before its lease would have run out.
 const (
-	Silent       = "silent"
-	SilentUrgent = "silent with urgent tasks"
+	ReleaseSilent       = "silent"
+	ReleaseSilentUrgent = "silent with urgent tasks"
 )
 
 const deafDrain = "does not hear"
--- a/internal/agents/release.go
+++ b/internal/agents/release.go
@@ -9,7 +9,7 @@
 
 // Returned notes that the cloud has taken a machine back at our request: it
 // and all that was on it are gone.
-func (t *Registry) Returned(id string) {
+func (t *Registry) MachineReleased(id string) {
 	t.gone[id] = true
 	h := t.hosts[id]
 	if h == nil {
@@ -23,38 +23,38 @@
 }
 
 // Drain stops new tasks on a machine.
-func (t *Registry) Drain(id, why string) {
-	if h := t.hosts[id]; h != nil && h.Draining == "" {
-		h.Draining = why
+func (t *Registry) StopPlacements(id, why string) {
+	if h := t.hosts[id]; h != nil && h.DrainReason == "" {
+		h.DrainReason = why
 		t.log.Info("draining machine", "host", id, "why", why)
 	}
 }
 
 // GiveBack tells whether, and why, the owner wants a machine returned now:
 // nothing on it is lost by that, or it is lost already.
-func (t *Registry) GiveBack(h *Worker, silent, up int) string {
+func (t *Registry) ReleaseReason(h *Worker, silent, up int) string {
 	now := t.rt.Now()
 	switch {
-	case !h.Up:
+	case !h.HasReported:
 		return ""
-	case h.Notice > 0 && (now > h.Notice-tuning.NoticeReserve || (len(h.Tasks) == 0 && h.UnknownTasks == 0)):
+	case h.SpotNoticeAt > 0 && (now > h.SpotNoticeAt-tuning.SpotNoticeReserve || (len(h.Tasks) == 0 && h.UnknownTasks == 0)):
 		return "taken by the cloud"
-	case t.Quiet(h) && silent*2 <= up:
+	case t.IsSuspect(h) && silent*2 <= up:
 		for k := range h.Tasks {
-			if k.Job.Desc.Priority() >= jobs.High {
-				return SilentUrgent
+			if k.Job.Spec.Priority() >= jobs.PriorityUrgent {
+				return ReleaseSilentUrgent
 			}
 		}
-		return Silent
-	case h.Draining != "" && h.Notice == 0 && len(h.Tasks) == 0 && (h.UnknownTasks == 0 || h.Draining == deafDrain):
-		return h.Draining
-	case h.Draining == "" && h.Notice == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.Closed(h.ID):
+		return ReleaseSilent
+	case h.DrainReason != "" && h.SpotNoticeAt == 0 && len(h.Tasks) == 0 && (h.UnknownTasks == 0 || h.DrainReason == deafDrain):
+		return h.DrainReason
+	case h.DrainReason == "" && h.SpotNoticeAt == 0 && len(h.Tasks) == 0 && h.UnknownTasks == 0 && h.Token >= t.lease.Token() && t.ClosedByDrain(h.ID):
 		return OperatorDrain
 	}
 	return ""
 }
 
 // Quiet tells whether a machine has not reported for suspiciously long.
-func (t *Registry) Quiet(h *Worker) bool {
-	return h.Up && t.rt.Now()-max(h.Heard, t.since) > t.set.DeadAfter()
+func (t *Registry) IsSuspect(h *Worker) bool {
+	return h.HasReported && t.rt.Now()-max(h.LastHeartbeatAt, t.since) > t.set.WorkerDeadAfter()
 }
--- a/internal/agents/report.go
+++ b/internal/agents/report.go
@@ -10,39 +10,39 @@
 )
 
 // Unreachable answers for a node that may not act for the controllers.
-var Unreachable = httpwire.ErrorBody("not the owner of this machine")
+var NotOwnerBody = httpwire.ErrorBody("not the owner of this machine")
 
 // Report takes a worker's report and gives its answer.
-func (t *Registry) Report(r *Report) (status int, body []byte) {
+func (t *Registry) HandleHeartbeat(r *Heartbeat) (status int, body []byte) {
 	token := t.lease.Token()
-	if token == 0 || r.Token > token || t.gone[r.Host] {
-		return 503, Unreachable
+	if token == 0 || r.Token > token || t.gone[r.WorkerID] {
+		return 503, NotOwnerBody
 	}
 	now := t.rt.Now()
-	h := t.host(r.Host)
-	if r.Session < h.Session || (r.Session == h.Session && r.Sequence <= h.Sequence && h.Up) {
+	h := t.host(r.WorkerID)
+	if r.Session < h.Session || (r.Session == h.Session && r.Sequence <= h.Sequence && h.HasReported) {
 		// A report that was held back: its list is old, and nobody waits
 		// for its answer.
-		return 503, Unreachable
+		return 503, NotOwnerBody
 	}
-	h.Heard = now
+	h.LastHeartbeatAt = now
 	t.zone(r.Zone).heard = now
-	if !h.Up || h.Build != r.Build || h.Addr != r.Addr {
-		h.Up, h.Addr, h.Build, h.Zone, h.Spot = true, r.Addr, r.Build, r.Zone, r.Spot
-		h.Type = t.Type(r.Build)
+	if !h.HasReported || h.MachineTypeName != r.MachineType || h.Addr != r.Addr {
+		h.HasReported, h.Addr, h.MachineTypeName, h.Zone, h.Spot = true, r.Addr, r.MachineType, r.Zone, r.Spot
+		h.MachineType = t.MachineType(r.MachineType)
 	}
-	if h.Type == nil {
-		h.Type = t.Type(r.Build)
+	if h.MachineType == nil {
+		h.MachineType = t.MachineType(r.MachineType)
 	}
 	if r.Token >= token || r.Token > h.Token {
-		h.Unheard = 0
+		h.UnacknowledgedHeartbeats = 0
 	} else {
-		h.Unheard++
+		h.UnacknowledgedHeartbeats++
 	}
 	if !t.tasks.IsLoaded() {
 		h.Session, h.Sequence, h.Token = r.Session, r.Sequence, r.Token
 		if t.outlives(h, r) {
-			return 503, Unreachable
+			return 503, NotOwnerBody
 		}
 		t.leaseRuns(h, r)
 		return t.answer(token, t.cancelled(r))
@@ -58,7 +58,7 @@
 	if h.Deaf || outlives {
 		// Not answered, so that its lease surely runs from the last answer
 		// that it can have heard, and its tasks are settled by that.
-		return 503, Unreachable
+		return 503, NotOwnerBody
 	}
 	t.leaseRuns(h, r)
 	return t.answer(token, orders)
@@ -68,8 +68,8 @@
 // Until the worker shows our token an earlier owner may renew it as well, as late as that
 // one answers at all: a copy of an old report, kept back until this owner began, moved
 // the time back to now, and tasks were taken for gone that ran on for seconds.
-func (t *Registry) leaseRuns(h *Worker, r *Report) {
-	h.Silent = false
+func (t *Registry) leaseRuns(h *Worker, r *Heartbeat) {
+	h.LeaseExpired = false
 	if now := t.rt.Now(); r.Token >= t.lease.Token() {
 		h.LeaseFrom = now
 	} else {
@@ -77,13 +77,13 @@
 	}
 }
 
-func (t *Registry) answer(token uint64, orders []Order) (int, []byte) {
+func (t *Registry) answer(token uint64, orders []Command) (int, []byte) {
 	if orders == nil {
-		orders = []Order{}
+		orders = []Command{}
 	}
-	body, err := json.Marshal(Orders{Token: token, Orders: orders})
+	body, err := json.Marshal(CommandMessage{Token: token, Commands: orders})
 	if err != nil {
-		return 503, Unreachable
+		return 503, NotOwnerBody
 	}
 	return 200, body
 }
@@ -92,24 +92,24 @@
 // beat: it is a report of the worker's own, not the answer to an order; only
 // those prove tasks gone and carry launches, since an order's answer may be
 // older than the worker's reading of our last answer.
-func (t *Registry) read(h *Worker, r *Report, beat bool) []Order {
-	later := r.Session > h.Session && h.Up && h.Session > 0
+func (t *Registry) read(h *Worker, r *Heartbeat, beat bool) []Command {
+	later := r.Session > h.Session && h.HasReported && h.Session > 0
 	h.Token = max(h.Token, r.Token)
 	if beat {
 		// Answers to orders do not count here: a report that left before
 		// such an answer may arrive after it, and is not a late one.
 		h.Session, h.Sequence = r.Session, r.Sequence
 	}
-	if r.Notice != nil {
-		h.Notice = t.rt.Now() + time.Duration(*r.Notice*float64(time.Second))
-		if h.Draining == "" {
-			h.Draining = "spot notice"
-			t.log.Info("spot notice", "host", h.ID, "seconds", *r.Notice)
+	if r.SpotNoticeSeconds != nil {
+		h.SpotNoticeAt = t.rt.Now() + time.Duration(*r.SpotNoticeSeconds*float64(time.Second))
+		if h.DrainReason == "" {
+			h.DrainReason = "spot notice"
+			t.log.Info("spot notice", "host", h.ID, "seconds", *r.SpotNoticeSeconds)
 		}
 	}
 	acked := r.Token >= t.lease.Token()
 	listed := make(map[*work.Task]bool, len(r.Tasks))
-	var orders []Order
+	var orders []Command
 	h.UnknownTasks = 0
 	for i := range r.Tasks {
 		orders = t.reported(h, &r.Tasks[i], listed, acked, orders)
@@ -128,84 +128,84 @@
 		}
 		switch {
 		case k.Job.Cancelled:
-			orders = append(orders, halt(k.Ref(), k.Try(), 0))
-		case k.Stopping:
-			orders = append(orders, halt(k.Ref(), k.Try(), k.WindDown))
+			orders = append(orders, halt(k.Name(), k.WireAttempt(), 0))
+		case k.HaltDecided:
+			orders = append(orders, halt(k.Name(), k.WireAttempt(), k.WindDownSeconds))
 		}
 	}
-	if beat && t.lease.Valid() && t.accepts(h) && !h.Deaf {
+	if beat && t.lease.LeaseValid() && t.accepts(h) && !h.Deaf {
 		for k := range h.Tasks {
-			if len(orders) < tuning.OrdersPerMessage && k.Launchable() && t.lease.Fresh(k.At) {
-				k.Sent, k.Session, k.Sequence = true, r.Session, r.Sequence
-				orders = append(orders, Order{Verb: "launch", Task: k.Ref(), Attempt: k.Try()})
+			if len(orders) < tuning.MaxCommandsPerMessage && k.Launchable() && t.lease.CancellationsVerifiedSince(k.PlacedAt) {
+				k.LaunchSent, k.GoneSession, k.GoneAfterSequence = true, r.Session, r.Sequence
+				orders = append(orders, Command{Verb: "launch", TaskName: k.Name(), Attempt: k.WireAttempt()})
 			}
 		}
 	}
-	if len(orders) > tuning.OrdersPerMessage {
-		orders = orders[:tuning.OrdersPerMessage]
+	if len(orders) > tuning.MaxCommandsPerMessage {
+		orders = orders[:tuning.MaxCommandsPerMessage]
 	}
 	return orders
 }
 
 // unlisted looks at the tasks that a report of the worker's own does not list: whether
 // that proves them gone.
-func (t *Registry) unlisted(h *Worker, r *Report, listed map[*work.Task]bool, later, acked bool) {
+func (t *Registry) unlisted(h *Worker, r *Heartbeat, listed map[*work.Task]bool, later, acked bool) {
 	lost := false
 	for k := range h.Tasks {
-		if listed[k] || !k.Sent || k.Flying {
+		if listed[k] || !k.LaunchSent || k.LaunchInFlight {
 			continue
 		}
 		switch {
-		case k.Session > 0 && r.Session > k.Session, later && k.Seen:
+		case k.GoneSession > 0 && r.Session > k.GoneSession, later && k.Reported:
 			// A later session: the worker killed all of the earlier one.
-			t.proveGone(h, k, work.Vanished)
-		case r.Token >= k.MinToken && acked && !k.Doubt && (k.Session == 0 || (r.Session == k.Session && r.Sequence > k.Sequence)):
-			lost = lost || (k.Session > 0 && !k.Seen)
-			t.proveGone(h, k, work.Vanished)
-		case k.Doubt:
+			t.proveGone(h, k, work.LossVanished)
+		case r.Token >= k.GoneMinToken && acked && !k.LaunchInDoubt && (k.GoneSession == 0 || (r.Session == k.GoneSession && r.Sequence > k.GoneAfterSequence)):
+			lost = lost || (k.GoneSession > 0 && !k.Reported)
+			t.proveGone(h, k, work.LossVanished)
+		case k.LaunchInDoubt:
 			// The order may still be under way; a new token settles it.
-			t.log.Info("order in doubt, renewing the token", "host", h.ID, "task", k.Ref())
-			t.lease.Renew()
+			t.log.Info("order in doubt, renewing the token", "host", h.ID, "task", k.Name())
+			t.lease.RenewToken()
 		}
 	}
 	if lost {
-		h.Lost++
+		h.LostLaunches++
 	}
 }
 
-func halt(ref string, attempt uint64, windDown float64) Order {
-	return Order{Verb: "halt", Task: ref, Attempt: attempt, WindDown: &windDown}
+func halt(ref string, attempt uint64, windDown float64) Command {
+	return Command{Verb: "halt", TaskName: ref, Attempt: attempt, WindDownSeconds: &windDown}
 }
 
 // reported takes one task of a report.
-func (t *Registry) reported(h *Worker, l *ReportedTask, seen map[*work.Task]bool, acked bool, orders []Order) []Order {
+func (t *Registry) reported(h *Worker, l *ReportedTask, seen map[*work.Task]bool, acked bool, orders []Command) []Command {
 	var k *work.Task
-	if id, index, ok := splitRef(l.Task); ok {
+	if id, index, ok := splitRef(l.Name); ok {
 		if j := t.tasks.Job(id); j != nil {
 			k = j.Tasks[index]
 		}
 	}
-	if k == nil || k.State != work.Placed || k.Host != h.ID || k.Try() != l.Attempt {
+	if k == nil || k.State != work.StatePlaced || k.WorkerID != h.ID || k.WireAttempt() != l.Attempt {
 		return t.unrecorded(h, k, l, acked, orders)
 	}
 	seen[k] = true
-	if k.Session > 0 && !k.Seen {
-		h.Lost = 0 // it has heard of this one
+	if k.GoneSession > 0 && !k.Reported {
+		h.LostLaunches = 0 // it has heard of this one
 	}
-	k.Seen, k.Sent = true, true
-	if k.Flying {
+	k.Reported, k.LaunchSent = true, true
+	if k.LaunchInFlight {
 		// The order's own answer is still to come and tells the rest.
 		return orders
 	}
-	k.Doubt = false
+	k.LaunchInDoubt = false
 	switch l.Phase {
 	case "running", "saving", "waiting":
-		if !k.Imaged {
-			k.Imaged = true
-			h.Fetching--
+		if !k.HasImage {
+			k.HasImage = true
+			h.FetchingTasks--
 		}
 		if l.Phase == "running" && !k.Running {
-			k.Running, k.Since = true, t.rt.Now()
+			k.Running, k.RunningSince = true, t.rt.Now()
 		}
 		t.mate(k, l.Phase)
 		return orders
@@ -219,15 +219,15 @@
 
 // unrecorded takes a reported task that the records do not have there: an attempt that is
 // over, or never was.
-func (t *Registry) unrecorded(h *Worker, k *work.Task, l *ReportedTask, acked bool, orders []Order) []Order {
+func (t *Registry) unrecorded(h *Worker, k *work.Task, l *ReportedTask, acked bool, orders []Command) []Command {
 	if l.Phase != "ended" {
 		h.UnknownTasks++
-		return append(orders, halt(l.Task, l.Attempt, 0))
+		return append(orders, halt(l.Name, l.Attempt, 0))
 	}
 	if k != nil && l.Cause == "done" && k.Job.Gang != nil {
-		t.Done(k.Job) // late, or of an earlier attempt: it is done all the same
+		t.GangDone(k.Job) // late, or of an earlier attempt: it is done all the same
 	}
-	if k != nil && k.State == work.Done && !k.DoneDurable {
+	if k != nil && k.State == work.StateDone && !k.DoneDurable {
 		return orders // done goes into the record before the worker forgets
 	}
 	if !acked {
@@ -236,28 +236,30 @@
 	return append(orders, forget(l))
 }
 
-func forget(l *ReportedTask) Order { return Order{Verb: "forget", Task: l.Task, Attempt: l.Attempt} }
+func forget(l *ReportedTask) Command {
+	return Command{Verb: "forget", TaskName: l.Name, Attempt: l.Attempt}
+}
 
 // ended takes a task that has exited.
-func (t *Registry) ended(h *Worker, k *work.Task, l *ReportedTask, acked bool, orders []Order) []Order {
-	how := work.Ended
+func (t *Registry) ended(h *Worker, k *work.Task, l *ReportedTask, acked bool, orders []Command) []Command {
+	how := work.LossExited
 	switch l.Cause {
 	case "done":
 		return t.completed(h, k, l, orders)
 	case "error":
 		// Whether the others had started shows in their reports.
-		how = work.Vanished
+		how = work.LossVanished
 		t.failed(h, k)
 	case "full":
-		how = work.Unready
-		h.Refused = t.rt.Now() + tuning.RefusedPause
-		k.NotBefore = t.rt.Now() + tuning.RefusedPause/4
+		how = work.LossBeforeWaiting
+		h.RefusesUntil = t.rt.Now() + tuning.RefusedTaskPause
+		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause/4
 	case "busy", "unknown":
-		how = work.Unready
-		k.NotBefore = t.rt.Now() + tuning.RefusedPause
+		how = work.LossBeforeWaiting
+		k.NotBefore = t.rt.Now() + tuning.RefusedTaskPause
 	case "halted":
-		if g := k.Job.Gang; g != nil && !g.Over && k.Stopping {
-			how = work.Vanished // one that waited was told to leave its machine
+		if g := k.Job.Gang; g != nil && !g.AttemptOver && k.HaltDecided {
+			how = work.LossVanished // one that waited was told to leave its machine
 		}
 	case "alone", "mates_gone":
 		// Nothing against the machine or the job.
@@ -280,24 +282,24 @@
 }
 
 // completed takes a task that is done.
-func (t *Registry) completed(h *Worker, k *work.Task, l *ReportedTask, orders []Order) []Order {
-	h.Failed = 0
-	clear(h.FailedJ)
-	k.Job.Errors = 0
+func (t *Registry) completed(h *Worker, k *work.Task, l *ReportedTask, orders []Command) []Command {
+	h.ConsecutiveFailures = 0
+	clear(h.FailedJobs)
+	k.Job.ConsecutiveFailures = 0
 	if k.Job.Gang != nil && !k.Job.Cancelled {
 		t.vacate(h, k)
 		t.tasks.TaskDone(k)
-		t.Done(k.Job)
+		t.GangDone(k.Job)
 		return orders
 	}
-	if k.Job.Desc.Service() {
-		t.proveGone(h, k, work.Ended)
+	if k.Job.Spec.IsService() {
+		t.proveGone(h, k, work.LossExited)
 		return append(orders, forget(l))
 	}
 	t.vacate(h, k)
 	if k.Job.Cancelled {
-		k.State, k.Host = work.Waiting, ""
-		t.tasks.Drop(k)
+		k.State, k.WorkerID = work.StateWaiting, ""
+		t.tasks.DropTask(k)
 		return append(orders, forget(l))
 	}
 	t.tasks.TaskDone(k)
@@ -307,17 +309,17 @@
 // failed takes note of a failure: machines that fail whatever they start get
 // no more tasks, and jobs that fail everywhere are slowed down.
 func (t *Registry) failed(h *Worker, k *work.Task) {
-	h.Failed++
-	h.FailedJ[k.Job.Desc.ID] = true
-	k.Avoid = h.ID
-	t.log.Info("task failed", "host", h.ID, "task", k.Ref(), "in a row", h.Failed)
-	k.Job.Errors++
-	if k.Job.Errors >= 3 {
-		pause := min(tuning.ErrorPause<<min(k.Job.Errors-3, 6), tuning.ErrorPauseMax)
+	h.ConsecutiveFailures++
+	h.FailedJobs[k.Job.Spec.ID] = true
+	k.AvoidWorker = h.ID
+	t.log.Info("task failed", "host", h.ID, "task", k.Name(), "in a row", h.ConsecutiveFailures)
+	k.Job.ConsecutiveFailures++
+	if k.Job.ConsecutiveFailures >= 3 {
+		pause := min(tuning.MinFailurePause<<min(k.Job.ConsecutiveFailures-3, 6), tuning.MaxFailurePause)
 		k.Job.NotBefore = t.rt.Now() + pause
 	}
-	if h.Failed >= tuning.SickErrors && (len(h.FailedJ) > 1 || k.Job.Errors < 2*h.Failed) && h.Draining == "" {
-		h.Draining = "fails its tasks"
-		t.log.Warn("machine quarantined", "host", h.ID, "failures", h.Failed)
+	if h.ConsecutiveFailures >= tuning.FaultyWorkerFailures && (len(h.FailedJobs) > 1 || k.Job.ConsecutiveFailures < 2*h.ConsecutiveFailures) && h.DrainReason == "" {
+		h.DrainReason = "fails its tasks"
+		t.log.Warn("machine quarantined", "host", h.ID, "failures", h.ConsecutiveFailures)
 	}
 }
--- a/internal/agents/wire.go
+++ b/internal/agents/wire.go
@@ -13,50 +13,50 @@
 )
 
 // Report is what a worker says of its machine.
-type Report struct {
-	Host     string         `json:"host"`
-	Addr     string         `json:"addr"`
-	Build    string         `json:"build"`
-	Zone     string         `json:"yard"`
-	Spot     bool           `json:"loaners"`
-	Session  uint64         `json:"shift"`
-	Sequence uint64         `json:"tick"`
-	Token    uint64         `json:"baton"`
-	Notice   *float64       `json:"warningS"`
-	Tasks    []ReportedTask `json:"pieces"`
+type Heartbeat struct {
+	WorkerID          string         `json:"host"`
+	Addr              string         `json:"addr"`
+	MachineType       string         `json:"build"`
+	Zone              string         `json:"yard"`
+	Spot              bool           `json:"loaners"`
+	Session           uint64         `json:"shift"`
+	Sequence          uint64         `json:"tick"`
+	Token             uint64         `json:"baton"`
+	SpotNoticeSeconds *float64       `json:"warningS"`
+	Tasks             []ReportedTask `json:"pieces"`
 }
 
 // ReportedTask is a task in a report.
 type ReportedTask struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	Phase   string `json:"phase"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"stored,omitempty"`
+	Name            string `json:"piece"`
+	Attempt         uint64 `json:"try"`
+	Phase           string `json:"phase"`
+	Cause           string `json:"cause,omitempty"`
+	CheckpointSaved bool   `json:"stored,omitempty"`
 }
 
 // Order is a command to a worker.
-type Order struct {
-	Verb     string   `json:"verb"`
-	Task     string   `json:"piece"`
-	Attempt  uint64   `json:"try"`
-	WindDown *float64 `json:"windDownS,omitempty"`
+type Command struct {
+	Verb            string   `json:"verb"`
+	TaskName        string   `json:"piece"`
+	Attempt         uint64   `json:"try"`
+	WindDownSeconds *float64 `json:"windDownS,omitempty"`
 }
 
 // Orders is the answer to a report, and, with a session, a direct message.
-type Orders struct {
-	Token   uint64  `json:"baton"`
-	Session uint64  `json:"shift,omitempty"`
-	Orders  []Order `json:"orders"`
+type CommandMessage struct {
+	Token    uint64    `json:"baton"`
+	Session  uint64    `json:"shift,omitempty"`
+	Commands []Command `json:"orders"`
 }
 
 // ParseReport reads a report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if r.Host == "" || r.Session == 0 {
+	if r.WorkerID == "" || r.Session == 0 {
 		return nil, errors.New(`report: "host" or "shift" missing`)
 	}
 	return &r, nil
--- a/internal/block/flush.go
+++ b/internal/block/flush.go
@@ -25,7 +25,7 @@
 
 // rate is this block's part of the write budget, in changes per second.
 func (s *TaskStore) rate() float64 {
-	return s.set.Deployment.State.WriteRPS * tuning.WriteShare * s.state.Rate() / float64(s.set.Blocks())
+	return s.set.Deployment.State.WriteRPS * tuning.ShardWriteShare * s.state.WriteShare() / float64(s.set.ShardCount())
 }
 
 // Flush commits changed tasks: at once if something waits for one, else after a
@@ -33,17 +33,17 @@
 // answer takes longer, others follow, since the order in which pages are written
 // does not matter.
 func (s *TaskStore) Flush() {
-	if s.resting || s.flights >= tuning.CommitsAhead || !s.loaded || !s.leases.Valid() || len(s.dirty) == 0 {
+	if s.resting || s.flights >= tuning.MaxCommitsInFlight || !s.loaded || !s.leases.LeaseValid() || len(s.dirty) == 0 {
 		return
 	}
 	now := s.rt.Now()
-	if wait := s.began + tuning.CommitGap - now; s.flights > 0 && wait > 0 {
+	if wait := s.began + tuning.CommitPipelineDelay - now; s.flights > 0 && wait > 0 {
 		s.later(wait)
 		return
 	}
 	s.budget = min(max(1, s.rate()), s.budget+s.rate()*(now-s.filled).Seconds())
 	s.filled = now
-	if wait := s.since + tuning.DoneDelay - now; !s.urgent && wait > 0 {
+	if wait := s.since + tuning.MaxCompletionDelay - now; !s.urgent && wait > 0 {
 		s.later(wait)
 		return
 	}
@@ -51,12 +51,12 @@
 		s.later(time.Duration((1 - s.budget) / s.rate() * float64(time.Second)))
 		return
 	}
-	s.commit(min(s.state.Ops(), int(s.budget), tuning.CommitBytes/s.pageBytes()))
+	s.commit(min(s.state.MaxOperations(), int(s.budget), tuning.MaxCommitBytes/s.pageBytes()))
 }
 
 // pageBytes is the most that a page of the log may hold.
 func (s *TaskStore) pageBytes() int {
-	return min(tuning.PageBytes, s.state.ValueBytes())
+	return min(tuning.MaxPageBytes, s.state.MaxValueBytes())
 }
 
 // saved is a task as it was when its page was written.
@@ -69,7 +69,7 @@
 
 // commit writes what has changed to pages of the log, as many as one commit may take.
 func (s *TaskStore) commit(most int) {
-	values, on, rest, err := work.Pack(s.changed(), s.pageBytes(), most)
+	values, on, rest, err := work.PackPages(s.changed(), s.pageBytes(), most)
 	if err != nil {
 		s.log.Error("log pages do not encode", "err", err)
 		return
@@ -79,14 +79,14 @@
 		return
 	}
 	c := &pageCommit{free: s.pages.free(len(values))}
-	var apply []statestore.Change
-	guards := []statestore.Guard{{Key: statestore.BlockKey(s.block), Stamp: s.token}}
+	var apply []statestore.Operation
+	guards := []statestore.Condition{{Key: statestore.ShardKey(s.block), Revision: s.token}}
 	for i, value := range values {
 		// A commit that is carried out once more, later, must not bring back
 		// what the page told then.
 		key := work.PageKey(s.block, c.free[i])
-		guards = append(guards, statestore.Guard{Key: key, Stamp: s.pages.at(c.free[i]).stamp})
-		apply = append(apply, statestore.Change{Set: key, Value: value})
+		guards = append(guards, statestore.Condition{Key: key, Revision: s.pages.at(c.free[i]).stamp})
+		apply = append(apply, statestore.Operation{PutKey: key, Value: value})
 		for _, t := range on[i] {
 			t.Dirty = false
 			c.written = append(c.written, saved{t, t.State, t.Attempt, c.free[i]})
@@ -98,7 +98,7 @@
 	s.flights++
 	s.began = s.rt.Now()
 	s.budget -= float64(len(apply))
-	s.state.CommitWithin(guards, apply, s.state.Patience(), func(r statestore.Result) {
+	s.state.CommitWithTimeout(guards, apply, s.state.CommitTimeout(), func(r statestore.CommitResult) {
 		if term == s.term {
 			s.answered(c, r)
 		}
@@ -109,7 +109,7 @@
 func (s *TaskStore) changed() []*work.Task {
 	tasks := s.dirty[:0:0]
 	take := func(t *work.Task) {
-		if s.chunks[t.Chunk.Key] == t.Chunk {
+		if s.chunks[t.Group.Key] == t.Group {
 			tasks = append(tasks, t)
 		}
 	}
@@ -137,18 +137,18 @@
 }
 
 // answered takes the outcome of a commit.
-func (s *TaskStore) answered(c *pageCommit, r statestore.Result) {
+func (s *TaskStore) answered(c *pageCommit, r statestore.CommitResult) {
 	term := s.term
 	switch r.Outcome {
-	case statestore.OK:
+	case statestore.OutcomeOK:
 		s.flights--
-		s.pages.written(c.free, r.Epoch)
+		s.pages.written(c.free, r.Revision)
 		s.tries = 0
 		for _, w := range c.written {
 			s.durable(c.seq, w)
 		}
 		s.Flush()
-	case statestore.Refused, statestore.Invalid:
+	case statestore.OutcomeRefused, statestore.OutcomeInvalid:
 		// Surely not carried out: the same again, a little later; in smaller
 		// pages or commits if it was found too large.
 		s.flights--
@@ -161,15 +161,15 @@
 			}
 			s.resting = false
 			for _, w := range c.written {
-				s.Changed(w.task, true)
+				s.TaskChanged(w.task, true)
 			}
 			s.Flush()
 		})
-	case statestore.Conflict:
+	case statestore.OutcomeConflict:
 		// The block is another's, or this node's under a newer token.
-		s.leases.Verify(func() {
+		s.leases.Refresh(func() {
 			if term == s.term {
-				s.log.Warn("guards failed, renewing the token", "block", s.block, "keys", r.Failed)
+				s.log.Warn("guards failed, renewing the token", "block", s.block, "keys", r.FailedKeys)
 				s.renew(term)
 			}
 		})
@@ -184,21 +184,21 @@
 // durable takes note that what a commit says of a task is stored.
 func (s *TaskStore) durable(seq uint64, w saved) {
 	t := w.task
-	if s.chunks[t.Chunk.Key] != t.Chunk {
+	if s.chunks[t.Group.Key] != t.Group {
 		return
 	}
-	if w.state == work.Placed && t.State == work.Placed && t.Attempt == w.attempt && !t.Durable {
-		t.Durable = true
-		s.Launchable(t)
+	if w.state == work.StatePlaced && t.State == work.StatePlaced && t.Attempt == w.attempt && !t.PlacementDurable {
+		t.PlacementDurable = true
+		s.PlacementDurable(t)
 	}
-	if seq < t.Logged {
+	if seq < t.LoggedCommit {
 		return // a later commit's answer was faster; what it tells is newer
 	}
-	t.Logged = seq
-	s.pages.take(t.Page)
-	t.Page = w.page
-	s.pages.put(t.Page, t)
-	if w.state == work.Done {
+	t.LoggedCommit = seq
+	s.pages.take(t.LogPage)
+	t.LogPage = w.page
+	s.pages.put(t.LogPage, t)
+	if w.state == work.StateDone {
 		t.DoneDurable = true
 	}
 }
@@ -209,6 +209,6 @@
 	if term != s.term {
 		return
 	}
-	s.leases.Renew(s.block)
-	s.rt.After(tuning.StateBackoffMax, func() { s.renew(term) })
+	s.leases.RenewToken(s.block)
+	s.rt.After(tuning.MaxStateBackoff, func() { s.renew(term) })
 }
--- a/internal/block/pages.go
+++ b/internal/block/pages.go
@@ -88,7 +88,7 @@
 // oldest returns the tasks that an old page, most of which is superseded, still
 // tells of; none while the log is short.
 func (p *pages) oldest() []*work.Task {
-	if len(p.order) < tuning.LogPages {
+	if len(p.order) < tuning.LogCompactionPages {
 		return nil
 	}
 	for _, n := range p.order {
@@ -98,7 +98,7 @@
 		}
 		tasks := make([]*work.Task, 0, g.live)
 		for _, t := range g.tasks {
-			if t.Page == n {
+			if t.LogPage == n {
 				tasks = append(tasks, t)
 			}
 		}
--- a/internal/block/taskstore.go
+++ b/internal/block/taskstore.go
@@ -17,17 +17,17 @@
 // TaskStore holds the tasks of one block while this process owns it.
 type TaskStore struct {
 	// Waiting is called for a task that may be given to a machine.
-	Waiting func(*work.Task)
+	TaskWaiting func(*work.Task)
 	// Launchable is called when a placement is durable.
-	Launchable func(*work.Task)
+	PlacementDurable func(*work.Task)
 	// Loaded is called when the records of a new token have been read.
-	Loaded func()
+	RecordsLoaded func()
 	// Done is told that a gang is done, as another block has proven.
-	Done func(*work.Job)
+	GangDone func(*work.Job)
 	// Discard takes a task that was never launched off its machine.
-	Discard func(*work.Task)
+	DiscardTask func(*work.Task)
 	// Cancel is told that a job is cancelled that may have tasks on machines.
-	Cancel func(*work.Job)
+	CancelJob func(*work.Job)
 
 	rt     engine.Runtime
 	state  *statestore.Client
@@ -42,7 +42,7 @@
 	token   uint64
 	loaded  bool
 	jobs    map[string]*work.Job
-	chunks  map[string]*work.Chunk
+	chunks  map[string]*work.TaskGroup
 	dirty   []*work.Task
 	urgent  bool          // something waits for a commit of those
 	since   time.Duration // when the first of them changed
@@ -61,16 +61,16 @@
 func NewTaskStore(rt engine.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *work.Store,
 	set *settings.Settings, log *slog.Logger, block int) *TaskStore {
 	s := &TaskStore{rt: rt, state: state, leases: leases, cat: cat, store: store, set: set, log: log, block: block}
-	s.End()
+	s.EndTerm()
 	return s
 }
 
 // End forgets everything: the block is lost.
-func (s *TaskStore) End() {
+func (s *TaskStore) EndTerm() {
 	s.term++
 	s.token, s.loaded, s.flights, s.resting, s.planned = 0, false, 0, false, false
-	s.jobs, s.chunks, s.dirty = map[string]*work.Job{}, map[string]*work.Chunk{}, nil
-	s.pages = pages{stamp: func(n int) uint64 { return s.store.PageStamp(s.block, n) }}
+	s.jobs, s.chunks, s.dirty = map[string]*work.Job{}, map[string]*work.TaskGroup{}, nil
+	s.pages = pages{stamp: func(n int) uint64 { return s.store.PageRevision(s.block, n) }}
 }
 
 // IsLoaded tells whether the records have been read under the present token.
@@ -78,8 +78,8 @@
 
 // Begin reads the records for a new token. Earlier owners' commits are guarded
 // by the old stamp of the lease, so that only this process changes them now.
-func (s *TaskStore) Begin(token uint64) {
-	s.End()
+func (s *TaskStore) BeginTerm(token uint64) {
+	s.EndTerm()
 	s.token = token
 	s.read(s.term, 0)
 }
@@ -92,7 +92,7 @@
 			}
 		})
 	}
-	s.store.Check(func(err error) {
+	s.store.Verify(func(err error) {
 		if term != s.term {
 			return
 		}
@@ -101,7 +101,7 @@
 			return
 		}
 		// Then the catalog: it must hold every job that has work.
-		s.cat.Check(func(err error) {
+		s.cat.Verify(func(err error) {
 			switch {
 			case term != s.term:
 			case err != nil:
@@ -114,57 +114,57 @@
 }
 
 func (s *TaskStore) build() {
-	s.store.All(func(r *work.Record) {
-		if r.Block == s.block {
+	s.store.EachRecord(func(r *work.Record) {
+		if r.Shard == s.block {
 			s.add(r)
 		}
 	})
 	s.loaded = true
 	s.log.Info("block read", "block", s.block, "token", s.token, "jobs", len(s.jobs), "records", len(s.chunks))
-	s.Loaded()
+	s.RecordsLoaded()
 	for _, c := range s.chunks {
 		s.offer(c)
 	}
 }
 
 // add takes a record in.
-func (s *TaskStore) add(r *work.Record) *work.Chunk {
+func (s *TaskStore) add(r *work.Record) *work.TaskGroup {
 	e := s.cat.Get(r.Job)
-	if e == nil || e.Job == nil {
+	if e == nil || e.Spec == nil {
 		return nil // its job is done; the leader removes what is left
 	}
 	j := s.jobs[r.Job]
 	if j == nil {
-		j = work.NewJob(e.Job, e.At, s.cat.Within(e))
-		j.Cancelled = e.Phase == userapi.Cancelled
-		if e.Job.Gang() {
+		j = work.NewJob(e.Spec, e.SubmittedMS, s.cat.WithinQuota(e))
+		j.Cancelled = e.Phase == userapi.PhaseCancelled
+		if e.Spec.IsGang() {
 			j.Gang = &work.Gang{}
-			for _, o := range s.store.OfJob(r.Job) {
-				for _, m := range o.Marks {
-					j.Elsewhere = j.Elsewhere || (o.Block != s.block && m.State == work.Done)
+			for _, o := range s.store.JobRecords(r.Job) {
+				for _, m := range o.Statuses {
+					j.PartDoneElsewhere = j.PartDoneElsewhere || (o.Shard != s.block && m.State == work.StateDone)
 				}
 			}
 		}
 		s.jobs[r.Job] = j
 	}
-	c := work.Load(j, r)
+	c := work.LoadRecord(j, r)
 	s.chunks[c.Key] = c
 	for _, t := range c.Tasks {
-		s.pages.put(t.Page, t)
+		s.pages.put(t.LogPage, t)
 	}
 	return c
 }
 
 // offer makes a chunk's waiting tasks known to the queues.
-func (s *TaskStore) offer(c *work.Chunk) {
+func (s *TaskStore) offer(c *work.TaskGroup) {
 	for _, t := range c.Tasks {
-		if t.State != work.Waiting {
+		if t.State != work.StateWaiting {
 			continue
 		}
 		if c.Job.Cancelled {
-			s.Drop(t)
+			s.DropTask(t)
 		} else {
-			s.Waiting(t)
+			s.TaskWaiting(t)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 // is behind that of the records, the job is not known yet; JobChanged comes back
 // to the record then.
 func (s *TaskStore) RecordAdded(r *work.Record) {
-	if !s.loaded || r.Block != s.block || s.chunks[r.Key] != nil {
+	if !s.loaded || r.Shard != s.block || s.chunks[r.Key] != nil {
 		return
 	}
 	if c := s.add(r); c != nil {
@@ -189,22 +189,22 @@
 		return
 	}
 	delete(s.chunks, c.Key)
-	delete(c.Job.Chunks, c.Key)
+	delete(c.Job.Groups, c.Key)
 	for _, t := range c.Tasks {
-		if t.State == work.Placed {
-			s.log.Error("a record was removed while a task may run", "task", t.Ref())
-			s.Discard(t)
+		if t.State == work.StatePlaced {
+			s.log.Error("a record was removed while a task may run", "task", t.Name())
+			s.DiscardTask(t)
 		}
-		if t.State != work.Done {
-			t.State = work.Dropped
+		if t.State != work.StateDone {
+			t.State = work.StateDropped
 		}
-		s.pages.take(t.Page)
+		s.pages.take(t.LogPage)
 		if c.Job.Tasks[t.Index] == t {
 			delete(c.Job.Tasks, t.Index)
 		}
 	}
-	if len(c.Job.Chunks) == 0 && s.jobs[c.Job.Desc.ID] == c.Job {
-		delete(s.jobs, c.Job.Desc.ID)
+	if len(c.Job.Groups) == 0 && s.jobs[c.Job.Spec.ID] == c.Job {
+		delete(s.jobs, c.Job.Spec.ID)
 	}
 }
 
@@ -214,55 +214,55 @@
 	if !s.loaded {
 		return
 	}
-	for key, r := range s.store.OfJob(e.ID) {
-		if r.Block == s.block && s.chunks[key] == nil {
+	for key, r := range s.store.JobRecords(e.ID) {
+		if r.Shard == s.block && s.chunks[key] == nil {
 			if c := s.add(r); c != nil {
 				s.offer(c)
 			}
 		}
 	}
 	j := s.jobs[e.ID]
-	if j == nil || e.Phase != userapi.Cancelled || j.Cancelled {
+	if j == nil || e.Phase != userapi.PhaseCancelled || j.Cancelled {
 		return
 	}
 	j.Cancelled = true
 	for _, t := range j.Tasks {
-		if t.State == work.Waiting {
-			s.Drop(t)
+		if t.State == work.StateWaiting {
+			s.DropTask(t)
 		}
 	}
-	s.Cancel(j)
+	s.CancelJob(j)
 }
 
 // CancelledFor is how long ago a job's user can have been told that it is
 // cancelled, at most, if it is.
-func (s *TaskStore) CancelledFor(id string) (time.Duration, bool) {
-	return s.cat.CancelledFor(id, s.set.Skew())
+func (s *TaskStore) CancellationAge(id string) (time.Duration, bool) {
+	return s.cat.CancellationAge(id, s.set.ClockSkew())
 }
 
 // TaskMoved takes note of a task of another block: one of a divided gang that is
 // done means that all are.
-func (s *TaskStore) TaskMoved(r *work.Record, k int) {
-	if !s.loaded || r.Block == s.block || r.Marks[k].State != work.Done {
+func (s *TaskStore) TaskStatusChanged(r *work.Record, k int) {
+	if !s.loaded || r.Shard == s.block || r.Statuses[k].State != work.StateDone {
 		return
 	}
-	if j := s.jobs[r.Job]; j != nil && j.Gang != nil && !j.Elsewhere {
-		j.Elsewhere = true
-		s.Done(j)
+	if j := s.jobs[r.Job]; j != nil && j.Gang != nil && !j.PartDoneElsewhere {
+		j.PartDoneElsewhere = true
+		s.GangDone(j)
 	}
 }
 
 // Drop ends a task of a cancelled job that is on no machine. The leader removes
 // a record only when its owner has written all of it off: removed on the
 // leader's own judgement, a placement committed meanwhile would be lost.
-func (s *TaskStore) Drop(t *work.Task) {
-	t.State = work.Dropped
-	t.Chunk.Open--
-	s.Changed(t, t.Chunk.Open == 0)
+func (s *TaskStore) DropTask(t *work.Task) {
+	t.State = work.StateDropped
+	t.Group.OpenTasks--
+	s.TaskChanged(t, t.Group.OpenTasks == 0)
 }
 
 // Recall gives up to n waiting tasks of a job back to the leader.
-func (s *TaskStore) Recall(job string, n int) {
+func (s *TaskStore) RecallTasks(job string, n int) {
 	j := s.jobs[job]
 	if !s.loaded || j == nil || j.Cancelled {
 		return
@@ -273,13 +273,13 @@
 		}
 		n = len(j.Tasks)
 	}
-	for _, c := range j.Chunks {
+	for _, c := range j.Groups {
 		for i := len(c.Tasks) - 1; i >= 0 && n > 0; i-- {
-			if t := c.Tasks[i]; t.State == work.Waiting {
-				t.State = work.Returned
-				c.Open--
+			if t := c.Tasks[i]; t.State == work.StateWaiting {
+				t.State = work.StateReturned
+				c.OpenTasks--
 				delete(j.Tasks, t.Index)
-				s.Changed(t, true)
+				s.TaskChanged(t, true)
 				n--
 			}
 		}
@@ -290,15 +290,15 @@
 func (s *TaskStore) Job(id string) *work.Job { return s.jobs[id] }
 
 // Jobs calls fn for every job with tasks in the block.
-func (s *TaskStore) Jobs(fn func(*work.Job)) {
+func (s *TaskStore) EachJob(fn func(*work.Job)) {
 	for _, j := range s.jobs {
 		fn(j)
 	}
 }
 
 // Changed marks a task for a commit; urgent if something waits for it.
-func (s *TaskStore) Changed(t *work.Task, urgent bool) {
-	if s.chunks[t.Chunk.Key] != t.Chunk {
+func (s *TaskStore) TaskChanged(t *work.Task, urgent bool) {
+	if s.chunks[t.Group.Key] != t.Group {
 		return
 	}
 	if len(s.dirty) == 0 {
@@ -314,7 +314,7 @@
 // TaskDone notes a completed task. When nothing else of its record is open, the
 // end of the job may wait for it.
 func (s *TaskStore) TaskDone(t *work.Task) {
-	t.State = work.Done
-	t.Chunk.Open--
-	s.Changed(t, t.Chunk.Open == 0)
+	t.State = work.StateDone
+	t.Group.OpenTasks--
+	s.TaskChanged(t, t.Group.OpenTasks == 0)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,13 +75,13 @@
 		}
 	}
 	n.state = statestore.New(rt, set.External.State, log)
-	n.state.CheckEvery = set.CheckEvery()
-	n.state.SetLimits(statestore.Limits{Ops: set.TxnOps(), Value: set.ValueBytes(), Fall: set.WriteFall()})
+	n.state.FreshnessCheckInterval = set.FreshnessCheckInterval()
+	n.state.SetLimits(statestore.Limits{MaxOperations: set.MaxOperations(), MaxValueBytes: set.MaxValueBytes(), FutureWriteShare: set.FutureWriteShare()})
 	n.build(nonce, rank)
 	n.begin = func(blocks int) {
-		if blocks != set.Blocks() {
-			log.Warn("the machines stay divided as the stored work has them", "blocks", blocks, "by the settings", set.Blocks())
-			set.FixBlocks(blocks)
+		if blocks != set.ShardCount() {
+			log.Warn("the machines stay divided as the stored work has them", "blocks", blocks, "by the settings", set.ShardCount())
+			set.SetShardCount(blocks)
 			n.build(nonce, rank)
 		}
 		n.start()
@@ -93,14 +93,14 @@
 func (n *Node) build(nonce uint64, rank int) {
 	rt, set, log := n.rt, n.set, n.log
 	n.owners = nil
-	n.leases = statestore.NewLeaseManager(rt, n.state, log, set.Node, nonce, rank, set.Blocks())
-	n.leases.Hold = set.Hold()
+	n.leases = statestore.NewLeaseManager(rt, n.state, log, set.Node, nonce, rank, set.ShardCount())
+	n.leases.AnswerGracePeriod = set.AnswerGracePeriod()
 	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log)
 	n.store = work.NewStore(rt, n.state, log)
 	n.fleet = fleet.New(rt, set.External.Cloud, n.leases, set, log)
 	n.leader = lead.New(rt, n.state, n.leases, n.cat, n.store, n.fleet, set, log)
 	n.api = userapi.NewAPI(rt, n.state, n.cat, set, log)
-	for b := range set.Blocks() {
+	for b := range set.ShardCount() {
 		n.owners = append(n.owners, newOwner(n, b))
 	}
 	n.telling = make([]bool, len(n.owners))
@@ -113,68 +113,68 @@
 
 // connectLeases has the slices told of what this node wins and loses.
 func (n *Node) connectLeases() {
-	n.leases.LeadWon = func(token uint64) {
-		n.leader.Begin(token)
-		n.fleet.Begin()
+	n.leases.LeadershipAcquired = func(token uint64) {
+		n.leader.BeginTerm(token)
+		n.fleet.BeginTerm()
 		if n.drains != nil {
-			n.drains.coordinator.Begin(token)
+			n.drains.coordinator.BeginTerm(token)
 		}
 	}
-	n.leases.LeadLost = func() {
-		n.leader.End()
-		n.fleet.End()
+	n.leases.LeadershipLost = func() {
+		n.leader.EndTerm()
+		n.fleet.EndTerm()
 		if n.drains != nil {
-			n.drains.coordinator.End()
+			n.drains.coordinator.EndTerm()
 		}
 	}
-	n.leases.BlockWon = func(b int, token uint64) {
+	n.leases.ShardAcquired = func(b int, token uint64) {
 		n.lastBeat = n.rt.Now() // its workers need time to come here
 		n.owners[b].begin(token)
 	}
-	n.leases.BlockLost = func(b int) { n.owners[b].end() }
+	n.leases.ShardLost = func(b int) { n.owners[b].end() }
 }
 
 // connectRecords has the slices told of the jobs and the records.
 func (n *Node) connectRecords() {
-	n.cat.Changed = func(e *userapi.Entry) {
+	n.cat.JobChanged = func(e *userapi.Entry) {
 		n.leader.JobChanged(e)
 		for _, o := range n.owners {
 			o.tasks.JobChanged(e)
 		}
 	}
-	n.store.Added = func(r *work.Record) {
+	n.store.RecordAdded = func(r *work.Record) {
 		n.leader.RecordAdded(r)
 		for _, o := range n.owners {
 			o.tasks.RecordAdded(r)
 		}
 	}
-	n.store.Removed = func(r *work.Record) {
+	n.store.RecordRemoved = func(r *work.Record) {
 		n.leader.RecordRemoved(r)
 		for _, o := range n.owners {
 			o.tasks.RecordRemoved(r)
 		}
 	}
-	n.store.Moved = func(r *work.Record, k int, was work.Mark) {
-		n.leader.TaskMoved(r, k, was)
+	n.store.TaskStatusChanged = func(r *work.Record, k int, was work.TaskStatus) {
+		n.leader.TaskStatusChanged(r, k, was)
 		for _, o := range n.owners {
-			o.tasks.TaskMoved(r, k)
+			o.tasks.TaskStatusChanged(r, k)
 		}
 	}
 	pace := func() time.Duration {
-		if n.leases.Lead() != 0 || n.owning() {
+		if n.leases.LeaderToken() != 0 || n.owning() {
 			return n.set.WatchPause()
 		}
-		return max(tuning.PassivePause, n.set.WatchPause())
+		return max(tuning.PassiveWatchPause, n.set.WatchPause())
 	}
-	n.store.Pace(pace)
-	n.cat.Pace(pace)
+	n.store.SetWatchPause(pace)
+	n.cat.SetWatchPause(pace)
 }
 
 // connectUsers gives the user API what it answers from.
 func (n *Node) connectUsers() {
-	n.api.Types = n.fleet.Types
+	n.api.MachineTypes = n.fleet.MachineTypes
 	n.api.Progress = n.store.Progress
-	n.api.Running = n.store.Running
+	n.api.RunningGangTasks = n.store.RunningTasks
 }
 
 // Start begins the node's work, once it is known how the machines are divided.
@@ -203,7 +203,7 @@
 
 // tick is what happens once a second.
 func (n *Node) tick() {
-	n.rt.After(tuning.StatusEvery, n.tick)
+	n.rt.After(tuning.StatusInterval, n.tick)
 	now := n.rt.Now()
 	up := 0
 	deaf, hearing := 0, 0
@@ -213,7 +213,7 @@
 		}
 		o.workers.Tick()
 		o.wanted = true
-		d, all := o.workers.Deaf()
+		d, all := o.workers.CountDeaf()
 		deaf, hearing, up = deaf+d, hearing+all-d, up+all
 		n.sendStatus(b)
 	}
@@ -223,11 +223,11 @@
 	switch {
 	case up > 0 && deaf > hearing: // nobody hears the answers
 		n.giveUp()
-	case up > 0 && now-n.lastBeat > n.set.DeafAfter(up)<<min(n.vain, tuning.VainMost):
+	case up > 0 && now-n.lastBeat > n.set.OwnerSilenceLimit(up)<<min(n.vain, tuning.MaxSilenceDoublings):
 		n.silence()
 	}
 	n.tickDrains()
-	n.leader.Wake()
+	n.leader.RequestRound()
 	n.compare()
 	for host, s := range n.sent {
 		if now-s.last > tuning.RelayWithin {
@@ -240,7 +240,7 @@
 // has died. If they have all died after all, the next owner hears none either: the
 // longer the block goes round, the longer it is kept.
 func (n *Node) giveUp() {
-	n.leases.GiveUp()
+	n.leases.RelinquishShards()
 	n.lastBeat = n.rt.Now()
 	n.vain++
 }
@@ -257,7 +257,7 @@
 	n.asking = true
 	begun, left, elsewhere := n.lastBeat, len(n.peers), false
 	for _, endpoint := range n.peers {
-		n.rt.Peer(endpoint, heardPath, []byte("{}"), tuning.PeerTimeout, func(body []byte, err error) {
+		n.rt.CallPeer(endpoint, heardPath, []byte("{}"), tuning.PeerRequestTimeout, func(body []byte, err error) {
 			var ms int64
 			if err != nil || json.Unmarshal(body, &ms) != nil || time.Duration(ms)*time.Millisecond < n.rt.Now()-begun {
 				elsewhere = true
@@ -286,12 +286,12 @@
 	if !o.tasks.IsLoaded() || n.telling[b] {
 		return
 	}
-	if n.leases.Lead() != 0 {
+	if n.leases.LeaderToken() != 0 {
 		r := n.takeStatus(o.status())
 		o.obey(&r)
 		return
 	}
-	endpoint := n.peers[n.leases.Leader()]
+	endpoint := n.peers[n.leases.LeaderNode()]
 	if endpoint == "" {
 		return
 	}
@@ -302,9 +302,9 @@
 	}
 	token := o.token
 	n.telling[b] = true
-	n.rt.Peer(endpoint, statusPath, body, tuning.PeerTimeout, func(answer []byte, err error) {
+	n.rt.CallPeer(endpoint, statusPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
 		n.telling[b] = false
-		var r fleet.Reply
+		var r fleet.StatusReply
 		if err == nil {
 			err = json.Unmarshal(answer, &r)
 		}
@@ -319,37 +319,37 @@
 }
 
 // takeStatus takes an owner's status message; only the leader does.
-func (n *Node) takeStatus(d *statusMessage) fleet.Reply {
-	if d.BlockStatus == nil || d.Block < 0 || d.Block >= len(n.owners) || n.leases.Owner(d.Block) != d.Node {
-		return fleet.Reply{}
+func (n *Node) takeStatus(d *statusMessage) fleet.StatusReply {
+	if d.ShardStatus == nil || d.Shard < 0 || d.Shard >= len(n.owners) || n.leases.ShardOwner(d.Shard) != d.Node {
+		return fleet.StatusReply{}
 	}
 	if n.drains != nil {
-		n.drains.coordinator.TakeReport(d.Block, d.Token, d.Seq, d.Drains)
+		n.drains.coordinator.HandleReport(d.Shard, d.Token, d.Seq, d.Drains)
 	}
-	r := n.fleet.TakeStatus(d.BlockStatus)
-	r.Recall = n.leader.Recalls(d.Block)
-	n.leader.Wake()
+	r := n.fleet.HandleStatus(d.ShardStatus)
+	r.Recall = n.leader.TakeRecalls(d.Shard)
+	n.leader.RequestRound()
 	return r
 }
 
 // Peer serves a message of another controller, on the loop.
-func (n *Node) Peer(path string, body []byte, answer func([]byte, bool)) {
+func (n *Node) HandlePeer(path string, body []byte, answer func([]byte, bool)) {
 	switch path {
 	case statusPath:
 		var d statusMessage
-		if err := json.Unmarshal(body, &d); err != nil || n.leases.Lead() == 0 {
+		if err := json.Unmarshal(body, &d); err != nil || n.leases.LeaderToken() == 0 {
 			answer(nil, false)
 			return
 		}
 		reply, err := json.Marshal(n.takeStatus(&d))
 		answer(reply, err == nil)
 	case beatPath:
-		r, err := agents.ParseReport(body)
+		r, err := agents.ParseHeartbeat(body)
 		if err != nil {
 			answer(nil, false)
 			return
 		}
-		o := n.owners[work.BlockOf(r.Host, len(n.owners))]
+		o := n.owners[work.ShardOf(r.WorkerID, len(n.owners))]
 		if !n.answering(o) {
 			answer(nil, false)
 			return
@@ -358,7 +358,7 @@
 		// count it made owners give up their blocks after a restart, when
 		// all workers still reported through another node.
 		n.lastBeat, n.vain = n.rt.Now(), 0
-		status, reply := o.workers.Report(r)
+		status, reply := o.workers.HandleHeartbeat(r)
 		o.wanted = true
 		answer(reply, status == 200)
 	case heardPath:
@@ -380,7 +380,7 @@
 
 // served tells whether the state service has answered lately.
 func (n *Node) served() bool {
-	return n.state.Answered && n.rt.Now()-n.state.LastAnswer < tuning.UnhealthyAfter
+	return n.state.HasResponded && n.rt.Now()-n.state.LastResponseAt < tuning.UnhealthyAfter
 }
 
 // compare asks the peers, when the state service is silent, whether it is so
@@ -391,7 +391,7 @@
 		return
 	}
 	for _, endpoint := range n.peers {
-		n.rt.Peer(endpoint, statePath, []byte("{}"), tuning.PeerTimeout, func(body []byte, err error) {
+		n.rt.CallPeer(endpoint, statePath, []byte("{}"), tuning.PeerRequestTimeout, func(body []byte, err error) {
 			var theirs bool
 			if err != nil || json.Unmarshal(body, &theirs) != nil {
 				return
@@ -410,8 +410,8 @@
 }
 
 // Settle takes the decisions that a batch of commands has made necessary.
-func (n *Node) Settle() {
-	n.leader.Settle()
+func (n *Node) AfterBatch() {
+	n.leader.AfterBatch()
 	for _, o := range n.owners {
 		o.settle()
 	}
@@ -424,42 +424,42 @@
 // other nodes have confirmed to users.
 func (n *Node) answering(o *owner) bool {
 	now := n.rt.Now()
-	proven, known := n.cat.Proven()
-	return o.token != 0 && !n.leases.Waived(o.block) && now < n.leases.AnswersUntil() &&
-		known && now < proven+n.set.AnswerWithin()
+	proven, known := n.cat.VerifiedAt()
+	return o.token != 0 && !n.leases.Relinquished(o.block) && now < n.leases.AnswersUntil() &&
+		known && now < proven+n.set.MaxKnowledgeAge()
 }
 
 // fresh tells whether the catalog is proven to hold all cancellations up to a moment,
 // lately.
 func (n *Node) fresh(since time.Duration) bool {
 	now := n.rt.Now()
-	proven, known := n.cat.Proven()
-	if known && proven >= since && now-proven <= tuning.LaunchFresh {
+	proven, known := n.cat.VerifiedAt()
+	if known && proven >= since && now-proven <= tuning.MaxLaunchKnowledgeAge {
 		return true
 	}
-	n.cat.Prove(0)
+	n.cat.VerifyIfOlder(0)
 	return false
 }
 
 // prove keeps what an owner's answers rest on proven.
 func (n *Node) prove() {
-	n.cat.Prove(tuning.ProveEvery)
-	n.leases.Prove()
+	n.cat.VerifyIfOlder(tuning.KnowledgeVerifyInterval)
+	n.leases.VerifyIfStale()
 }
 
 // beat serves POST /agent/beat.
-func (n *Node) beat(body []byte, reply httpwire.Reply) {
-	r, err := agents.ParseReport(body)
+func (n *Node) beat(body []byte, reply httpwire.ResponseWriter) {
+	r, err := agents.ParseHeartbeat(body)
 	if err != nil {
 		reply(400, httpwire.ErrorBody(err.Error()), 0)
 		return
 	}
 	now := n.rt.Now()
 	n.lastBeat, n.reported, n.vain = now, now, 0
-	b := work.BlockOf(r.Host, len(n.owners))
+	b := work.ShardOf(r.WorkerID, len(n.owners))
 	o := n.owners[b]
 	if n.answering(o) {
-		status, answer := o.workers.Report(r)
+		status, answer := o.workers.HandleHeartbeat(r)
 		o.wanted = true
 		reply(status, answer, 0)
 		return
@@ -467,11 +467,11 @@
 	if o.token != 0 {
 		n.prove() // at once: a lease may be valid again
 	}
-	to := n.leases.Owner(b)
-	s, back := n.sent[r.Host]
+	to := n.leases.ShardOwner(b)
+	s, back := n.sent[r.WorkerID]
 	endpoint := n.peers[to]
-	if !back || now-s.last > tuning.RelayWithin || now-s.since > tuning.RelayFor || endpoint == "" {
-		n.sent[r.Host] = redirected{now, now}
+	if !back || now-s.last > tuning.RelayWithin || now-s.since > tuning.RelayPeriod || endpoint == "" {
+		n.sent[r.WorkerID] = redirected{now, now}
 		n.redirect(to, reply)
 		return
 	}
@@ -479,10 +479,10 @@
 	// passed on. An answer counts whichever node gives it. Now and then the
 	// worker is sent to its owner again, which may be back.
 	s.last = now
-	n.sent[r.Host] = s
-	n.rt.Peer(endpoint, beatPath, body, tuning.PeerTimeout, func(answer []byte, err error) {
+	n.sent[r.WorkerID] = s
+	n.rt.CallPeer(endpoint, beatPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
 		if err != nil {
-			n.redirect(n.leases.Owner(b), reply)
+			n.redirect(n.leases.ShardOwner(b), reply)
 			return
 		}
 		reply(200, answer, 0)
@@ -490,7 +490,7 @@
 }
 
 // redirect sends a worker to the owner of its machine.
-func (n *Node) redirect(to string, reply httpwire.Reply) {
+func (n *Node) redirect(to string, reply httpwire.ResponseWriter) {
 	answer := map[string]string{}
 	if to != "" && to != n.set.Node {
 		answer["upstream"] = to
@@ -507,16 +507,16 @@
 // the peers share it is as good as any: it answers 503 at once, and serves again
 // as soon as the state service does.
 func (n *Node) healthy() bool {
-	if !n.cat.Ready() || n.fleet.Types() == nil {
+	if !n.cat.Ready() || n.fleet.MachineTypes() == nil {
 		return false
 	}
 	now := n.rt.Now()
-	alone := n.alone > 0 && now-n.alone < tuning.AloneFor
+	alone := n.alone > 0 && now-n.alone < tuning.PeerHealthMaxAge
 	return n.served() || (!alone && n.shared > 0 && now-n.shared < tuning.UnhealthyAfter)
 }
 
 // Handle serves one request, on the loop.
-func (n *Node) Handle(req *httpwire.Request, reply httpwire.Reply) {
+func (n *Node) Handle(req *httpwire.Request, reply httpwire.ResponseWriter) {
 	switch {
 	case req.Path == "/agent/beat":
 		if req.Method != "POST" {
@@ -541,9 +541,9 @@
 
 // LaneOf ranks a request: reports of workers and health checks first, users
 // last.
-func LaneOf(req *httpwire.Request) engine.Lane {
+func RequestLane(req *httpwire.Request) engine.Lane {
 	if strings.HasPrefix(req.Path, "/work") {
-		return engine.Users
+		return engine.UserLane
 	}
-	return engine.Reports
+	return engine.HeartbeatLane
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -13,15 +13,15 @@
 
 // drains is what a node keeps for stepwise drains; a node has none if they are off.
 type drains struct {
-	book        *drain.Book
+	book        *drain.Records
 	coordinator *drain.Coordinator
 }
 
 // statusMessage is an owner's status message to the leader. Versions that know no
 // drains pass over what is reported of them.
 type statusMessage struct {
-	*fleet.BlockStatus
-	Drains *drain.BlockReport `json:"drains,omitempty"`
+	*fleet.ShardStatus
+	Drains *drain.ShardReport `json:"drains,omitempty"`
 }
 
 // buildDrains makes the part for drains, if it is on.
@@ -37,22 +37,22 @@
 			n.log.Error("drains are not traced", "err", err)
 		}
 	}
-	book := drain.NewBook(n.rt, n.state, n.log)
+	book := drain.NewRecords(n.rt, n.state, n.log)
 	cluster := &drainCluster{n, book}
 	n.drains = &drains{book, drain.NewCoordinator(n.rt, n.state, n.leases, book, cluster, n.set, tracer, n.log)}
 	for _, o := range n.owners {
-		o.workers.Closed = book.Closed
+		o.workers.ClosedByDrain = book.IsClosed
 		o.drains = drain.NewExecutor(n.rt, book, o.workers, o.tasks, func() bool {
-			return o.token != 0 && o.tasks.IsLoaded() && o.Valid()
+			return o.token != 0 && o.tasks.IsLoaded() && o.LeaseValid()
 		})
 	}
-	book.Changed = n.actOnDrains
+	book.OnChange = n.actOnDrains
 }
 
 // actOnDrains has the owners here carry out what is granted.
 func (n *Node) actOnDrains() {
 	for _, o := range n.owners {
-		o.drains.Act()
+		o.drains.HaltGranted()
 	}
 }
 
@@ -73,7 +73,7 @@
 		answer(raw, err == nil)
 	}
 	unavailable := func(why string) {
-		reply(drain.Response{Status: drain.StatusUnavailable, Node: n.set.Node, Reason: why, RetryMS: tuning.OperatorRetry.Milliseconds()})
+		reply(drain.Response{Status: drain.StatusUnavailable, Node: n.set.Node, Reason: why, RetryMS: tuning.OperatorRetryDelay.Milliseconds()})
 	}
 	var request drain.Request
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -84,11 +84,11 @@
 		reply(drain.Response{Status: drain.StatusRefused, Node: n.set.Node, Field: "drains", Reason: "not turned on in the operators' settings of this node"})
 		return
 	}
-	if n.leases.Lead() != 0 {
+	if n.leases.LeaderToken() != 0 {
 		n.drains.coordinator.Handle(&request, reply)
 		return
 	}
-	endpoint := n.peers[n.leases.Leader()]
+	endpoint := n.peers[n.leases.LeaderNode()]
 	if request.Forwarded || endpoint == "" {
 		unavailable("no leader is known to this node")
 		return
@@ -99,7 +99,7 @@
 		answer(nil, false)
 		return
 	}
-	n.rt.Peer(endpoint, drain.RequestPath, forward, tuning.PeerTimeout, func(theirs []byte, err error) {
+	n.rt.CallPeer(endpoint, drain.RequestPath, forward, tuning.PeerRequestTimeout, func(theirs []byte, err error) {
 		if err != nil {
 			unavailable("the leader does not answer")
 			return
@@ -111,17 +111,17 @@
 // drainCluster is the leader's slices as the drains see them.
 type drainCluster struct {
 	n    *Node
-	book *drain.Book
+	book *drain.Records
 }
 
-func (c *drainCluster) Known() bool { return c.n.leader.IsLoaded() && c.n.fleet.Listed() }
+func (c *drainCluster) IsKnown() bool { return c.n.leader.IsLoaded() && c.n.fleet.IsListed() }
 
-func machineInfo(i fleet.Info) drain.MachineInfo {
-	return drain.MachineInfo{ID: i.ID, Addr: i.Addr, Zone: i.Zone, Type: i.Build, Spot: i.Spot, Block: i.Block, Up: i.Up, Open: i.Open}
+func machineInfo(i fleet.MachineInfo) drain.MachineInfo {
+	return drain.MachineInfo{ID: i.ID, Addr: i.Addr, Zone: i.Zone, Type: i.MachineType, Spot: i.Spot, Shard: i.Shard, HasReported: i.HasReported, AcceptsTasks: i.AcceptsTasks}
 }
 
-func (c *drainCluster) Machines(fn func(*drain.MachineInfo)) {
-	c.n.fleet.Machines(func(i fleet.Info) {
+func (c *drainCluster) EachMachine(fn func(*drain.MachineInfo)) {
+	c.n.fleet.EachMachine(func(i fleet.MachineInfo) {
 		info := machineInfo(i)
 		fn(&info)
 	})
@@ -132,47 +132,51 @@
 	return machineInfo(i), known
 }
 
-func (c *drainCluster) Gone(id string) bool { return c.n.fleet.Gone(id) }
+func (c *drainCluster) IsGone(id string) bool { return c.n.fleet.IsGone(id) }
 
-func (c *drainCluster) Load(id string) float64 { return c.n.leader.LoadOn(id) }
+func (c *drainCluster) CPUsPlacedOn(id string) float64 { return c.n.leader.CPUsPlacedOn(id) }
 
-func (c *drainCluster) Job(id string) (*jobs.Description, bool) {
+func (c *drainCluster) Job(id string) (*jobs.Spec, bool) {
 	e := c.n.cat.Get(id)
-	if e == nil || e.Phase != "" || e.Job == nil {
+	if e == nil || e.Phase != "" || e.Spec == nil {
 		return nil, false
 	}
-	return e.Job, true
+	return e.Spec, true
 }
 
-func (c *drainCluster) Mark(job string, index int) (work.Mark, bool) {
-	return c.n.leader.Mark(job, index)
+func (c *drainCluster) TaskStatus(job string, index int) (work.TaskStatus, bool) {
+	return c.n.leader.TaskStatus(job, index)
 }
 
-func (c *drainCluster) Replicas(job string) int {
+func (c *drainCluster) PlacedReplicas(job string) int {
 	_, placed := c.n.store.Progress(job)
 	return placed
 }
 
-func (c *drainCluster) Placements(fn func(*jobs.Description, work.Mark)) { c.n.leader.Placements(fn) }
+func (c *drainCluster) EachPlacement(fn func(*jobs.Spec, work.TaskStatus)) {
+	c.n.leader.EachPlacement(fn)
+}
 
-func (c *drainCluster) Interrupted(fn func(*jobs.Description, int)) {
-	c.n.leader.Returned(func(d *jobs.Description, index int) {
-		if !c.book.Granted(d.ID, index, d.Gang()) {
+func (c *drainCluster) EachInterrupted(fn func(*jobs.Spec, int)) {
+	c.n.leader.EachReturnedTask(func(d *jobs.Spec, index int) {
+		if !c.book.IsGranted(d.ID, index, d.IsGang()) {
 			fn(d, 1)
 		}
 	})
 }
 
-func (c *drainCluster) Room(d *jobs.Description, zone string) int { return c.n.leader.Room(d, zone) }
+func (c *drainCluster) CapacityFor(d *jobs.Spec, zone string) int {
+	return c.n.leader.CapacityFor(d, zone)
+}
 
-func (c *drainCluster) Waits(p jobs.Priority) bool { return c.n.fleet.Waits(p) }
+func (c *drainCluster) HasUrgentWaiting(p jobs.Priority) bool { return c.n.fleet.HasWaitingWork(p) }
 
-func (c *drainCluster) Rent(name string, like drain.MachineInfo) (string, bool) {
-	return c.n.fleet.RentNamed(name, fleet.Kind{Build: like.Type, Zone: like.Zone, Spot: like.Spot})
+func (c *drainCluster) RentMachine(name string, like drain.MachineInfo) (string, bool) {
+	return c.n.fleet.RentNamed(name, fleet.MachineKind{MachineType: like.Type, Zone: like.Zone, Spot: like.Spot})
 }
 
-func (c *drainCluster) Keep(machines map[string]bool) { c.n.fleet.Keep(machines) }
+func (c *drainCluster) KeepIdle(machines map[string]bool) { c.n.fleet.KeepIdle(machines) }
 
-func (c *drainCluster) BlockKey(block int) string { return statestore.BlockKey(block) }
+func (c *drainCluster) ShardKey(block int) string { return statestore.ShardKey(block) }
 
-func (c *drainCluster) Blocks() int { return c.n.set.Blocks() }
+func (c *drainCluster) ShardCount() int { return c.n.set.ShardCount() }
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -21,8 +21,8 @@
 // or that follows from the settings if it holds none yet.
 func (n *Node) settleLayout(try int, fn func(blocks int)) {
 	again := func() { n.rt.After(n.state.Backoff(try), func() { n.settleLayout(try+1, fn) }) }
-	n.state.List(layoutKey, func(rows []statestore.Row, _ uint64, out statestore.Outcome) {
-		if out != statestore.OK {
+	n.state.List(layoutKey, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
+		if out != statestore.OutcomeOK {
 			again()
 			return
 		}
@@ -43,17 +43,17 @@
 			return
 		}
 		// None is stored: a new deployment, or work of a version that kept none.
-		n.state.List(work.Prefix, func(rows []statestore.Row, _ uint64, out statestore.Outcome) {
-			if out != statestore.OK {
+		n.state.List(work.KeyPrefix, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
+			if out != statestore.OutcomeOK {
 				again()
 				return
 			}
-			l := layout{n.set.Blocks()}
+			l := layout{n.set.ShardCount()}
 			if len(rows) > 0 {
 				l.Blocks = 1
 			}
 			for _, r := range rows {
-				l.Blocks = max(l.Blocks, work.KeyBlock(r.Key)+1)
+				l.Blocks = max(l.Blocks, work.ShardOfKey(r.Key)+1)
 			}
 			value, err := json.Marshal(l)
 			if err != nil {
@@ -61,8 +61,8 @@
 				return
 			}
 			// Whoever is first decides; the others read what it has written.
-			n.state.Commit([]statestore.Guard{{Key: layoutKey}}, []statestore.Change{{Set: layoutKey, Value: value}}, func(r statestore.Result) {
-				if r.Outcome == statestore.OK {
+			n.state.Commit([]statestore.Condition{{Key: layoutKey}}, []statestore.Operation{{PutKey: layoutKey, Value: value}}, func(r statestore.CommitResult) {
+				if r.Outcome == statestore.OutcomeOK {
 					fn(l.Blocks)
 					return
 				}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -35,50 +35,52 @@
 func (o *owner) Token() uint64 { return o.token }
 
 // Valid tells whether the lease surely holds now.
-func (o *owner) Valid() bool { return o.token != 0 && o.node.leases.Valid() }
+func (o *owner) LeaseValid() bool { return o.token != 0 && o.node.leases.LeaseValid() }
 
 // Answering tells whether reports are taken in.
-func (o *owner) Answering() bool { return o.node.answering(o) }
+func (o *owner) MayAnswer() bool { return o.node.answering(o) }
 
 // Fresh tells whether a job not known to be cancelled is proven not to have been at
 // or after a moment, and lately; if not, a proof is asked for.
-func (o *owner) Fresh(since time.Duration) bool { return o.node.fresh(since) }
+func (o *owner) CancellationsVerifiedSince(since time.Duration) bool { return o.node.fresh(since) }
 
 // AnsweredBefore is when the last earlier owner stops answering, at the latest.
-func (o *owner) AnsweredBefore() time.Duration { return o.node.leases.AnsweredBefore(o.block) }
+func (o *owner) PreviousOwnerAnswersUntil() time.Duration {
+	return o.node.leases.PreviousOwnerAnswersUntil(o.block)
+}
 
 // Renew asks for a new token.
-func (o *owner) Renew() { o.node.leases.Renew(o.block) }
+func (o *owner) RenewToken() { o.node.leases.RenewToken(o.block) }
 
 func newOwner(n *Node, number int) *owner {
 	o := &owner{node: n, block: number, told: map[string]fleet.MachineStatus{}}
 	o.tasks = block.NewTaskStore(n.rt, n.state, n.leases, n.cat, n.store, n.set, n.log, number)
 	o.workers = agents.NewRegistry(n.rt, o, o.tasks, n.set, n.log)
 	o.planner = placement.New(n.set.WaitBound())
-	o.tasks.Waiting = o.arrive
-	o.tasks.Launchable = o.workers.Launchable
-	o.tasks.Discard = o.workers.Discard
-	o.tasks.Done = o.workers.Done
-	o.tasks.Cancel = o.workers.Cancel
-	o.tasks.Loaded = o.workers.Begin
-	o.workers.Waiting = o.arrive
-	o.workers.Type = n.fleet.Type
-	o.planner.Open = o.workers.Open
-	o.planner.Find = o.workers.Get
-	o.planner.Place = o.workers.Place
-	o.planner.Prompt = n.set.Prompt
-	o.planner.Rerank = func(j *work.Job, wallMS int64) bool {
-		return j.Rank.Update(j.Desc, n.set, wallMS, j.Open())
+	o.tasks.TaskWaiting = o.arrive
+	o.tasks.PlacementDurable = o.workers.PlacementDurable
+	o.tasks.DiscardTask = o.workers.DiscardTask
+	o.tasks.GangDone = o.workers.GangDone
+	o.tasks.CancelJob = o.workers.CancelJob
+	o.tasks.RecordsLoaded = o.workers.BeginTerm
+	o.workers.TaskWaiting = o.arrive
+	o.workers.MachineType = n.fleet.MachineType
+	o.planner.AcceptsTasks = o.workers.AcceptsTasks
+	o.planner.FindWorker = o.workers.Worker
+	o.planner.PlaceTask = o.workers.Place
+	o.planner.StartsPromptly = n.set.StartsPromptly
+	o.planner.UpdateRank = func(j *work.Job, wallMS int64) bool {
+		return j.Rank.Update(j.Spec, n.set, wallMS, j.OpenTasks())
 	}
 	return o
 }
 
 func (o *owner) arrive(t *work.Task) {
-	if t.Job.Gang != nil && t.Job.Spent() {
-		o.tasks.Recall(t.Job.Desc.ID, len(t.Job.Tasks)) // the leader divides it anew
+	if t.Job.Gang != nil && t.Job.ChosenAttemptOver() {
+		o.tasks.RecallTasks(t.Job.Spec.ID, len(t.Job.Tasks)) // the leader divides it anew
 		return
 	}
-	o.planner.Arrive(t, o.node.rt.Now())
+	o.planner.AddTask(t, o.node.rt.Now())
 	o.wanted = true
 }
 
@@ -86,23 +88,23 @@
 func (o *owner) begin(token uint64) {
 	o.token, o.unsent = token, true
 	o.planner.Reset()
-	o.workers.End()
+	o.workers.EndTerm()
 	if o.drains != nil {
-		o.drains.Begin()
+		o.drains.BeginTerm()
 	}
-	o.tasks.Begin(token)
+	o.tasks.BeginTerm(token)
 }
 
 func (o *owner) end() {
 	o.token = 0
-	o.tasks.End()
+	o.tasks.EndTerm()
 	o.planner.Reset()
-	o.workers.End()
+	o.workers.EndTerm()
 }
 
 // pause is the time between two placement rounds.
 func (o *owner) pause() time.Duration {
-	return tuning.RoundPause + time.Duration(len(o.workers.All()))*tuning.RoundPerMachine
+	return tuning.MinRoundInterval + time.Duration(len(o.workers.Workers()))*tuning.RoundIntervalPerMachine
 }
 
 // settle takes the decisions that a batch of commands has made necessary.
@@ -110,53 +112,53 @@
 	if o.token == 0 || !o.tasks.IsLoaded() {
 		return
 	}
-	if o.wanted && o.Valid() && !o.rounding {
+	if o.wanted && o.LeaseValid() && !o.rounding {
 		now := o.node.rt.Now()
 		if wait := o.lastRound + o.pause() - now; wait > 0 && o.lastRound > 0 {
 			o.rounding = true
 			o.node.rt.After(wait, func() { o.rounding = false })
 		} else {
 			o.wanted, o.lastRound = false, now
-			o.planner.Round(o.workers.All(), now, o.node.rt.Wall())
+			o.planner.RunRound(o.workers.Workers(), now, o.node.rt.WallClock())
 		}
 	}
 	o.tasks.Flush()
-	o.workers.Settle()
+	o.workers.AfterBatch()
 }
 
 // status is the owner's word to the leader: of all machines when the word
 // before may not have arrived, else of those of which something has changed.
 func (o *owner) status() *statusMessage {
 	now := o.node.rt.Now()
-	hosts := o.workers.All()
+	hosts := o.workers.Workers()
 	o.seq++
-	d := &fleet.BlockStatus{Node: o.node.set.Node, Block: o.block, Token: o.token, Seq: o.seq, Full: o.unsent, ReachableZones: o.workers.ReachableZones()}
+	d := &fleet.ShardStatus{Node: o.node.set.Node, Shard: o.block, Token: o.token, Seq: o.seq, Full: o.unsent, ReachableZones: o.workers.ReachableZones()}
 	if o.unsent {
 		clear(o.told)
 	}
 	up, quiet := 0, 0
 	for _, h := range hosts {
-		if h.Up {
+		if h.HasReported {
 			up++
 		}
-		if o.workers.Quiet(h) {
+		if o.workers.IsSuspect(h) {
 			quiet++
 		}
 	}
 	for _, h := range hosts {
-		s := fleet.MachineStatus{ID: h.ID, Addr: h.Addr, Build: h.Build, Zone: h.Zone, Spot: h.Spot, Up: h.Up,
-			Open: o.workers.Open(h), Busy: len(h.Tasks)+h.UnknownTasks > 0, Back: o.workers.GiveBack(h, quiet, up)}
+		s := fleet.MachineStatus{ID: h.ID, Addr: h.Addr, MachineType: h.MachineTypeName, Zone: h.Zone, Spot: h.Spot, HasReported: h.HasReported,
+			AcceptsTasks: o.workers.AcceptsTasks(h), Busy: len(h.Tasks)+h.UnknownTasks > 0, ReleaseReason: o.workers.ReleaseReason(h, quiet, up)}
 		if o.told[h.ID] == s {
 			continue
 		}
 		o.told[h.ID] = s
 		if !s.Busy {
-			s.IdleMS = (now - h.Idle).Milliseconds()
+			s.IdleMS = (now - h.IdleSince).Milliseconds()
 		}
 		d.Hosts = append(d.Hosts, s)
 	}
 	o.unsent = true // until its answer is in
-	message := &statusMessage{BlockStatus: d}
+	message := &statusMessage{ShardStatus: d}
 	if o.drains != nil {
 		message.Drains = o.drains.Report()
 	}
@@ -164,20 +166,20 @@
 }
 
 // obey carries out the leader's answer to a status message.
-func (o *owner) obey(r *fleet.Reply) {
+func (o *owner) obey(r *fleet.StatusReply) {
 	o.unsent = r.Full
-	for _, id := range r.Returned {
-		o.workers.Returned(id)
+	for _, id := range r.Released {
+		o.workers.MachineReleased(id)
 		delete(o.told, id)
 	}
 	for _, m := range r.Machines {
 		o.workers.Announce(m.ID, m.Addr)
 	}
 	for _, id := range r.Drain {
-		o.workers.Drain(id, "idle")
+		o.workers.StopPlacements(id, "idle")
 	}
 	for _, c := range r.Recall {
-		o.tasks.Recall(c.Job, c.Number)
+		o.tasks.RecallTasks(c.Job, c.Tasks)
 	}
 	o.wanted = true
 }
--- a/internal/drain/advance.go
+++ b/internal/drain/advance.go
@@ -22,7 +22,7 @@
 		r.finish(d)
 		return
 	}
-	if d.Head.Phase == Paused {
+	if d.Head.Phase == PhasePaused {
 		r.wait(d, "paused by an operator")
 		return
 	}
@@ -37,23 +37,23 @@
 func (r *round) settle(d *Drain) {
 	for _, number := range d.grantNumbers() {
 		g := d.Grants[number]
-		var guards []statestore.Guard
+		var guards []statestore.Condition
 		over := true
 		for _, ref := range g.Tasks {
 			if r.c.settled(ref) {
 				continue
 			}
 			block, token, void := r.c.voidIn(ref)
-			if !void || d.Head.Phase != Cancelled {
+			if !void || d.Head.Phase != PhaseCancelled {
 				over = false
 				break
 			}
-			guard := statestore.Guard{Key: r.c.cluster.BlockKey(block), Stamp: token}
+			guard := statestore.Condition{Key: r.c.cluster.ShardKey(block), Revision: token}
 			if !slices.Contains(guards, guard) {
 				guards = append(guards, guard)
 			}
 		}
-		if over && r.remove(GrantKey(d.ID, number), g.Stamp) {
+		if over && r.remove(GrantKey(d.ID, number), g.Revision) {
 			for _, guard := range guards {
 				if !slices.Contains(r.guards, guard) {
 					r.guards = append(r.guards, guard)
@@ -67,10 +67,10 @@
 func (r *round) released(d *Drain) int {
 	left := 0
 	d.Each(func(page, position int, m *Machine) {
-		if m.State == Released {
+		if m.State == MachineReleased {
 			return
 		}
-		if r.c.cluster.Gone(m.ID) && r.edit(d, page, position, "released", func(m *Machine) { m.State = Released }) {
+		if r.c.cluster.IsGone(m.ID) && r.edit(d, page, position, "released", func(m *Machine) { m.State = MachineReleased }) {
 			return
 		}
 		left++
@@ -81,8 +81,8 @@
 // finish ends a drain all of whose machines are gone.
 func (r *round) finish(d *Drain) {
 	head := d.Head
-	head.Phase, head.Ended, head.Released = Done, r.c.rt.Wall().UnixMilli(), head.Machines
-	if r.set(HeadKey(d.ID), d.Stamp, head) {
+	head.Phase, head.Ended, head.Released = PhaseDone, r.c.rt.WallClock().UnixMilli(), head.Machines
+	if r.set(HeadKey(d.ID), d.Revision, head) {
 		r.steps = append(r.steps, step{drain: d.ID, what: stepDone})
 	}
 }
@@ -96,7 +96,7 @@
 // replace follows the replacements from the request until they are up.
 func (r *round) replace(d *Drain) {
 	d.Each(func(page, position int, m *Machine) {
-		if m.State != Replacing || r.c.cluster.Gone(m.ID) {
+		if m.State != MachineReplacing || r.c.cluster.IsGone(m.ID) {
 			return
 		}
 		if m.Replacement == "" {
@@ -105,9 +105,9 @@
 		}
 		info, known := r.c.cluster.Machine(m.Replacement)
 		switch {
-		case known && info.Up && info.Open:
+		case known && info.HasReported && info.AcceptsTasks:
 			r.edit(d, page, position, "closed", r.shut)
-		case r.c.cluster.Gone(m.Replacement):
+		case r.c.cluster.IsGone(m.Replacement):
 			r.edit(d, page, position, "replacement lost", func(m *Machine) { m.Replacement, m.Tries = "", m.Tries+1 })
 		default:
 			r.wait(d, "replacement %s of %s is booting", m.Replacement, m.ID)
@@ -121,7 +121,7 @@
 		r.wait(d, "machine %s is not known at present", m.ID)
 		return
 	}
-	host, known := r.c.cluster.Rent(rentalName(d, m), info)
+	host, known := r.c.cluster.RentMachine(rentalName(d, m), info)
 	if !known {
 		r.wait(d, "no replacement for %s yet: the cloud has not given one", m.ID)
 		return
@@ -131,7 +131,7 @@
 
 // shut is the change that closes a machine to new work.
 func (r *round) shut(m *Machine) {
-	m.State, m.Since = Closed, r.c.rt.Wall().UnixMilli()
+	m.State, m.Since = MachineClosed, r.c.rt.WallClock().UnixMilli()
 }
 
 // candidate is a machine that could be the next to be drained.
@@ -145,13 +145,13 @@
 // least runs.
 func (r *round) close(d *Drain) {
 	inHand, zone, left := r.inHand(d)
-	most := r.c.conf.AtOnce()
+	most := r.c.conf.MachinesAtOnceOrDefault()
 	if left == 0 || inHand >= most {
 		return
 	}
 	// With a replacement first no room is taken away. Where urgent work always waits for
 	// some, a drain would never begin otherwise.
-	if !d.Head.Replace && r.c.cluster.Waits(jobs.Normal) {
+	if !d.Head.Replace && r.c.cluster.HasUrgentWaiting(jobs.PriorityStandard) {
 		r.wait(d, "urgent work waits for room: no further machine is closed")
 		return
 	}
@@ -176,9 +176,9 @@
 	stuck := 0
 	d.Each(func(_, _ int, m *Machine) {
 		switch {
-		case m.State == Waiting:
+		case m.State == MachineWaiting:
 			left++
-		case m.State != Replacing && m.State != Closed:
+		case m.State != MachineReplacing && m.State != MachineClosed:
 		case r.isStuck(m.ID):
 			stuck++
 		default:
@@ -188,7 +188,7 @@
 			}
 		}
 	})
-	most := r.c.conf.AtOnce()
+	most := r.c.conf.MachinesAtOnceOrDefault()
 	return max(number, number+stuck-most*(tuning.DrainStuckFactor-1)), zone, left
 }
 
@@ -197,11 +197,11 @@
 func (r *round) candidates(d *Drain) []candidate {
 	var list []candidate
 	d.Each(func(page, position int, m *Machine) {
-		if m.State != Waiting {
+		if m.State != MachineWaiting {
 			return
 		}
-		if info, known := r.c.cluster.Machine(m.ID); known && info.Up {
-			list = append(list, candidate{page, position, info, r.c.cluster.Load(m.ID)})
+		if info, known := r.c.cluster.Machine(m.ID); known && info.HasReported {
+			list = append(list, candidate{page, position, info, r.c.cluster.CPUsPlacedOn(m.ID)})
 		}
 	})
 	slices.SortFunc(list, func(a, b candidate) int {
@@ -213,7 +213,7 @@
 // begin takes a machine in hand.
 func (r *round) begin(d *Drain, next candidate) bool {
 	if d.Head.Replace {
-		return r.edit(d, next.page, next.position, "replacing", func(m *Machine) { m.State = Replacing })
+		return r.edit(d, next.page, next.position, "replacing", func(m *Machine) { m.State = MachineReplacing })
 	}
 	return r.edit(d, next.page, next.position, "closed", r.shut)
 }
@@ -238,7 +238,7 @@
 		switch {
 		case !d.exists() && r.c.serving == nil, d.exists() && !d.Head.Phase.Active() && len(d.Grants) == 0:
 			for number, page := range d.Pages {
-				r.remove(PageKey(d.ID, number), page.Stamp)
+				r.remove(PageKey(d.ID, number), page.Revision)
 			}
 		}
 		if d.exists() && !d.Head.Phase.Active() && len(d.Pages)+len(d.Grants) == 0 {
@@ -246,7 +246,7 @@
 		}
 	}
 	slices.SortFunc(ended, func(a, b *Drain) int { return cmp.Compare(a.Head.Ended, b.Head.Ended) })
-	for _, d := range ended[:max(0, len(ended)-tuning.DrainsKept)] {
-		r.remove(HeadKey(d.ID), d.Stamp)
+	for _, d := range ended[:max(0, len(ended)-tuning.MaxFinishedDrains)] {
+		r.remove(HeadKey(d.ID), d.Revision)
 	}
 }
