--- a/internal/lead/ends.go
+++ b/internal/lead/ends.go
@@ -21,7 +21,7 @@
 		if p.open > 0 {
 			return
 		}
-	} else if p.desc.Service() || p.done < p.desc.Tasks || p.open > 0 {
+	} else if p.desc.IsService() || p.done < p.desc.Tasks || p.open > 0 {
 		return
 	}
 	p.ending = true
@@ -30,10 +30,10 @@
 
 // end writes the ends of jobs, several in a commit.
 func (l *Leader) end() bool {
-	var guards []statestore.Guard
-	var apply []statestore.Change
+	var guards []statestore.Condition
+	var apply []statestore.Operation
 	var ended []*jobState
-	most := l.state.Ops()
+	most := l.state.MaxOperations()
 	rest := l.ends[:0:0]
 	for n, p := range l.ends {
 		if l.plans[p.e.ID] != p {
@@ -53,26 +53,26 @@
 	if len(apply) == 0 {
 		return false
 	}
-	l.commit(guards, apply, func(r statestore.Result) {
-		l.alone = r.Outcome == statestore.Conflict
+	l.commit(guards, apply, func(r statestore.CommitResult) {
+		l.alone = r.Outcome == statestore.OutcomeConflict
 		for _, p := range ended {
 			p.ending = false
 		}
 		switch r.Outcome {
-		case statestore.OK:
+		case statestore.OutcomeOK:
 			for _, a := range apply {
-				if id, ok := strings.CutPrefix(a.Set, userapi.Prefix); ok {
-					l.cat.Learn(id, a.Value, r.Epoch)
+				if id, ok := strings.CutPrefix(a.PutKey, userapi.KeyPrefix); ok {
+					l.cat.Observe(id, a.Value, r.Revision)
 				}
 			}
 			for _, p := range ended {
 				l.log.Debug("job over", "job", p.e.ID, "class", p.desc.Class, "tasks", p.desc.Tasks, "cancelled", p.cancelled,
-					"age_s", float64(l.rt.Wall().UnixMilli()-p.e.At)/1000)
+					"age_s", float64(l.rt.WallClock().UnixMilli()-p.e.SubmittedMS)/1000)
 				if l.plans[p.e.ID] == p && p.cancelled {
 					l.recheck(p)
 				}
 			}
-		case statestore.Refused:
+		case statestore.OutcomeRefused:
 			l.later(0, func() {
 				for _, p := range ended {
 					l.over(p)
@@ -91,8 +91,8 @@
 // recheck looks at a job again when the copies are proven to be current.
 func (l *Leader) recheck(p *jobState) {
 	term := l.term
-	l.store.Check(func(error) {
-		l.cat.Check(func(error) {
+	l.store.Verify(func(error) {
+		l.cat.Verify(func(error) {
 			if term == l.term && l.plans[p.e.ID] == p {
 				l.over(p)
 			}
@@ -107,9 +107,9 @@
 // removal of its records, as many as a commit takes. The tasks of a job are
 // counted once more, each by its number: a job is never called done before all of
 // its tasks are.
-func (l *Leader) finish(p *jobState, most int) (guards []statestore.Guard, apply []statestore.Change) {
+func (l *Leader) finish(p *jobState, most int) (guards []statestore.Condition, apply []statestore.Operation) {
 	id := p.e.ID
-	records := l.store.OfJob(id)
+	records := l.store.JobRecords(id)
 	for _, v := range l.pending {
 		if v.Job == id {
 			p.ending = false // looked at again when the record shows up
@@ -119,8 +119,8 @@
 	if !p.cancelled {
 		done := make(map[int]bool, p.desc.Tasks)
 		for _, r := range records {
-			for k, i := range r.Index {
-				if r.Marks[k].State == work.Done {
+			for k, i := range r.TaskIndexes {
+				if r.Statuses[k].State == work.StateDone {
 					done[i] = true
 				}
 			}
@@ -130,13 +130,13 @@
 			p.ending = false
 			return nil, nil
 		}
-		value, err := json.Marshal(userapi.Record{Phase: userapi.Done, At: e.At, Tasks: p.desc.Tasks})
+		value, err := json.Marshal(userapi.Record{Phase: userapi.PhaseDone, SubmittedMS: e.SubmittedMS, TaskCount: p.desc.Tasks})
 		if err != nil {
 			l.log.Error("job record does not encode", "err", err)
 			return nil, nil
 		}
 		p.ending = true
-		return []statestore.Guard{{Key: userapi.Prefix + id, Stamp: e.Stamp}}, []statestore.Change{{Set: userapi.Prefix + id, Value: value}}
+		return []statestore.Condition{{Key: userapi.KeyPrefix + id, Revision: e.Revision}}, []statestore.Operation{{PutKey: userapi.KeyPrefix + id, Value: value}}
 	} else if len(records) == 0 {
 		l.forget(p)
 		return nil, nil
@@ -145,8 +145,8 @@
 		if len(apply) == most {
 			break
 		}
-		guards = append(guards, statestore.Guard{Key: key, Stamp: r.Stamp})
-		apply = append(apply, statestore.Change{Remove: key})
+		guards = append(guards, statestore.Condition{Key: key, Revision: r.Revision})
+		apply = append(apply, statestore.Operation{DeleteKey: key})
 	}
 	p.ending = true
 	return guards, apply
@@ -155,27 +155,27 @@
 // sweep removes records of jobs that are over, a part of the changes at a time.
 func (l *Leader) sweep() {
 	now := l.rt.Now()
-	if len(l.stale) == 0 || now-l.swept < tuning.SweepEvery {
+	if len(l.stale) == 0 || now-l.swept < tuning.RecordSweepInterval {
 		return
 	}
 	l.swept = now
-	var apply []statestore.Change
+	var apply []statestore.Operation
 	state := &l.set.Deployment.State
-	most := min(l.state.Ops(), max(1, int(state.WriteRPS*l.state.Rate()*tuning.SweepShare*tuning.SweepEvery.Seconds())))
+	most := min(l.state.MaxOperations(), max(1, int(state.WriteRPS*l.state.WriteShare()*tuning.RecordSweepWriteShare*tuning.RecordSweepInterval.Seconds())))
 	for len(l.stale) > 0 && len(apply) < most {
 		key := l.stale[0]
 		l.stale = l.stale[1:]
 		if l.store.Get(key) != nil {
-			apply = append(apply, statestore.Change{Remove: key})
+			apply = append(apply, statestore.Operation{DeleteKey: key})
 		}
 	}
 	if len(apply) == 0 {
 		return
 	}
-	l.commit(nil, apply, func(r statestore.Result) {
-		if r.Outcome != statestore.OK {
+	l.commit(nil, apply, func(r statestore.CommitResult) {
+		if r.Outcome != statestore.OutcomeOK {
 			for _, c := range apply {
-				l.stale = append(l.stale, c.Remove)
+				l.stale = append(l.stale, c.DeleteKey)
 			}
 		}
 	})
--- a/internal/lead/gang.go
+++ b/internal/lead/gang.go
@@ -38,9 +38,9 @@
 func (b *roomView) room(p *jobState, zone string, block int, booting, cached bool) int {
 	n := 0
 	for _, s := range b.racks {
-		if s.booting == booting && s.block == block && s.kind.Could(p.desc, zone) {
+		if s.booting == booting && s.block == block && s.kind.CouldRun(p.desc, zone) {
 			for i := range s.rooms {
-				if c := s.rooms[i].cache; !cached || (c != nil && c.images.Has(p.desc.Image)) {
+				if c := s.rooms[i].cache; !cached || (c != nil && c.images.Contains(p.desc.Image)) {
 					n += s.rooms[i].fit(p.desc)
 				}
 			}
@@ -74,11 +74,11 @@
 
 // choices lists the zones that a gang's tasks may be fixed to.
 func (l *Leader) choices(p *jobState) [][]string {
-	if !p.desc.OneZone {
+	if !p.desc.SameZone {
 		return [][]string{p.zones}
 	}
 	var list [][]string
-	for _, zone := range l.fleet.AllZones(p.desc) {
+	for _, zone := range l.fleet.CandidateZones(p.desc) {
 		list = append(list, []string{zone})
 	}
 	return list
@@ -137,7 +137,7 @@
 	}
 	age := l.age(p)
 	wide, widest, could := l.couldHold(p, n)
-	if !could && age > tuning.GangDivide {
+	if !could && age > tuning.GangDivideAfter {
 		if divided := l.divide(b, p, n, u, batches); divided != nil {
 			return divided
 		}
@@ -146,7 +146,7 @@
 		b.hold(p, p.demands(zones, n), block)
 		return hand(zones, block)
 	}
-	if could && age > tuning.GangHold {
+	if could && age > tuning.GangLeaderWait {
 		b.queued[widest] += float64(n) * p.desc.CPUs
 		for zone, k := range p.demands(wide, n) {
 			need(p, zone, k)
@@ -164,16 +164,16 @@
 // gang, the rest is not sent after it.
 func (l *Leader) cutShort(p *jobState) (block int, rest bool) {
 	now := l.rt.Now()
-	if len(p.back) > 0 && (p.torn == 0 || now-p.torn < tuning.GangTorn) {
+	if len(p.back) > 0 && (p.torn == 0 || now-p.torn < tuning.GangReturnTimeout) {
 		if p.torn == 0 {
 			p.torn = now
 		}
 		return 0, false
 	}
-	for _, r := range l.store.OfJob(p.e.ID) {
-		for _, m := range r.Marks {
-			if r.Try == 0 && (m.State == work.Waiting || m.State == work.Placed) {
-				return r.Block, true
+	for _, r := range l.store.JobRecords(p.e.ID) {
+		for _, m := range r.Statuses {
+			if r.GangAttempt == 0 && (m.State == work.StateWaiting || m.State == work.StatePlaced) {
+				return r.Shard, true
 			}
 		}
 	}
@@ -184,11 +184,11 @@
 // had.
 func (l *Leader) zonesToRent(p *jobState) []string {
 	choices := l.choices(p)
-	if !p.desc.OneZone || len(choices) == 0 {
+	if !p.desc.SameZone || len(choices) == 0 {
 		return p.zones
 	}
 	for _, c := range choices {
-		if l.fleet.Rentable(p.desc, c[0]) {
+		if l.fleet.IsRentable(p.desc, c[0]) {
 			return c
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	last := uint64(0)
 	for _, a := range p.attempts {
-		last = max(last, a/tuning.GangStep)
+		last = max(last, a/tuning.GangAttemptStride)
 	}
 	for _, zones := range l.choices(p) {
 		demands := p.demands(zones, n)
@@ -249,7 +249,7 @@
 
 // age is how long ago a job was submitted.
 func (l *Leader) age(p *jobState) time.Duration {
-	return time.Duration(l.rt.Wall().UnixMilli()-p.e.At) * time.Millisecond
+	return time.Duration(l.rt.WallClock().UnixMilli()-p.e.SubmittedMS) * time.Millisecond
 }
 
 // couldHold finds zones and a block whose machines would hold a gang if they
@@ -260,16 +260,16 @@
 		block int
 	}
 	sum := map[place]int{}
-	l.fleet.Rooms(func(r *fleet.Room) {
-		if !r.Booting && r.Could(p.desc, "") {
-			k := (&room{cpus: r.Type.CPUs, cards: r.Type.Cards, memory: r.Type.MemoryGB}).fit(p.desc)
-			sum[place{r.Zone, r.Block}] += k
-			sum[place{"", r.Block}] += k
+	l.fleet.EachAvailable(func(r *fleet.AvailableMachine) {
+		if !r.Booting && r.CouldRun(p.desc, "") {
+			k := (&room{cpus: r.MachineType.CPUs, cards: r.MachineType.GPUs, memory: r.MachineType.MemoryGB}).fit(p.desc)
+			sum[place{r.Zone, r.Shard}] += k
+			sum[place{"", r.Shard}] += k
 		}
 	})
 	most := 0
 	for _, choice := range l.choices(p) {
-		for b := range l.set.Blocks() {
+		for b := range l.set.ShardCount() {
 			fits, least := true, 0
 			for zone, k := range p.demands(choice, n) {
 				have := sum[place{zone, b}]
@@ -309,12 +309,12 @@
 		case b.holds(p, demands, block, up):
 			b.hold(p, demands, block)
 			continue
-		case whole && l.rt.Now()-p.handed > tuning.GangHold: // not to and fro
-			if _, other, ok := l.find(b, &jobState{e: p.e, desc: p.desc, zones: p.zones}, n, up); ok && other != block || ok && p.desc.OneZone {
+		case whole && l.rt.Now()-p.handed > tuning.GangLeaderWait: // not to and fro
+			if _, other, ok := l.find(b, &jobState{e: p.e, desc: p.desc, zones: p.zones}, n, up); ok && other != block || ok && p.desc.SameZone {
 				l.recall(p, block, n)
 				continue
 			}
-			if l.rt.Now()-p.handed > tuning.GangDivide {
+			if l.rt.Now()-p.handed > tuning.GangDivideAfter {
 				if _, _, ok := l.couldHold(p, n); !ok {
 					// The machines it was to have here did not come.
 					l.recall(p, block, n)
@@ -342,14 +342,14 @@
 
 // expected is a class of gangs that has come of late.
 type expected struct {
-	desc  *jobs.Description // of the newest
-	tasks int               // of the largest of late
-	at    time.Duration     // when it came
+	desc  *jobs.Spec    // of the newest
+	tasks int           // of the largest of late
+	at    time.Duration // when it came
 }
 
 // expect takes note of a gang that has come: more may.
 func (l *Leader) expect(p *jobState) {
-	if !l.set.Prompt(p.desc.Class) || p.done > 0 {
+	if !l.set.StartsPromptly(p.desc.Class) || p.done > 0 {
 		return
 	}
 	x := l.expected[p.desc.Class]
@@ -362,11 +362,11 @@
 
 // keepWarm keeps room for gangs to come, and asks for machines where there is
 // none. Work that may wait has the rest.
-func (l *Leader) keepWarm(b *roomView, need func(d *jobs.Description, zone string, n int)) {
+func (l *Leader) keepWarm(b *roomView, need func(d *jobs.Spec, zone string, n int)) {
 	now := l.rt.Now()
 	classes := make([]string, 0, len(l.expected))
 	for class, x := range l.expected {
-		if now-x.at > tuning.GangWarm {
+		if now-x.at > tuning.GangReservePeriod {
 			delete(l.expected, class)
 			continue
 		}
@@ -375,15 +375,15 @@
 	slices.Sort(classes)
 	most := 0.0
 	for _, cpus := range b.cpus {
-		most += tuning.GangSpareShare * cpus
+		most += tuning.MaxGangReserveShare * cpus
 	}
 	for _, class := range classes {
 		x := l.expected[class]
 		zones := []string{""}
-		if x.desc.OneZone {
-			zones = l.fleet.AllZones(x.desc)
+		if x.desc.SameZone {
+			zones = l.fleet.CandidateZones(x.desc)
 		}
-		for range tuning.GangSpare {
+		for range tuning.GangReserveCount {
 			if most -= float64(x.tasks) * x.desc.CPUs; most < 0 {
 				return
 			}
@@ -392,7 +392,7 @@
 			}
 			zone := zones[0]
 			for _, z := range zones {
-				if l.fleet.Rentable(x.desc, z) {
+				if l.fleet.IsRentable(x.desc, z) {
 					zone = z
 					break
 				}
@@ -412,12 +412,12 @@
 				var found []*room
 				n := 0
 				for _, s := range b.racks {
-					if s.block != block || (s.booting && on != coming) || !s.kind.Could(x.desc, zone) {
+					if s.block != block || (s.booting && on != coming) || !s.kind.CouldRun(x.desc, zone) {
 						continue
 					}
 					for i := range s.rooms {
 						r := &s.rooms[i]
-						if on == caching && (r.cache == nil || !r.cache.images.Has(x.desc.Image)) {
+						if on == caching && (r.cache == nil || !r.cache.images.Contains(x.desc.Image)) {
 							continue
 						}
 						if k := r.unkept(x.desc); k > 0 && n < x.tasks {
@@ -433,7 +433,7 @@
 				for _, r := range found {
 					k := min(left, r.unkept(x.desc))
 					r.keptCPUs += float64(k) * x.desc.CPUs
-					r.keptCards += float64(k) * x.desc.Cards
+					r.keptCards += float64(k) * x.desc.GPUs
 					r.keptMemory += float64(k) * x.desc.MemoryGB
 					left -= k
 				}
--- a/internal/lead/handout.go
+++ b/internal/lead/handout.go
@@ -25,19 +25,19 @@
 // handOut hands out as many tasks as the limits and the queues allow, and
 // tells the fleet for which there is no room.
 func (l *Leader) handOut() bool {
-	now := l.rt.Wall().UnixMilli()
+	now := l.rt.WallClock().UnixMilli()
 	l.sortJobs(now)
 	board := l.viewRooms()
-	l.pause = tuning.RoundPause + time.Duration(board.number)*tuning.RoundPerMachine
+	l.pause = tuning.MinRoundInterval + time.Duration(board.number)*tuning.RoundIntervalPerMachine
 	clear(l.recalls)
 	unmet := &unmetNeeds{leader: l, now: now}
-	l.keepWarm(board, func(d *jobs.Description, zone string, n int) {
-		unmet.list = append(unmet.list, fleet.Need{Desc: d, Zone: zone, Number: n, Aims: []float64{tuning.PatienceMost.Seconds()}})
+	l.keepWarm(board, func(d *jobs.Spec, zone string, n int) {
+		unmet.list = append(unmet.list, fleet.Demand{Spec: d, Zone: zone, Tasks: n, ObjectiveSlackSeconds: []float64{tuning.MaxQueueTime.Seconds()}})
 	})
 	l.takeQueued(board, unmet)
 	batches := l.fill(board, unmet)
 	l.pruneCaches()
-	l.fleet.Want(unmet.list, l.mostMovable())
+	l.fleet.SetDemand(unmet.list, l.mostMovable())
 	if len(batches) == 0 {
 		return false
 	}
@@ -49,21 +49,21 @@
 type unmetNeeds struct {
 	leader *Leader
 	now    int64 // time of day, in ms
-	list   []fleet.Need
+	list   []fleet.Demand
 }
 
 // need notes tasks that could run now if there were room.
 func (u *unmetNeeds) need(p *jobState, zone string, n int) {
 	if n > 0 {
-		u.list = append(u.list, fleet.Need{Desc: p.desc, Zone: zone, Number: n, Rank: p.place,
-			Waited: float64(u.now-p.e.At) / 1000, Aims: u.leader.openAims(p, u.now)})
+		u.list = append(u.list, fleet.Demand{Spec: p.desc, Zone: zone, Tasks: n, Rank: p.place,
+			WaitedSeconds: float64(u.now-p.e.SubmittedMS) / 1000, ObjectiveSlackSeconds: u.leader.openAims(p, u.now)})
 	}
 }
 
 // held notes tasks that their team's limit holds back.
 func (u *unmetNeeds) held(p *jobState, n int) {
 	if n > 0 {
-		u.list = append(u.list, fleet.Need{Desc: p.desc, Behind: n})
+		u.list = append(u.list, fleet.Demand{Spec: p.desc, HeldByQuota: n})
 	}
 }
 
@@ -72,7 +72,7 @@
 	for _, p := range l.order {
 		// A job that nothing has been done for is not passed over for ever.
 		if late := !p.starved && !p.cancelled && p.placed+p.done == 0 &&
-			now-p.e.At > tuning.StarvedAfter.Milliseconds(); late {
+			now-p.e.SubmittedMS > tuning.StarvedAfter.Milliseconds(); late {
 			p.starved, l.resort = true, true
 		} else if p.starved && p.placed+p.done > 0 {
 			p.starved, l.resort = false, true
@@ -98,7 +98,7 @@
 		if p.cancelled {
 			continue
 		}
-		if p.desc.Gang() {
+		if p.desc.IsGang() {
 			l.queuedGang(board, p, unmet.need)
 			continue
 		}
@@ -134,13 +134,13 @@
 			continue
 		}
 		n := l.allowed(p, u)
-		if n < p.left() && (p.desc.Priority() >= jobs.High || p.desc.Gang()) || n == 0 && p.starved {
+		if n < p.left() && (p.desc.Priority() >= jobs.PriorityUrgent || p.desc.IsGang()) || n == 0 && p.starved {
 			full[p.desc.Team] = true // what comes after does not go past it
 		}
 		unmet.held(p, p.left()-n)
 		switch {
-		case n <= 0 || p.desc.Gang() && n < p.left(): // a gang is handed out whole or not at all
-		case p.desc.Gang():
+		case n <= 0 || p.desc.IsGang() && n < p.left(): // a gang is handed out whole or not at all
+		case p.desc.IsGang():
 			batches = l.placeGang(board, p, u, batches, unmet.need)
 		default:
 			batches = l.place(board, p, u, n, batches, unmet.need)
@@ -152,20 +152,20 @@
 // allowed is how many more tasks of a job its team's limits allow.
 func (l *Leader) allowed(p *jobState, u *usage) int {
 	limit := u.cpusMax
-	if p.desc.Priority() < jobs.High && !p.starved {
+	if p.desc.Priority() < jobs.PriorityUrgent && !p.starved {
 		limit -= max(0, u.kept-u.urgent)
 	}
-	return min(p.left(), share(limit-u.cpus, p.desc.CPUs), share(u.cardsMax-u.cards, p.desc.Cards))
+	return min(p.left(), share(limit-u.cpus, p.desc.CPUs), share(u.cardsMax-u.cards, p.desc.GPUs))
 }
 
 // fixZones fixes the zones of a job that needs that; false if they are not known yet.
 func (l *Leader) fixZones(p *jobState) bool {
-	if p.zones != nil || !(p.desc.Spread || (p.desc.OneZone && !p.desc.Gang())) {
+	if p.zones != nil || !(p.desc.Spread || (p.desc.SameZone && !p.desc.IsGang())) {
 		return true
 	}
 	// A leader that does not know the machine types yet must not fix
 	// "any zone" for a job that may not have it.
-	p.zones = l.fleet.Zones(p.desc)
+	p.zones = l.fleet.ChooseZones(p.desc)
 	if len(p.zones) == 0 || (p.desc.Spread && len(p.zones) < 2 && p.desc.Tasks > 1) {
 		p.zones = nil
 		return false
@@ -175,12 +175,12 @@
 
 // pruneCaches forgets what machines cached that are long gone.
 func (l *Leader) pruneCaches() {
-	if l.rt.Now()-l.pruned <= tuning.ForgetReturned {
+	if l.rt.Now()-l.pruned <= tuning.ReleasedMachineMemory {
 		return
 	}
 	l.pruned = l.rt.Now()
 	for host, c := range l.caches {
-		if l.pruned-c.seen > tuning.ForgetReturned {
+		if l.pruned-c.seen > tuning.ReleasedMachineMemory {
 			delete(l.caches, host)
 		}
 	}
@@ -188,7 +188,7 @@
 
 // mostMovable is the job of which most runs that could as well run on spot machines, nil
 // if there is none.
-func (l *Leader) mostMovable() *jobs.Description {
+func (l *Leader) mostMovable() *jobs.Spec {
 	var most *jobState
 	for _, p := range l.order {
 		if !p.cancelled && movable(p.desc) && p.placed > 0 &&
@@ -216,24 +216,24 @@
 func (l *Leader) reserve() {
 	wants := map[*usage]float64{}
 	for _, p := range l.order {
-		if u := l.usage[p.desc.Team]; u != nil && !p.cancelled && p.desc.Priority() >= jobs.High {
+		if u := l.usage[p.desc.Team]; u != nil && !p.cancelled && p.desc.Priority() >= jobs.PriorityUrgent {
 			wants[u] += float64(p.open+p.left()) * p.desc.CPUs
 		}
 	}
 	now := l.rt.Now()
 	for _, u := range l.usage {
-		u.kept *= math.Exp2(-float64(now-u.at) / float64(tuning.KeptHalfLife))
+		u.kept *= math.Exp2(-float64(now-u.at) / float64(tuning.UrgentReserveHalfLife))
 		u.at = now
-		u.kept = max(u.kept, min(wants[u], tuning.KeptShare*u.cpusMax))
+		u.kept = max(u.kept, min(wants[u], tuning.MaxUrgentReserveShare*u.cpusMax))
 	}
 }
 
 // openAims is how many seconds a job's tasks can still wait for a machine for each
 // of the users' aims that is not missed yet.
 func (l *Leader) openAims(p *jobState, nowMS int64) []float64 {
-	age := float64(nowMS-p.e.At) / 1000
+	age := float64(nowMS-p.e.SubmittedMS) / 1000
 	var open []float64
-	l.set.Aims(p.desc.Class, p.desc.EstimateS, p.desc.DeadlineS, func(latest float64) {
+	l.set.EachObjectiveDeadline(p.desc.Class, p.desc.EstimateSeconds, p.desc.DeadlineSeconds, func(latest float64) {
 		if left := latest - age; left > 0 {
 			open = append(open, left)
 		}
@@ -289,7 +289,7 @@
 		if block < 0 {
 			break
 		}
-		k := min(n, max(1, share(tuning.Ahead*b.cpus[block]-b.queued[block], p.desc.CPUs)))
+		k := min(n, max(1, share(tuning.MaxQueuedShare*b.cpus[block]-b.queued[block], p.desc.CPUs)))
 		b.queued[block] += float64(k) * p.desc.CPUs
 		give(block, k)
 	}
--- a/internal/lead/leader.go
+++ b/internal/lead/leader.go
@@ -60,18 +60,18 @@
 func New(rt engine.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *work.Store,
 	fl *fleet.Fleet, set *settings.Settings, log *slog.Logger) *Leader {
 	l := &Leader{rt: rt, state: state, leases: leases, cat: cat, store: store, fleet: fl, set: set, log: log}
-	l.End()
-	fl.LoadOf = func(host string) fleet.Load {
+	l.EndTerm()
+	fl.LoadOf = func(host string) fleet.MachineLoad {
 		if h := l.loads[host]; h != nil {
-			return fleet.Load{CPUs: h.cpus, Movable: h.movable, Services: h.services, ByPriority: h.byPriority}
+			return fleet.MachineLoad{CPUs: h.cpus, Movable: h.movable, Services: h.services, ByPriority: h.byPriority}
 		}
-		return fleet.Load{}
+		return fleet.MachineLoad{}
 	}
 	return l
 }
 
 // End forgets everything: the lead is lost.
-func (l *Leader) End() {
+func (l *Leader) EndTerm() {
 	l.term++
 	l.token, l.loaded, l.flying, l.timed = 0, false, false, false
 	l.plans, l.order, l.ends, l.stale = map[string]*jobState{}, nil, nil, nil
@@ -79,7 +79,7 @@
 	l.pending, l.recalls = map[string]*work.Record{}, map[int]map[string]int{}
 	l.images, l.caches, l.expected = map[string][]int{}, map[string]*cache{}, map[string]*expected{}
 	for _, t := range l.set.Deployment.Teams {
-		l.usage[t.Name] = &usage{cpusMax: t.CPUsMax, cardsMax: t.GPUsMax, kept: tuning.KeptShare * t.CPUsMax, at: l.rt.Now()}
+		l.usage[t.Name] = &usage{cpusMax: t.CPUsMax, cardsMax: t.GPUsMax, kept: tuning.MaxUrgentReserveShare * t.CPUsMax, at: l.rt.Now()}
 	}
 }
 
@@ -88,8 +88,8 @@
 
 // Begin starts a term: earlier leaders' commits fail from now on, so the
 // records proven to be current are all that has been handed out.
-func (l *Leader) Begin(token uint64) {
-	l.End()
+func (l *Leader) BeginTerm(token uint64) {
+	l.EndTerm()
 	l.token = token
 	l.read(l.term, 0)
 }
@@ -102,7 +102,7 @@
 			}
 		})
 	}
-	l.store.Check(func(err error) {
+	l.store.Verify(func(err error) {
 		if term != l.term {
 			return
 		}
@@ -110,7 +110,7 @@
 			retry()
 			return
 		}
-		l.cat.Check(func(err error) {
+		l.cat.Verify(func(err error) {
 			switch {
 			case term != l.term:
 			case err != nil:
@@ -124,11 +124,11 @@
 
 func (l *Leader) build() {
 	l.loaded = true
-	l.cat.Open(func(e *userapi.Entry) { l.add(e) })
-	l.store.All(func(r *work.Record) {
+	l.cat.EachUnfinished(func(e *userapi.Entry) { l.add(e) })
+	l.store.EachRecord(func(r *work.Record) {
 		p := l.plans[r.Job]
 		if p == nil {
-			if e := l.cat.Get(r.Job); e != nil && e.Phase == userapi.Cancelled && e.Job != nil {
+			if e := l.cat.Get(r.Job); e != nil && e.Phase == userapi.PhaseCancelled && e.Spec != nil {
 				p = l.add(e)
 				p.cancelled = true
 			} else {
@@ -138,17 +138,17 @@
 		}
 		l.count(p, r, 1)
 		p.number = max(p.number, r.Number+1)
-		p.next = max(p.next, r.Index[len(r.Index)-1]+1)
+		p.next = max(p.next, r.TaskIndexes[len(r.TaskIndexes)-1]+1)
 		if len(r.Zones) > 0 {
 			p.zones = r.Zones
 		}
 	})
 	for _, p := range l.plans {
 		l.givenBack(p)
-		if p.desc.Gang() && p.open == 0 && p.done == 0 {
+		if p.desc.IsGang() && p.open == 0 && p.done == 0 {
 			p.zones = nil // all of it is off its machines: it may go elsewhere
 		}
-		if p.desc.Gang() {
+		if p.desc.IsGang() {
 			l.expect(p)
 		}
 	}
@@ -162,14 +162,14 @@
 // givenBack finds the tasks of a job that its newest records give back.
 func (l *Leader) givenBack(p *jobState) {
 	records := make([]*work.Record, 0, 4)
-	for _, r := range l.store.OfJob(p.e.ID) {
+	for _, r := range l.store.JobRecords(p.e.ID) {
 		records = append(records, r)
 	}
 	slices.SortFunc(records, func(a, b *work.Record) int { return cmp.Compare(a.Number, b.Number) })
 	for _, r := range records {
-		for k, i := range r.Index {
+		for k, i := range r.TaskIndexes {
 			// A task may have been given back more than once.
-			if m := r.Marks[k]; m.State == work.Returned {
+			if m := r.Statuses[k]; m.State == work.StateReturned {
 				p.attempts[i] = m.Attempt
 			} else {
 				delete(p.attempts, i)
@@ -183,7 +183,7 @@
 }
 
 func (l *Leader) add(e *userapi.Entry) *jobState {
-	p := &jobState{e: e, desc: e.Job, rank: jobs.NewRank(e.Job, e.At, l.cat.Within(e)), attempts: map[int]uint64{}, waiting: make([]int, l.set.Blocks())}
+	p := &jobState{e: e, desc: e.Spec, rank: jobs.NewRank(e.Spec, e.SubmittedMS, l.cat.WithinQuota(e)), attempts: map[int]uint64{}, waiting: make([]int, l.set.ShardCount())}
 	l.plans[e.ID] = p
 	l.order = append(l.order, p)
 	l.resort = true
@@ -205,12 +205,12 @@
 	switch {
 	case e.Phase == "" && p == nil:
 		l.add(e)
-	case e.Phase == userapi.Cancelled && p != nil:
+	case e.Phase == userapi.PhaseCancelled && p != nil:
 		p.cancelled = true
 		l.over(p)
-	case e.Phase == userapi.Done && p != nil:
+	case e.Phase == userapi.PhaseDone && p != nil:
 		l.forget(p)
-		for key := range l.store.OfJob(e.ID) {
+		for key := range l.store.JobRecords(e.ID) {
 			l.stale = append(l.stale, key)
 		}
 	}
@@ -252,7 +252,7 @@
 }
 
 // TaskMoved takes note of what a block's owner has logged.
-func (l *Leader) TaskMoved(r *work.Record, k int, was work.Mark) {
+func (l *Leader) TaskStatusChanged(r *work.Record, k int, was work.TaskStatus) {
 	if !l.loaded {
 		return
 	}
@@ -261,14 +261,14 @@
 		return
 	}
 	l.wanted = true
-	now := r.Marks[k]
-	l.mark(p, r.Block, was, -1)
-	l.mark(p, r.Block, now, 1)
-	if now.State == work.Returned && !p.cancelled {
-		if i, there := slices.BinarySearch(p.back, r.Index[k]); !there {
-			p.back = slices.Insert(p.back, i, r.Index[k])
+	now := r.Statuses[k]
+	l.mark(p, r.Shard, was, -1)
+	l.mark(p, r.Shard, now, 1)
+	if now.State == work.StateReturned && !p.cancelled {
+		if i, there := slices.BinarySearch(p.back, r.TaskIndexes[k]); !there {
+			p.back = slices.Insert(p.back, i, r.TaskIndexes[k])
 		}
-		p.attempts[r.Index[k]] = now.Attempt
+		p.attempts[r.TaskIndexes[k]] = now.Attempt
 	}
 	if p.open == 0 {
 		l.over(p)
@@ -276,11 +276,11 @@
 }
 
 // Wake makes the next Settle look at everything again.
-func (l *Leader) Wake() { l.wanted = true }
+func (l *Leader) RequestRound() { l.wanted = true }
 
 // Settle hands out and commits what is due.
-func (l *Leader) Settle() {
-	if !l.loaded || !l.leases.Valid() || l.flying || (!l.wanted && len(l.ends) == 0 && len(l.stale) == 0) {
+func (l *Leader) AfterBatch() {
+	if !l.loaded || !l.leases.LeaseValid() || l.flying || (!l.wanted && len(l.ends) == 0 && len(l.stale) == 0) {
 		return
 	}
 	if l.end() {
@@ -310,21 +310,21 @@
 }
 
 // commit sends changes under the guard of the lead.
-func (l *Leader) commit(guards []statestore.Guard, apply []statestore.Change, fn func(statestore.Result)) {
+func (l *Leader) commit(guards []statestore.Condition, apply []statestore.Operation, fn func(statestore.CommitResult)) {
 	term := l.term
-	guards = append([]statestore.Guard{{Key: statestore.LeadKey, Stamp: l.token}}, guards...)
+	guards = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: l.token}}, guards...)
 	l.flying = true
-	l.state.Commit(guards, apply, func(r statestore.Result) {
+	l.state.Commit(guards, apply, func(r statestore.CommitResult) {
 		if term != l.term {
 			return
 		}
 		l.flying = false
-		if r.Outcome == statestore.Conflict && slices.Contains(r.Failed, statestore.LeadKey) {
+		if r.Outcome == statestore.OutcomeConflict && slices.Contains(r.FailedKeys, statestore.LeaderKey) {
 			// The watch will say who leads; until then nothing more is sent.
 			l.flying = true
-			l.leases.Verify(func() {
+			l.leases.Refresh(func() {
 				if term == l.term {
-					l.Begin(l.token)
+					l.BeginTerm(l.token)
 				}
 			})
 			return
@@ -347,10 +347,10 @@
 }
 
 // Recalls takes what a block is asked to give back.
-func (l *Leader) Recalls(block int) []fleet.Recall {
+func (l *Leader) TakeRecalls(block int) []fleet.Recall {
 	var list []fleet.Recall
 	for job, n := range l.recalls[block] {
-		list = append(list, fleet.Recall{Job: job, Number: n})
+		list = append(list, fleet.Recall{Job: job, Tasks: n})
 	}
 	delete(l.recalls, block)
 	sort.Slice(list, func(i, k int) bool { return list[i].Job < list[k].Job })
--- a/internal/lead/operators.go
+++ b/internal/lead/operators.go
@@ -9,7 +9,7 @@
 )
 
 // LoadOn is the processors of the tasks placed on a machine.
-func (l *Leader) LoadOn(host string) float64 {
+func (l *Leader) CPUsPlacedOn(host string) float64 {
 	if h := l.loads[host]; h != nil {
 		return h.cpus
 	}
@@ -18,14 +18,14 @@
 
 // Room is how many tasks of a job the open machines have room for, in a zone or, if
 // that is empty, anywhere.
-func (l *Leader) Room(d *jobs.Description, zone string) int {
+func (l *Leader) CapacityFor(d *jobs.Spec, zone string) int {
 	tasks := 0
-	l.fleet.Rooms(func(r *fleet.Room) {
-		if r.Booting || !r.Could(d, zone) {
+	l.fleet.EachAvailable(func(r *fleet.AvailableMachine) {
+		if r.Booting || !r.CouldRun(d, zone) {
 			return
 		}
-		cpus, cards, memory := r.Type.CPUs, r.Type.Cards, r.Type.MemoryGB
-		if h := l.loads[r.Host]; h != nil {
+		cpus, cards, memory := r.MachineType.CPUs, r.MachineType.GPUs, r.MachineType.MemoryGB
+		if h := l.loads[r.ID]; h != nil {
 			cpus, cards, memory = cpus-h.cpus, cards-h.cards, memory-h.memory
 		}
 		tasks += fit(d, cpus, cards, memory)
@@ -34,27 +34,27 @@
 }
 
 // Mark is what the records say of a task; false if none names it.
-func (l *Leader) Mark(job string, index int) (work.Mark, bool) {
-	var newest work.Mark
+func (l *Leader) TaskStatus(job string, index int) (work.TaskStatus, bool) {
+	var newest work.TaskStatus
 	number := -1
-	for _, r := range l.store.OfJob(job) {
+	for _, r := range l.store.JobRecords(job) {
 		// A task that was given back is in a later record.
-		if i, there := slices.BinarySearch(r.Index, index); there && r.Number > number {
-			newest, number = r.Marks[i], r.Number
+		if i, there := slices.BinarySearch(r.TaskIndexes, index); there && r.Number > number {
+			newest, number = r.Statuses[i], r.Number
 		}
 	}
 	return newest, number >= 0
 }
 
 // Placements calls fn for all tasks that are placed.
-func (l *Leader) Placements(fn func(d *jobs.Description, mark work.Mark)) {
-	l.store.All(func(r *work.Record) {
+func (l *Leader) EachPlacement(fn func(d *jobs.Spec, mark work.TaskStatus)) {
+	l.store.EachRecord(func(r *work.Record) {
 		p := l.plans[r.Job]
 		if p == nil {
 			return
 		}
-		for _, m := range r.Marks {
-			if m.State == work.Placed {
+		for _, m := range r.Statuses {
+			if m.State == work.StatePlaced {
 				fn(p.desc, m)
 			}
 		}
@@ -62,7 +62,7 @@
 }
 
 // Returned calls fn for each task that has had an attempt and that no block holds now.
-func (l *Leader) Returned(fn func(d *jobs.Description, index int)) {
+func (l *Leader) EachReturnedTask(fn func(d *jobs.Spec, index int)) {
 	for _, p := range l.order {
 		if p.cancelled {
 			continue
--- a/internal/lead/plan.go
+++ b/internal/lead/plan.go
@@ -10,7 +10,7 @@
 // jobState is a job as the leader sees it.
 type jobState struct {
 	e         *userapi.Entry
-	desc      *jobs.Description
+	desc      *jobs.Spec
 	rank      jobs.Rank
 	cancelled bool
 	zones     []string
--- a/internal/lead/queues.go
+++ b/internal/lead/queues.go
@@ -45,13 +45,13 @@
 	}
 	sums := map[queue]int{}
 	add := func(r *work.Record) {
-		for k, i := range r.Index {
-			if r.Marks[k].State == work.Waiting {
-				sums[queue{block: r.Block, zone: work.ZoneOf(p.zones, i)}]++
+		for k, i := range r.TaskIndexes {
+			if r.Statuses[k].State == work.StateWaiting {
+				sums[queue{block: r.Shard, zone: work.ZoneOf(p.zones, i)}]++
 			}
 		}
 	}
-	for _, r := range l.store.OfJob(p.e.ID) {
+	for _, r := range l.store.JobRecords(p.e.ID) {
 		add(r)
 	}
 	for _, r := range l.pending {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -50,7 +50,7 @@
 
 // NoAnswer says that no controller could carry a request out in time. Whether an
 // earlier try was carried out is not known; the request may be sent again.
-type NoAnswer struct {
+type NoAnswerError struct {
 	Asked []Failure
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Error names the nodes that were asked and what came of it.
-func (e *NoAnswer) Error() string {
+func (e *NoAnswerError) Error() string {
 	parts := make([]string, len(e.Asked))
 	for i, f := range e.Asked {
 		parts[i] = fmt.Sprintf("%s (%s): %s", f.Node.Name, f.Node.Endpoint, f.Reason)
@@ -87,13 +87,13 @@
 	deadline := c.Now().Add(c.Timeout)
 	failures := make([]Failure, len(c.Nodes))
 	for {
-		retry := tuning.OperatorRetry
+		retry := tuning.OperatorRetryDelay
 		for i, node := range c.Nodes {
 			left := deadline.Sub(c.Now())
 			if left <= 0 {
 				break
 			}
-			verdict := c.ask(node, path, body, min(left, 2*tuning.PeerTimeout), judge)
+			verdict := c.ask(node, path, body, min(left, 2*tuning.PeerRequestTimeout), judge)
 			if verdict.Final {
 				return nil
 			}
@@ -101,7 +101,7 @@
 			retry = max(retry, verdict.Retry)
 		}
 		if c.Now().Add(retry).After(deadline) {
-			return &NoAnswer{asked(c.Nodes, failures)}
+			return &NoAnswerError{asked(c.Nodes, failures)}
 		}
 		c.Sleep(retry)
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -16,17 +16,17 @@
 )
 
 // Links sends messages to the other controllers.
-type Links struct{ client *http.Client }
+type Client struct{ client *http.Client }
 
 // New returns links without connections.
-func New() *Links {
+func NewClient() *Client {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
-	return &Links{&http.Client{Transport: &http.Transport{
+	return &Client{&http.Client{Transport: &http.Transport{
 		Protocols:   &protocols,
-		DialContext: (&net.Dialer{Timeout: tuning.PeerDial}).DialContext,
+		DialContext: (&net.Dialer{Timeout: tuning.PeerDialTimeout}).DialContext,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: tuning.PeerPing, PingTimeout: tuning.PeerDial,
+			SendPingTimeout: tuning.PeerPingAfter, PingTimeout: tuning.PeerDialTimeout,
 			MaxReadFrameSize: 16 << 10, MaxReceiveBufferPerConnection: 256 << 10, MaxReceiveBufferPerStream: 128 << 10,
 		},
 		IdleConnTimeout: time.Minute,
@@ -34,7 +34,7 @@
 }
 
 // Send sends a message and waits for the answer.
-func (l *Links) Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error) {
+func (l *Client) Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+endpoint+path, bytes.NewReader(body))
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("message to %s: %w", endpoint, err)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, tuning.PeerMessage))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, tuning.MaxPeerMessageBytes))
 	if err != nil {
 		return nil, fmt.Errorf("answer of %s: %w", endpoint, err)
 	}
@@ -64,12 +64,12 @@
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	server := &http.Server{
-		Addr: addr, Protocols: &protocols, ReadHeaderTimeout: tuning.SlowRequest,
+		Addr: addr, Protocols: &protocols, ReadHeaderTimeout: tuning.SlowRequestTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 64,
 			MaxReadFrameSize: 16 << 10, MaxReceiveBufferPerConnection: 256 << 10, MaxReceiveBufferPerStream: 128 << 10},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			body, err := io.ReadAll(io.LimitReader(r.Body, tuning.PeerMessage))
+			body, err := io.ReadAll(io.LimitReader(r.Body, tuning.MaxPeerMessageBytes))
 			if err != nil {
 				w.WriteHeader(http.StatusBadRequest)
 				return
@@ -95,7 +95,7 @@
 					log.Debug("peer answer not sent", "err", err)
 				}
 			case <-r.Context().Done():
-			case <-time.After(tuning.PeerTimeout * 2):
+			case <-time.After(tuning.PeerRequestTimeout * 2):
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		}),
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -27,14 +27,14 @@
 func (p *Planner) gather(j *work.Job, now time.Duration) {
 	if !slices.Contains(p.gangs, j) {
 		p.gangs = append(p.gangs, j)
-		j.Gang.Enqueued = now
-		if class := j.Desc.Class; p.Prompt(class) {
+		j.Gang.EnqueuedAt = now
+		if class := j.Spec.Class; p.StartsPromptly(class) {
 			x := p.expected[class]
 			if x == nil {
 				x = &expected{}
 				p.expected[class] = x
 			}
-			x.desc, x.tasks, x.at, x.like = j.Desc, max(x.tasks, len(j.Tasks)), now, nil
+			x.desc, x.tasks, x.at, x.like = j.Spec, max(x.tasks, len(j.Tasks)), now, nil
 		}
 	}
 }
@@ -42,8 +42,8 @@
 // expected is a class of gangs that has come of late: more may, and the users
 // expect them to start at once.
 type expected struct {
-	desc  *jobs.Description // of the newest
-	tasks int               // of the largest of late
+	desc  *jobs.Spec // of the newest
+	tasks int        // of the largest of late
 	at    time.Duration
 	like  []*work.Task // as many, to look for room with
 }
@@ -53,12 +53,12 @@
 func (p *Planner) keepWarm(r *round) {
 	most := 0.0
 	for _, h := range r.open {
-		h.KeptCPUs, h.KeptCards, h.KeptMemory = 0, 0, 0
-		most += tuning.GangSpareShare * h.Type.CPUs
+		h.ReservedCPUs, h.ReservedGPUs, h.ReservedMemoryGB = 0, 0, 0
+		most += tuning.MaxGangReserveShare * h.MachineType.CPUs
 	}
 	classes := make([]string, 0, len(p.expected))
 	for class, x := range p.expected {
-		if r.now-x.at > tuning.GangWarm {
+		if r.now-x.at > tuning.GangReservePeriod {
 			delete(p.expected, class)
 			continue
 		}
@@ -68,13 +68,13 @@
 	for _, class := range classes {
 		x := p.expected[class]
 		if x.like == nil {
-			j := &work.Job{Desc: x.desc}
+			j := &work.Job{Spec: x.desc}
 			for range x.tasks {
 				x.like = append(x.like, &work.Task{Job: j})
 			}
 		}
 		zones := []string{""}
-		if x.desc.OneZone {
+		if x.desc.SameZone {
 			zones = nil
 			for _, h := range r.free {
 				if !slices.Contains(zones, h.Zone) {
@@ -83,7 +83,7 @@
 			}
 			slices.Sort(zones)
 		}
-		for range tuning.GangSpare {
+		for range tuning.GangReserveCount {
 			if most -= float64(x.tasks) * x.desc.CPUs; most < 0 {
 				return
 			}
@@ -98,9 +98,9 @@
 				}
 			}
 			for _, h := range best {
-				h.KeptCPUs += x.desc.CPUs
-				h.KeptCards += x.desc.Cards
-				h.KeptMemory += x.desc.MemoryGB
+				h.ReservedCPUs += x.desc.CPUs
+				h.ReservedGPUs += x.desc.GPUs
+				h.ReservedMemoryGB += x.desc.MemoryGB
 			}
 		}
 	}
@@ -109,25 +109,25 @@
 // unkept tells how many tasks a machine has room for that is not kept.
 func unkept(t *work.Task, h *agents.Worker) int {
 	cpus, cards, memory := h.Free()
-	return number(t, cpus-h.KeptCPUs, cards-h.KeptCards, memory-h.KeptMemory)
+	return number(t, cpus-h.ReservedCPUs, cards-h.ReservedGPUs, memory-h.ReservedMemoryGB)
 }
 
 // muster finds the gangs that want machines now.
 func (p *Planner) muster(r *round) {
 	p.gangs = slices.DeleteFunc(p.gangs, func(j *work.Job) bool {
 		for _, t := range j.Tasks {
-			if t.State == work.Waiting {
+			if t.State == work.StateWaiting {
 				return j.Cancelled
 			}
 		}
 		return true
 	})
 	for _, j := range p.gangs {
-		tasks := j.Missing()
+		tasks := j.TasksToPlace()
 		if len(tasks) == 0 || slices.ContainsFunc(tasks, func(t *work.Task) bool { return !due(t, r.now) }) {
 			continue
 		}
-		p.Rerank(j, r.wall)
+		p.UpdateRank(j, r.wall)
 		slices.SortFunc(tasks, func(a, b *work.Task) int { return cmp.Compare(a.Index, b.Index) })
 		r.gangs = append(r.gangs, gang{j, tasks})
 	}
@@ -138,7 +138,7 @@
 func (p *Planner) enter(r *round, prio jobs.Priority) {
 	for i := range r.gangs {
 		g := &r.gangs[i]
-		if g.tasks == nil || g.job.Desc.Priority() != prio {
+		if g.tasks == nil || g.job.Spec.Priority() != prio {
 			continue
 		}
 		p.seat(r, g, func(h *agents.Worker) bool { return r.kept[h] <= prio })
@@ -152,7 +152,7 @@
 		return false
 	}
 	for i, t := range g.tasks {
-		p.Place(t, hosts[i])
+		p.PlaceTask(t, hosts[i])
 	}
 	g.tasks = nil
 	return true
@@ -166,16 +166,16 @@
 
 // whole is the same for the machine if it were empty.
 func whole(t *work.Task, h *agents.Worker) int {
-	if h.Type == nil {
+	if h.MachineType == nil {
 		return 0
 	}
-	return number(t, h.Type.CPUs, h.Type.Cards, h.Type.MemoryGB)
+	return number(t, h.MachineType.CPUs, h.MachineType.GPUs, h.MachineType.MemoryGB)
 }
 
 func number(t *work.Task, cpus, cards, memory float64) int {
 	n := math.MaxInt32
-	d := t.Job.Desc
-	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.Cards, cards}, {d.MemoryGB, memory}} {
+	d := t.Job.Spec
+	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.GPUs, cards}, {d.MemoryGB, memory}} {
 		if x.need > 0 {
 			n = min(n, int(math.Floor((x.left+slack)/x.need)))
 		}
@@ -185,7 +185,7 @@
 
 // barred tells whether a task may not go to a machine.
 func barred(t *work.Task, h *agents.Worker) bool {
-	return t.Avoid == h.ID || slices.Contains(t.Tried, h.ID) || !Allowed(t, h)
+	return t.AvoidWorker == h.ID || slices.Contains(t.TriedWorkers, h.ID) || !Allowed(t, h)
 }
 
 // fit finds a machine for each task, nil if there are not enough: near ones
@@ -197,13 +197,13 @@
 		host       *agents.Worker
 		left, near int
 	}
-	image := tasks[0].Job.Desc.Image
+	image := tasks[0].Job.Spec.Image
 	found := make([]*agents.Worker, len(tasks))
 	for _, todo := range byZone(tasks) {
 		var open []*seat
 		sum, picky := 0, false
 		for _, i := range todo {
-			picky = picky || tasks[i].Avoid != "" || len(tasks[i].Tried) > 0
+			picky = picky || tasks[i].AvoidWorker != "" || len(tasks[i].TriedWorkers) > 0
 		}
 		for _, h := range hosts {
 			if !Allowed(tasks[todo[0]], h) || !usable(h) {
@@ -270,7 +270,7 @@
 		if g.tasks == nil || !want(g) {
 			continue
 		}
-		below := max(over, g.job.Desc.Priority()+1)
+		below := max(over, g.job.Spec.Priority()+1)
 		free := func(h *agents.Worker) bool { _, taken := r.kept[h]; return !taken }
 		if p.seat(r, g, free) {
 			continue
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -19,7 +19,7 @@
 // one of them is a replica of a service.
 func (r *round) orderFor(tasks ...*work.Task) []*agents.Worker {
 	for _, t := range tasks {
-		if t.Job.Desc.Service() {
+		if t.Job.Spec.IsService() {
 			return r.forServices
 		}
 	}
@@ -68,15 +68,15 @@
 // processorPrice is the nominal price of one processor of a machine.
 func processorPrice(h *agents.Worker) float64 {
 	if h.Spot {
-		return h.Type.SpotPrice / h.Type.CPUs
+		return h.MachineType.SpotPrice / h.MachineType.CPUs
 	}
-	return h.Type.Price / h.Type.CPUs
+	return h.MachineType.Price / h.MachineType.CPUs
 }
 
 // tighter orders machines by size, price and room.
 func tighter(a, b *agents.Worker) int {
-	if a.Type.CPUs != b.Type.CPUs {
-		return cmp.Compare(a.Type.CPUs, b.Type.CPUs)
+	if a.MachineType.CPUs != b.MachineType.CPUs {
+		return cmp.Compare(a.MachineType.CPUs, b.MachineType.CPUs)
 	}
 	if a.Spot != b.Spot {
 		if a.Spot {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -18,15 +18,15 @@
 // Planner holds the queues.
 type Planner struct {
 	// Open tells whether a machine may be given tasks.
-	Open func(*agents.Worker) bool
+	AcceptsTasks func(*agents.Worker) bool
 	// Find finds a machine by its name.
-	Find func(id string) *agents.Worker
+	FindWorker func(id string) *agents.Worker
 	// Place gives a task to a machine.
-	Place func(*work.Task, *agents.Worker)
+	PlaceTask func(*work.Task, *agents.Worker)
 	// Rerank brings a job's rank up to a time of day and tells whether it changed.
-	Rerank func(j *work.Job, wallMS int64) bool
+	UpdateRank func(j *work.Job, wallMS int64) bool
 	// Prompt tells whether gangs of a class should find room at once.
-	Prompt func(class string) bool
+	StartsPromptly func(class string) bool
 	// WaitBound is the wait in the extra queue after which a task goes first.
 	WaitBound time.Duration
 
@@ -39,7 +39,7 @@
 
 // New returns a planner with empty queues.
 func New(bound time.Duration) *Planner {
-	return &Planner{WaitBound: bound, queues: map[string][]*work.Task{}, expected: map[string]*expected{}, Prompt: func(string) bool { return false }}
+	return &Planner{WaitBound: bound, queues: map[string][]*work.Task{}, expected: map[string]*expected{}, StartsPromptly: func(string) bool { return false }}
 }
 
 // Reset empties the queues.
@@ -49,9 +49,9 @@
 }
 
 // Arrive takes a task that waits for a machine.
-func (p *Planner) Arrive(t *work.Task, now time.Duration) {
+func (p *Planner) AddTask(t *work.Task, now time.Duration) {
 	t.Queued = false
-	t.Enqueued = now
+	t.EnqueuedAt = now
 	if t.Job.Gang != nil {
 		p.gather(t.Job, now)
 		return
@@ -62,7 +62,7 @@
 // before orders tasks within a queue.
 func before(a, b *work.Task) bool {
 	if a.Job != b.Job {
-		return work.Before(a.Job, b.Job)
+		return work.JobBefore(a.Job, b.Job)
 	}
 	return a.Index < b.Index
 }
@@ -79,8 +79,8 @@
 
 // Allowed tells whether the job may use a machine at all.
 func Allowed(t *work.Task, h *agents.Worker) bool {
-	d := t.Job.Desc
-	return (d.Builds == nil || slices.Contains(d.Builds, h.Build)) &&
+	d := t.Job.Spec
+	return (d.MachineTypes == nil || slices.Contains(d.MachineTypes, h.MachineTypeName)) &&
 		(d.Zone == "" || d.Zone == h.Zone) && (t.Zone == "" || t.Zone == h.Zone) &&
 		(d.Spot || !h.Spot)
 }
@@ -91,7 +91,7 @@
 // gangs to come.
 func fits(t *work.Task, h *agents.Worker) bool {
 	cpus, cards, memory := h.Free()
-	return holds(t, h, cpus-h.KeptCPUs, cards-h.KeptCards, memory-h.KeptMemory)
+	return holds(t, h, cpus-h.ReservedCPUs, cards-h.ReservedGPUs, memory-h.ReservedMemoryGB)
 }
 
 // fitsAtAll is the same with what is kept.
@@ -101,18 +101,18 @@
 }
 
 func holds(t *work.Task, h *agents.Worker, cpus, cards, memory float64) bool {
-	d := t.Job.Desc
-	return d.CPUs <= cpus+slack && d.Cards <= cards+slack && d.MemoryGB <= memory+slack &&
-		t.Avoid != h.ID && Allowed(t, h)
+	d := t.Job.Spec
+	return d.CPUs <= cpus+slack && d.GPUs <= cards+slack && d.MemoryGB <= memory+slack &&
+		t.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // could tells whether a machine could take a task if it were empty.
 func could(t *work.Task, h *agents.Worker) bool {
-	return h.Type != nil && h.Type.Runs(t.Job.Desc) && t.Avoid != h.ID && Allowed(t, h)
+	return h.MachineType != nil && h.MachineType.CanRun(t.Job.Spec) && t.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // live tells whether a queued task still waits.
-func live(t *work.Task) bool { return t.State == work.Waiting && t.Queued && !t.Job.Cancelled }
+func live(t *work.Task) bool { return t.State == work.StateWaiting && t.Queued && !t.Job.Cancelled }
 
 // due tells whether a task is not paused after a failure.
 func due(t *work.Task, now time.Duration) bool {
@@ -120,7 +120,7 @@
 }
 
 // plain tells whether a task may go wherever any other of its job may.
-func plain(t *work.Task) bool { return t.Zone == "" && t.Avoid == "" }
+func plain(t *work.Task) bool { return t.Zone == "" && t.AvoidWorker == "" }
 
 // round is what one placement round works on.
 type round struct {
@@ -138,10 +138,10 @@
 }
 
 // Round places what can be placed on the machines given.
-func (p *Planner) Round(hosts []*agents.Worker, now time.Duration, wall time.Time) {
+func (p *Planner) RunRound(hosts []*agents.Worker, now time.Duration, wall time.Time) {
 	r := &round{now: now, wall: wall.UnixMilli()}
 	for _, h := range hosts {
-		if !p.Open(h) {
+		if !p.AcceptsTasks(h) {
 			continue
 		}
 		r.open = append(r.open, h)
@@ -178,7 +178,7 @@
 	note(p.extra)
 	for id, q := range p.queues {
 		q = slices.DeleteFunc(q, dead)
-		if h := p.Find(id); h == nil || !p.Open(h) {
+		if h := p.FindWorker(id); h == nil || !p.AcceptsTasks(h) {
 			for _, t := range q {
 				t.Queued = false
 				p.arrivals = append(p.arrivals, t)
@@ -198,7 +198,7 @@
 func (p *Planner) reorder(r *round) {
 	changed := false
 	look := func(j *work.Job) {
-		if p.Rerank(j, r.wall) {
+		if p.UpdateRank(j, r.wall) {
 			changed = true
 		}
 	}
@@ -224,10 +224,10 @@
 // pull lets the machines take from the queues, one priority after the other.
 func (p *Planner) pull(r *round) {
 	p.overdue(r)
-	for prio := jobs.Production; prio >= jobs.Low; prio-- {
+	for prio := jobs.PriorityCritical; prio >= jobs.PriorityLow; prio-- {
 		var some []*work.Task
 		for _, t := range r.waiting {
-			if t.Job.Desc.Priority() == prio {
+			if t.Job.Spec.Priority() == prio {
 				some = append(some, t)
 			}
 		}
@@ -287,13 +287,13 @@
 
 func (p *Planner) place(t *work.Task, h *agents.Worker) {
 	t.Queued = false
-	p.Place(t, h)
+	p.PlaceTask(t, h)
 }
 
 // candidate tells whether a machine can start a queued task of a priority;
 // skip is a job whose plain tasks are known not to fit.
 func candidate(t *work.Task, h *agents.Worker, prio jobs.Priority, now time.Duration, skip **work.Job) bool {
-	if (t.Job == *skip && plain(t)) || !live(t) || t.Job.Desc.Priority() != prio || !due(t, now) {
+	if (t.Job == *skip && plain(t)) || !live(t) || t.Job.Spec.Priority() != prio || !due(t, now) {
 		return false
 	}
 	if fits(t, h) {
@@ -318,7 +318,7 @@
 func last(q []*work.Task, h *agents.Worker, prio jobs.Priority, now time.Duration, cached bool) int {
 	var skip *work.Job
 	for i := len(q) - 1; i >= 0; i-- {
-		if cached && !h.Caches(q[i].Job.Desc.Image) {
+		if cached && !h.HasImage(q[i].Job.Spec.Image) {
 			continue
 		}
 		if candidate(q[i], h, prio, now, &skip) {
@@ -331,7 +331,7 @@
 // starved tells whether nothing has been started of a job for so long that it
 // goes before all others.
 func (r *round) starved(j *work.Job) bool {
-	return !j.Began && r.wall-j.Submitted > tuning.StarvedAfter.Milliseconds()
+	return !j.HasPlacedTask && r.wall-j.SubmittedMS > tuning.StarvedAfter.Milliseconds()
 }
 
 // overdue starts the tasks that have waited past the bound, and the first of
@@ -367,16 +367,16 @@
 			r.kept[best] = over
 		}
 	}
-	p.collect(r, jobs.Production+1, func(g *gang) bool { return r.starved(g.job) })
+	p.collect(r, jobs.PriorityCritical+1, func(g *gang) bool { return r.starved(g.job) })
 	for _, t := range r.waiting {
 		if live(t) && due(t, r.now) && t.Job != skip && r.starved(t.Job) {
-			serve(t, jobs.Production+1)
+			serve(t, jobs.PriorityCritical+1)
 		}
 	}
-	p.collect(r, 0, func(g *gang) bool { return r.now-g.job.Gang.Enqueued >= p.WaitBound && !r.starved(g.job) })
+	p.collect(r, 0, func(g *gang) bool { return r.now-g.job.Gang.EnqueuedAt >= p.WaitBound && !r.starved(g.job) })
 	for _, t := range p.extra {
-		if live(t) && r.now-t.Enqueued >= p.WaitBound && due(t, r.now) && t.Job != skip && !r.starved(t.Job) {
-			serve(t, t.Job.Desc.Priority()+1)
+		if live(t) && r.now-t.EnqueuedAt >= p.WaitBound && due(t, r.now) && t.Job != skip && !r.starved(t.Job) {
+			serve(t, t.Job.Spec.Priority()+1)
 		}
 	}
 }
@@ -386,7 +386,7 @@
 // the extra queue. The tasks of a job are alike and are placed together.
 func (p *Planner) arrive(r *round) {
 	tasks := slices.DeleteFunc(p.arrivals, func(t *work.Task) bool {
-		return t.State != work.Waiting || t.Job.Cancelled || t.Queued
+		return t.State != work.StateWaiting || t.Job.Cancelled || t.Queued
 	})
 	p.arrivals = nil
 	slices.SortStableFunc(tasks, compare)
@@ -411,9 +411,9 @@
 // fetch nothing, and those where its image would share the rate with another.
 func nearness(h *agents.Worker, image string) int {
 	switch {
-	case h.Caches(image):
+	case h.HasImage(image):
 		return 0
-	case h.Fetching == 0:
+	case h.FetchingTasks == 0:
 		return 1
 	}
 	return 2
@@ -425,13 +425,13 @@
 	// As it is now: a machine caches the image as soon as a task is placed there.
 	var nearest [3][]*agents.Worker
 	for _, h := range r.orderFor(tasks[0]) {
-		if r.kept[h] <= job.Desc.Priority() {
-			near := nearness(h, job.Desc.Image)
+		if r.kept[h] <= job.Spec.Priority() {
+			near := nearness(h, job.Spec.Image)
 			nearest[near] = append(nearest[near], h)
 		}
 	}
 	for _, hosts := range nearest {
-		if len(tasks) > 0 && job.Desc.Service() {
+		if len(tasks) > 0 && job.Spec.IsService() {
 			tasks = p.apart(tasks, hosts)
 		}
 		tasks = p.fill(tasks, hosts)
@@ -446,8 +446,8 @@
 func (p *Planner) apart(tasks []*work.Task, hosts []*agents.Worker) []*work.Task {
 	taken := map[string]bool{}
 	for _, t := range tasks[0].Job.Tasks {
-		if t.State == work.Placed {
-			taken[t.Host] = true
+		if t.State == work.StatePlaced {
+			taken[t.WorkerID] = true
 		}
 	}
 	for _, h := range hosts {
@@ -455,7 +455,7 @@
 			break
 		}
 		if h.ServiceCPUs > slack && !taken[h.ID] && fits(tasks[0], h) {
-			p.Place(tasks[0], h)
+			p.PlaceTask(tasks[0], h)
 			tasks = tasks[1:]
 		}
 	}
@@ -466,7 +466,7 @@
 func (p *Planner) fill(tasks []*work.Task, hosts []*agents.Worker) []*work.Task {
 	for _, h := range hosts {
 		for len(tasks) > 0 && fits(tasks[0], h) {
-			p.Place(tasks[0], h)
+			p.PlaceTask(tasks[0], h)
 			tasks = tasks[1:]
 		}
 	}
@@ -479,10 +479,10 @@
 	for _, t := range tasks {
 		t.Queued = true
 	}
-	image := tasks[0].Job.Desc.Image
+	image := tasks[0].Job.Spec.Image
 	var caching []*agents.Worker
 	for _, h := range r.open {
-		if h.Caches(image) && could(tasks[0], h) {
+		if h.HasImage(image) && could(tasks[0], h) {
 			caching = append(caching, h)
 		}
 	}
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -44,19 +44,19 @@
 }
 
 // AtOnce is how many machines of a drain are emptied at a time.
-func (d *Drains) AtOnce() int {
+func (d *Drains) MachinesAtOnceOrDefault() int {
 	if d.MachinesAtOnce != nil {
 		return *d.MachinesAtOnce
 	}
-	return tuning.DrainAtOnce
+	return tuning.DefaultDrainMachinesAtOnce
 }
 
 // Wait is how long tasks that are about to end are waited for.
-func (d *Drains) Wait() time.Duration {
+func (d *Drains) WaitOrDefault() time.Duration {
 	if d.WaitS != nil {
 		return seconds(*d.WaitS)
 	}
-	return tuning.DrainWait
+	return tuning.DefaultDrainWait
 }
 
 // drainFault is a setting that makes no sense.
@@ -68,10 +68,10 @@
 
 // fault finds a setting that makes no sense; nil if there is none.
 func (d *Drains) fault() *drainFault {
-	if n := d.AtOnce(); n < 1 || n > tuning.DrainAtOnceMost {
-		return &drainFault{key: "machines_at_once", why: fmt.Sprintf("%d is outside 1 to %d", n, tuning.DrainAtOnceMost)}
+	if n := d.MachinesAtOnceOrDefault(); n < 1 || n > tuning.MaxDrainMachinesAtOnce {
+		return &drainFault{key: "machines_at_once", why: fmt.Sprintf("%d is outside 1 to %d", n, tuning.MaxDrainMachinesAtOnce)}
 	}
-	if s := d.Wait().Seconds(); s < 0 || s > 86400 || math.IsNaN(s) {
+	if s := d.WaitOrDefault().Seconds(); s < 0 || s > 86400 || math.IsNaN(s) {
 		return &drainFault{key: "wait_s", why: fmt.Sprintf("%g is outside 0 to 86400", s)}
 	}
 	if d.Default != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -264,7 +264,7 @@
 		value *float64
 		least float64
 	}{
-		{"rps", n.RPS, 0}, {"write_rps", n.WriteRPS, 0}, {"txn_ops", &ops, 0}, {"value_kb", n.ValueKB, tuning.LeastValueKB},
+		{"rps", n.RPS, 0}, {"write_rps", n.WriteRPS, 0}, {"txn_ops", &ops, 0}, {"value_kb", n.ValueKB, tuning.MinValueLimitKB},
 	} {
 		if f.value != nil && (*f.value <= f.least || math.IsInf(*f.value, 0)) {
 			return fault("deployment.state.next."+f.name, fmt.Sprintf("not above %g", f.least))
@@ -281,9 +281,9 @@
 	if w.ReportS >= w.LeaseS {
 		return fault("deployment.workers.report_s", "not below lease_s")
 	}
-	if room := s.AnswerWithin(); room < tuning.KnowLeast {
+	if room := s.MaxKnowledgeAge(); room < tuning.MinKnowledgeAgeLimit {
 		return fault("deployment.workers.cancel_s", fmt.Sprintf("leaves %.1f s above lease_s for the owner of a machine to learn of a cancellation, and %.1f s of margin; it takes %.1f s, "+
-			"and a task of a machine that was answered before and is cut off then would outlive cancel_s", room.Seconds(), s.knowSlack().Seconds(), tuning.KnowLeast.Seconds()))
+			"and a task of a machine that was answered before and is cut off then would outlive cancel_s", room.Seconds(), s.knowSlack().Seconds(), tuning.MinKnowledgeAgeLimit.Seconds()))
 	}
 	return nil
 }
@@ -340,28 +340,28 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Report is the time between two reports of a worker.
-func (s *Settings) Report() time.Duration { return seconds(s.Deployment.Workers.ReportS) }
+func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Deployment.Workers.ReportS) }
 
 // DeadAfter is how long a machine is silent before it counts as dead.
-func (s *Settings) DeadAfter() time.Duration {
-	return time.Duration(tuning.DeadIntervals*float64(s.Report())) + tuning.DeadSlack
+func (s *Settings) WorkerDeadAfter() time.Duration {
+	return time.Duration(tuning.DeadWorkerIntervals*float64(s.HeartbeatInterval())) + tuning.DeadWorkerSlack
 }
 
 // DeafAfter is how long an owner of so many machines hears none of them before
 // it is the owner that is cut off.
-func (s *Settings) DeafAfter(hosts int) time.Duration {
-	intervals := tuning.DeafIntervals
-	if hosts >= tuning.ManyHosts {
+func (s *Settings) OwnerSilenceLimit(hosts int) time.Duration {
+	intervals := tuning.OwnerSilenceIntervals
+	if hosts >= tuning.ManyWorkers {
 		intervals /= 2
 	}
-	return time.Duration(intervals*float64(s.Report())) + tuning.DeafSlack
+	return time.Duration(intervals*float64(s.HeartbeatInterval())) + tuning.OwnerSilenceSlack
 }
 
 // CutOff tells whether the silence of a whole zone with so many machines means
 // that it is cut off: many reports would have come in that time.
-func (s *Settings) CutOff(machines int, silence time.Duration) bool {
-	return silence > tuning.CutOffAfter &&
-		float64(machines)*float64(tuning.CutOffAfter) >= tuning.CutOffReports*float64(s.Report())
+func (s *Settings) IsZonePartitioned(machines int, silence time.Duration) bool {
+	return silence > tuning.ZonePartitionAfter &&
+		float64(machines)*float64(tuning.ZonePartitionAfter) >= tuning.ZonePartitionHeartbeats*float64(s.HeartbeatInterval())
 }
 
 // WorkerLease is how long a worker goes on without an answer.
@@ -371,14 +371,14 @@
 func (s *Settings) ListLag() time.Duration { return seconds(s.Deployment.Cloud.ListLagS) }
 
 // GangWait is how long a task of a gang waits for the others before it gives up.
-func (s *Settings) GangWait() time.Duration {
-	return seconds(orElse(s.Deployment.Workers.GangWaitS, tuning.GangWait.Seconds()))
+func (s *Settings) GangWaitTimeout() time.Duration {
+	return seconds(orElse(s.Deployment.Workers.GangWaitS, tuning.DefaultGangWaitTimeout.Seconds()))
 }
 
 // GangPeer is how soon the tasks of a gang notice that one of them is gone, and
 // within which all must be told to save.
-func (s *Settings) GangPeer() time.Duration {
-	return seconds(orElse(s.Deployment.Workers.GangPeerS, tuning.GangPeer.Seconds()))
+func (s *Settings) GangPeerTimeout() time.Duration {
+	return seconds(orElse(s.Deployment.Workers.GangPeerS, tuning.DefaultGangPeerTimeout.Seconds()))
 }
 
 func orElse(v, other float64) float64 {
@@ -390,16 +390,16 @@
 
 // ValueBytes is the most that a value in the state service may hold, now and
 // after its limits have changed.
-func (s *Settings) ValueBytes() int {
+func (s *Settings) MaxValueBytes() int {
 	kb := s.Deployment.State.ValueKB
 	if n := s.Deployment.State.Next; n != nil && n.ValueKB != nil {
 		kb = min(kb, *n.ValueKB)
 	}
-	return int(kb * 1024 * tuning.ValueShare)
+	return int(kb * 1024 * tuning.ValueLimitShare)
 }
 
 // TxnOps is the most changes in a commit, now and after the limits have changed.
-func (s *Settings) TxnOps() int {
+func (s *Settings) MaxOperations() int {
 	ops := s.Deployment.State.TxnOps
 	if n := s.Deployment.State.Next; n != nil && n.TxnOps != nil {
 		ops = min(ops, *n.TxnOps)
@@ -409,7 +409,7 @@
 
 // WriteFall is the part of the changes a second that may be left after the
 // limits have changed, 1 if they will not.
-func (s *Settings) WriteFall() float64 {
+func (s *Settings) FutureWriteShare() float64 {
 	if n := s.Deployment.State.Next; n != nil && n.WriteRPS != nil {
 		return min(1, *n.WriteRPS/s.Deployment.State.WriteRPS)
 	}
@@ -418,16 +418,16 @@
 
 // Hold is how long an owner past its lease may answer reports: lease, hold
 // and the workers' lease together stay below the cancellation limit.
-func (s *Settings) Hold() time.Duration {
-	room := seconds(s.Deployment.Workers.CancelS) - tuning.LeaseTTL - s.WorkerLease() - tuning.CancelSlack
-	return max(0, min(room, tuning.HoldMax))
+func (s *Settings) AnswerGracePeriod() time.Duration {
+	room := seconds(s.Deployment.Workers.CancelS) - tuning.LeaseTTL - s.WorkerLease() - tuning.CancellationReserve
+	return max(0, min(room, tuning.MaxAnswerGracePeriod))
 }
 
 // AnswerWithin is how long after a cancellation a machine that may have a task of
 // the job can still be answered, and so the greatest age of an owner's knowledge of
 // cancellations: the answer renews the worker's lease, and the task must be gone in
 // time even if nothing reaches the worker after it.
-func (s *Settings) AnswerWithin() time.Duration {
+func (s *Settings) MaxKnowledgeAge() time.Duration {
 	lease := s.WorkerLease()
 	return seconds(s.Deployment.Workers.CancelS) - lease - lease*tuning.DriftPerMille/1000 - s.knowSlack()
 }
@@ -435,21 +435,21 @@
 // knowSlack is what is kept free of that: less where the times are short.
 func (s *Settings) knowSlack() time.Duration {
 	room := seconds(s.Deployment.Workers.CancelS) - s.WorkerLease()
-	return min(tuning.KnowSlack, time.Duration(float64(room)*tuning.KnowSlackShare))
+	return min(tuning.KnowledgeReserve, time.Duration(float64(room)*tuning.KnowledgeReserveShare))
 }
 
 // Skew bounds the difference of two nodes' times of day.
-func (s *Settings) Skew() time.Duration {
+func (s *Settings) ClockSkew() time.Duration {
 	return 2 * time.Duration(s.Deployment.SkewMS*float64(time.Millisecond))
 }
 
 // FixBlocks sets the number of blocks to the one that was found stored.
-func (s *Settings) FixBlocks(blocks int) { s.blocks = blocks }
+func (s *Settings) SetShardCount(blocks int) { s.blocks = blocks }
 
 // Blocks is the number of blocks that the machines are divided into: one for
 // so many guaranteed processors, at most one for each controller. It follows
 // from what all controllers are given alike, unless another one is stored.
-func (s *Settings) Blocks() int {
+func (s *Settings) ShardCount() int {
 	if s.blocks > 0 {
 		return s.blocks
 	}
@@ -457,26 +457,26 @@
 	for _, t := range s.Deployment.Teams {
 		cpus += t.CPUs
 	}
-	return max(1, min(int(cpus/tuning.BlockCPUs), len(s.Seeds)+1))
+	return max(1, min(int(cpus/tuning.CPUsPerShard), len(s.Seeds)+1))
 }
 
 // CheckEvery is the least time between two freshness checks of one node: all
 // nodes' together take a part of the state service's requests.
-func (s *Settings) CheckEvery() time.Duration {
-	return max(tuning.CheckEvery, seconds(float64(len(s.Seeds)+1)/(tuning.CheckShare*s.Deployment.State.RPS)))
+func (s *Settings) FreshnessCheckInterval() time.Duration {
+	return max(tuning.FreshnessCheckInterval, seconds(float64(len(s.Seeds)+1)/(tuning.FreshnessCheckShare*s.Deployment.State.RPS)))
 }
 
 // WatchPause is how long a node that leads or owns a block rests after changes
 // before it watches on, for the same reason; the leader and every owner keep
 // two copies current.
 func (s *Settings) WatchPause() time.Duration {
-	active := 2 * min(s.Blocks()+1, len(s.Seeds)+1)
-	return seconds(float64(active) / (tuning.WatchShare * s.Deployment.State.RPS))
+	active := 2 * min(s.ShardCount()+1, len(s.Seeds)+1)
+	return seconds(float64(active) / (tuning.WatchRequestShare * s.Deployment.State.RPS))
 }
 
 // Aims calls fn for each aim of a class of jobs with the latest age, in seconds,
 // at which a task may start that takes so long, for the aim to be met.
-func (s *Settings) Aims(class string, estimateS float64, deadlineS *float64, fn func(latest float64)) {
+func (s *Settings) EachObjectiveDeadline(class string, estimateS float64, deadlineS *float64, fn func(latest float64)) {
 	for _, o := range s.Deployment.Objectives {
 		switch {
 		case o.Class != class:
@@ -492,9 +492,9 @@
 
 // Prompt tells whether the users expect the tasks of a class to start so soon that
 // a machine that is rented when they come is too late.
-func (s *Settings) Prompt(class string) bool {
+func (s *Settings) StartsPromptly(class string) bool {
 	for _, o := range s.Deployment.Objectives {
-		if o.Kind == "wait" && o.Class == class && o.WithinS < tuning.PromptWithin.Seconds() {
+		if o.Kind == "wait" && o.Class == class && o.WithinS < tuning.PromptStartWithin.Seconds() {
 			return true
 		}
 	}
@@ -510,9 +510,9 @@
 }
 
 // IdleKeep is how long a machine without tasks is kept.
-func (s *Settings) IdleKeep() time.Duration {
+func (s *Settings) MachineIdleTimeout() time.Duration {
 	if v := s.Operator.IdleKeepS; v != nil {
 		return seconds(*v)
 	}
-	return tuning.IdleKeep
+	return tuning.MachineIdleTimeout
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -24,46 +24,46 @@
 
 const (
 	// OK: carried out.
-	OK Outcome = iota
+	OutcomeOK Outcome = iota
 	// Conflict: a guard failed, nothing was changed.
-	Conflict
+	OutcomeConflict
 	// Refused: surely not carried out, may be sent again.
-	Refused
+	OutcomeRefused
 	// Unknown: no answer; it may have been carried out or may yet be.
-	Unknown
+	OutcomeUnknown
 	// Gone: the lease or the watched history no longer exists.
-	Gone
+	OutcomeGone
 	// Invalid: the service calls the request malformed, too large or without a
 	// lease. It was surely not carried out.
-	Invalid
+	OutcomeInvalid
 )
 
 // Row is one key with its value.
-type Row struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"v"`
-	Stamp uint64          `json:"stamp"`
+type KeyValue struct {
+	Key      string          `json:"key"`
+	Value    json.RawMessage `json:"v"`
+	Revision uint64          `json:"stamp"`
 }
 
 // Guard demands that a key has a version; 0: that it does not exist.
-type Guard struct {
-	Key   string `json:"key"`
-	Stamp uint64 `json:"stamp"`
+type Condition struct {
+	Key      string `json:"key"`
+	Revision uint64 `json:"stamp"`
 }
 
 // Change is one change of a commit: a set or a removal.
-type Change struct {
-	Set    string          `json:"set,omitempty"`
-	Value  json.RawMessage `json:"v,omitempty"`
-	Permit uint64          `json:"permit,omitempty"`
-	Remove string          `json:"remove,omitempty"`
+type Operation struct {
+	PutKey    string          `json:"set,omitempty"`
+	Value     json.RawMessage `json:"v,omitempty"`
+	LeaseID   uint64          `json:"permit,omitempty"`
+	DeleteKey string          `json:"remove,omitempty"`
 }
 
 // Result of a commit.
-type Result struct {
-	Outcome Outcome
-	Epoch   uint64
-	Failed  []string
+type CommitResult struct {
+	Outcome    Outcome
+	Revision   uint64
+	FailedKeys []string
 }
 
 // Client sends requests to the state service.
@@ -72,74 +72,76 @@
 	addr string
 	log  *slog.Logger
 	// LastAnswer is when the service last answered anything but a refusal.
-	LastAnswer time.Duration
-	Answered   bool
-	pace       time.Duration // what an answer takes lately
+	LastResponseAt time.Duration
+	HasResponded   bool
+	pace           time.Duration // what an answer takes lately
 	// CheckEvery is the least time between two freshness checks of a copy.
-	CheckEvery time.Duration
-	limits     Limits
-	rate       float64       // part of the changes a second that is used
-	rated      time.Duration // when that was last looked at
-	pressed    time.Duration // when it last gave way
-	scarce     time.Duration // when a commit was last refused for the changes a second
-	lacked     bool          // one has been
+	FreshnessCheckInterval time.Duration
+	limits                 Limits
+	rate                   float64       // part of the changes a second that is used
+	rated                  time.Duration // when that was last looked at
+	pressed                time.Duration // when it last gave way
+	scarce                 time.Duration // when a commit was last refused for the changes a second
+	lacked                 bool          // one has been
 }
 
 // Limits are what the state service allows.
 type Limits struct {
-	Ops   int     // changes in a commit
-	Value int     // bytes in a value
-	Fall  float64 // part of the changes a second that may be left later
+	MaxOperations    int     // changes in a commit
+	MaxValueBytes    int     // bytes in a value
+	FutureWriteShare float64 // part of the changes a second that may be left later
 }
 
 // SetLimits tells what the service allows, now and later.
 func (c *Client) SetLimits(l Limits) { c.limits = l }
 
 // Ops is the most changes in a commit.
-func (c *Client) Ops() int { return max(1, c.limits.Ops) }
+func (c *Client) MaxOperations() int { return max(1, c.limits.MaxOperations) }
 
 // ValueBytes is the most that a value may hold.
-func (c *Client) ValueBytes() int { return max(tuning.LeastValue, c.limits.Value) }
+func (c *Client) MaxValueBytes() int { return max(tuning.MinValueBytes, c.limits.MaxValueBytes) }
 
 // Rate is the part of the changes a second that this node may use: it gives way
 // while the service refuses some, where its limits are to fall.
-func (c *Client) Rate() float64 {
+func (c *Client) WriteShare() float64 {
 	now := c.rt.Now()
-	c.rate = min(1, c.rate+tuning.RateRise*(now-c.rated).Seconds())
+	c.rate = min(1, c.rate+tuning.WriteShareIncreasePerSecond*(now-c.rated).Seconds())
 	c.rated = now
 	return c.rate
 }
 
 // Scarce tells whether changes have been refused lately because there were too many
 // in a second.
-func (c *Client) Scarce() bool { return c.lacked && c.rt.Now()-c.scarce < tuning.ScarceFor }
+func (c *Client) WritesThrottled() bool {
+	return c.lacked && c.rt.Now()-c.scarce < tuning.WritesThrottledPeriod
+}
 
 // press takes note of a refusal for the changes a second.
 func (c *Client) press() {
-	if now := c.rt.Now(); c.limits.Fall < 1 && now-c.pressed >= tuning.RateStep {
+	if now := c.rt.Now(); c.limits.FutureWriteShare < 1 && now-c.pressed >= tuning.WriteShareDecreaseInterval {
 		c.pressed = now
-		c.rate = max(c.limits.Fall*tuning.RateFall, c.Rate()*tuning.RateFall)
+		c.rate = max(c.limits.FutureWriteShare*tuning.WriteShareDecreaseFactor, c.WriteShare()*tuning.WriteShareDecreaseFactor)
 	}
 }
 
 // shrink takes note of a commit that the service finds too large: its limits
 // are not what the settings say. Sent again as it was, it would fail for ever.
-func (c *Client) shrink(apply []Change) {
+func (c *Client) shrink(apply []Operation) {
 	size := 0
 	for _, a := range apply {
 		size = max(size, len(a.Value))
 	}
 	was := c.limits
-	c.limits.Ops = max(1, min(c.limits.Ops, len(apply)/2))
-	c.limits.Value = max(tuning.LeastValue, min(c.limits.Value, size/2))
+	c.limits.MaxOperations = max(1, min(c.limits.MaxOperations, len(apply)/2))
+	c.limits.MaxValueBytes = max(tuning.MinValueBytes, min(c.limits.MaxValueBytes, size/2))
 	if was != c.limits {
-		c.log.Warn("the state service takes less than the settings say", "changes", c.limits.Ops, "bytes", c.limits.Value)
+		c.log.Warn("the state service takes less than the settings say", "changes", c.limits.MaxOperations, "bytes", c.limits.MaxValueBytes)
 	}
 }
 
 // New returns a client of the state service at addr.
 func New(rt engine.Runtime, addr string, log *slog.Logger) *Client {
-	return &Client{rt: rt, addr: addr, log: log, CheckEvery: tuning.CheckEvery, rate: 1, limits: Limits{Ops: 1, Value: tuning.PageBytes, Fall: 1}}
+	return &Client{rt: rt, addr: addr, log: log, FreshnessCheckInterval: tuning.FreshnessCheckInterval, rate: 1, limits: Limits{MaxOperations: 1, MaxValueBytes: tuning.MaxPageBytes, FutureWriteShare: 1}}
 }
 
 // call sends one request and sorts the ways it can end.
@@ -149,49 +151,49 @@
 		var err error
 		if raw, err = json.Marshal(body); err != nil {
 			c.log.Error("state request does not encode", "target", target, "err", err)
-			fn(Invalid, nil)
+			fn(OutcomeInvalid, nil)
 			return
 		}
 	}
 	asked := c.rt.Now()
-	c.rt.Call(c.addr, httpwire.Call{Method: method, Target: target, Body: raw}, timeout,
-		func(ans httpwire.Answer, err error) {
+	c.rt.CallHTTP(c.addr, httpwire.ClientRequest{Method: method, Target: target, Body: raw}, timeout,
+		func(ans httpwire.Response, err error) {
 			if err == nil && method == "POST" {
-				c.pace += (c.rt.Now() - asked - c.pace) / tuning.PaceMemory
+				c.pace += (c.rt.Now() - asked - c.pace) / tuning.LatencyAverageCount
 			}
 			switch {
 			case err == engine.ErrNotSent:
-				fn(Refused, nil)
+				fn(OutcomeRefused, nil)
 				return
 			case err != nil:
 				c.log.Debug("state service silent", "target", target, "err", err)
-				fn(Unknown, nil)
+				fn(OutcomeUnknown, nil)
 				return
 			}
-			out := Invalid
+			out := OutcomeInvalid
 			switch ans.Status {
 			case 200, 201, 204:
-				out = OK
+				out = OutcomeOK
 			case 409:
-				out = Conflict
+				out = OutcomeConflict
 			case 429, 503:
 				c.log.Debug("state service refuses", "target", target, "status", ans.Status)
 				if ans.Status == 429 && target == "/commit" {
 					c.scarce, c.lacked = c.rt.Now(), true
 					c.press()
 				}
-				fn(Refused, ans.Body)
+				fn(OutcomeRefused, ans.Body)
 				return
 			case 404, 410:
-				out = Gone
+				out = OutcomeGone
 			case 400:
-				out = Invalid
+				out = OutcomeInvalid
 				c.log.Warn("state service finds fault", "target", target, "body", string(ans.Body))
 			default:
 				// An answer outside the protocol proves nothing.
-				out = Unknown
+				out = OutcomeUnknown
 			}
-			c.LastAnswer, c.Answered = c.rt.Now(), true
+			c.LastResponseAt, c.HasResponded = c.rt.Now(), true
 			fn(out, ans.Body)
 		})
 }
@@ -200,64 +202,64 @@
 // service that answers slowly is not one that has failed: given up on at the
 // usual time, commits were in doubt one after the other, and each doubt cost a
 // new token and a reading of all records.
-func (c *Client) Patience() time.Duration {
-	return max(tuning.StateTimeout, min(tuning.SlowAnswers*c.pace, tuning.StatePatience))
+func (c *Client) CommitTimeout() time.Duration {
+	return max(tuning.StateRequestTimeout, min(tuning.CommitTimeoutFactor*c.pace, tuning.MaxCommitTimeout))
 }
 
 // Commit applies changes if all guards hold.
-func (c *Client) Commit(guards []Guard, apply []Change, fn func(Result)) {
-	c.CommitWithin(guards, apply, tuning.StateTimeout, fn)
+func (c *Client) Commit(guards []Condition, apply []Operation, fn func(CommitResult)) {
+	c.CommitWithTimeout(guards, apply, tuning.StateRequestTimeout, fn)
 }
 
 // CommitWithin is Commit with a time after which the outcome counts as unknown.
-func (c *Client) CommitWithin(guards []Guard, apply []Change, timeout time.Duration, fn func(Result)) {
+func (c *Client) CommitWithTimeout(guards []Condition, apply []Operation, timeout time.Duration, fn func(CommitResult)) {
 	if guards == nil {
-		guards = []Guard{}
+		guards = []Condition{}
 	}
 	body := struct {
-		Guards []Guard  `json:"guards"`
-		Apply  []Change `json:"apply,omitempty"`
+		Guards []Condition `json:"guards"`
+		Apply  []Operation `json:"apply,omitempty"`
 	}{guards, apply}
 	c.call("POST", "/commit", body, timeout, func(out Outcome, raw []byte) {
 		var reply struct {
 			Epoch  uint64   `json:"epoch"`
 			Failed []string `json:"failed"`
 		}
-		if out == OK || out == Conflict {
+		if out == OutcomeOK || out == OutcomeConflict {
 			if err := json.Unmarshal(raw, &reply); err != nil || reply.Epoch == 0 {
-				out = Unknown
+				out = OutcomeUnknown
 			}
 		}
-		if out == Invalid && !strings.Contains(string(raw), noLease) {
+		if out == OutcomeInvalid && !strings.Contains(string(raw), noLease) {
 			c.shrink(apply)
 		}
-		fn(Result{out, reply.Epoch, reply.Failed})
+		fn(CommitResult{out, reply.Epoch, reply.Failed})
 	})
 }
 
 // List reads all rows under a prefix, page by page. The epoch is that of the
 // first page: later changes may or may not be in the rows.
-func (c *Client) List(prefix string, fn func(rows []Row, epoch uint64, out Outcome)) {
-	var all []Row
+func (c *Client) List(prefix string, fn func(rows []KeyValue, epoch uint64, out Outcome)) {
+	var all []KeyValue
 	var epoch uint64
 	var page func(since string)
 	page = func(since string) {
-		target := "/keys?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(tuning.ListPage)
+		target := "/keys?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(tuning.ListPageSize)
 		if since != "" {
 			target += "&since=" + url.QueryEscape(since)
 		}
-		c.call("GET", target, nil, tuning.StateTimeout, func(out Outcome, raw []byte) {
-			if out != OK {
+		c.call("GET", target, nil, tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
+			if out != OutcomeOK {
 				fn(nil, 0, out)
 				return
 			}
 			var reply struct {
-				Rows    []Row  `json:"rows"`
-				HasNext bool   `json:"hasNext"`
-				Epoch   uint64 `json:"epoch"`
+				Rows    []KeyValue `json:"rows"`
+				HasNext bool       `json:"hasNext"`
+				Epoch   uint64     `json:"epoch"`
 			}
 			if err := json.Unmarshal(raw, &reply); err != nil {
-				fn(nil, 0, Unknown)
+				fn(nil, 0, OutcomeUnknown)
 				return
 			}
 			if since == "" {
@@ -268,51 +270,51 @@
 				page(reply.Rows[len(reply.Rows)-1].Key)
 				return
 			}
-			fn(all, epoch, OK)
+			fn(all, epoch, OutcomeOK)
 		})
 	}
 	page("")
 }
 
 // Event is one change seen by a watch.
-type Event struct {
-	Set    string          `json:"set"`
-	Value  json.RawMessage `json:"v"`
-	Remove string          `json:"remove"`
-	Stamp  uint64          `json:"stamp"`
+type WatchEvent struct {
+	PutKey     string          `json:"set"`
+	Value      json.RawMessage `json:"v"`
+	DeletedKey string          `json:"remove"`
+	Revision   uint64          `json:"stamp"`
 }
 
 // Watch asks for the changes under a prefix after an epoch and waits for the
 // first of them up to wait.
-func (c *Client) Watch(prefix string, since uint64, wait time.Duration, fn func(events []Event, epoch uint64, out Outcome)) {
+func (c *Client) Watch(prefix string, since uint64, wait time.Duration, fn func(events []WatchEvent, epoch uint64, out Outcome)) {
 	target := fmt.Sprintf("/watch?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	c.call("GET", target, nil, wait+tuning.StateTimeout, func(out Outcome, raw []byte) {
-		if out != OK {
+	c.call("GET", target, nil, wait+tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
+		if out != OutcomeOK {
 			fn(nil, 0, out)
 			return
 		}
 		var reply struct {
-			Epoch uint64  `json:"epoch"`
-			Log   []Event `json:"log"`
+			Epoch uint64       `json:"epoch"`
+			Log   []WatchEvent `json:"log"`
 		}
 		if err := json.Unmarshal(raw, &reply); err != nil || reply.Epoch < since {
-			fn(nil, 0, Unknown)
+			fn(nil, 0, OutcomeUnknown)
 			return
 		}
-		fn(reply.Log, reply.Epoch, OK)
+		fn(reply.Log, reply.Epoch, OutcomeOK)
 	})
 }
 
 // Grant asks for a new lease.
-func (c *Client) Grant(ttl time.Duration, fn func(permit uint64, out Outcome)) {
+func (c *Client) GrantLease(ttl time.Duration, fn func(permit uint64, out Outcome)) {
 	body := map[string]int64{"ttlMs": ttl.Milliseconds()}
-	c.call("POST", "/grants", body, tuning.StateTimeout, func(out Outcome, raw []byte) {
+	c.call("POST", "/grants", body, tuning.StateRequestTimeout, func(out Outcome, raw []byte) {
 		var reply struct {
 			Permit uint64 `json:"permit"`
 		}
-		if out == OK {
+		if out == OutcomeOK {
 			if err := json.Unmarshal(raw, &reply); err != nil || reply.Permit == 0 {
-				out = Unknown
+				out = OutcomeUnknown
 			}
 		}
 		fn(reply.Permit, out)
@@ -320,20 +322,20 @@
 }
 
 // Touch renews a lease.
-func (c *Client) Touch(permit uint64, fn func(Outcome)) {
-	c.call("POST", fmt.Sprintf("/grants/%d/touch", permit), nil, tuning.StateTimeout,
+func (c *Client) RenewLease(permit uint64, fn func(Outcome)) {
+	c.call("POST", fmt.Sprintf("/grants/%d/touch", permit), nil, tuning.StateRequestTimeout,
 		func(out Outcome, _ []byte) { fn(out) })
 }
 
 // Drop ends a lease at once.
-func (c *Client) Drop(permit uint64, fn func(Outcome)) {
-	c.call("DELETE", fmt.Sprintf("/grants/%d", permit), nil, tuning.StateTimeout,
+func (c *Client) RevokeLease(permit uint64, fn func(Outcome)) {
+	c.call("DELETE", fmt.Sprintf("/grants/%d", permit), nil, tuning.StateRequestTimeout,
 		func(out Outcome, _ []byte) { fn(out) })
 }
 
 // Backoff is the pause before try number n (from 0), with jitter.
 func (c *Client) Backoff(n int) time.Duration {
-	d := tuning.StateBackoff << min(n, 5)
-	d = min(d, tuning.StateBackoffMax)
+	d := tuning.MinStateBackoff << min(n, 5)
+	d = min(d, tuning.MaxStateBackoff)
 	return time.Duration(float64(d) * (0.5 + c.rt.Rand()))
 }
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -18,11 +18,11 @@
 	nodePrefix  = leasePrefix + "node/"
 	blockPrefix = leasePrefix + "block/"
 	// LeadKey is the lease of the leader.
-	LeadKey = leasePrefix + "lead"
+	LeaderKey = leasePrefix + "lead"
 )
 
 // BlockKey is the lease of a block of machines.
-func BlockKey(block int) string { return blockPrefix + strconv.Itoa(block) }
+func ShardKey(block int) string { return blockPrefix + strconv.Itoa(block) }
 
 // holder is the value of a lease key. A restarted node is another holder: its
 // nonce differs.
@@ -43,15 +43,15 @@
 // learns from the watch alone, so that it sees all changes in their order.
 type LeaseManager struct {
 	// LeadWon and LeadLost tell of the lead.
-	LeadWon  func(token uint64)
-	LeadLost func()
+	LeadershipAcquired func(token uint64)
+	LeadershipLost     func()
 	// BlockWon and BlockLost tell of blocks; BlockWon also tells of a new
 	// token of a block already held.
-	BlockWon  func(block int, token uint64)
-	BlockLost func(block int)
+	ShardAcquired func(block int, token uint64)
+	ShardLost     func(block int)
 
 	// Hold is how long past its lease an owner goes on answering workers.
-	Hold time.Duration
+	AnswerGracePeriod time.Duration
 
 	rt     engine.Runtime
 	state  *Client
@@ -83,7 +83,7 @@
 		stamps: map[string]uint64{}, holders: map[string]holder{},
 		held: map[int]uint64{}, busy: map[string]bool{}, waived: map[int]uint64{}, before: map[int]time.Duration{}}
 	o.row = NewMirror(rt, state, leasePrefix)
-	o.row.Reset = func(rows []Row) {
+	o.row.Reset = func(rows []KeyValue) {
 		clear(o.stamps)
 		clear(o.holders)
 		held := map[string]bool{}
@@ -91,11 +91,11 @@
 			held[r.Key] = true
 		}
 		for b := range o.blocks { // how its holder came to it is not known
-			o.answered(b, held[BlockKey(b)])
+			o.answered(b, held[ShardKey(b)])
 		}
 	}
 	o.row.Apply = o.apply
-	o.row.Taken = o.look
+	o.row.Updated = o.look
 	return o
 }
 
@@ -114,25 +114,25 @@
 }
 
 // Lead is the token of the lead, 0 when it is not held.
-func (o *LeaseManager) Lead() uint64 { return o.lead }
+func (o *LeaseManager) LeaderToken() uint64 { return o.lead }
 
 // Block is the token of a block, 0 when it is not held.
-func (o *LeaseManager) Block(block int) uint64 { return o.held[block] }
+func (o *LeaseManager) ShardToken(block int) uint64 { return o.held[block] }
 
 // Leader names the node that was last seen to hold the lead.
-func (o *LeaseManager) Leader() string { return o.holders[LeadKey].Node }
+func (o *LeaseManager) LeaderNode() string { return o.holders[LeaderKey].Node }
 
 // Owner names the node that was last seen to hold a block.
-func (o *LeaseManager) Owner(block int) string { return o.holders[BlockKey(block)].Node }
+func (o *LeaseManager) ShardOwner(block int) string { return o.holders[ShardKey(block)].Node }
 
 // Valid tells whether what is held is surely held now.
-func (o *LeaseManager) Valid() bool { return o.permit != 0 && o.rt.Now() < o.valid }
+func (o *LeaseManager) LeaseValid() bool { return o.permit != 0 && o.rt.Now() < o.valid }
 
 // answered notes that a block's holder has changed by now. The one before goes on
 // answering for the hold if its lease has run out; if the block was taken from it
 // while it held it, until its copy of the leases is too old, see AnswersUntil.
 func (o *LeaseManager) answered(block int, taken bool) {
-	until := o.rt.Now() + o.Hold
+	until := o.rt.Now() + o.AnswerGracePeriod
 	if taken {
 		until += tuning.LeaseTTL
 	}
@@ -141,22 +141,22 @@
 
 // AnsweredBefore is the moment after which no earlier owner of a block answers a
 // worker any more. The holder's own renewals do not move it.
-func (o *LeaseManager) AnsweredBefore(block int) time.Duration { return o.before[block] }
+func (o *LeaseManager) PreviousOwnerAnswersUntil(block int) time.Duration { return o.before[block] }
 
 // AnswersUntil is how long an owner may answer workers under what it holds: for a
 // hold past its lease, so that a short outage ends no task, but no longer than its
 // copy of the leases is young enough. The grant's renewal alone proves too little:
 // a block may be another's while this process's watch tells it nothing.
 func (o *LeaseManager) AnswersUntil() time.Duration {
-	proven, known := o.row.Proven()
+	proven, known := o.row.VerifiedAt()
 	if !known {
 		return 0
 	}
-	return min(o.valid, proven+tuning.LeaseTTL) + o.Hold
+	return min(o.valid, proven+tuning.LeaseTTL) + o.AnswerGracePeriod
 }
 
 // Prove has the copy of the leases shown to be current if that was long ago.
-func (o *LeaseManager) Prove() { o.row.Prove(tuning.ProveEvery) }
+func (o *LeaseManager) VerifyIfStale() { o.row.VerifyIfOlder(tuning.KnowledgeVerifyInterval) }
 
 func (o *LeaseManager) apply(key string, value json.RawMessage, stamp uint64) {
 	block, isBlock := -1, false
@@ -192,21 +192,21 @@
 		}
 		return 0
 	}
-	if token := mine(LeadKey); token != o.lead {
+	if token := mine(LeaderKey); token != o.lead {
 		was := o.lead
 		o.lead = token
 		if was != 0 {
 			o.log.Info("lead lost", "token", was)
-			o.LeadLost()
+			o.LeadershipLost()
 		}
 		if token != 0 {
 			o.log.Info("lead won", "token", token)
 			o.leadAt = o.rt.Now()
-			o.LeadWon(token)
+			o.LeadershipAcquired(token)
 		}
 	}
 	for b := range o.blocks {
-		token := mine(BlockKey(b))
+		token := mine(ShardKey(b))
 		was := o.held[b]
 		if token == was {
 			continue
@@ -214,25 +214,25 @@
 		if token == 0 {
 			delete(o.held, b)
 			o.log.Info("block lost", "block", b, "token", was)
-			o.BlockLost(b)
+			o.ShardLost(b)
 			continue
 		}
 		o.held[b] = token
 		o.log.Info("block won", "block", b, "token", token)
-		o.BlockWon(b, token)
+		o.ShardAcquired(b, token)
 	}
-	if !o.Valid() || !o.row.IsReady() {
+	if !o.LeaseValid() || !o.row.IsReady() {
 		return
 	}
 	for b := range o.held {
-		if !o.Waived(b) {
+		if !o.Relinquished(b) {
 			continue
 		}
 		if o.rt.Now() < o.unfit {
 			o.release() // refused, or its answer was lost
 			break
 		}
-		o.Renew(b) // to give it up has failed, as far as one can tell
+		o.RenewToken(b) // to give it up has failed, as far as one can tell
 	}
 	o.enrol()
 	o.run()
@@ -244,16 +244,16 @@
 
 // commit sends lease changes, one at a time for a purpose; the watch shows
 // what came of them. Repeats do no harm: the guards fail.
-func (o *LeaseManager) commit(purpose string, guards []Guard, apply []Change) {
+func (o *LeaseManager) commit(purpose string, guards []Condition, apply []Operation) {
 	o.busy[purpose] = true
 	permit := o.permit
-	o.state.Commit(guards, apply, func(r Result) {
-		if r.Outcome == Invalid && permit == o.permit {
+	o.state.Commit(guards, apply, func(r CommitResult) {
+		if r.Outcome == OutcomeInvalid && permit == o.permit {
 			o.log.Info("lease change refused", "purpose", purpose)
 		}
 		wait := o.state.Backoff(1)
-		if r.Outcome == OK {
-			wait = tuning.StateBackoff // time for the watch
+		if r.Outcome == OutcomeOK {
+			wait = tuning.MinStateBackoff // time for the watch
 		}
 		o.rt.After(wait, func() {
 			delete(o.busy, purpose)
@@ -278,13 +278,13 @@
 	if o.holders[key] == want || o.busy["enrol"] {
 		return
 	}
-	o.commit("enrol", nil, []Change{{Set: key, Value: o.value(want), Permit: o.permit}})
+	o.commit("enrol", nil, []Operation{{PutKey: key, Value: o.value(want), LeaseID: o.permit}})
 }
 
 // run tries for the lead if it is free, or held by an earlier process of this
 // node.
 func (o *LeaseManager) run() {
-	h, taken := o.holders[LeadKey]
+	h, taken := o.holders[LeaderKey]
 	if (taken && (h.Node != o.node || h.Nonce == o.nonce)) || o.busy["lead"] {
 		return
 	}
@@ -292,12 +292,12 @@
 	pause := time.Duration(float64(tuning.ElectionJitter) * (float64(o.rank) + o.rt.Rand()))
 	o.rt.After(pause, func() {
 		delete(o.busy, "lead")
-		h, taken := o.holders[LeadKey]
-		if !o.Valid() || (taken && (h.Node != o.node || h.Nonce == o.nonce)) {
+		h, taken := o.holders[LeaderKey]
+		if !o.LeaseValid() || (taken && (h.Node != o.node || h.Nonce == o.nonce)) {
 			return
 		}
-		o.commit("lead", []Guard{{LeadKey, o.stamps[LeadKey]}},
-			[]Change{{Set: LeadKey, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), Permit: o.permit}})
+		o.commit("lead", []Condition{{LeaderKey, o.stamps[LeaderKey]}},
+			[]Operation{{PutKey: LeaderKey, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), LeaseID: o.permit}})
 	})
 }
 
@@ -307,16 +307,16 @@
 	if o.rt.Now() < o.unfit || o.busy["retake"] {
 		return
 	}
-	var guards []Guard
-	var apply []Change
+	var guards []Condition
+	var apply []Operation
 	for b := range o.blocks {
-		key := BlockKey(b)
+		key := ShardKey(b)
 		if h, ok := o.holders[key]; ok && h.Node == o.node && h.Nonce != o.nonce {
-			guards = append(guards, Guard{key, o.stamps[key]})
-			apply = append(apply, Change{Set: key, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), Permit: o.permit})
+			guards = append(guards, Condition{key, o.stamps[key]})
+			apply = append(apply, Operation{PutKey: key, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), LeaseID: o.permit})
 		}
 	}
-	if n := min(len(apply), o.state.Ops()); n > 0 {
+	if n := min(len(apply), o.state.MaxOperations()); n > 0 {
 		o.commit("retake", guards[:n], apply[:n])
 	}
 }
@@ -324,7 +324,7 @@
 // assign leases the blocks that nobody holds, and now and then moves one from
 // a controller with many to one with few.
 func (o *LeaseManager) assign() {
-	if o.busy["assign"] || o.rt.Now() < o.leadAt+tuning.FirstAssign {
+	if o.busy["assign"] || o.rt.Now() < o.leadAt+tuning.FirstAssignmentDelay {
 		return
 	}
 	load, nodes := o.candidates()
@@ -342,17 +342,17 @@
 	}
 	var free []int
 	for b := range o.blocks {
-		h, ok := o.holders[BlockKey(b)]
+		h, ok := o.holders[ShardKey(b)]
 		if !ok {
 			free = append(free, b)
 			continue
 		}
 		load[h.Node]++
 	}
-	if len(free) == 0 && o.rt.Now() > o.settled+tuning.MoveBlocksAfter {
+	if len(free) == 0 && o.rt.Now() > o.settled+tuning.ShardRebalanceDelay {
 		to := least()
 		for b := range o.blocks {
-			if from := o.holders[BlockKey(b)].Node; load[from] > load[to]+1 {
+			if from := o.holders[ShardKey(b)].Node; load[from] > load[to]+1 {
 				free = append(free, b)
 				break
 			}
@@ -361,15 +361,15 @@
 	if len(free) == 0 {
 		return
 	}
-	free = free[:min(len(free), o.state.Ops())]
-	guards := []Guard{{LeadKey, o.lead}}
-	var apply []Change
+	free = free[:min(len(free), o.state.MaxOperations())]
+	guards := []Condition{{LeaderKey, o.lead}}
+	var apply []Operation
 	for _, b := range free {
 		to := least()
 		load[to]++
 		entry := o.holders[nodePrefix+to]
-		guards = append(guards, Guard{BlockKey(b), o.stamps[BlockKey(b)]})
-		apply = append(apply, Change{Set: BlockKey(b), Value: o.value(holder{Node: entry.Node, Nonce: entry.Nonce}), Permit: entry.Permit})
+		guards = append(guards, Condition{ShardKey(b), o.stamps[ShardKey(b)]})
+		apply = append(apply, Operation{PutKey: ShardKey(b), Value: o.value(holder{Node: entry.Node, Nonce: entry.Nonce}), LeaseID: entry.Permit})
 	}
 	o.commit("assign", guards, apply)
 }
@@ -395,31 +395,31 @@
 
 // Renew asks for a new token of a block held: what was ordered under the old
 // one is void wherever the new one has been seen, and late commits fail.
-func (o *LeaseManager) Renew(block int) {
+func (o *LeaseManager) RenewToken(block int) {
 	purpose := "renew" + strconv.Itoa(block)
 	token := o.held[block]
 	if token == 0 || o.busy[purpose] {
 		return
 	}
-	key := BlockKey(block)
-	o.commit(purpose, []Guard{{key, token}},
-		[]Change{{Set: key, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), Permit: o.permit}})
+	key := ShardKey(block)
+	o.commit(purpose, []Condition{{key, token}},
+		[]Operation{{PutKey: key, Value: o.value(holder{Node: o.node, Nonce: o.nonce}), LeaseID: o.permit}})
 }
 
 // Verify looks at the leases at once: a guard on one of them has failed.
-func (o *LeaseManager) Verify(fn func()) {
-	o.row.Check(func(error) { fn() })
+func (o *LeaseManager) Refresh(fn func()) {
+	o.row.Verify(func(error) { fn() })
 }
 
 // Waived tells whether nothing may be answered any more under a block's token: it
 // is being given up, and the next owner may begin before this process hears of it.
-func (o *LeaseManager) Waived(block int) bool {
+func (o *LeaseManager) Relinquished(block int) bool {
 	return o.held[block] != 0 && o.waived[block] == o.held[block]
 }
 
 // GiveUp returns all blocks and takes none for a while: no worker reaches this
 // node.
-func (o *LeaseManager) GiveUp() {
+func (o *LeaseManager) RelinquishShards() {
 	if len(o.held) == 0 || o.busy["give up"] {
 		return
 	}
@@ -437,19 +437,19 @@
 		return
 	}
 	want := holder{o.node, o.nonce, o.permit, true}
-	var guards []Guard
-	apply := []Change{{Set: nodePrefix + o.node, Value: o.value(want), Permit: o.permit}}
+	var guards []Condition
+	apply := []Operation{{PutKey: nodePrefix + o.node, Value: o.value(want), LeaseID: o.permit}}
 	purpose := "give up"
 	for b, token := range o.held {
-		if !o.Waived(b) {
+		if !o.Relinquished(b) {
 			continue
 		}
-		if len(apply) == o.state.Ops() {
+		if len(apply) == o.state.MaxOperations() {
 			o.commit(purpose, guards, apply)
 			purpose, guards, apply = "give up "+strconv.Itoa(b), nil, nil
 		}
-		guards = append(guards, Guard{BlockKey(b), token})
-		apply = append(apply, Change{Remove: BlockKey(b)})
+		guards = append(guards, Condition{ShardKey(b), token})
+		apply = append(apply, Operation{DeleteKey: ShardKey(b)})
 	}
 	o.commit(purpose, guards, apply)
 }
@@ -460,33 +460,33 @@
 	again := func(d time.Duration) { o.rt.After(d, o.renew) }
 	until := o.rt.Now() + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
 	if o.permit == 0 {
-		o.state.Grant(tuning.LeaseTTL, func(permit uint64, out Outcome) {
-			if out != OK {
-				again(tuning.LeaseRetry)
+		o.state.GrantLease(tuning.LeaseTTL, func(permit uint64, out Outcome) {
+			if out != OutcomeOK {
+				again(tuning.LeaseRenewRetryDelay)
 				return
 			}
 			o.permit, o.valid = permit, until
 			if o.row.IsReady() {
 				o.look()
 			}
-			again(tuning.LeaseTouch)
+			again(tuning.LeaseRenewInterval)
 		})
 		return
 	}
 	permit := o.permit
-	o.state.Touch(permit, func(out Outcome) {
+	o.state.RenewLease(permit, func(out Outcome) {
 		switch out {
-		case OK:
+		case OutcomeOK:
 			o.valid = max(o.valid, until)
-			again(tuning.LeaseTouch)
-		case Gone:
+			again(tuning.LeaseRenewInterval)
+		case OutcomeGone:
 			o.log.Info("grant has run out")
 			o.permit, o.valid = 0, 0
 			o.nonce++ // what hung on the old grant is another holder's
 			o.look()
 			again(0)
 		default:
-			again(tuning.LeaseRetry)
+			again(tuning.LeaseRenewRetryDelay)
 		}
 	})
 }
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -12,19 +12,19 @@
 )
 
 // ErrNotProven says that the mirror could not be shown to be current.
-var ErrNotProven = errors.New("state not proven current")
+var ErrNotVerified = errors.New("state not proven current")
 
 // Mirror keeps a copy of all rows under a prefix, fed by a watch. Apply gets
 // every row and change in order; a nil value is a removal. Reset is called
 // before the rows are read anew.
 type Mirror struct {
 	Apply func(key string, value json.RawMessage, stamp uint64)
-	Reset func(rows []Row)
+	Reset func(rows []KeyValue)
 	// Taken is called after every full reading and every change.
-	Taken func()
+	Updated func()
 	// Pause is how long to rest after changes before the watch is opened
 	// again; a copy that nothing is decided from can wait.
-	Pause func() time.Duration
+	WatchPause func() time.Duration
 
 	rt     engine.Runtime
 	state  *Client
@@ -61,7 +61,7 @@
 // taken in. A watch proves nothing of the time for which it was open. Answers come
 // late and watches fail unseen, so what rests on the copy asks for this, not for
 // when it last changed. known is false before the first proof.
-func (m *Mirror) Proven() (at time.Duration, known bool) { return m.proven, m.known }
+func (m *Mirror) VerifiedAt() (at time.Duration, known bool) { return m.proven, m.known }
 
 // prove notes that all committed before a moment is in.
 func (m *Mirror) prove(at time.Duration) {
@@ -78,11 +78,11 @@
 	m.reading = true
 	life := m.life
 	asked := m.rt.Now()
-	m.state.List(m.prefix, func(rows []Row, epoch uint64, out Outcome) {
+	m.state.List(m.prefix, func(rows []KeyValue, epoch uint64, out Outcome) {
 		if life != m.life {
 			return
 		}
-		if out != OK {
+		if out != OutcomeOK {
 			m.rt.After(m.state.Backoff(try), func() {
 				if life == m.life {
 					m.read(try + 1)
@@ -94,14 +94,14 @@
 			m.Reset(rows)
 		}
 		// In the order of their making, as a watch would have told of them.
-		slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(a.Stamp, b.Stamp) })
+		slices.SortStableFunc(rows, func(a, b KeyValue) int { return cmp.Compare(a.Revision, b.Revision) })
 		for _, r := range rows {
-			m.Apply(r.Key, r.Value, r.Stamp)
+			m.Apply(r.Key, r.Value, r.Revision)
 		}
 		m.epoch, m.ready, m.reading = epoch, true, false
 		m.prove(asked)
-		if m.Taken != nil {
-			m.Taken()
+		if m.Updated != nil {
+			m.Updated()
 		}
 		m.follow(life, 0)
 	})
@@ -109,17 +109,17 @@
 
 func (m *Mirror) follow(life, try int) {
 	asked := m.rt.Now()
-	m.state.Watch(m.prefix, m.epoch, tuning.WatchWait, func(events []Event, epoch uint64, out Outcome) {
+	m.state.Watch(m.prefix, m.epoch, tuning.WatchTimeout, func(events []WatchEvent, epoch uint64, out Outcome) {
 		if life != m.life {
 			return
 		}
 		switch out {
-		case OK:
+		case OutcomeOK:
 			m.take(events, epoch)
 			m.prove(asked)
 			pause := time.Duration(0)
-			if m.Pause != nil && len(events) > 0 {
-				pause = m.rest(m.Pause())
+			if m.WatchPause != nil && len(events) > 0 {
+				pause = m.rest(m.WatchPause())
 			}
 			if pause == 0 {
 				m.follow(life, 0)
@@ -130,7 +130,7 @@
 					m.follow(life, 0)
 				}
 			})
-		case Gone:
+		case OutcomeGone:
 			m.read(0)
 		default:
 			m.rt.After(m.state.Backoff(try), func() {
@@ -152,31 +152,31 @@
 
 // take applies the changes up to an epoch. The long watch and the checks
 // overlap; what the mirror has reached already is skipped.
-func (m *Mirror) take(events []Event, epoch uint64) {
+func (m *Mirror) take(events []WatchEvent, epoch uint64) {
 	if epoch <= m.epoch {
 		return
 	}
 	for _, e := range events {
-		if e.Stamp <= m.epoch {
+		if e.Revision <= m.epoch {
 			continue
 		}
-		if e.Remove != "" {
-			m.Apply(e.Remove, nil, e.Stamp)
+		if e.DeletedKey != "" {
+			m.Apply(e.DeletedKey, nil, e.Revision)
 		} else {
-			m.Apply(e.Set, e.Value, e.Stamp)
+			m.Apply(e.PutKey, e.Value, e.Revision)
 		}
 	}
 	m.epoch = epoch
-	if len(events) > 0 && m.Taken != nil {
-		m.Taken()
+	if len(events) > 0 && m.Updated != nil {
+		m.Updated()
 	}
 }
 
 // Check calls fn once the mirror is proven to hold everything that was
 // committed before the call, or with ErrNotProven. Calls share requests.
-func (m *Mirror) Check(fn func(error)) {
+func (m *Mirror) Verify(fn func(error)) {
 	if !m.ready || m.reading {
-		fn(ErrNotProven)
+		fn(ErrNotVerified)
 		return
 	}
 	m.waiting = append(m.waiting, fn)
@@ -185,11 +185,11 @@
 
 // Prove sees to it that the mirror is proven current, by a request sent from now on,
 // if it was not within age. Asked again before that has left, it asks no more.
-func (m *Mirror) Prove(age time.Duration) {
+func (m *Mirror) VerifyIfOlder(age time.Duration) {
 	if !m.ready || m.reading || (m.known && m.rt.Now()-m.proven < age) || len(m.waiting) > 0 {
 		return
 	}
-	m.Check(func(error) {})
+	m.Verify(func(error) {})
 }
 
 func (m *Mirror) plan() {
@@ -198,7 +198,7 @@
 	}
 	pause := time.Duration(0)
 	if m.checked {
-		pause = max(0, m.lastCheck+m.state.CheckEvery-m.rt.Now())
+		pause = max(0, m.lastCheck+m.state.FreshnessCheckInterval-m.rt.Now())
 	}
 	if pause == 0 {
 		m.check()
@@ -219,24 +219,24 @@
 	m.waiting = nil
 	if m.reading { // it has begun since they asked
 		for _, fn := range waiting {
-			fn(ErrNotProven)
+			fn(ErrNotVerified)
 		}
 		return
 	}
 	m.checking, m.checked, m.lastCheck = true, true, m.rt.Now()
 	life, asked := m.life, m.lastCheck
-	m.state.Watch(m.prefix, m.epoch, 0, func(events []Event, epoch uint64, out Outcome) {
+	m.state.Watch(m.prefix, m.epoch, 0, func(events []WatchEvent, epoch uint64, out Outcome) {
 		m.checking = false
 		var err error
 		switch {
-		case out == OK && life == m.life:
+		case out == OutcomeOK && life == m.life:
 			m.take(events, epoch)
 			m.prove(asked)
-		case out == Gone && life == m.life:
+		case out == OutcomeGone && life == m.life:
 			m.read(0)
-			err = ErrNotProven
+			err = ErrNotVerified
 		default:
-			err = ErrNotProven
+			err = ErrNotVerified
 		}
 		for _, fn := range waiting {
 			fn(err)
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -11,9 +11,9 @@
 	// The design starts at 10 s.
 	LeaseTTL = 10 * time.Second
 	// LeaseTouch is the time between renewals: three tries fit into a lease.
-	LeaseTouch = 3 * time.Second
+	LeaseRenewInterval = 3 * time.Second
 	// LeaseRetry is the pause before a failed renewal is tried again.
-	LeaseRetry = 500 * time.Millisecond
+	LeaseRenewRetryDelay = 500 * time.Millisecond
 	// DriftPerMille bounds the drift between two steady clocks (0.05 %), in
 	// thousandths, doubled because both ends drift.
 	DriftPerMille = 1
@@ -22,50 +22,50 @@
 	LeaseMargin = 300 * time.Millisecond
 	// HoldMax bounds how long an owner past its lease goes on answering
 	// reports, so that a short outage of the state service ends no task.
-	HoldMax = 12 * time.Second
+	MaxAnswerGracePeriod = 12 * time.Second
 	// CancelSlack is kept free between the end of the last possible task of a
 	// cut-off owner and the cancellation limit.
-	CancelSlack = 6 * time.Second
+	CancellationReserve = 6 * time.Second
 	// ProveEvery is the time between two proofs that an owner's copies of the jobs
 	// and of the leases are current, if users' questions bring none: what an
 	// outage leaves of AnswerWithin is shorter by that.
-	ProveEvery = 1500 * time.Millisecond
+	KnowledgeVerifyInterval = 1500 * time.Millisecond
 	// KnowSlack is kept free between the end of the last task of a cancelled job
 	// that an answer can have kept alive and the cancellation limit: for the
 	// answer's way, coarse timers, and the users' being told after the commit.
 	// It is no more than KnowSlackShare of what lies between the two, which is a few
 	// seconds on platforms set up for trials.
-	KnowSlack      = 3 * time.Second
-	KnowSlackShare = 0.25
+	KnowledgeReserve      = 3 * time.Second
+	KnowledgeReserveShare = 0.25
 	// KnowLeast is the least time that the settings must leave for it: a proof
 	// takes ProveEvery and a request.
-	KnowLeast = 2 * time.Second
+	MinKnowledgeAgeLimit = 2 * time.Second
 	// LaunchFresh is how old the proof may be that a job is not cancelled when a
 	// task of it is launched; it is no older than the placement in any case.
-	LaunchFresh = 2 * time.Second
+	MaxLaunchKnowledgeAge = 2 * time.Second
 	// HaltEvery is the time between two direct orders to halt a task of a
 	// cancelled job that is not proven gone.
-	HaltEvery = 2 * time.Second
+	HaltRetryInterval = 2 * time.Second
 	// GoneMargin is added to a worker's lease before its tasks count as gone.
-	GoneMargin = 1500 * time.Millisecond
+	WorkerLeaseMargin = 1500 * time.Millisecond
 	// AbstainAfterStepDown is how long a node that gave up its lease, because
 	// no worker reached it, leaves the lease to others.
 	AbstainAfterStepDown = 20 * time.Second
 	// DeafIntervals and DeafSlack make up how long an owner with machines hears no
 	// report at all before it gives up its lease: so many report intervals, and
 	// a moment for messages. With ManyHosts machines one interval is enough.
-	DeafIntervals = 2.5
-	DeafSlack     = 1500 * time.Millisecond
-	ManyHosts     = 10
+	OwnerSilenceIntervals = 2.5
+	OwnerSilenceSlack     = 1500 * time.Millisecond
+	ManyWorkers           = 10
 	// VainMost is how often that time doubles while the node hears none either
 	// when the block comes back to it: sixteen times is longer than any lease.
-	VainMost = 4
+	MaxSilenceDoublings = 4
 	// FirstAssign is how long a new leader waits for controllers to enrol
 	// before it leases blocks to them.
-	FirstAssign = 400 * time.Millisecond
+	FirstAssignmentDelay = 400 * time.Millisecond
 	// MoveBlocksAfter is how long the blocks' owners must have been the same
 	// before one is moved for balance.
-	MoveBlocksAfter = 30 * time.Second
+	ShardRebalanceDelay = 30 * time.Second
 	// ElectionJitter spreads the nodes' tries for a free lease.
 	ElectionJitter = 150 * time.Millisecond
 )
@@ -74,232 +74,232 @@
 const (
 	// StateTimeout is when a state request counts as unanswered. Answers
 	// usually take 10 ms, now and then a few hundred.
-	StateTimeout = 1800 * time.Millisecond
+	StateRequestTimeout = 1800 * time.Millisecond
 	// StatePatience is how long an owner's commit is waited for when answers are
 	// slow; SlowAnswers how many times the usual answer's time that is. The
 	// slowest answers take some fifty times as long as the usual ones.
-	StatePatience = 8 * time.Second
-	SlowAnswers   = 60
+	MaxCommitTimeout    = 8 * time.Second
+	CommitTimeoutFactor = 60
 	// PaceMemory is the number of answers over which that time is averaged.
-	PaceMemory = 8
+	LatencyAverageCount = 8
 	// CommitsAhead is the most commits of one owner, or submissions' commits of
 	// one node, under way at a time; CommitGap is how long one goes alone.
-	CommitsAhead = 4
-	CommitGap    = 60 * time.Millisecond
+	MaxCommitsInFlight  = 4
+	CommitPipelineDelay = 60 * time.Millisecond
 	// StateBackoff is the first pause after a refused request; it doubles.
-	StateBackoff = 100 * time.Millisecond
+	MinStateBackoff = 100 * time.Millisecond
 	// StateBackoffMax is the longest such pause.
-	StateBackoffMax = 1 * time.Second
+	MaxStateBackoff = 1 * time.Second
 	// WatchWait is how long a watch stays open on the service's side.
-	WatchWait = 10 * time.Second
+	WatchTimeout = 10 * time.Second
 	// PassivePause is how long a node that neither leads nor owns a block rests
 	// after changes before it watches on; its answers are checked anyway.
-	PassivePause = 500 * time.Millisecond
+	PassiveWatchPause = 500 * time.Millisecond
 	// CheckEvery is the least time between two batched freshness checks of
 	// one node; polls in between share a check. Where requests are scarce it is
 	// longer, so that all nodes' checks take CheckShare of them.
-	CheckEvery = 150 * time.Millisecond
-	CheckShare = 0.2
+	FreshnessCheckInterval = 150 * time.Millisecond
+	FreshnessCheckShare    = 0.2
 	// WatchShare is the part of the requests that the watches of the leader and
 	// the owners take: a watch ends with each change and is opened anew.
-	WatchShare = 0.4
+	WatchRequestShare = 0.4
 	// WatchBurst is how many changes in a row are followed at once after a quiet
 	// time. The service allows bursts of one second's worth of requests.
 	WatchBurst = 6
 	// ListPage is the number of rows asked for in one listing.
-	ListPage = 1000
+	ListPageSize = 1000
 	// WriteShare is the part of the state service's write budget that an
 	// owner's records may use; the rest is for submissions and cancellations.
-	WriteShare = 0.45
+	ShardWriteShare = 0.45
 	// SubmitShare is the part of the changes a second that the submissions of all
 	// nodes take while changes are scarce, which they are for ScarceFor after one
 	// was refused for it: decisions come before submissions. Without it three
 	// hundred jobs at once kept anything from being handed out for half a minute.
-	SubmitShare = 0.45
-	ScarceFor   = 1500 * time.Millisecond
+	SubmissionWriteShare  = 0.45
+	WritesThrottledPeriod = 1500 * time.Millisecond
 	// StallKeep is how long after a hand-out for which there were no changes idle
 	// machines are not idle: what they wait for is to come.
-	StallKeep = 5 * time.Second
+	StalledDispatchGrace = 5 * time.Second
 	// SweepEvery is the time between two removals of records of jobs that are
 	// over, and SweepShare the part of the changes that they take.
-	SweepEvery = 1 * time.Second
-	SweepShare = 0.2
+	RecordSweepInterval   = 1 * time.Second
+	RecordSweepWriteShare = 0.2
 	// DoneDelay is how long a completed task may wait to share a commit with
 	// others; only the machine's memory of it waits.
-	DoneDelay = 700 * time.Millisecond
+	MaxCompletionDelay = 700 * time.Millisecond
 	// CommitBytes keeps a transaction below the service's 64 KiB.
-	CommitBytes = 48 * 1024
+	MaxCommitBytes = 48 * 1024
 )
 
 // Work records.
 const (
 	// ChunkTasks is the most tasks in one record. A record names its tasks in
 	// runs; a thousand apart from each other still take less than 6 KB.
-	ChunkTasks = 1000
+	MaxRecordTasks = 1000
 	// RetriedTasks is the most tasks in one record that have been handed out
 	// before.
-	RetriedTasks = 200
+	MaxRetriedRecordTasks = 200
 	// FreshBytes is what a task that does not follow the one before it takes in
 	// a record, RetriedBytes what one with a last attempt does, RecordBytes what
 	// the rest of it does.
-	FreshBytes   = 7
-	RetriedBytes = 30
-	RecordBytes  = 200
+	NewTaskBytes        = 7
+	RetriedTaskBytes    = 30
+	RecordOverheadBytes = 200
 	// PageBytes is the most that a page of a block's log holds. Larger values
 	// are allowed on some sites; they would save few changes and cost every
 	// node the reading.
-	PageBytes = 7 * 1024
+	MaxPageBytes = 7 * 1024
 	// ValueShare of the state service's limit for a value is used.
-	ValueShare = 0.9
+	ValueLimitShare = 0.9
 	// LeastValueKB is the smallest limit for a value that can be lived with: a
 	// cancelled job and a lease take some 600 bytes.
-	LeastValueKB = 0.75
+	MinValueLimitKB = 0.75
 	// LeastValue is the same in bytes, after ValueShare.
-	LeastValue = 690
+	MinValueBytes = 690
 	// RateFall and RateRise are how the changes a second give way when the
 	// service has refused some, at most once in RateStep, and come back, for
 	// each second: only where the settings say that its limits will fall.
-	RateFall = 0.9
-	RateRise = 0.01
-	RateStep = 500 * time.Millisecond
+	WriteShareDecreaseFactor    = 0.9
+	WriteShareIncreasePerSecond = 0.01
+	WriteShareDecreaseInterval  = 500 * time.Millisecond
 	// LogPages is the length of a block's log, in pages, from which on old
 	// pages are emptied. A takeover reads them in one listing.
-	LogPages = 96
+	LogCompactionPages = 96
 	// BlockCPUs is how many guaranteed processors call for one more block.
 	// Several blocks cost room that is scarce at a hundred machines; at several
 	// hundred they share the reports and the sockets among the controllers, and
 	// a lost owner stops a part of the machines only.
-	BlockCPUs = 3000
+	CPUsPerShard = 3000
 )
 
 // Users.
 const (
 	// HeadLimit is the most bytes of a request's head.
-	HeadLimit = 8 * 1024
+	MaxHeaderBytes = 8 * 1024
 	// BodyLimit is the most bytes of a request's body (PROTOCOL).
-	BodyLimit = 64 * 1024
+	MaxBodyBytes = 64 * 1024
 	// SlowRequest is when a request that arrives piecemeal is given up.
-	SlowRequest = 10 * time.Second
+	SlowRequestTimeout = 10 * time.Second
 	// IdleConnection is when a connection without requests is closed.
-	IdleConnection = 120 * time.Second
+	IdleConnectionTimeout = 120 * time.Second
 	// RetryAfter is what refused users are told to wait, in seconds.
-	RetryAfter = 1
+	RetryAfterSeconds = 1
 	// QueueLimit is the number of waiting user requests from which on new
 	// ones are refused at once.
-	QueueLimit = 256
+	MaxQueuedUserRequests = 256
 	// CreateTimeout bounds the tries to make a submission durable; users wait
 	// 5 s for an answer.
-	CreateTimeout = 3500 * time.Millisecond
+	SubmissionTimeout = 3500 * time.Millisecond
 	// UnhealthyAfter is how long a node may go without any answer from the
 	// state service before it calls itself unhealthy, if a peer has one.
 	UnhealthyAfter = 4 * time.Second
 	// AloneFor is how long a peer's word counts that the state service answers it:
 	// the peers are asked once a second.
-	AloneFor = 2500 * time.Millisecond
+	PeerHealthMaxAge = 2500 * time.Millisecond
 )
 
 // Workers.
 const (
 	// OrderTimeout is when a direct order counts as unanswered.
-	OrderTimeout = 2500 * time.Millisecond
+	CommandTimeout = 2500 * time.Millisecond
 	// AnnounceAhead is the most machines that are told of a new token at a time,
 	// and GreetTimeout how long each is waited for. It learns the token with its
 	// next report in any case; a thousand silent ones are through in half a
 	// minute.
-	AnnounceAhead   = 64
-	AnnounceTimeout = 1500 * time.Millisecond
+	MaxConcurrentAnnouncements = 64
+	AnnounceTimeout            = 1500 * time.Millisecond
 	// OrdersPerMessage keeps an answer's line below 64 KiB.
-	OrdersPerMessage = 200
+	MaxCommandsPerMessage = 200
 	// SuspectReports is how many report intervals of silence keep new tasks
 	// off a machine.
-	SuspectReports = 2.2
+	SuspectHeartbeats = 2.2
 	// DeadIntervals and DeadSlack make up how long a machine is silent, while
 	// most others report, before it is returned: a report interval at its
 	// longest, and what a worker needs that loses one answer and tries another
 	// controller.
-	DeadIntervals = 1.25
-	DeadSlack     = 7 * time.Second
+	DeadWorkerIntervals = 1.25
+	DeadWorkerSlack     = 7 * time.Second
 	// DeafReports is how many answered reports in a row a machine may send
 	// without showing the token of the answers: the next one shows it, but for
 	// one already under way and one lost answer.
-	DeafReports = 3
+	DeafHeartbeats = 3
 	// DeafLaunches is the same for launches that never show: one may be lost
 	// with a connection.
 	DeafLaunches = 2
 	// ProbeEvery is the time between two questions whether it hears again.
-	ProbeEvery = 3 * time.Second
+	DeafProbeInterval = 3 * time.Second
 	// CutOffAfter is how long nothing is heard of a zone that is cut off, and
 	// DarkReports how many reports would have come from it in that time: with
 	// fewer machines silence may be chance. It is below DeadSlack, so that a zone
 	// counts as cut off before its first machine counts as dead.
-	CutOffAfter   = 5 * time.Second
-	CutOffReports = 12
+	ZonePartitionAfter      = 5 * time.Second
+	ZonePartitionHeartbeats = 12
 	// CutOffKeep is how long a zone's machines are kept while it is cut off. They
 	// are back at once when it is; machines rented in their place boot as long
 	// as most cuts last, and in the same zone never report.
-	CutOffKeep = 90 * time.Second
+	ZonePartitionRetention = 90 * time.Second
 	// CutOffSmallShare is the part of all machines up to which those of a zone that is
 	// cut off are returned all the same when they may have urgent tasks.
-	CutOffSmallShare = 0.35
+	SmallZoneShare = 0.35
 	// RefusedPause keeps a task from a machine that refused it.
-	RefusedPause = 2 * time.Second
+	RefusedTaskPause = 2 * time.Second
 	// ErrorPause is the first pause of a job that fails on machines that
 	// other jobs do not fail on; it doubles up to ErrorPauseMax.
-	ErrorPause = 2 * time.Second
+	MinFailurePause = 2 * time.Second
 	// ErrorPauseMax is the longest such pause.
-	ErrorPauseMax = 60 * time.Second
+	MaxFailurePause = 60 * time.Second
 	// SickErrors is the number of failures in a row, of different jobs or
 	// not, after which a machine gets no more tasks.
-	SickErrors = 2
+	FaultyWorkerFailures = 2
 	// NoticeReserve is how long before the cloud takes a machine it is
 	// returned, so that its tasks are known to be gone.
-	NoticeReserve = 2 * time.Second
+	SpotNoticeReserve = 2 * time.Second
 	// SaveMargin is what an order to save may take on its way, a tick included.
-	SaveMargin = 3 * time.Second
+	CheckpointMargin = 3 * time.Second
 )
 
 // Gangs.
 const (
 	// GangWait and GangPeer stand in for times that the settings leave out.
-	GangWait = 30 * time.Second
-	GangPeer = 5 * time.Second
+	DefaultGangWaitTimeout = 30 * time.Second
+	DefaultGangPeerTimeout = 5 * time.Second
 	// GangStep is how many replacements of one task an attempt of its gang can
 	// count: the stored number of a task's attempt is the gang's times this, plus
 	// the replacements, so that it grows with each placement.
-	GangStep = 1024
+	GangAttemptStride = 1024
 	// GangHold is how long a gang for which there is no room waits with the
 	// leader, free for any place, before a block's owner collects room for it.
-	GangHold = 3 * time.Second
+	GangLeaderWait = 3 * time.Second
 	// GangDivide is when a gang that no single block would hold is divided among
 	// several: machines rented for it may be up by then.
-	GangDivide = 25 * time.Second
+	GangDivideAfter = 25 * time.Second
 	// GangKeep is how long an idle machine is kept when a gang waits for several
 	// like it: as long as others may take to be had and to boot.
-	GangKeep = 100 * time.Second
+	GangIdleRetention = 100 * time.Second
 	// GangSpare is how many gangs of a class there is room kept for, as large as
 	// the largest of late, while some come: the users expect them to start within
 	// seconds, and a machine takes half a minute to boot. GangWarm is how long
 	// after the last one.
-	GangSpare = 2
-	GangWarm  = 90 * time.Second
+	GangReserveCount  = 2
+	GangReservePeriod = 90 * time.Second
 	// GangSpareShare is the most of all processors that are kept so: with few
 	// machines it would be most of what large tasks have.
-	GangSpareShare = 0.1
+	MaxGangReserveShare = 0.1
 	// PromptWithin is the wait below which a class is one of those.
-	PromptWithin = 20 * time.Second
+	PromptStartWithin = 20 * time.Second
 	// GangFew is what each further machine of a gang counts dearer: it runs at
 	// the speed of the slowest.
-	GangFew = 0.1
+	GangExtraMachinePenalty = 0.1
 	// GangTorn is how long a gang of which a part is with a block and a part
 	// came back is taken for one that is coming back.
-	GangTorn = 5 * time.Second
+	GangReturnTimeout = 5 * time.Second
 	// GangNotice is what the news that the others have noticed a loss may take
 	// after the time they have for that; then they are halted.
-	GangNotice = 3 * time.Second
+	GangLossNoticeMargin = 3 * time.Second
 	// GangPause is the first pause of a gang that was never complete; it doubles
 	// up to GangPauseMax, so that it does not spin.
-	GangPause    = 1 * time.Second
-	GangPauseMax = 30 * time.Second
+	MinGangPause = 1 * time.Second
+	MaxGangPause = 30 * time.Second
 )
 
 // Placement.
@@ -309,130 +309,130 @@
 	WaitBound = 30 * time.Second
 	// Ahead is how much work may wait in a block's queues, as a part of its
 	// machines' processors; the rest waits with the leader, free for any block.
-	Ahead = 0.5
+	MaxQueuedShare = 0.5
 	// RoundPause is the least time between two placement rounds, or hand-outs.
-	RoundPause = 25 * time.Millisecond
+	MinRoundInterval = 25 * time.Millisecond
 	// RoundPerMachine is added to it for every machine: a round looks at all of
 	// them, which takes some 0.1 µs each, and may take no more than a few
 	// thousandths of a core.
-	RoundPerMachine = 50 * time.Microsecond
+	RoundIntervalPerMachine = 50 * time.Microsecond
 	// StarvedAfter is how long a job waits for its first task before it goes
 	// before all others. The users fail a day on which the largest jobs do not
 	// begin within four minutes; a task may run for two before one ends.
 	StarvedAfter = 75 * time.Second
 	// KeptShare is the most of a team's limit that is kept for its urgent jobs.
-	KeptShare = 0.35
+	MaxUrgentReserveShare = 0.35
 	// KeptHalfLife is how fast their past wants are forgotten.
-	KeptHalfLife = 150 * time.Second
+	UrgentReserveHalfLife = 150 * time.Second
 )
 
 // Cloud.
 const (
 	// CloudTimeout is when a cloud request counts as unanswered.
-	CloudTimeout = 5 * time.Second
+	CloudRequestTimeout = 5 * time.Second
 	// CloudShare is the part of the cloud's call budget that the leader uses.
-	CloudShare = 0.9
+	CloudRequestShare = 0.9
 	// CloudBurst is how much of the budget may be saved up: the cloud allows
 	// two seconds' worth at once. With one second's, what a look leaves over is
 	// lost, a sixth of all calls at four a second.
-	CloudBurst = 1500 * time.Millisecond
+	CloudRequestBurst = 1500 * time.Millisecond
 	// FleetRound is the time between two looks at what to rent and return.
-	FleetRound = 1 * time.Second
+	FleetRoundInterval = 1 * time.Second
 	// ListEvery is the time between two machine lists.
-	ListEvery = 5 * time.Second
+	MachineListInterval = 5 * time.Second
 	// ListWait is how long a page of it waits when the cloud's calls are used up.
-	ListWait = 400 * time.Millisecond
+	MachineListRetryDelay = 400 * time.Millisecond
 	// TypesEvery is the time between two looks at the prices.
-	TypesEvery = 60 * time.Second
+	MachineTypesInterval = 60 * time.Second
 	// CapacityPause is how long a refused kind of machine is left alone.
-	CapacityPause = 12 * time.Second
+	NoCapacityPause = 12 * time.Second
 	// IdleKeep is how long a machine without tasks is kept.
-	IdleKeep = 40 * time.Second
+	MachineIdleTimeout = 40 * time.Second
 	// IdleLeast is the least part of it that an ordinary machine is kept, which
 	// costs several times a spot one.
-	IdleLeast = 0.3
+	MinIdleTimeoutShare = 0.3
 	// Spare is the part of the machines that may be idle for all of that time;
 	// beyond it, and beyond SpareLeast, they go back as soon as dear ones do.
-	Spare      = 0.15
-	SpareLeast = 4
+	IdleMachineShare = 0.15
+	MinIdleMachines  = 4
 	// BootFactor times the nominal boot time, plus BootSlack, is when a
 	// machine that never reported is deleted.
-	BootFactor = 2.0
+	BootTimeoutFactor = 2.0
 	// BootSlack see BootFactor.
-	BootSlack = 10 * time.Second
+	BootTimeoutSlack = 10 * time.Second
 	// RentBacklog: machines are rented only when the waiting work would keep
 	// those there are busy for longer than this part of a boot; a queue that is
 	// gone by then needs none.
-	RentBacklog = 0.5
+	RentBacklogShare = 0.5
 	// PatienceShare is the part of the time that the users' aims leave which a
 	// queue may take: estimates are often wrong by half.
-	PatienceShare = 0.5
+	QueueTimeShare = 0.5
 	// DearQueue is how many times the work that the machines, up or booting, can do
 	// before an aim must wait up to a job for dear machines to be rented: small jobs go
 	// first, so that of a queue half too long most are in time. With 1, 1.5 and 2 the
 	// days of a large deployment scored 0.660, 0.684 and 0.682 (simulated machines); with
 	// 2 a day that loses spot machines had 0.88 of its deadlines instead of 0.93.
-	DearQueue = 1.5
+	ExpensiveQueueFactor = 1.5
 	// PatienceMost bounds the wait of work for which there is no aim.
-	PatienceMost = 120 * time.Second
+	MaxQueueTime = 120 * time.Second
 	// MissedPatience is the same for dear machines: work that has missed its
 	// aims, or has none, is left to the cheap ones unless they would take long.
-	MissedPatience = 600 * time.Second
+	MissedObjectiveQueueTime = 600 * time.Second
 	// LargeDear is what a machine counts dearer for each doubling of its
 	// processors: at about the same price, large machines are left to large
 	// tasks.
-	LargeDear = 0.05
+	LargeMachinePenalty = 0.05
 	// ForgetReturned is how long a returned machine is remembered: longer
 	// than a list lags or an owner stays cut off.
-	ForgetReturned = 15 * time.Minute
+	ReleasedMachineMemory = 15 * time.Minute
 	// ExchangeGain is how many times dearer than on a spot machine that can be had a
 	// task must be on an ordinary one for the one to be rented for the other: it is
 	// paid while it boots, and may be taken. ExchangeAfter is how long that must have
 	// been so, and how long a new leader looks on first.
-	ExchangeGain  = 1.5
-	ExchangeAfter = 8 * time.Second
+	MinExchangePriceRatio = 1.5
+	ExchangeDelay         = 8 * time.Second
 	// ExchangeMemory is how fast the most work there was is forgotten, as a half-life.
-	ExchangeMemory = 120 * time.Second
+	ExchangePeakHalfLife = 120 * time.Second
 	// ExchangeWindow is the time of which the least work is taken, once or twice.
 	ExchangeWindow = 20 * time.Second
 	// ExchangeSteady is the least part of the most work of late that there must have
 	// been all the time: only such work keeps machines busy for longer than they boot.
-	ExchangeSteady = 0.4
+	MinSteadyWorkShare = 0.4
 	// ExchangeLeast is how many spot machines such work must fill: with few the waves
 	// are as large as the machines (ndiaye-vend-grid lost 0.03 by it).
-	ExchangeLeast = 20
+	MinExchangeSpotMachines = 20
 	// ExchangeSpare is the room on ordinary machines that is kept, as a part of the
 	// work that can run nowhere else: more of it comes, and a machine takes a boot.
-	ExchangeSpare = 0.5
+	ExchangeReserveShare = 0.5
 	// HireAhead is the most machines of a kind that one look plans to rent; how
 	// many there are shows only when a request is filled in part.
-	HireAhead = 200
+	MaxPlannedRentals = 200
 	// HireMax is the most machines of one request (PROTOCOL: 50).
-	HireMax = 50
+	MaxRentalMachines = 50
 )
 
 // Peers.
 const (
 	// StatusEvery is the time between two status messages of a block's owner to the
 	// leader.
-	StatusEvery = 1 * time.Second
+	StatusInterval = 1 * time.Second
 	// StatusStale is when the leader no longer trusts an owner's last status message.
-	StatusStale = 4 * time.Second
+	StatusStaleAfter = 4 * time.Second
 	// RelayWithin: a worker sent to its owner that is back this soon could
 	// not reach it, and its reports are passed on instead.
 	RelayWithin = 8 * time.Second
 	// RelayFor is how long a worker's reports are passed on before it is sent
 	// to its owner once more.
-	RelayFor = 15 * time.Second
+	RelayPeriod = 15 * time.Second
 	// PeerTimeout is when a peer's answer is no longer waited for; a worker
 	// gives up after 4 s.
-	PeerTimeout = 2500 * time.Millisecond
+	PeerRequestTimeout = 2500 * time.Millisecond
 	// PeerDial is when a connection to a peer counts as failed.
-	PeerDial = 1 * time.Second
+	PeerDialTimeout = 1 * time.Second
 	// PeerPing is how long a connection may be quiet before it is tested.
-	PeerPing = 3 * time.Second
+	PeerPingAfter = 3 * time.Second
 	// PeerMessage is the most bytes of a message.
-	PeerMessage = 1 << 20
+	MaxPeerMessageBytes = 1 << 20
 )
 
 // Sockets.
@@ -440,32 +440,32 @@
 	// SocketsTight is the part of the platform's limit below which connections
 	// that are not in use are closed. A machine may have one of its own and one
 	// of ours; half of the machines may move here within a report interval.
-	SocketsTight = 0.15
+	TightSocketShare = 0.15
 	// SocketsScarce is the same for direct orders and users: the rest is for
 	// the workers' reports.
-	SocketsScarce = 0.06
+	ScarceSocketShare = 0.06
 	// SocketsVital is the number of sockets kept for the state service, the
 	// cloud and the peers.
-	SocketsVital = 32
+	ReservedSockets = 32
 	// SocketsTick is the time between two looks for connections to close.
-	SocketsTick = 1 * time.Second
+	SocketSweepInterval = 1 * time.Second
 	// KeepIdle is how long an unused connection to a worker or service is kept.
-	KeepIdle = 20 * time.Second
+	IdleClientConnectionTimeout = 20 * time.Second
 	// KeepPerAddress is how many of them to one address.
-	KeepPerAddress = 3
+	MaxIdleConnectionsPerAddress = 3
 	// ForsakenReports is how many report intervals of silence make a worker's
 	// connection a forsaken one.
-	ForsakenReports = 3
+	AbandonedConnectionHeartbeats = 3
 )
 
 // Process.
 const (
 	// UserBatch is how many user commands run before the other lanes are
 	// looked at again.
-	UserBatch = 8
+	UserCommandBatch = 8
 	// MemoryShare is the part of the memory quota that the Go runtime may
 	// use before it collects harder; the rest is code, stacks and the kernel.
-	MemoryShare = 0.6
+	GoMemoryShare = 0.6
 	// GCPercent trades memory for processor time below that limit.
 	GCPercent = 200
 )
@@ -475,11 +475,11 @@
 	// DrainAtOnce is how many machines of a drain are emptied at a time, if the
 	// operators do not say, and DrainAtOnceMost the most that they may: the reports of
 	// closed machines list all their tasks.
-	DrainAtOnce     = 4
-	DrainAtOnceMost = 200
+	DefaultDrainMachinesAtOnce = 4
+	MaxDrainMachinesAtOnce     = 200
 	// DrainWait is how long tasks that are about to end are waited for, if the operators
 	// do not say: a few times what most tasks of an array take.
-	DrainWait = 2 * time.Minute
+	DefaultDrainWait = 2 * time.Minute
 	// DrainWriteShare is the part of the changes a second that the drains take: they are
 	// the least urgent of all decisions.
 	DrainWriteShare = 0.2
@@ -489,19 +489,19 @@
 	DrainStuckFactor = 2
 	// DrainRoomWait is how long there must be no room for a closed machine's tasks until
 	// it is opened again and a machine is rented for them: a few status messages.
-	DrainRoomWait = 5 * time.Second
+	DrainNoRoomAfter = 5 * time.Second
 	// DrainTriesMost is how many machines are rented one after the other for one that is
 	// drained, while other work takes their room.
-	DrainTriesMost = 4
+	MaxDrainRentalAttempts = 4
 	// DrainDownMost is the most services of which an owner reports replicas that are not
 	// up; with more, no replica may be disturbed at all.
-	DrainDownMost = 500
+	MaxReportedDownServices = 500
 	// DrainWaitsMost is how many reasons for its waiting a drain gives.
-	DrainWaitsMost = 12
+	MaxDrainWaitReasons = 12
 	// DrainsKept is how many drains that are over can still be asked about.
-	DrainsKept = 20
+	MaxFinishedDrains = 20
 	// OperatorRetry is when an operator's request that could not be taken is to be sent
 	// again, and OperatorTimeout how long the command goes on trying, if not told.
-	OperatorRetry   = 1 * time.Second
-	OperatorTimeout = 20 * time.Second
+	OperatorRetryDelay     = 1 * time.Second
+	DefaultOperatorTimeout = 20 * time.Second
 )
--- a/internal/userapi/api.go
+++ b/internal/userapi/api.go
@@ -21,9 +21,9 @@
 	// display.
 	Progress func(id string) (done, running int)
 	// Running is the same for a gang, whose tasks may be on machines and wait.
-	Running func(id string) int
+	RunningGangTasks func(id string) int
 	// Types are the machine types, nil while unknown.
-	Types func() []jobs.MachineType
+	MachineTypes func() []jobs.MachineType
 
 	rt      engine.Runtime
 	state   *statestore.Client
@@ -48,21 +48,21 @@
 	expires time.Duration
 	tries   int
 	sent    bool // in a commit whose answer is awaited
-	replies []httpwire.Reply
+	replies []httpwire.ResponseWriter
 	// late are those who asked after it was sent. Another node may have read the
 	// job by then, told its user and even called it off: they get what is
 	// proven after their question.
-	late []httpwire.Reply
+	late []httpwire.ResponseWriter
 }
 
 // NewAPI returns the user API.
 func NewAPI(rt engine.Runtime, state *statestore.Client, cat *Catalog, set *settings.Settings, log *slog.Logger) *API {
-	return &API{rt: rt, state: state, cat: cat, set: set, log: log, most: state.Ops(), pending: map[string]*creation{},
-		Progress: func(string) (int, int) { return 0, 0 }, Running: func(string) int { return 0 }}
+	return &API{rt: rt, state: state, cat: cat, set: set, log: log, most: state.MaxOperations(), pending: map[string]*creation{},
+		Progress: func(string) (int, int) { return 0, 0 }, RunningGangTasks: func(string) int { return 0 }}
 }
 
-func refuse(reply httpwire.Reply, reason string) {
-	reply(503, httpwire.ErrorBody(reason), tuning.RetryAfter)
+func refuse(reply httpwire.ResponseWriter, reason string) {
+	reply(503, httpwire.ErrorBody(reason), tuning.RetryAfterSeconds)
 }
 
 // status is a job as its user sees it.
@@ -73,16 +73,16 @@
 	Running int    `json:"running"`
 }
 
-func (d *API) tell(reply httpwire.Reply, e *Entry) {
+func (d *API) tell(reply httpwire.ResponseWriter, e *Entry) {
 	s := status{ID: e.ID, Phase: e.Phase}
 	switch e.Phase {
-	case Done:
-		s.Done = e.Tasks
-	case Cancelled:
+	case PhaseDone:
+		s.Done = e.TaskCount
+	case PhaseCancelled:
 	default:
 		s.Done, s.Running = d.Progress(e.ID)
-		if e.Job != nil && e.Job.Gang() {
-			s.Running = d.Running(e.ID)
+		if e.Spec != nil && e.Spec.IsGang() {
+			s.Running = d.RunningGangTasks(e.ID)
 		}
 		s.Phase = "pending"
 		if s.Running > 0 {
@@ -98,7 +98,7 @@
 }
 
 // Submit serves POST /work.
-func (d *API) Submit(body []byte, reply httpwire.Reply) {
+func (d *API) Submit(body []byte, reply httpwire.ResponseWriter) {
 	job, err := jobs.Parse(body)
 	if err != nil {
 		reply(400, httpwire.ErrorBody(err.Error()), 0)
@@ -112,14 +112,14 @@
 		d.Poll(job.ID, reply)
 		return
 	}
-	types := d.Types()
+	types := d.MachineTypes()
 	if types == nil {
 		refuse(reply, "starting: machine types not known yet")
 		return
 	}
 	// The job may have been accepted elsewhere, when it was feasible.
 	unlessKnown := func(status int, why string) {
-		d.cat.Check(func(err error) {
+		d.cat.Verify(func(err error) {
 			switch e := d.cat.Get(job.ID); {
 			case e != nil && err == nil:
 				d.tell(reply, e)
@@ -142,18 +142,18 @@
 		}
 		return
 	}
-	r := Record{At: d.rt.Wall().UnixMilli(), Job: job}
+	r := Record{SubmittedMS: d.rt.WallClock().UnixMilli(), Spec: job}
 	value, err := json.Marshal(r)
-	if err == nil && len(value) > d.state.ValueBytes() {
+	if err == nil && len(value) > d.state.MaxValueBytes() {
 		// Of a long list of machine types those that there are say the same.
-		job.Known(types)
+		job.KeepKnownMachineTypes(types)
 		value, err = json.Marshal(r)
 	}
-	if err != nil || len(value) > d.state.ValueBytes() {
+	if err != nil || len(value) > d.state.MaxValueBytes() {
 		unlessKnown(400, "description too large")
 		return
 	}
-	c := &creation{id: job.ID, value: value, expires: d.rt.Now() + tuning.CreateTimeout, replies: []httpwire.Reply{reply}}
+	c := &creation{id: job.ID, value: value, expires: d.rt.Now() + tuning.SubmissionTimeout, replies: []httpwire.ResponseWriter{reply}}
 	d.pending[job.ID] = c
 	d.queue = append(d.queue, c)
 	d.flush()
@@ -162,10 +162,10 @@
 // flush commits waiting submissions, several at a time. While an answer is slow,
 // others do not wait behind it.
 func (d *API) flush() {
-	if d.resting || d.flights >= tuning.CommitsAhead || len(d.queue) == 0 {
+	if d.resting || d.flights >= tuning.MaxCommitsInFlight || len(d.queue) == 0 {
 		return
 	}
-	if wait := d.began + tuning.CommitGap - d.rt.Now(); d.flights > 0 && wait > 0 {
+	if wait := d.began + tuning.CommitPipelineDelay - d.rt.Now(); d.flights > 0 && wait > 0 {
 		d.flushAfter(wait)
 		return
 	}
@@ -180,7 +180,7 @@
 	d.flights++
 	d.budget -= float64(len(batch))
 	d.began = d.rt.Now()
-	d.state.Commit(guards, sets, func(r statestore.Result) {
+	d.state.Commit(guards, sets, func(r statestore.CommitResult) {
 		d.flights--
 		d.answered(batch, r)
 	})
@@ -201,7 +201,7 @@
 // changes is how many changes the next commit may hold; 0: none now.
 func (d *API) changes() int {
 	rate := d.rate()
-	if !d.state.Scarce() {
+	if !d.state.WritesThrottled() {
 		d.budget, d.filled = max(1, rate), d.rt.Now()
 		return d.most
 	}
@@ -216,9 +216,9 @@
 }
 
 // next takes the submissions of the next commit off the queue.
-func (d *API) next(most int) (batch []*creation, guards []statestore.Guard, sets []statestore.Change) {
+func (d *API) next(most int) (batch []*creation, guards []statestore.Condition, sets []statestore.Operation) {
 	size := 0
-	for len(d.queue) > 0 && len(batch) < most && size < tuning.CommitBytes {
+	for len(d.queue) > 0 && len(batch) < most && size < tuning.MaxCommitBytes {
 		c := d.queue[0]
 		d.queue = d.queue[1:]
 		if d.rt.Now() >= c.expires {
@@ -227,8 +227,8 @@
 		}
 		c.sent = true
 		batch = append(batch, c)
-		guards = append(guards, statestore.Guard{Key: Prefix + c.id})
-		sets = append(sets, statestore.Change{Set: Prefix + c.id, Value: c.value})
+		guards = append(guards, statestore.Condition{Key: KeyPrefix + c.id})
+		sets = append(sets, statestore.Operation{PutKey: KeyPrefix + c.id, Value: c.value})
 		size += len(c.value) + 100
 	}
 	return batch, guards, sets
@@ -236,31 +236,31 @@
 
 // refuseBoth refuses a submission and its repeats, for now.
 func (d *API) refuseBoth(c *creation, why string) {
-	refused := func(r httpwire.Reply) { refuse(r, why) }
+	refused := func(r httpwire.ResponseWriter) { refuse(r, why) }
 	d.finish(c, refused, refused)
 }
 
 // answered takes the outcome of a commit of submissions.
-func (d *API) answered(batch []*creation, r statestore.Result) {
+func (d *API) answered(batch []*creation, r statestore.CommitResult) {
 	switch r.Outcome {
-	case statestore.OK:
-		d.most = min(2*d.most, d.state.Ops())
+	case statestore.OutcomeOK:
+		d.most = min(2*d.most, d.state.MaxOperations())
 		for _, c := range batch {
-			d.accepted(c, r.Epoch)
+			d.accepted(c, r.Revision)
 		}
-	case statestore.Conflict:
+	case statestore.OutcomeConflict:
 		for _, c := range batch {
-			if !slices.Contains(r.Failed, Prefix+c.id) {
+			if !slices.Contains(r.FailedKeys, KeyPrefix+c.id) {
 				d.queue = append(d.queue, c)
 				continue
 			}
-			poll := func(reply httpwire.Reply) { d.Poll(c.id, reply) }
+			poll := func(reply httpwire.ResponseWriter) { d.Poll(c.id, reply) }
 			d.finish(c, poll, poll)
 		}
-	case statestore.Refused:
+	case statestore.OutcomeRefused:
 		d.again(batch)
 		return
-	case statestore.Invalid:
+	case statestore.OutcomeInvalid:
 		// Found too large: one by one next. What is too large alone is looked
 		// at again, by the limits now known, when it is submitted again.
 		if d.most = 1; len(batch) > 1 {
@@ -282,14 +282,14 @@
 
 // accepted tells a user that the job is stored.
 func (d *API) accepted(c *creation, epoch uint64) {
-	d.cat.Learn(c.id, c.value, epoch)
-	d.finish(c, func(reply httpwire.Reply) {
+	d.cat.Observe(c.id, c.value, epoch)
+	d.finish(c, func(reply httpwire.ResponseWriter) {
 		body, err := json.Marshal(map[string]string{"id": c.id, "phase": "pending"})
 		if err != nil {
 			body = []byte("{}")
 		}
 		reply(201, body, 0)
-	}, func(reply httpwire.Reply) { d.Poll(c.id, reply) })
+	}, func(reply httpwire.ResponseWriter) { d.Poll(c.id, reply) })
 }
 
 // again queues a refused batch once more, after a rest. A large commit finds no changes
@@ -313,12 +313,12 @@
 // scarce: decisions come first.
 func (d *API) rate() float64 {
 	limits := &d.set.Deployment.State
-	return max(0.5, limits.WriteRPS*tuning.SubmitShare*d.state.Rate()/float64(len(d.set.Seeds)+1))
+	return max(0.5, limits.WriteRPS*tuning.SubmissionWriteShare*d.state.WriteShare()/float64(len(d.set.Seeds)+1))
 }
 
 // finish answers all who wait for a submission; late is for those who asked after
 // it was sent.
-func (d *API) finish(c *creation, fn, late func(httpwire.Reply)) {
+func (d *API) finish(c *creation, fn, late func(httpwire.ResponseWriter)) {
 	delete(d.pending, c.id)
 	for _, reply := range c.replies {
 		fn(reply)
@@ -329,8 +329,8 @@
 }
 
 // Poll serves GET /work/{id}.
-func (d *API) Poll(id string, reply httpwire.Reply) {
-	d.cat.Check(func(err error) {
+func (d *API) Poll(id string, reply httpwire.ResponseWriter) {
+	d.cat.Verify(func(err error) {
 		if err != nil {
 			refuse(reply, "state service not reached")
 			return
@@ -347,14 +347,14 @@
 }
 
 // Cancel serves POST /work/{id}/cancel.
-func (d *API) Cancel(id string, reply httpwire.Reply) { d.cancel(id, reply, 0) }
+func (d *API) Cancel(id string, reply httpwire.ResponseWriter) { d.cancel(id, reply, 0) }
 
-func (d *API) cancel(id string, reply httpwire.Reply, try int) {
+func (d *API) cancel(id string, reply httpwire.ResponseWriter, try int) {
 	if try > 6 {
 		refuse(reply, "state service not reached")
 		return
 	}
-	d.cat.Check(func(err error) {
+	d.cat.Verify(func(err error) {
 		if err != nil {
 			refuse(reply, "state service not reached")
 			return
@@ -369,27 +369,27 @@
 			return
 		}
 		r := e.Record
-		r.Phase, r.Off = Cancelled, d.rt.Wall().UnixMilli()
+		r.Phase, r.CancelledMS = PhaseCancelled, d.rt.WallClock().UnixMilli()
 		value, err := json.Marshal(r)
-		if err == nil && len(value) > d.state.ValueBytes() && r.Job != nil {
+		if err == nil && len(value) > d.state.MaxValueBytes() && r.Spec != nil {
 			// Stored when values could be larger. What a cancelled job still needs
 			// is what its tasks take of the machines that have them.
-			r.Job = r.Job.Bare()
+			r.Spec = r.Spec.WithoutStartFields()
 			value, err = json.Marshal(r)
 		}
 		if err != nil {
 			reply(500, httpwire.ErrorBody("record does not encode"), 0)
 			return
 		}
-		d.state.Commit([]statestore.Guard{{Key: Prefix + id, Stamp: e.Stamp}}, []statestore.Change{{Set: Prefix + id, Value: value}},
-			func(res statestore.Result) {
+		d.state.Commit([]statestore.Condition{{Key: KeyPrefix + id, Revision: e.Revision}}, []statestore.Operation{{PutKey: KeyPrefix + id, Value: value}},
+			func(res statestore.CommitResult) {
 				switch res.Outcome {
-				case statestore.OK:
-					d.cat.Learn(id, value, res.Epoch)
+				case statestore.OutcomeOK:
+					d.cat.Observe(id, value, res.Revision)
 					d.tell(reply, d.cat.Get(id))
-				case statestore.Conflict, statestore.Invalid:
+				case statestore.OutcomeConflict, statestore.OutcomeInvalid:
 					d.cancel(id, reply, try+1)
-				case statestore.Refused:
+				case statestore.OutcomeRefused:
 					d.rt.After(d.state.Backoff(try), func() { d.cancel(id, reply, try+1) })
 				default:
 					refuse(reply, "state service did not answer")
@@ -400,7 +400,7 @@
 
 // Route sorts a user's request; it reports false for paths that are not the
 // users'.
-func (d *API) Route(req *httpwire.Request, reply httpwire.Reply) bool {
+func (d *API) Route(req *httpwire.Request, reply httpwire.ResponseWriter) bool {
 	if req.Path == "/work" {
 		if req.Method != "POST" {
 			reply(405, httpwire.ErrorBody("method not allowed"), 0)
