--- a/internal/work/gang.go
+++ b/internal/work/gang.go
@@ -16,33 +16,33 @@
 	Started bool
 	// Over: the attempt comes to nothing; nothing of it is launched any more, and
 	// the next one waits until each of its tasks is proven gone. Since: from then.
-	Over  bool
-	Since time.Duration
+	AttemptOver bool
+	OverSince   time.Duration
 	// Saving: it is over because it was told to save.
-	Saving bool
+	Checkpointing bool
 	// Doubt is since when a task is gone without it being known whether the gang
 	// had started by then, 0 if there is none. Only a later report of one that
 	// waits proves that it had not.
-	Doubt time.Duration
+	StartInDoubtSince time.Duration
 	// Done: one task is proven done, so all are.
 	Done bool
 	// Short counts the attempts in a row that were never complete.
-	Short int
+	IncompleteAttempts int
 	// Cold counts the placements on machines without the image.
-	Cold int
+	UncachedPlacements int
 	// Enqueued is since when it has waited for machines.
-	Enqueued time.Duration
+	EnqueuedAt time.Duration
 }
 
 // Try is the task's attempt as its worker knows it. For a gang it is the
 // gang's; the stored number also counts the replacements within it, so that it
 // grows with each placement. Numbers below the step are of a version that took
 // gangs for arrays.
-func (t *Task) Try() uint64 {
-	if t.Job.Gang == nil || t.Attempt < tuning.GangStep {
+func (t *Task) WireAttempt() uint64 {
+	if t.Job.Gang == nil || t.Attempt < tuning.GangAttemptStride {
 		return t.Attempt
 	}
-	return t.Attempt / tuning.GangStep
+	return t.Attempt / tuning.GangAttemptStride
 }
 
 // advance gives a task that is to be placed its next number.
@@ -55,8 +55,8 @@
 	if g.Attempt == 0 {
 		g.Attempt = t.Job.nextTry()
 	}
-	if first := g.Attempt * tuning.GangStep; t.Attempt < first {
-		t.Attempt, t.Tried, t.Unsure = first, nil, false
+	if first := g.Attempt * tuning.GangAttemptStride; t.Attempt < first {
+		t.Attempt, t.TriedWorkers, t.TriedWorkersIncomplete = first, nil, false
 	} else {
 		t.Attempt++
 	}
@@ -66,14 +66,14 @@
 // leader has chosen for the parts of a divided gang, or the next.
 func (j *Job) nextTry() uint64 {
 	var next uint64
-	for _, c := range j.Chunks {
-		if c.Try > 0 && c.Open > 0 {
-			return c.Try
+	for _, c := range j.Groups {
+		if c.GangAttempt > 0 && c.OpenTasks > 0 {
+			return c.GangAttempt
 		}
 	}
-	for _, c := range j.Chunks {
+	for _, c := range j.Groups {
 		for _, t := range c.Tasks { // those given back count too
-			next = max(next, t.Try())
+			next = max(next, t.WireAttempt())
 		}
 	}
 	return next + 1
@@ -83,23 +83,23 @@
 // present attempt. It may not if machines that have had it are not known: on one
 // of them it would be taken for the lost one.
 func (t *Task) Replaceable() bool {
-	first := t.Job.Gang.Attempt * tuning.GangStep
-	return t.Attempt < first || (!t.Unsure && t.Attempt+1 < first+tuning.GangStep)
+	first := t.Job.Gang.Attempt * tuning.GangAttemptStride
+	return t.Attempt < first || (!t.TriedWorkersIncomplete && t.Attempt+1 < first+tuning.GangAttemptStride)
 }
 
 // Here tells whether the block has all of the gang's tasks, or of the part of
 // a divided gang that the leader has given to it.
-func (j *Job) Here() bool {
-	if len(j.Tasks) == j.Desc.Tasks {
+func (j *Job) IsComplete() bool {
+	if len(j.Tasks) == j.Spec.Tasks {
 		return true
 	}
 	n := 0
-	for _, c := range j.Chunks {
-		if c.Open > 0 && c.Try == 0 {
+	for _, c := range j.Groups {
+		if c.OpenTasks > 0 && c.GangAttempt == 0 {
 			return false
 		}
-		if c.Open > 0 {
-			n = max(n, c.Part)
+		if c.OpenTasks > 0 {
+			n = max(n, c.PartSize)
 		}
 	}
 	return n > 0 && len(j.Tasks) == n
@@ -107,15 +107,15 @@
 
 // Spent tells whether the attempt that the leader has chosen for a part of a
 // divided gang is over: the part goes back to the leader.
-func (j *Job) Spent() bool {
+func (j *Job) ChosenAttemptOver() bool {
 	g := j.Gang
 	if g == nil || g.Attempt != 0 || g.Done || j.Cancelled {
 		return false
 	}
 	spent := false
-	for _, c := range j.Chunks {
+	for _, c := range j.Groups {
 		for _, t := range c.Tasks {
-			if t.State == Waiting && c.Try > 0 && t.Attempt >= c.Try*tuning.GangStep {
+			if t.State == StateWaiting && c.GangAttempt > 0 && t.Attempt >= c.GangAttempt*tuning.GangAttemptStride {
 				spent = true
 			}
 		}
@@ -125,14 +125,14 @@
 
 // Missing lists the tasks that want machines, all of them at once; none if the
 // gang must not be given any now.
-func (j *Job) Missing() []*Task {
+func (j *Job) TasksToPlace() []*Task {
 	g := j.Gang
-	if j.Cancelled || g.Done || g.Over || g.Doubt > 0 || g.Started || !j.Here() || j.Spent() {
+	if j.Cancelled || g.Done || g.AttemptOver || g.StartInDoubtSince > 0 || g.Started || !j.IsComplete() || j.ChosenAttemptOver() {
 		return nil
 	}
 	var list []*Task
 	for _, t := range j.Tasks {
-		if t.State == Waiting {
+		if t.State == StateWaiting {
 			if g.Attempt > 0 && !t.Replaceable() {
 				return nil
 			}
@@ -149,18 +149,18 @@
 // the placements of all are durable, so that none is on a machine without it
 // being known where the others go.
 func (t *Task) Launchable() bool {
-	if !t.Durable || t.Sent || t.Job.Cancelled {
+	if !t.PlacementDurable || t.LaunchSent || t.Job.Cancelled {
 		return false
 	}
 	g := t.Job.Gang
 	if g == nil {
 		return true
 	}
-	if g.Done || g.Over || g.Doubt > 0 || t.Try() != g.Attempt || !t.Job.Here() {
+	if g.Done || g.AttemptOver || g.StartInDoubtSince > 0 || t.WireAttempt() != g.Attempt || !t.Job.IsComplete() {
 		return false
 	}
 	for _, o := range t.Job.Tasks {
-		if o.State != Placed || !o.Durable {
+		if o.State != StatePlaced || !o.PlacementDurable {
 			return false
 		}
 	}
@@ -168,25 +168,25 @@
 }
 
 // Placing gives a waiting task to a machine; nothing is launched yet.
-func (t *Task) Placing(host string) {
-	t.State, t.Host = Placed, host
-	t.Job.Began = true
+func (t *Task) PlaceOn(host string) {
+	t.State, t.WorkerID = StatePlaced, host
+	t.Job.HasPlacedTask = true
 	t.advance()
 	if t.Job.Gang != nil {
-		t.Tried = append(t.Tried, host)
+		t.TriedWorkers = append(t.TriedWorkers, host)
 	}
-	t.Durable, t.Sent, t.Flying, t.Doubt, t.Seen, t.Running, t.Imaged, t.Ran, t.Stopping, t.Told = false, false, false, false, false, false, false, false, false, false
+	t.PlacementDurable, t.LaunchSent, t.LaunchInFlight, t.LaunchInDoubt, t.Reported, t.Running, t.HasImage, t.HasRun, t.HaltDecided, t.HaltSent = false, false, false, false, false, false, false, false, false, false
 }
 
 // Take works out what an earlier owner, or an earlier token, has left of the
 // gang. now is the time from which reports count.
-func (j *Job) Take(now time.Duration) {
+func (j *Job) RecoverGang(now time.Duration) {
 	g := j.Gang
-	*g = Gang{Enqueued: now, Done: j.Elsewhere}
+	*g = Gang{EnqueuedAt: now, Done: j.PartDoneElsewhere}
 	for _, t := range j.Tasks {
-		g.Done = g.Done || t.State == Done
-		if t.State == Placed {
-			g.Attempt = max(g.Attempt, t.Try())
+		g.Done = g.Done || t.State == StateDone
+		if t.State == StatePlaced {
+			g.Attempt = max(g.Attempt, t.WireAttempt())
 		}
 	}
 	if g.Attempt == 0 {
@@ -194,27 +194,27 @@
 	}
 	for _, t := range j.Tasks {
 		switch {
-		case t.State == Placed:
-			g.Started = g.Started || t.Ran
-			t.Tried = []string{t.Host}
-			t.Unsure = t.Attempt%tuning.GangStep > 0
-			if t.Try() != g.Attempt {
+		case t.State == StatePlaced:
+			g.Started = g.Started || t.HasRun
+			t.TriedWorkers = []string{t.WorkerID}
+			t.TriedWorkersIncomplete = t.Attempt%tuning.GangAttemptStride > 0
+			if t.WireAttempt() != g.Attempt {
 				g.end(now) // of a version that took gangs for arrays
 			}
-		case t.State == Waiting && t.Try() == g.Attempt:
+		case t.State == StateWaiting && t.WireAttempt() == g.Attempt:
 			g.end(now) // lost, and it is not known from which machines
-		case t.State == Waiting:
-			g.Doubt = now // the hand-out was not finished
+		case t.State == StateWaiting:
+			g.StartInDoubtSince = now // the hand-out was not finished
 		}
 	}
-	if g.Started && g.Doubt > 0 {
+	if g.Started && g.StartInDoubtSince > 0 {
 		g.end(now)
 	}
 }
 
 func (g *Gang) end(now time.Duration) {
-	if !g.Over {
-		g.Over, g.Since = true, now
+	if !g.AttemptOver {
+		g.AttemptOver, g.OverSince = true, now
 	}
 }
 
@@ -223,59 +223,59 @@
 
 const (
 	// Unready: it has never waited for the others, so they cannot have started.
-	Unready Loss = iota
+	LossBeforeWaiting Loss = iota
 	// Vanished: it is gone, whatever it did before.
-	Vanished
+	LossVanished
 	// Ended: it has exited, and so will the others.
-	Ended
+	LossExited
 )
 
 // Lost takes note that a task is surely off its machine.
-func (j *Job) Lost(t *Task, how Loss, now time.Duration) {
+func (j *Job) TaskGone(t *Task, how Loss, now time.Duration) {
 	g := j.Gang
 	placed := false
 	for _, o := range j.Tasks {
-		placed = placed || o.State == Placed
+		placed = placed || o.State == StatePlaced
 	}
 	if !placed {
 		// The attempt is through: the next one may begin.
 		if g.Started {
-			g.Short = 0
+			g.IncompleteAttempts = 0
 		} else {
-			j.NotBefore = max(j.NotBefore, now+min(tuning.GangPause<<min(g.Short, 10), tuning.GangPauseMax))
-			g.Short++
+			j.NotBefore = max(j.NotBefore, now+min(tuning.MinGangPause<<min(g.IncompleteAttempts, 10), tuning.MaxGangPause))
+			g.IncompleteAttempts++
 		}
-		*g = Gang{Short: g.Short, Done: g.Done, Enqueued: now}
+		*g = Gang{IncompleteAttempts: g.IncompleteAttempts, Done: g.Done, EnqueuedAt: now}
 		return
 	}
 	switch {
-	case g.Over:
-	case g.Started || how == Ended || !t.Replaceable():
+	case g.AttemptOver:
+	case g.Started || how == LossExited || !t.Replaceable():
 		g.end(now)
-	case how == Vanished && g.Doubt == 0:
-		g.Doubt = now
+	case how == LossVanished && g.StartInDoubtSince == 0:
+		g.StartInDoubtSince = now
 	}
 }
 
 // SeenRunning takes note that a task runs: all have been there.
-func (j *Job) SeenRunning(now time.Duration) {
+func (j *Job) ReportedRunning(now time.Duration) {
 	g := j.Gang
 	g.Started = true
-	if g.Doubt > 0 {
+	if g.StartInDoubtSince > 0 {
 		g.end(now)
 	}
 }
 
 // SeenWaiting takes note that a task waits, as a report says that was received
 // after the loss in doubt: what is lost was lost before the start.
-func (j *Job) SeenWaiting(now time.Duration) {
+func (j *Job) ReportedWaiting(now time.Duration) {
 	g := j.Gang
-	if g.Doubt == 0 || g.Doubt >= now || g.Over {
+	if g.StartInDoubtSince == 0 || g.StartInDoubtSince >= now || g.AttemptOver {
 		return
 	}
-	g.Doubt = 0
+	g.StartInDoubtSince = 0
 	for _, t := range j.Tasks {
-		if t.State == Waiting && !t.Replaceable() {
+		if t.State == StateWaiting && !t.Replaceable() {
 			g.end(now)
 		}
 	}
@@ -284,19 +284,19 @@
 // WindUp tells whether a task of an attempt that is over has to be halted now:
 // at once if the gang has not started, else when it has not noticed by itself,
 // or not saved, in the time for that.
-func (j *Job) WindUp(now, peer time.Duration) bool {
+func (j *Job) MustHaltAttempt(now, peer time.Duration) bool {
 	g := j.Gang
-	wait := peer + tuning.GangNotice
+	wait := peer + tuning.GangLossNoticeMargin
 	switch {
-	case !g.Over || g.Attempt == 0:
+	case !g.AttemptOver || g.Attempt == 0:
 		return false
-	case g.Saving:
-		wait += time.Duration(j.Desc.SaveS * float64(time.Second))
+	case g.Checkpointing:
+		wait += time.Duration(j.Spec.CheckpointSeconds * float64(time.Second))
 	case !g.Started:
 		wait = 0
 	}
-	return now-g.Since >= wait
+	return now-g.OverSince >= wait
 }
 
 // End winds the present attempt up.
-func (j *Job) End(now time.Duration) { j.Gang.end(now) }
+func (j *Job) EndAttempt(now time.Duration) { j.Gang.end(now) }
--- a/internal/work/page.go
+++ b/internal/work/page.go
@@ -40,10 +40,10 @@
 
 // Pack writes tasks on pages of at most limit bytes, at most most of them. It
 // orders the list; tasks past the last full page are left over.
-func Pack(tasks []*Task, limit, most int) (pages []json.RawMessage, on [][]*Task, rest []*Task, err error) {
+func PackPages(tasks []*Task, limit, most int) (pages []json.RawMessage, on [][]*Task, rest []*Task, err error) {
 	slices.SortFunc(tasks, func(a, b *Task) int {
-		if a.Chunk != b.Chunk {
-			return strings.Compare(a.Chunk.Key, b.Chunk.Key)
+		if a.Group != b.Group {
+			return strings.Compare(a.Group.Key, b.Group.Key)
 		}
 		return cmp.Compare(a.Index, b.Index)
 	})
@@ -75,28 +75,28 @@
 
 // entryOf takes the first tasks of one record, as many as fit.
 func entryOf(tasks []*Task, size, limit int) (e entry, n, total int) {
-	c := tasks[0].Chunk
-	e.Record = c.Job.Desc.ID + "/" + strconv.Itoa(c.Number)
+	c := tasks[0].Group
+	e.Record = c.Job.Spec.ID + "/" + strconv.Itoa(c.Number)
 	size += overhead + len(e.Record)
 	var waiting, returned, done runsOf
 	placed, running := map[string]*runsOf{}, map[string]*runsOf{}
 	for _, t := range tasks {
-		if t.Chunk != c {
+		if t.Group != c {
 			break
 		}
 		cost, attempt, to := 0, t.Attempt, &waiting
 		switch t.State {
-		case Placed:
-			if to = placed[t.Host]; to == nil {
+		case StatePlaced:
+			if to = placed[t.WorkerID]; to == nil {
 				to = &runsOf{}
-				cost = len(t.Host) + 8
+				cost = len(t.WorkerID) + 8
 			}
-			if t.Ran {
-				cost += len(t.Host) + 8 + runBytes
+			if t.HasRun {
+				cost += len(t.WorkerID) + 8 + runBytes
 			}
-		case Returned, Dropped:
+		case StateReturned, StateDropped:
 			to = &returned
-		case Done:
+		case StateDone:
 			to, attempt = &done, usual
 		}
 		if !to.extends(t.Index, attempt) {
@@ -105,13 +105,13 @@
 		if size+cost > limit {
 			break
 		}
-		if t.State == Placed {
-			placed[t.Host] = to
-			if t.Ran {
-				if running[t.Host] == nil {
-					running[t.Host] = &runsOf{}
+		if t.State == StatePlaced {
+			placed[t.WorkerID] = to
+			if t.HasRun {
+				if running[t.WorkerID] == nil {
+					running[t.WorkerID] = &runsOf{}
 				}
-				running[t.Host].add(t.Index, attempt)
+				running[t.WorkerID].add(t.Index, attempt)
 			}
 		}
 		to.add(t.Index, attempt)
@@ -136,7 +136,7 @@
 }
 
 // readPage calls fn for each task that a page tells of.
-func readPage(value json.RawMessage, fn func(job string, number, task int, m Mark)) error {
+func readPage(value json.RawMessage, fn func(job string, number, task int, m TaskStatus)) error {
 	var p storedPage
 	if err := json.Unmarshal(value, &p); err != nil {
 		return fmt.Errorf("log page: %w", err)
@@ -144,7 +144,7 @@
 	type word struct {
 		job          string
 		number, task int
-		mark         Mark
+		mark         TaskStatus
 	}
 	var words []word // nothing of a malformed page is taken in
 	for _, e := range p.Entries {
@@ -153,7 +153,7 @@
 		if err != nil || number < 0 || !jobs.ValidID(job) {
 			return fmt.Errorf("log page: not a record: %q", e.Record)
 		}
-		runs := func(text string, m Mark) {
+		runs := func(text string, m TaskStatus) {
 			if err == nil {
 				err = parseRuns(text, jobs.MaxTasks, func(r run) error {
 					m.Attempt = r.attempt
@@ -165,14 +165,14 @@
 			}
 		}
 		for host, text := range e.Placed {
-			runs(text, Mark{State: Placed, Host: host})
+			runs(text, TaskStatus{State: StatePlaced, WorkerID: host})
 		}
 		for host, text := range e.Running {
-			runs(text, Mark{State: Placed, Host: host, Running: true})
+			runs(text, TaskStatus{State: StatePlaced, WorkerID: host, Running: true})
 		}
-		runs(e.Waiting, Mark{State: Waiting})
-		runs(e.Returned, Mark{State: Returned})
-		runs(e.Done, Mark{State: Done})
+		runs(e.Waiting, TaskStatus{State: StateWaiting})
+		runs(e.Returned, TaskStatus{State: StateReturned})
+		runs(e.Done, TaskStatus{State: StateDone})
 		if err != nil {
 			return fmt.Errorf("log page: %s: %w", e.Record, err)
 		}
--- a/internal/work/store.go
+++ b/internal/work/store.go
@@ -14,9 +14,9 @@
 type Store struct {
 	// Added and Removed tell of records, Moved of a task of one that was
 	// marked otherwise before.
-	Added   func(*Record)
-	Removed func(*Record)
-	Moved   func(r *Record, position int, was Mark)
+	RecordAdded       func(*Record)
+	RecordRemoved     func(*Record)
+	TaskStatusChanged func(r *Record, position int, was TaskStatus)
 
 	mirror  *statestore.Mirror
 	records map[string]*Record
@@ -31,12 +31,12 @@
 
 // NewStore returns an empty store.
 func NewStore(rt engine.Runtime, state *statestore.Client, log *slog.Logger) *Store {
-	s := &Store{Added: func(*Record) {}, Removed: func(*Record) {}, Moved: func(*Record, int, Mark) {},
+	s := &Store{RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
 		records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{},
 		pages: map[string]uint64{}, log: log}
-	s.mirror = statestore.NewMirror(rt, state, Prefix)
+	s.mirror = statestore.NewMirror(rt, state, KeyPrefix)
 	s.mirror.Apply = s.apply
-	s.mirror.Reset = func(rows []statestore.Row) {
+	s.mirror.Reset = func(rows []statestore.KeyValue) {
 		// What is there still is not taken away and brought back: an owner
 		// would lose sight of the tasks on its machines.
 		there := make(map[string]bool, len(rows))
@@ -53,13 +53,13 @@
 }
 
 // Pace sets how long to rest between changes.
-func (s *Store) Pace(pause func() time.Duration) { s.mirror.Pause = pause }
+func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.WatchPause = pause }
 
 // Start begins to read the records.
 func (s *Store) Start() { s.mirror.Start() }
 
 // Check calls fn when the store is proven to be current.
-func (s *Store) Check(fn func(error)) { s.mirror.Check(fn) }
+func (s *Store) Verify(fn func(error)) { s.mirror.Verify(fn) }
 
 func (s *Store) apply(key string, value json.RawMessage, stamp uint64) {
 	block, job, number, err := parseKey(key)
@@ -79,14 +79,14 @@
 		if old != nil {
 			delete(s.records, key)
 			delete(s.byJob[old.Job], key)
-			for _, m := range old.Marks {
+			for _, m := range old.Statuses {
 				s.count(job, m, -1)
 			}
 			if len(s.byJob[old.Job]) == 0 {
 				delete(s.byJob, old.Job)
 				delete(s.sums, old.Job)
 			}
-			s.Removed(old)
+			s.RecordRemoved(old)
 		}
 		return
 	}
@@ -103,18 +103,18 @@
 		s.byJob[r.Job] = map[string]*Record{}
 	}
 	s.byJob[r.Job][key] = r
-	for _, m := range r.Marks {
+	for _, m := range r.Statuses {
 		s.count(job, m, 1)
 	}
-	s.Added(r)
+	s.RecordAdded(r)
 }
 
 // read takes a page in. Words on records that are gone mean nothing any more.
 func (s *Store) read(block, page int, value json.RawMessage) {
 	var r *Record
-	err := readPage(value, func(job string, number, task int, m Mark) {
+	err := readPage(value, func(job string, number, task int, m TaskStatus) {
 		if r == nil || r.Job != job || r.Number != number {
-			r = s.records[Key(block, job, number)]
+			r = s.records[RecordKey(block, job, number)]
 		}
 		if r == nil {
 			return
@@ -124,15 +124,15 @@
 			s.log.Error("log page names a strange task", "record", r.Key, "task", task)
 			return
 		}
-		was := r.Marks[k]
+		was := r.Statuses[k]
 		switch {
-		case m == was || (m.State == Done && was.State == Done):
-			r.Pages[k] = int32(page) // copied from a page that is to be written over
+		case m == was || (m.State == StateDone && was.State == StateDone):
+			r.LogPages[k] = int32(page) // copied from a page that is to be written over
 		case m.after(was):
-			r.Marks[k], r.Pages[k] = m, int32(page)
+			r.Statuses[k], r.LogPages[k] = m, int32(page)
 			s.count(job, was, -1)
 			s.count(job, m, 1)
-			s.Moved(r, k, was)
+			s.TaskStatusChanged(r, k, was)
 		}
 	})
 	if err != nil {
@@ -140,16 +140,16 @@
 	}
 }
 
-func (s *Store) count(job string, m Mark, sign int) {
+func (s *Store) count(job string, m TaskStatus, sign int) {
 	n := s.sums[job]
 	if n == nil {
 		n = &sum{}
 		s.sums[job] = n
 	}
 	switch m.State {
-	case Done:
+	case StateDone:
 		n.done += sign
-	case Placed:
+	case StatePlaced:
 		n.placed += sign
 		if m.Running {
 			n.running += sign
@@ -159,7 +159,7 @@
 
 // Running tells how many tasks of a gang run: placed ones may still wait for
 // each other.
-func (s *Store) Running(job string) int {
+func (s *Store) RunningTasks(job string) int {
 	if n := s.sums[job]; n != nil {
 		return n.running
 	}
@@ -175,17 +175,17 @@
 }
 
 // PageStamp is the stamp of a page, 0 if it was never written.
-func (s *Store) PageStamp(block, page int) uint64 { return s.pages[PageKey(block, page)] }
+func (s *Store) PageRevision(block, page int) uint64 { return s.pages[PageKey(block, page)] }
 
 // Get finds a record.
 func (s *Store) Get(key string) *Record { return s.records[key] }
 
 // All calls fn for every record.
-func (s *Store) All(fn func(*Record)) {
+func (s *Store) EachRecord(fn func(*Record)) {
 	for _, r := range s.records {
 		fn(r)
 	}
 }
 
 // OfJob returns the records of a job.
-func (s *Store) OfJob(job string) map[string]*Record { return s.byJob[job] }
+func (s *Store) JobRecords(job string) map[string]*Record { return s.byJob[job] }
