--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -17,9 +17,9 @@
 
 	"github.com/spf13/cobra"
 
+	"lemonmoor/internal/adminclient"
 	"lemonmoor/internal/drain"
-	"lemonmoor/internal/operator"
-	"lemonmoor/internal/peers"
+	"lemonmoor/internal/peer"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/tuning"
 )
@@ -158,16 +158,16 @@
 		return refuse("%w", refusal)
 	}
 	var response drain.Response
-	client := operator.NewClient(peers.NewClient(), operator.Nodes(set), d.timeout)
-	err = client.Ask(drain.RequestPath, &d.request, func(answer []byte) (operator.Verdict, error) {
+	client := adminclient.NewClient(peer.NewClient(), adminclient.Nodes(set), d.timeout)
+	err = client.Ask(drain.RequestPath, &d.request, func(answer []byte) (adminclient.Verdict, error) {
 		response = drain.Response{}
 		if err := json.Unmarshal(answer, &response); err != nil {
-			return operator.Verdict{}, err
+			return adminclient.Verdict{}, err
 		}
-		return operator.Verdict{Final: response.Status == drain.StatusOK || response.Status == drain.StatusRefused,
+		return adminclient.Verdict{Final: response.Status == drain.StatusOK || response.Status == drain.StatusRefused,
 			Reason: response.Reason, Retry: time.Duration(response.RetryMS) * time.Millisecond}, nil
 	})
-	var silent *operator.NoAnswerError
+	var silent *adminclient.NoAnswerError
 	if errors.As(err, &silent) {
 		return &exitError{exitNoAnswer, err}
 	}
--- a/cmd/lemonmoor/main.go
+++ b/cmd/lemonmoor/main.go
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 
 	"lemonmoor/internal/controller"
-	"lemonmoor/internal/engine"
-	"lemonmoor/internal/httpwire"
-	"lemonmoor/internal/peers"
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/peer"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/tuning"
 )
@@ -103,21 +103,21 @@
 	debug.SetGCPercent(tuning.GCPercent)
 
 	log := logger(set.Node)
-	loop := engine.NewLoop()
-	sockets := httpwire.NewSocketBudget(set.Deployment.Quota.Sockets)
-	client := httpwire.NewClient(sockets, set.External.State, set.External.Cloud)
-	rt := engine.NewSystemRuntime(loop, client, peers.NewClient())
+	loop := eventloop.NewLoop()
+	sockets := http1.NewSocketBudget(set.Deployment.Quota.Sockets)
+	client := http1.NewClient(sockets, set.External.State, set.External.Cloud)
+	rt := eventloop.NewSystemRuntime(loop, client, peer.NewClient())
 	// Below 2^50, exact wherever JSON numbers are read as floating point.
 	node := controller.New(rt, set, rand.Uint64()>>14, log)
-	server := httpwire.NewServer(func(req *httpwire.Request, reply httpwire.ResponseWriter) {
+	server := http1.NewServer(func(req *http1.Request, reply http1.ResponseWriter) {
 		lane := controller.RequestLane(req)
-		if lane == engine.UserLane && loop.QueueLength(lane) > tuning.MaxQueuedUserRequests {
-			reply(503, httpwire.ErrorBody("overloaded"), tuning.RetryAfterSeconds)
+		if lane == eventloop.UserLane && loop.QueueLength(lane) > tuning.MaxQueuedUserRequests {
+			reply(503, http1.ErrorBody("overloaded"), tuning.RetryAfterSeconds)
 			return
 		}
 		loop.Post(lane, func() { node.Handle(req, reply) })
 	}, sockets, log)
-	server.IsUser = func(req *httpwire.Request) bool { return controller.RequestLane(req) == engine.UserLane }
+	server.IsUser = func(req *http1.Request) bool { return controller.RequestLane(req) == eventloop.UserLane }
 	server.WorkerIdleTimeout = tuning.AbandonedConnectionHeartbeats * set.HeartbeatInterval()
 
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -127,12 +127,12 @@
 		}
 	}()
 	go func() {
-		err := peers.Serve(set.PeerBind, func(path string, body []byte, answer func([]byte, bool)) {
-			loop.Post(engine.HeartbeatLane, func() { node.HandlePeer(path, body, answer) })
+		err := peer.Serve(set.PeerBind, func(path string, body []byte, answer func([]byte, bool)) {
+			loop.Post(eventloop.HeartbeatLane, func() { node.HandlePeer(path, body, answer) })
 		}, log)
 		cancel(err)
 	}()
-	loop.Post(engine.DecisionLane, node.Start)
+	loop.Post(eventloop.DecisionLane, node.Start)
 	loop.Run(ctx, node.AfterBatch)
 	return context.Cause(ctx)
 }
--- a/internal/operator/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -1,4 +1,4 @@
-package operator
+package adminclient
 
 import (
 	"errors"
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,17 +8,17 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/agents"
 	"lemonmoor/internal/drain"
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/fleet"
-	"lemonmoor/internal/httpwire"
-	"lemonmoor/internal/lead"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/leader"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/userapi"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/workers"
 )
 
 // Paths of the messages between controllers.
@@ -31,15 +31,15 @@
 
 // Node is one controller.
 type Node struct {
-	rt     engine.Runtime
+	rt     eventloop.Runtime
 	set    *settings.Settings
 	log    *slog.Logger
 	state  *statestore.Client
 	leases *statestore.LeaseManager
 	cat    *userapi.Catalog
-	store  *work.Store
+	store  *taskstate.Store
 	api    *userapi.API
-	leader *lead.Leader
+	leader *leader.Leader
 	fleet  *fleet.Fleet
 	owners []*owner
 	drains *drains // nil if they are off
@@ -65,7 +65,7 @@
 }
 
 // New puts a node together. nonce differs for every process.
-func New(rt engine.Runtime, set *settings.Settings, nonce uint64, log *slog.Logger) *Node {
+func New(rt eventloop.Runtime, set *settings.Settings, nonce uint64, log *slog.Logger) *Node {
 	n := &Node{rt: rt, set: set, log: log, peers: map[string]string{}, sent: map[string]redirected{}}
 	rank := 0
 	for _, p := range set.Seeds {
@@ -96,9 +96,9 @@
 	n.leases = statestore.NewLeaseManager(rt, n.state, log, set.Node, nonce, rank, set.ShardCount())
 	n.leases.AnswerGracePeriod = set.AnswerGracePeriod()
 	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log)
-	n.store = work.NewStore(rt, n.state, log)
+	n.store = taskstate.NewStore(rt, n.state, log)
 	n.fleet = fleet.New(rt, set.External.Cloud, n.leases, set, log)
-	n.leader = lead.New(rt, n.state, n.leases, n.cat, n.store, n.fleet, set, log)
+	n.leader = leader.New(rt, n.state, n.leases, n.cat, n.store, n.fleet, set, log)
 	n.api = userapi.NewAPI(rt, n.state, n.cat, set, log)
 	for b := range set.ShardCount() {
 		n.owners = append(n.owners, newOwner(n, b))
@@ -142,19 +142,19 @@
 			o.tasks.JobChanged(e)
 		}
 	}
-	n.store.RecordAdded = func(r *work.Record) {
+	n.store.RecordAdded = func(r *taskstate.Record) {
 		n.leader.RecordAdded(r)
 		for _, o := range n.owners {
 			o.tasks.RecordAdded(r)
 		}
 	}
-	n.store.RecordRemoved = func(r *work.Record) {
+	n.store.RecordRemoved = func(r *taskstate.Record) {
 		n.leader.RecordRemoved(r)
 		for _, o := range n.owners {
 			o.tasks.RecordRemoved(r)
 		}
 	}
-	n.store.TaskStatusChanged = func(r *work.Record, k int, was work.TaskStatus) {
+	n.store.TaskStatusChanged = func(r *taskstate.Record, k int, was taskstate.TaskStatus) {
 		n.leader.TaskStatusChanged(r, k, was)
 		for _, o := range n.owners {
 			o.tasks.TaskStatusChanged(r, k)
@@ -344,12 +344,12 @@
 		reply, err := json.Marshal(n.takeStatus(&d))
 		answer(reply, err == nil)
 	case beatPath:
-		r, err := agents.ParseHeartbeat(body)
+		r, err := workers.ParseHeartbeat(body)
 		if err != nil {
 			answer(nil, false)
 			return
 		}
-		o := n.owners[work.ShardOf(r.WorkerID, len(n.owners))]
+		o := n.owners[taskstate.ShardOf(r.WorkerID, len(n.owners))]
 		if !n.answering(o) {
 			answer(nil, false)
 			return
@@ -448,15 +448,15 @@
 }
 
 // beat serves POST /agent/beat.
-func (n *Node) beat(body []byte, reply httpwire.ResponseWriter) {
-	r, err := agents.ParseHeartbeat(body)
+func (n *Node) beat(body []byte, reply http1.ResponseWriter) {
+	r, err := workers.ParseHeartbeat(body)
 	if err != nil {
-		reply(400, httpwire.ErrorBody(err.Error()), 0)
+		reply(400, http1.ErrorBody(err.Error()), 0)
 		return
 	}
 	now := n.rt.Now()
 	n.lastBeat, n.reported, n.vain = now, now, 0
-	b := work.ShardOf(r.WorkerID, len(n.owners))
+	b := taskstate.ShardOf(r.WorkerID, len(n.owners))
 	o := n.owners[b]
 	if n.answering(o) {
 		status, answer := o.workers.HandleHeartbeat(r)
@@ -490,7 +490,7 @@
 }
 
 // redirect sends a worker to the owner of its machine.
-func (n *Node) redirect(to string, reply httpwire.ResponseWriter) {
+func (n *Node) redirect(to string, reply http1.ResponseWriter) {
 	answer := map[string]string{}
 	if to != "" && to != n.set.Node {
 		answer["upstream"] = to
@@ -516,34 +516,34 @@
 }
 
 // Handle serves one request, on the loop.
-func (n *Node) Handle(req *httpwire.Request, reply httpwire.ResponseWriter) {
+func (n *Node) Handle(req *http1.Request, reply http1.ResponseWriter) {
 	switch {
 	case req.Path == "/agent/beat":
 		if req.Method != "POST" {
-			reply(405, httpwire.ErrorBody("method not allowed"), 0)
+			reply(405, http1.ErrorBody("method not allowed"), 0)
 			return
 		}
 		n.beat(req.Body, reply)
 	case req.Path == "/up":
 		switch {
 		case req.Method != "GET":
-			reply(405, httpwire.ErrorBody("method not allowed"), 0)
+			reply(405, http1.ErrorBody("method not allowed"), 0)
 		case n.healthy():
 			reply(200, []byte("{}"), 0)
 		default:
-			reply(503, httpwire.ErrorBody("not ready"), 0)
+			reply(503, http1.ErrorBody("not ready"), 0)
 		}
 	case n.api.Route(req, reply):
 	default:
-		reply(404, httpwire.ErrorBody("no such path"), 0)
+		reply(404, http1.ErrorBody("no such path"), 0)
 	}
 }
 
 // LaneOf ranks a request: reports of workers and health checks first, users
 // last.
-func RequestLane(req *httpwire.Request) engine.Lane {
+func RequestLane(req *http1.Request) eventloop.Lane {
 	if strings.HasPrefix(req.Path, "/work") {
-		return engine.UserLane
+		return eventloop.UserLane
 	}
-	return engine.HeartbeatLane
+	return eventloop.HeartbeatLane
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -7,8 +7,8 @@
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // drains is what a node keeps for stepwise drains; a node has none if they are off.
@@ -144,7 +144,7 @@
 	return e.Spec, true
 }
 
-func (c *drainCluster) TaskStatus(job string, index int) (work.TaskStatus, bool) {
+func (c *drainCluster) TaskStatus(job string, index int) (taskstate.TaskStatus, bool) {
 	return c.n.leader.TaskStatus(job, index)
 }
 
@@ -153,7 +153,7 @@
 	return placed
 }
 
-func (c *drainCluster) EachPlacement(fn func(*jobs.Spec, work.TaskStatus)) {
+func (c *drainCluster) EachPlacement(fn func(*jobs.Spec, taskstate.TaskStatus)) {
 	c.n.leader.EachPlacement(fn)
 }
 
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 
 	"lemonmoor/internal/statestore"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
 )
 
 // layoutKey holds what must stay as it is while there is work: into how many
@@ -43,7 +43,7 @@
 			return
 		}
 		// None is stored: a new deployment, or work of a version that kept none.
-		n.state.List(work.KeyPrefix, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
+		n.state.List(taskstate.KeyPrefix, func(rows []statestore.KeyValue, _ uint64, out statestore.Outcome) {
 			if out != statestore.OutcomeOK {
 				again()
 				return
@@ -53,7 +53,7 @@
 				l.Blocks = 1
 			}
 			for _, r := range rows {
-				l.Blocks = max(l.Blocks, work.ShardOfKey(r.Key)+1)
+				l.Blocks = max(l.Blocks, taskstate.ShardOfKey(r.Key)+1)
 			}
 			value, err := json.Marshal(l)
 			if err != nil {
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"lemonmoor/internal/agents"
-	"lemonmoor/internal/block"
 	"lemonmoor/internal/drain"
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/placement"
+	"lemonmoor/internal/shard"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/workers"
 )
 
 // owner is what a node keeps for a block that it owns.
@@ -17,8 +17,8 @@
 	node    *Node
 	block   int
 	token   uint64
-	tasks   *block.TaskStore
-	workers *agents.Registry
+	tasks   *shard.TaskStore
+	workers *workers.Registry
 	planner *placement.Planner
 
 	lastRound time.Duration
@@ -54,8 +54,8 @@
 
 func newOwner(n *Node, number int) *owner {
 	o := &owner{node: n, block: number, told: map[string]fleet.MachineStatus{}}
-	o.tasks = block.NewTaskStore(n.rt, n.state, n.leases, n.cat, n.store, n.set, n.log, number)
-	o.workers = agents.NewRegistry(n.rt, o, o.tasks, n.set, n.log)
+	o.tasks = shard.NewTaskStore(n.rt, n.state, n.leases, n.cat, n.store, n.set, n.log, number)
+	o.workers = workers.NewRegistry(n.rt, o, o.tasks, n.set, n.log)
 	o.planner = placement.New(n.set.WaitBound())
 	o.tasks.TaskWaiting = o.arrive
 	o.tasks.PlacementDurable = o.workers.PlacementDurable
@@ -69,13 +69,13 @@
 	o.planner.FindWorker = o.workers.Worker
 	o.planner.PlaceTask = o.workers.Place
 	o.planner.StartsPromptly = n.set.StartsPromptly
-	o.planner.UpdateRank = func(j *work.Job, wallMS int64) bool {
+	o.planner.UpdateRank = func(j *taskstate.Job, wallMS int64) bool {
 		return j.Rank.Update(j.Spec, n.set, wallMS, j.OpenTasks())
 	}
 	return o
 }
 
-func (o *owner) arrive(t *work.Task) {
+func (o *owner) arrive(t *taskstate.Task) {
 	if t.Job.Gang != nil && t.Job.ChosenAttemptOver() {
 		o.tasks.RecallTasks(t.Job.Spec.ID, len(t.Job.Tasks)) // the leader divides it anew
 		return
--- a/internal/drain/book.go
+++ b/internal/drain/book.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/statestore"
 	"lemonmoor/internal/tuning"
 )
@@ -79,7 +79,7 @@
 }
 
 // NewBook returns an empty book.
-func NewRecords(rt engine.Runtime, state *statestore.Client, log *slog.Logger) *Records {
+func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Records {
 	b := &Records{OnChange: func() {}, log: log, mirror: statestore.NewMirror(rt, state, KeyPrefix)}
 	b.clear()
 	b.mirror.Reset = func([]statestore.KeyValue) { b.clear() }
--- a/internal/drain/cluster.go
+++ b/internal/drain/cluster.go
@@ -2,7 +2,7 @@
 
 import (
 	"lemonmoor/internal/jobs"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
 )
 
 // MachineInfo is a machine as the leader knows it.
@@ -31,11 +31,11 @@
 	// Job finds a job; false if it is over.
 	Job(id string) (*jobs.Spec, bool)
 	// Mark is what the records say of a task.
-	TaskStatus(job string, index int) (work.TaskStatus, bool)
+	TaskStatus(job string, index int) (taskstate.TaskStatus, bool)
 	// Replicas is how many tasks of a job are placed.
 	PlacedReplicas(job string) int
 	// Placements calls fn for all tasks that are placed.
-	EachPlacement(fn func(d *jobs.Spec, mark work.TaskStatus))
+	EachPlacement(fn func(d *jobs.Spec, mark taskstate.TaskStatus))
 	// Interrupted calls fn for each job with the number of tasks that have run and
 	// that no block holds now, without those granted.
 	EachInterrupted(fn func(d *jobs.Spec, tasks int))
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
 	"lemonmoor/internal/tuning"
@@ -22,7 +22,7 @@
 // a book that is proven to hold all of its own commits, and makes at most one; so what
 // is in use of a budget is known exactly, also when an answer is lost.
 type Coordinator struct {
-	rt      engine.Runtime
+	rt      eventloop.Runtime
 	state   *statestore.Client
 	lease   LeaderLease
 	book    *Records
@@ -49,7 +49,7 @@
 
 // NewCoordinator returns a coordinator without the lead. set.Operator.Drains must not
 // be nil.
-func NewCoordinator(rt engine.Runtime, state *statestore.Client, lease LeaderLease, book *Records, cluster Cluster,
+func NewCoordinator(rt eventloop.Runtime, state *statestore.Client, lease LeaderLease, book *Records, cluster Cluster,
 	set *settings.Settings, trace *Tracer, log *slog.Logger) *Coordinator {
 	c := &Coordinator{rt: rt, state: state, lease: lease, book: book, cluster: cluster, set: set,
 		conf: set.Operator.Drains, budgets: NewBudgets(set.Operator.Drains), trace: trace, log: log, node: set.Node}
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -5,35 +5,35 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/agents"
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/workers"
 )
 
 // Workers is what the Executor asks of the worker registry.
 type Workers interface {
-	Workers() []*agents.Worker
-	Worker(id string) *agents.Worker
+	Workers() []*workers.Worker
+	Worker(id string) *workers.Worker
 	// Reports tells whether a machine is heard under the present token.
-	IsCurrent(h *agents.Worker) bool
+	IsCurrent(h *workers.Worker) bool
 	// Stop has a task halted, with the time that it needs to save.
-	HaltTask(k *work.Task)
+	HaltTask(k *taskstate.Task)
 	// StopGang has all tasks of a gang halted, at the same time.
-	HaltGang(j *work.Job)
+	HaltGang(j *taskstate.Job)
 }
 
 // Tasks is what the Executor asks of the block's task store.
 type Tasks interface {
-	Job(id string) *work.Job
-	EachJob(fn func(*work.Job))
+	Job(id string) *taskstate.Job
+	EachJob(fn func(*taskstate.Job))
 }
 
 // Executor carries out, for the owner of a block, what the records of the drains
 // grant, and reports how it stands. It stops a task only if the book is proven to be
 // current: a grant that is withdrawn is never acted upon later.
 type Executor struct {
-	rt      engine.Runtime
+	rt      eventloop.Runtime
 	book    *Records
 	workers Workers
 	tasks   Tasks
@@ -44,7 +44,7 @@
 }
 
 // NewExecutor returns an executor for one block.
-func NewExecutor(rt engine.Runtime, book *Records, workers Workers, tasks Tasks, holds func() bool) *Executor {
+func NewExecutor(rt eventloop.Runtime, book *Records, workers Workers, tasks Tasks, holds func() bool) *Executor {
 	return &Executor{rt: rt, book: book, workers: workers, tasks: tasks, holds: holds, ran: map[TaskName]uint64{}}
 }
 
@@ -113,7 +113,7 @@
 		return true
 	}
 	k := j.Tasks[ref.Index]
-	if k == nil || j.Gang != nil || k.State != work.StatePlaced || k.Attempt != ref.Attempt || !k.LaunchSent || k.HaltDecided {
+	if k == nil || j.Gang != nil || k.State != taskstate.StatePlaced || k.Attempt != ref.Attempt || !k.LaunchSent || k.HaltDecided {
 		return true
 	}
 	if !e.fresh() {
@@ -124,8 +124,8 @@
 }
 
 // up tells whether a task surely runs.
-func (e *Executor) up(k *work.Task) bool {
-	if k.State != work.StatePlaced || !k.Running {
+func (e *Executor) up(k *taskstate.Task) bool {
+	if k.State != taskstate.StatePlaced || !k.Running {
 		return false
 	}
 	h := e.workers.Worker(k.WorkerID)
@@ -140,7 +140,7 @@
 	r := &ShardReport{Teams: map[string]TeamWork{}, Down: map[string]int{}}
 	e.reportGranted(r)
 	e.reportMachines(r)
-	e.tasks.EachJob(func(j *work.Job) {
+	e.tasks.EachJob(func(j *taskstate.Job) {
 		if !j.Cancelled && (j.Gang == nil || !j.Gang.Done) {
 			e.reportJob(r, j)
 		}
@@ -161,7 +161,7 @@
 }
 
 // reportRef reports a granted task that runs.
-func (e *Executor) reportRef(r *ShardReport, j *work.Job, ref TaskRef, cancelled bool) {
+func (e *Executor) reportRef(r *ShardReport, j *taskstate.Job, ref TaskRef, cancelled bool) {
 	state := GrantedTask{TaskRef: ref}
 	untouched := false
 	if ref.Gang > 0 {
@@ -224,17 +224,17 @@
 }
 
 // reportJob adds a job's tasks to what runs and to what nobody chose to disturb.
-func (e *Executor) reportJob(r *ShardReport, j *work.Job) {
+func (e *Executor) reportJob(r *ShardReport, j *taskstate.Job) {
 	team := r.Teams[j.Spec.Team]
 	one := Amount{1, j.Spec.CPUs}
 	for _, k := range j.Tasks {
 		switch {
-		case k.State != work.StatePlaced && k.State != work.StateWaiting, e.disturbedByGrant(j, k):
+		case k.State != taskstate.StatePlaced && k.State != taskstate.StateWaiting, e.disturbedByGrant(j, k):
 		case e.up(k):
 			team.Running = team.Running.Plus(one)
 		case e.interrupted(k):
 			team.Disturbed = team.Disturbed.Plus(one)
-			if j.Spec.IsService() && k.State == work.StatePlaced {
+			if j.Spec.IsService() && k.State == taskstate.StatePlaced {
 				e.reportDown(r, j.Spec.ID)
 			}
 		}
@@ -251,7 +251,7 @@
 }
 
 // disturbedByGrant tells whether a task is counted by the leader, as granted.
-func (e *Executor) disturbedByGrant(j *work.Job, k *work.Task) bool {
+func (e *Executor) disturbedByGrant(j *taskstate.Job, k *taskstate.Task) bool {
 	name := TaskName{j.Spec.ID, k.Index}
 	if j.Gang != nil {
 		name.Index = wholeGang
@@ -266,8 +266,8 @@
 
 // interrupted tells whether a task that does not run, as far as one can tell, has run
 // before. What cannot be proven counts as disturbed.
-func (e *Executor) interrupted(k *work.Task) bool {
-	if k.State == work.StateWaiting {
+func (e *Executor) interrupted(k *taskstate.Task) bool {
+	if k.State == taskstate.StateWaiting {
 		return k.Attempt > 0
 	}
 	h := e.workers.Worker(k.WorkerID)
--- a/internal/drain/requests.go
+++ b/internal/drain/requests.go
@@ -6,8 +6,8 @@
 
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // Handle answers an operator's request; answer is called once. Changes are confirmed
@@ -150,7 +150,7 @@
 		on[m.ID] = true
 	}
 	gangs := map[string]bool{}
-	c.cluster.EachPlacement(func(d *jobs.Spec, mark work.TaskStatus) {
+	c.cluster.EachPlacement(func(d *jobs.Spec, mark taskstate.TaskStatus) {
 		if !on[mark.WorkerID] || gangs[d.ID] {
 			return
 		}
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // blockHeard is the newest report of a block's owner.
@@ -65,7 +65,7 @@
 		return false
 	}
 	mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-	return known && mark.State == work.StateDone
+	return known && mark.State == taskstate.StateDone
 }
 
 // voidIn finds the block whose owner reports that a task was never stopped and will
@@ -142,7 +142,7 @@
 	c.eachUnsettled(func(d *jobs.Spec, ref TaskRef) {
 		u.add(d, ref)
 		mark, known := c.cluster.TaskStatus(ref.Job, ref.Index)
-		placed := known && mark.State == work.StatePlaced
+		placed := known && mark.State == taskstate.StatePlaced
 		if ref.Gang == 0 && placed {
 			u.down[ref.Job]++
 		}
--- a/internal/engine/engine.go
+++ b/internal/eventloop/engine.go
@@ -1,7 +1,7 @@
 // Package engine is the owner loop: one goroutine owns all state of the
 // process and works through a queue of commands in batches. Everything else
 // (sockets, timers, calls to other services) only posts commands.
-package engine
+package eventloop
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
@@ -42,7 +42,7 @@
 	After(d time.Duration, fn func())
 	// Call sends a request and hands the answer, ErrNotSent or ErrNoAnswer
 	// to fn.
-	CallHTTP(addr string, req httpwire.ClientRequest, timeout time.Duration, fn func(httpwire.Response, error))
+	CallHTTP(addr string, req http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error))
 	// Peer sends a message to another controller; err is as with Call.
 	CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func(body []byte, err error))
 	// Rand returns a random number in [0,1).
--- a/internal/engine/real.go
+++ b/internal/eventloop/real.go
@@ -1,17 +1,17 @@
-package engine
+package eventloop
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
 // Real is the Runtime of a running process.
 type SystemRuntime struct {
 	loop   *Loop
-	client *httpwire.Client
+	client *http1.Client
 	peers  PeerSender
 	start  time.Time
 }
@@ -22,7 +22,7 @@
 }
 
 // NewReal returns a runtime that posts to loop and calls through client.
-func NewSystemRuntime(loop *Loop, client *httpwire.Client, peers PeerSender) *SystemRuntime {
+func NewSystemRuntime(loop *Loop, client *http1.Client, peers PeerSender) *SystemRuntime {
 	r := &SystemRuntime{loop: loop, client: client, peers: peers, start: time.Now()}
 	r.sweep()
 	return r
@@ -55,10 +55,10 @@
 
 // Call sends a request from a goroutine of its own; the answer comes back
 // through the loop.
-func (r *SystemRuntime) CallHTTP(addr string, req httpwire.ClientRequest, timeout time.Duration, fn func(httpwire.Response, error)) {
+func (r *SystemRuntime) CallHTTP(addr string, req http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
 	go func() {
 		ans, sent, err := r.client.Send(addr, req, timeout)
-		var a httpwire.Response
+		var a http1.Response
 		switch {
 		case err == nil:
 			a = *ans
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/tuning"
@@ -66,7 +66,7 @@
 	// LoadOf tells what the tasks placed on a machine take.
 	LoadOf func(host string) MachineLoad
 
-	rt    engine.Runtime
+	rt    eventloop.Runtime
 	addr  string
 	lease Lease
 	set   *settings.Settings
@@ -102,7 +102,7 @@
 }
 
 // New returns a fleet that speaks to the cloud at addr.
-func New(rt engine.Runtime, addr string, lease Lease, set *settings.Settings, log *slog.Logger) *Fleet {
+func New(rt eventloop.Runtime, addr string, lease Lease, set *settings.Settings, log *slog.Logger) *Fleet {
 	return &Fleet{rt: rt, addr: addr, lease: lease, set: set, log: log,
 		machines: map[string]*machine{}, returned: map[string]time.Duration{}, pauses: map[MachineKind]time.Duration{},
 		LoadOf:   func(string) MachineLoad { return MachineLoad{} },
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -5,9 +5,9 @@
 	"net/url"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // listReply is a page of the cloud's machine list.
@@ -61,7 +61,7 @@
 	if since != "" {
 		target += "&since=" + url.QueryEscape(since)
 	}
-	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "GET", Target: target}, tuning.CloudRequestTimeout, func(ans httpwire.Response, err error) {
+	f.rt.CallHTTP(f.addr, http1.ClientRequest{Method: "GET", Target: target}, tuning.CloudRequestTimeout, func(ans http1.Response, err error) {
 		if l.term != f.term {
 			return
 		}
@@ -95,7 +95,7 @@
 	}
 	m := f.machines[l.ID]
 	if m == nil {
-		m = &machine{id: l.ID, kind: MachineKind{l.Build, l.Zone, l.Spot}, block: work.ShardOf(l.ID, len(f.statuses)),
+		m = &machine{id: l.ID, kind: MachineKind{l.Build, l.Zone, l.Spot}, block: taskstate.ShardOf(l.ID, len(f.statuses)),
 			rented: asked - time.Duration(l.AgeS*float64(time.Second))}
 		f.machines[l.ID] = m
 	}
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // hire is a rental request; its name is used for this request alone.
@@ -252,8 +252,8 @@
 		return
 	}
 	f.inFlight[h.Name] = h
-	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "POST", Target: "/rentals", Body: body}, tuning.CloudRequestTimeout,
-		func(ans httpwire.Response, err error) {
+	f.rt.CallHTTP(f.addr, http1.ClientRequest{Method: "POST", Target: "/rentals", Body: body}, tuning.CloudRequestTimeout,
+		func(ans http1.Response, err error) {
 			if term != f.term {
 				return // machines it brings turn up in reports and in the list
 			}
@@ -271,7 +271,7 @@
 				f.named[h.Name] = reply.Hosts
 				for _, id := range reply.Hosts {
 					if f.machines[id] == nil {
-						f.machines[id] = &machine{id: id, kind: k, rented: f.rt.Now(), block: work.ShardOf(id, len(f.statuses))}
+						f.machines[id] = &machine{id: id, kind: k, rented: f.rt.Now(), block: taskstate.ShardOf(id, len(f.statuses))}
 					}
 				}
 				if len(reply.Hosts) < h.Number {
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 	"time"
 
-	"lemonmoor/internal/agents"
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/workers"
 )
 
 // unheard tells whether a machine that the lists call running has not reported
@@ -22,7 +22,7 @@
 
 // silent tells whether a machine's owner wants it back because it is silent.
 func (m *machine) silent() bool {
-	return m.state.ReleaseReason == agents.ReleaseSilent || m.state.ReleaseReason == agents.ReleaseSilentUrgent
+	return m.state.ReleaseReason == workers.ReleaseSilent || m.state.ReleaseReason == workers.ReleaseSilentUrgent
 }
 
 func (f *Fleet) giveBack(m *machine, why string) {
@@ -170,14 +170,14 @@
 	if err != nil {
 		return
 	}
-	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "POST", Target: "/rentals/release", Body: body}, tuning.CloudRequestTimeout,
-		func(ans httpwire.Response, err error) {
+	f.rt.CallHTTP(f.addr, http1.ClientRequest{Method: "POST", Target: "/rentals/release", Body: body}, tuning.CloudRequestTimeout,
+		func(ans http1.Response, err error) {
 			ok := err == nil && ans.Status == 200
 			if ok {
 				// Whoever leads now: the machines are gone.
 				for _, id := range names {
 					f.returned[id] = f.rt.Now()
-					b := work.ShardOf(id, len(f.statuses))
+					b := taskstate.ShardOf(id, len(f.statuses))
 					f.unreported[b] = append(f.unreported[b], id)
 				}
 			}
--- a/internal/fleet/types.go
+++ b/internal/fleet/types.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/tuning"
 )
@@ -27,8 +27,8 @@
 }
 
 func (f *Fleet) readTypes(try int) {
-	f.rt.CallHTTP(f.addr, httpwire.ClientRequest{Method: "GET", Target: "/machine_types"}, tuning.CloudRequestTimeout,
-		func(ans httpwire.Response, err error) {
+	f.rt.CallHTTP(f.addr, http1.ClientRequest{Method: "GET", Target: "/machine_types"}, tuning.CloudRequestTimeout,
+		func(ans http1.Response, err error) {
 			var reply struct {
 				Builds []jobs.MachineType `json:"builds"`
 			}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"lemonmoor/internal/agents"
 	"lemonmoor/internal/tuning"
+	"lemonmoor/internal/workers"
 )
 
 // silence is how long no owner has heard from a zone.
@@ -48,5 +48,5 @@
 	for _, n := range f.running {
 		all += n
 	}
-	return m.state.ReleaseReason != agents.ReleaseSilentUrgent || float64(f.running[zone]) > tuning.SmallZoneShare*float64(all)
+	return m.state.ReleaseReason != workers.ReleaseSilentUrgent || float64(f.running[zone]) > tuning.SmallZoneShare*float64(all)
 }
--- a/internal/httpwire/client.go
+++ b/internal/http1/client.go
@@ -1,4 +1,4 @@
-package httpwire
+package http1
 
 import (
 	"encoding/json"
--- a/internal/httpwire/parse.go
+++ b/internal/http1/parse.go
@@ -1,6 +1,6 @@
 // Package httpwire is lemonmoor's own HTTP/1.1: a parser for requests and
 // answers, a server on gnet and a small client.
-package httpwire
+package http1
 
 import (
 	"bytes"
--- a/internal/lead/batch.go
+++ b/internal/leader/batch.go
@@ -1,11 +1,11 @@
-package lead
+package leader
 
 import (
 	"sort"
 
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // batch is what one hand-out gives to a block of one job.
@@ -77,11 +77,11 @@
 	}
 	var guards []statestore.Condition
 	var apply []statestore.Operation
-	var records []*work.Record
+	var records []*taskstate.Record
 	var made []*batch // those of the records
 	for _, b := range batches {
 		sort.Ints(b.tasks)
-		r := work.NewRecord(b.block, b.plan.e.ID, b.plan.number, b.tasks, b.plan.zones, b.plan.attempts)
+		r := taskstate.NewRecord(b.block, b.plan.e.ID, b.plan.number, b.tasks, b.plan.zones, b.plan.attempts)
 		r.GangAttempt, r.PartSize = b.try, b.part
 		if b.done {
 			r.MarkAllDone()
@@ -103,7 +103,7 @@
 }
 
 // drop takes back what was to be handed out in a record that was not made.
-func (l *Leader) drop(b *batch, r *work.Record) {
+func (l *Leader) drop(b *batch, r *taskstate.Record) {
 	delete(l.pending, r.Key)
 	l.count(b.plan, r, -1)
 	l.takeBack(b)
@@ -111,7 +111,7 @@
 
 // post sends a hand-out until it is known what came of it. Sent again after
 // no answer (doubt), it fails on its own records if the first was carried out.
-func (l *Leader) post(guards []statestore.Condition, apply []statestore.Operation, batches []*batch, records []*work.Record, try int, doubt bool) {
+func (l *Leader) post(guards []statestore.Condition, apply []statestore.Operation, batches []*batch, records []*taskstate.Record, try int, doubt bool) {
 	l.commit(guards, apply, func(r statestore.CommitResult) {
 		switch r.Outcome {
 		case statestore.OutcomeOK:
--- a/internal/lead/board_test.go
+++ b/internal/leader/board_test.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"math"
--- a/internal/lead/ends.go
+++ b/internal/leader/ends.go
@@ -1,13 +1,13 @@
-package lead
+package leader
 
 import (
 	"encoding/json"
 	"strings"
 
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/userapi"
-	"lemonmoor/internal/work"
 )
 
 // over queues a job's end once nothing of it is left to run.
@@ -120,7 +120,7 @@
 		done := make(map[int]bool, p.desc.Tasks)
 		for _, r := range records {
 			for k, i := range r.TaskIndexes {
-				if r.Statuses[k].State == work.StateDone {
+				if r.Statuses[k].State == taskstate.StateDone {
 					done[i] = true
 				}
 			}
--- a/internal/lead/gang.go
+++ b/internal/leader/gang.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // A gang is handed out whole, to one block: where there is room for all of it,
@@ -20,7 +20,7 @@
 func (p *jobState) demands(zones []string, n int) map[string]int {
 	of := map[string]int{}
 	for k := range n {
-		of[work.ZoneOf(zones, p.nth(k))]++
+		of[taskstate.ZoneOf(zones, p.nth(k))]++
 	}
 	return of
 }
@@ -172,7 +172,7 @@
 	}
 	for _, r := range l.store.JobRecords(p.e.ID) {
 		for _, m := range r.Statuses {
-			if r.GangAttempt == 0 && (m.State == work.StateWaiting || m.State == work.StatePlaced) {
+			if r.GangAttempt == 0 && (m.State == taskstate.StateWaiting || m.State == taskstate.StatePlaced) {
 				return r.Shard, true
 			}
 		}
@@ -224,7 +224,7 @@
 		from := len(batches)
 		part := map[int]int{}
 		for p.left() > 0 {
-			zone := work.ZoneOf(zones, p.first())
+			zone := taskstate.ZoneOf(zones, p.first())
 			if b.take(p, zone, -1, false, 1, func(block, _ int) {
 				batches = l.give(batches, p, block, u)
 				part[block]++
@@ -293,7 +293,7 @@
 		}
 		demands := map[string]int{}
 		if len(p.zones) <= 1 {
-			demands[work.ZoneOf(p.zones, 0)] = n
+			demands[taskstate.ZoneOf(p.zones, 0)] = n
 		} else {
 			for _, q := range l.queues(p) {
 				demands[q.zone] = q.number
--- a/internal/lead/handout.go
+++ b/internal/leader/handout.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"math"
@@ -7,8 +7,8 @@
 
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // home is the block where most machines cache a job's image.
@@ -254,7 +254,7 @@
 	if len(p.zones) > 1 {
 		// The zones of a spread job take turns, task by task.
 		for n > 0 {
-			zone := work.ZoneOf(p.zones, p.first())
+			zone := taskstate.ZoneOf(p.zones, p.first())
 			if b.take(p, zone, -1, false, 1, give) > 0 || b.take(p, zone, -1, true, 1, give) > 0 {
 				continue
 			}
@@ -267,14 +267,14 @@
 		}
 		held := map[string]int{}
 		for k := range n {
-			held[work.ZoneOf(p.zones, p.nth(k))]++
+			held[taskstate.ZoneOf(p.zones, p.nth(k))]++
 		}
 		for _, zone := range p.zones {
 			need(p, zone, held[zone])
 		}
 		return batches
 	}
-	zone := work.ZoneOf(p.zones, 0)
+	zone := taskstate.ZoneOf(p.zones, 0)
 	for _, booting := range []bool{false, true} {
 		// Block by block, so that a job makes few records: changes are scarce.
 		for _, block := range b.order(home) {
--- a/internal/lead/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,7 @@
 // Package lead is the leader's duty: it hands tasks out to the blocks of
 // machines, by image and by room and within the teams' limits, calls waiting
 // ones back for blocks with idle machines, and writes the end of a job.
-package lead
+package leader
 
 import (
 	"cmp"
@@ -10,23 +10,23 @@
 	"sort"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
 	"lemonmoor/internal/userapi"
-	"lemonmoor/internal/work"
 )
 
 // Leader hands out work while this process holds the lead.
 type Leader struct {
-	rt     engine.Runtime
+	rt     eventloop.Runtime
 	state  *statestore.Client
 	leases *statestore.LeaseManager
 	cat    *userapi.Catalog
-	store  *work.Store
+	store  *taskstate.Store
 	fleet  *fleet.Fleet
 	set    *settings.Settings
 	log    *slog.Logger
@@ -39,7 +39,7 @@
 	resort   bool
 	usage    map[string]*usage
 	loads    map[string]*load
-	pending  map[string]*work.Record // handed out, not seen in the store yet
+	pending  map[string]*taskstate.Record // handed out, not seen in the store yet
 	ends     []*jobState
 	stale    []string // records to remove
 	swept    time.Duration
@@ -57,7 +57,7 @@
 }
 
 // New returns a leader without the lead.
-func New(rt engine.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *work.Store,
+func New(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
 	fl *fleet.Fleet, set *settings.Settings, log *slog.Logger) *Leader {
 	l := &Leader{rt: rt, state: state, leases: leases, cat: cat, store: store, fleet: fl, set: set, log: log}
 	l.EndTerm()
@@ -76,7 +76,7 @@
 	l.token, l.loaded, l.flying, l.timed = 0, false, false, false
 	l.plans, l.order, l.ends, l.stale = map[string]*jobState{}, nil, nil, nil
 	l.usage, l.loads = map[string]*usage{}, map[string]*load{}
-	l.pending, l.recalls = map[string]*work.Record{}, map[int]map[string]int{}
+	l.pending, l.recalls = map[string]*taskstate.Record{}, map[int]map[string]int{}
 	l.images, l.caches, l.expected = map[string][]int{}, map[string]*cache{}, map[string]*expected{}
 	for _, t := range l.set.Deployment.Teams {
 		l.usage[t.Name] = &usage{cpusMax: t.CPUsMax, cardsMax: t.GPUsMax, kept: tuning.MaxUrgentReserveShare * t.CPUsMax, at: l.rt.Now()}
@@ -125,7 +125,7 @@
 func (l *Leader) build() {
 	l.loaded = true
 	l.cat.EachUnfinished(func(e *userapi.Entry) { l.add(e) })
-	l.store.EachRecord(func(r *work.Record) {
+	l.store.EachRecord(func(r *taskstate.Record) {
 		p := l.plans[r.Job]
 		if p == nil {
 			if e := l.cat.Get(r.Job); e != nil && e.Phase == userapi.PhaseCancelled && e.Spec != nil {
@@ -161,15 +161,15 @@
 
 // givenBack finds the tasks of a job that its newest records give back.
 func (l *Leader) givenBack(p *jobState) {
-	records := make([]*work.Record, 0, 4)
+	records := make([]*taskstate.Record, 0, 4)
 	for _, r := range l.store.JobRecords(p.e.ID) {
 		records = append(records, r)
 	}
-	slices.SortFunc(records, func(a, b *work.Record) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(records, func(a, b *taskstate.Record) int { return cmp.Compare(a.Number, b.Number) })
 	for _, r := range records {
 		for k, i := range r.TaskIndexes {
 			// A task may have been given back more than once.
-			if m := r.Statuses[k]; m.State == work.StateReturned {
+			if m := r.Statuses[k]; m.State == taskstate.StateReturned {
 				p.attempts[i] = m.Attempt
 			} else {
 				delete(p.attempts, i)
@@ -218,7 +218,7 @@
 
 // RecordAdded takes note of a record that this leader, or an earlier one, has
 // made.
-func (l *Leader) RecordAdded(r *work.Record) {
+func (l *Leader) RecordAdded(r *taskstate.Record) {
 	if !l.loaded {
 		return
 	}
@@ -240,7 +240,7 @@
 }
 
 // RecordRemoved takes note of a record that is over.
-func (l *Leader) RecordRemoved(r *work.Record) {
+func (l *Leader) RecordRemoved(r *taskstate.Record) {
 	if !l.loaded {
 		return
 	}
@@ -252,7 +252,7 @@
 }
 
 // TaskMoved takes note of what a block's owner has logged.
-func (l *Leader) TaskStatusChanged(r *work.Record, k int, was work.TaskStatus) {
+func (l *Leader) TaskStatusChanged(r *taskstate.Record, k int, was taskstate.TaskStatus) {
 	if !l.loaded {
 		return
 	}
@@ -264,7 +264,7 @@
 	now := r.Statuses[k]
 	l.mark(p, r.Shard, was, -1)
 	l.mark(p, r.Shard, now, 1)
-	if now.State == work.StateReturned && !p.cancelled {
+	if now.State == taskstate.StateReturned && !p.cancelled {
 		if i, there := slices.BinarySearch(p.back, r.TaskIndexes[k]); !there {
 			p.back = slices.Insert(p.back, i, r.TaskIndexes[k])
 		}
--- a/internal/lead/operators.go
+++ b/internal/leader/operators.go
@@ -1,11 +1,11 @@
-package lead
+package leader
 
 import (
 	"slices"
 
 	"lemonmoor/internal/fleet"
 	"lemonmoor/internal/jobs"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
 )
 
 // LoadOn is the processors of the tasks placed on a machine.
@@ -34,8 +34,8 @@
 }
 
 // Mark is what the records say of a task; false if none names it.
-func (l *Leader) TaskStatus(job string, index int) (work.TaskStatus, bool) {
-	var newest work.TaskStatus
+func (l *Leader) TaskStatus(job string, index int) (taskstate.TaskStatus, bool) {
+	var newest taskstate.TaskStatus
 	number := -1
 	for _, r := range l.store.JobRecords(job) {
 		// A task that was given back is in a later record.
@@ -47,14 +47,14 @@
 }
 
 // Placements calls fn for all tasks that are placed.
-func (l *Leader) EachPlacement(fn func(d *jobs.Spec, mark work.TaskStatus)) {
-	l.store.EachRecord(func(r *work.Record) {
+func (l *Leader) EachPlacement(fn func(d *jobs.Spec, mark taskstate.TaskStatus)) {
+	l.store.EachRecord(func(r *taskstate.Record) {
 		p := l.plans[r.Job]
 		if p == nil {
 			return
 		}
 		for _, m := range r.Statuses {
-			if m.State == work.StatePlaced {
+			if m.State == taskstate.StatePlaced {
 				fn(p.desc, m)
 			}
 		}
--- a/internal/lead/queues.go
+++ b/internal/leader/queues.go
@@ -1,7 +1,7 @@
-package lead
+package leader
 
 import (
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
 )
 
 // recallFor asks a block to give waiting tasks back when others have open
@@ -38,16 +38,16 @@
 	if len(p.zones) <= 1 {
 		for block, n := range p.waiting {
 			if n > 0 {
-				list = append(list, queue{block, work.ZoneOf(p.zones, 0), n})
+				list = append(list, queue{block, taskstate.ZoneOf(p.zones, 0), n})
 			}
 		}
 		return list
 	}
 	sums := map[queue]int{}
-	add := func(r *work.Record) {
+	add := func(r *taskstate.Record) {
 		for k, i := range r.TaskIndexes {
-			if r.Statuses[k].State == work.StateWaiting {
-				sums[queue{block: r.Shard, zone: work.ZoneOf(p.zones, i)}]++
+			if r.Statuses[k].State == taskstate.StateWaiting {
+				sums[queue{block: r.Shard, zone: taskstate.ZoneOf(p.zones, i)}]++
 			}
 		}
 	}
--- a/internal/lead/usage.go
+++ b/internal/leader/usage.go
@@ -1,11 +1,11 @@
-package lead
+package leader
 
 import (
 	"time"
 
-	"lemonmoor/internal/agents"
 	"lemonmoor/internal/jobs"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/workers"
 )
 
 // usage is what a team's open tasks take, and may take.
@@ -33,24 +33,24 @@
 // cache is what a machine caches, as far as this leader has seen tasks placed
 // there.
 type cache struct {
-	images agents.ImageCache
+	images workers.ImageCache
 	kind   *jobs.MachineType // nil until the machine is known
 	seen   time.Duration     // when it last was
 }
 
 // count adds a record's tasks to the sums, or takes them off.
-func (l *Leader) count(p *jobState, r *work.Record, sign int) {
+func (l *Leader) count(p *jobState, r *taskstate.Record, sign int) {
 	for _, m := range r.Statuses {
 		l.mark(p, r.Shard, m, sign)
 	}
 }
 
 // mark adds a task to the sums, or takes it off.
-func (l *Leader) mark(p *jobState, block int, m work.TaskStatus, sign int) {
+func (l *Leader) mark(p *jobState, block int, m taskstate.TaskStatus, sign int) {
 	switch m.State {
-	case work.StateReturned:
+	case taskstate.StateReturned:
 		return
-	case work.StateDone:
+	case taskstate.StateDone:
 		p.done += sign
 		return
 	}
@@ -63,7 +63,7 @@
 			u.urgent += s * p.desc.CPUs
 		}
 	}
-	if m.State != work.StatePlaced {
+	if m.State != taskstate.StatePlaced {
 		if block < len(p.waiting) {
 			p.waiting[block] += sign
 		}
--- a/internal/peers/peers.go
+++ b/internal/peer/peers.go
@@ -1,6 +1,6 @@
 // Package peers carries messages between the controllers. Each message and its
 // answer are one stream of an HTTP/2 connection that stays open.
-package peers
+package peer
 
 import (
 	"bytes"
--- a/internal/peers/peers_test.go
+++ b/internal/peer/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package peer
 
 import (
 	"bytes"
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"lemonmoor/internal/agents"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/workers"
 )
 
 // A gang is one unit of the policy: all its tasks that want a machine are placed
@@ -19,12 +19,12 @@
 
 // gang is the tasks of a job that want machines together.
 type gang struct {
-	job   *work.Job
-	tasks []*work.Task // ascending
+	job   *taskstate.Job
+	tasks []*taskstate.Task // ascending
 }
 
 // gather takes in a job whose tasks run together.
-func (p *Planner) gather(j *work.Job, now time.Duration) {
+func (p *Planner) gather(j *taskstate.Job, now time.Duration) {
 	if !slices.Contains(p.gangs, j) {
 		p.gangs = append(p.gangs, j)
 		j.Gang.EnqueuedAt = now
@@ -45,7 +45,7 @@
 	desc  *jobs.Spec // of the newest
 	tasks int        // of the largest of late
 	at    time.Duration
-	like  []*work.Task // as many, to look for room with
+	like  []*taskstate.Task // as many, to look for room with
 }
 
 // keepWarm keeps room for gangs to come from other work, in one zone each if they
@@ -68,9 +68,9 @@
 	for _, class := range classes {
 		x := p.expected[class]
 		if x.like == nil {
-			j := &work.Job{Spec: x.desc}
+			j := &taskstate.Job{Spec: x.desc}
 			for range x.tasks {
-				x.like = append(x.like, &work.Task{Job: j})
+				x.like = append(x.like, &taskstate.Task{Job: j})
 			}
 		}
 		zones := []string{""}
@@ -87,12 +87,12 @@
 			if most -= float64(x.tasks) * x.desc.CPUs; most < 0 {
 				return
 			}
-			var best []*agents.Worker
+			var best []*workers.Worker
 			for _, zone := range zones {
 				for _, t := range x.like {
 					t.Zone = zone
 				}
-				hosts := p.fit(r.free, x.like, func(*agents.Worker) bool { return true }, unkept)
+				hosts := p.fit(r.free, x.like, func(*workers.Worker) bool { return true }, unkept)
 				if hosts != nil && (best == nil || nearness(hosts[0], x.desc.Image) < nearness(best[0], x.desc.Image)) {
 					best = hosts
 				}
@@ -107,16 +107,16 @@
 }
 
 // unkept tells how many tasks a machine has room for that is not kept.
-func unkept(t *work.Task, h *agents.Worker) int {
+func unkept(t *taskstate.Task, h *workers.Worker) int {
 	cpus, cards, memory := h.Free()
 	return number(t, cpus-h.ReservedCPUs, cards-h.ReservedGPUs, memory-h.ReservedMemoryGB)
 }
 
 // muster finds the gangs that want machines now.
 func (p *Planner) muster(r *round) {
-	p.gangs = slices.DeleteFunc(p.gangs, func(j *work.Job) bool {
+	p.gangs = slices.DeleteFunc(p.gangs, func(j *taskstate.Job) bool {
 		for _, t := range j.Tasks {
-			if t.State == work.StateWaiting {
+			if t.State == taskstate.StateWaiting {
 				return j.Cancelled
 			}
 		}
@@ -124,11 +124,11 @@
 	})
 	for _, j := range p.gangs {
 		tasks := j.TasksToPlace()
-		if len(tasks) == 0 || slices.ContainsFunc(tasks, func(t *work.Task) bool { return !due(t, r.now) }) {
+		if len(tasks) == 0 || slices.ContainsFunc(tasks, func(t *taskstate.Task) bool { return !due(t, r.now) }) {
 			continue
 		}
 		p.UpdateRank(j, r.wall)
-		slices.SortFunc(tasks, func(a, b *work.Task) int { return cmp.Compare(a.Index, b.Index) })
+		slices.SortFunc(tasks, func(a, b *taskstate.Task) int { return cmp.Compare(a.Index, b.Index) })
 		r.gangs = append(r.gangs, gang{j, tasks})
 	}
 	slices.SortFunc(r.gangs, func(a, b gang) int { return compare(a.tasks[0], b.tasks[0]) })
@@ -141,12 +141,12 @@
 		if g.tasks == nil || g.job.Spec.Priority() != prio {
 			continue
 		}
-		p.seat(r, g, func(h *agents.Worker) bool { return r.kept[h] <= prio })
+		p.seat(r, g, func(h *workers.Worker) bool { return r.kept[h] <= prio })
 	}
 }
 
 // seat places a gang on machines with room, all of it or nothing.
-func (p *Planner) seat(r *round, g *gang, usable func(*agents.Worker) bool) bool {
+func (p *Planner) seat(r *round, g *gang, usable func(*workers.Worker) bool) bool {
 	hosts := p.fit(r.free, g.tasks, usable, space)
 	if hosts == nil {
 		return false
@@ -159,20 +159,20 @@
 }
 
 // space tells how many tasks of a job a machine has room for.
-func space(t *work.Task, h *agents.Worker) int {
+func space(t *taskstate.Task, h *workers.Worker) int {
 	cpus, cards, memory := h.Free()
 	return number(t, cpus, cards, memory)
 }
 
 // whole is the same for the machine if it were empty.
-func whole(t *work.Task, h *agents.Worker) int {
+func whole(t *taskstate.Task, h *workers.Worker) int {
 	if h.MachineType == nil {
 		return 0
 	}
 	return number(t, h.MachineType.CPUs, h.MachineType.GPUs, h.MachineType.MemoryGB)
 }
 
-func number(t *work.Task, cpus, cards, memory float64) int {
+func number(t *taskstate.Task, cpus, cards, memory float64) int {
 	n := math.MaxInt32
 	d := t.Job.Spec
 	for _, x := range [...]struct{ need, left float64 }{{d.CPUs, cpus}, {d.GPUs, cards}, {d.MemoryGB, memory}} {
@@ -184,7 +184,7 @@
 }
 
 // barred tells whether a task may not go to a machine.
-func barred(t *work.Task, h *agents.Worker) bool {
+func barred(t *taskstate.Task, h *workers.Worker) bool {
 	return t.AvoidWorker == h.ID || slices.Contains(t.TriedWorkers, h.ID) || !Allowed(t, h)
 }
 
@@ -192,13 +192,13 @@
 // first, of those the one that just takes all that are left, else the one that
 // takes the most. Tasks on few machines have like speeds, and a gang runs at that
 // of its slowest machine.
-func (p *Planner) fit(hosts []*agents.Worker, tasks []*work.Task, usable func(*agents.Worker) bool, room func(*work.Task, *agents.Worker) int) []*agents.Worker {
+func (p *Planner) fit(hosts []*workers.Worker, tasks []*taskstate.Task, usable func(*workers.Worker) bool, room func(*taskstate.Task, *workers.Worker) int) []*workers.Worker {
 	type seat struct {
-		host       *agents.Worker
+		host       *workers.Worker
 		left, near int
 	}
 	image := tasks[0].Job.Spec.Image
-	found := make([]*agents.Worker, len(tasks))
+	found := make([]*workers.Worker, len(tasks))
 	for _, todo := range byZone(tasks) {
 		var open []*seat
 		sum, picky := 0, false
@@ -252,7 +252,7 @@
 }
 
 // byZone sorts tasks, by their place in the list, by the zones fixed for them.
-func byZone(tasks []*work.Task) map[string][]int {
+func byZone(tasks []*taskstate.Task) map[string][]int {
 	of := map[string][]int{}
 	for i, t := range tasks {
 		of[t.Zone] = append(of[t.Zone], i)
@@ -271,13 +271,13 @@
 			continue
 		}
 		below := max(over, g.job.Spec.Priority()+1)
-		free := func(h *agents.Worker) bool { _, taken := r.kept[h]; return !taken }
+		free := func(h *workers.Worker) bool { _, taken := r.kept[h]; return !taken }
 		if p.seat(r, g, free) {
 			continue
 		}
 		// Those where most is free come first: their turn is soonest.
 		open := slices.Clone(r.open)
-		slices.SortStableFunc(open, func(a, b *agents.Worker) int {
+		slices.SortStableFunc(open, func(a, b *workers.Worker) int {
 			return cmp.Compare(space(g.tasks[0], b), space(g.tasks[0], a))
 		})
 		for _, h := range p.narrow(open, g.tasks, free) {
@@ -288,8 +288,8 @@
 
 // narrow finds machines that would hold all tasks if they were empty, in the
 // order given; none if there are not enough.
-func (p *Planner) narrow(hosts []*agents.Worker, tasks []*work.Task, usable func(*agents.Worker) bool) []*agents.Worker {
-	var kept []*agents.Worker
+func (p *Planner) narrow(hosts []*workers.Worker, tasks []*taskstate.Task, usable func(*workers.Worker) bool) []*workers.Worker {
+	var kept []*workers.Worker
 	for zone, todo := range byZone(tasks) {
 		left := len(todo)
 		for _, h := range hosts {
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -4,8 +4,8 @@
 	"cmp"
 	"slices"
 
-	"lemonmoor/internal/agents"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
+	"lemonmoor/internal/workers"
 )
 
 // sort puts the machines with room in the orders in which tasks fill them.
@@ -17,7 +17,7 @@
 
 // orderFor is the order in which machines are filled for tasks: that of services if
 // one of them is a replica of a service.
-func (r *round) orderFor(tasks ...*work.Task) []*agents.Worker {
+func (r *round) orderFor(tasks ...*taskstate.Task) []*workers.Worker {
 	for _, t := range tasks {
 		if t.Job.Spec.IsService() {
 			return r.forServices
@@ -31,7 +31,7 @@
 // machine with one cannot be returned. Then the smallest, since large tasks have only
 // the large ones; of those the spot machines, then the fullest, so that dear ones and
 // others run empty and can be returned.
-func arraysFirst(a, b *agents.Worker) int {
+func arraysFirst(a, b *workers.Worker) int {
 	if x, y := servesDear(a), servesDear(b); x != y {
 		if y {
 			return -1
@@ -42,14 +42,14 @@
 }
 
 // servesDear tells whether a machine is an ordinary one with replicas of services.
-func servesDear(h *agents.Worker) bool { return !h.Spot && h.ServiceCPUs > slack }
+func servesDear(h *workers.Worker) bool { return !h.Spot && h.ServiceCPUs > slack }
 
 // servicesFirst orders machines for replicas of services: spot machines first, then
 // those with the most replicas, so that few machines serve all of them and the others
 // run empty. Scattered over all machines, a few hundred replicas kept a hundred
 // ordinary ones from being returned after a burst. Of machines without any the one
 // whose processors cost the least comes first.
-func servicesFirst(a, b *agents.Worker) int {
+func servicesFirst(a, b *workers.Worker) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
 			return -1
@@ -66,7 +66,7 @@
 }
 
 // processorPrice is the nominal price of one processor of a machine.
-func processorPrice(h *agents.Worker) float64 {
+func processorPrice(h *workers.Worker) float64 {
 	if h.Spot {
 		return h.MachineType.SpotPrice / h.MachineType.CPUs
 	}
@@ -74,7 +74,7 @@
 }
 
 // tighter orders machines by size, price and room.
-func tighter(a, b *agents.Worker) int {
+func tighter(a, b *workers.Worker) int {
 	if a.MachineType.CPUs != b.MachineType.CPUs {
 		return cmp.Compare(a.MachineType.CPUs, b.MachineType.CPUs)
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -9,37 +9,37 @@
 	"sort"
 	"time"
 
-	"lemonmoor/internal/agents"
 	"lemonmoor/internal/jobs"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/workers"
 )
 
 // Planner holds the queues.
 type Planner struct {
 	// Open tells whether a machine may be given tasks.
-	AcceptsTasks func(*agents.Worker) bool
+	AcceptsTasks func(*workers.Worker) bool
 	// Find finds a machine by its name.
-	FindWorker func(id string) *agents.Worker
+	FindWorker func(id string) *workers.Worker
 	// Place gives a task to a machine.
-	PlaceTask func(*work.Task, *agents.Worker)
+	PlaceTask func(*taskstate.Task, *workers.Worker)
 	// Rerank brings a job's rank up to a time of day and tells whether it changed.
-	UpdateRank func(j *work.Job, wallMS int64) bool
+	UpdateRank func(j *taskstate.Job, wallMS int64) bool
 	// Prompt tells whether gangs of a class should find room at once.
 	StartsPromptly func(class string) bool
 	// WaitBound is the wait in the extra queue after which a task goes first.
 	WaitBound time.Duration
 
-	arrivals []*work.Task
-	queues   map[string][]*work.Task // by machine
-	extra    []*work.Task
-	gangs    []*work.Job // that want machines, as units; see gang.go
+	arrivals []*taskstate.Task
+	queues   map[string][]*taskstate.Task // by machine
+	extra    []*taskstate.Task
+	gangs    []*taskstate.Job // that want machines, as units; see gang.go
 	expected map[string]*expected
 }
 
 // New returns a planner with empty queues.
 func New(bound time.Duration) *Planner {
-	return &Planner{WaitBound: bound, queues: map[string][]*work.Task{}, expected: map[string]*expected{}, StartsPromptly: func(string) bool { return false }}
+	return &Planner{WaitBound: bound, queues: map[string][]*taskstate.Task{}, expected: map[string]*expected{}, StartsPromptly: func(string) bool { return false }}
 }
 
 // Reset empties the queues.
@@ -49,7 +49,7 @@
 }
 
 // Arrive takes a task that waits for a machine.
-func (p *Planner) AddTask(t *work.Task, now time.Duration) {
+func (p *Planner) AddTask(t *taskstate.Task, now time.Duration) {
 	t.Queued = false
 	t.EnqueuedAt = now
 	if t.Job.Gang != nil {
@@ -60,14 +60,14 @@
 }
 
 // before orders tasks within a queue.
-func before(a, b *work.Task) bool {
+func before(a, b *taskstate.Task) bool {
 	if a.Job != b.Job {
-		return work.JobBefore(a.Job, b.Job)
+		return taskstate.JobBefore(a.Job, b.Job)
 	}
 	return a.Index < b.Index
 }
 
-func compare(a, b *work.Task) int {
+func compare(a, b *taskstate.Task) int {
 	switch {
 	case before(a, b):
 		return -1
@@ -78,7 +78,7 @@
 }
 
 // Allowed tells whether the job may use a machine at all.
-func Allowed(t *work.Task, h *agents.Worker) bool {
+func Allowed(t *taskstate.Task, h *workers.Worker) bool {
 	d := t.Job.Spec
 	return (d.MachineTypes == nil || slices.Contains(d.MachineTypes, h.MachineTypeName)) &&
 		(d.Zone == "" || d.Zone == h.Zone) && (t.Zone == "" || t.Zone == h.Zone) &&
@@ -89,56 +89,58 @@
 
 // fits tells whether a machine may take a task now, without what is kept for
 // gangs to come.
-func fits(t *work.Task, h *agents.Worker) bool {
+func fits(t *taskstate.Task, h *workers.Worker) bool {
 	cpus, cards, memory := h.Free()
 	return holds(t, h, cpus-h.ReservedCPUs, cards-h.ReservedGPUs, memory-h.ReservedMemoryGB)
 }
 
 // fitsAtAll is the same with what is kept.
-func fitsAtAll(t *work.Task, h *agents.Worker) bool {
+func fitsAtAll(t *taskstate.Task, h *workers.Worker) bool {
 	cpus, cards, memory := h.Free()
 	return holds(t, h, cpus, cards, memory)
 }
 
-func holds(t *work.Task, h *agents.Worker, cpus, cards, memory float64) bool {
+func holds(t *taskstate.Task, h *workers.Worker, cpus, cards, memory float64) bool {
 	d := t.Job.Spec
 	return d.CPUs <= cpus+slack && d.GPUs <= cards+slack && d.MemoryGB <= memory+slack &&
 		t.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // could tells whether a machine could take a task if it were empty.
-func could(t *work.Task, h *agents.Worker) bool {
+func could(t *taskstate.Task, h *workers.Worker) bool {
 	return h.MachineType != nil && h.MachineType.CanRun(t.Job.Spec) && t.AvoidWorker != h.ID && Allowed(t, h)
 }
 
 // live tells whether a queued task still waits.
-func live(t *work.Task) bool { return t.State == work.StateWaiting && t.Queued && !t.Job.Cancelled }
+func live(t *taskstate.Task) bool {
+	return t.State == taskstate.StateWaiting && t.Queued && !t.Job.Cancelled
+}
 
 // due tells whether a task is not paused after a failure.
-func due(t *work.Task, now time.Duration) bool {
+func due(t *taskstate.Task, now time.Duration) bool {
 	return now >= t.NotBefore && now >= t.Job.NotBefore
 }
 
 // plain tells whether a task may go wherever any other of its job may.
-func plain(t *work.Task) bool { return t.Zone == "" && t.AvoidWorker == "" }
+func plain(t *taskstate.Task) bool { return t.Zone == "" && t.AvoidWorker == "" }
 
 // round is what one placement round works on.
 type round struct {
 	now  time.Duration
-	open []*agents.Worker // machines that take tasks
-	free []*agents.Worker // those with room, in the order in which arrays fill them
+	open []*workers.Worker // machines that take tasks
+	free []*workers.Worker // those with room, in the order in which arrays fill them
 	// forServices is the same machines in the order in which services fill them.
-	forServices []*agents.Worker
+	forServices []*workers.Worker
 	// waiting is one task of each job in the queues, for a quick look at
 	// whether a machine has room for anything at all.
-	waiting []*work.Task
-	wall    int64                            // time of day, ms
-	kept    map[*agents.Worker]jobs.Priority // below these, nothing is placed there
-	gangs   []gang                           // that want machines now, in the jobs' order
+	waiting []*taskstate.Task
+	wall    int64                             // time of day, ms
+	kept    map[*workers.Worker]jobs.Priority // below these, nothing is placed there
+	gangs   []gang                            // that want machines now, in the jobs' order
 }
 
 // Round places what can be placed on the machines given.
-func (p *Planner) RunRound(hosts []*agents.Worker, now time.Duration, wall time.Time) {
+func (p *Planner) RunRound(hosts []*workers.Worker, now time.Duration, wall time.Time) {
 	r := &round{now: now, wall: wall.UnixMilli()}
 	for _, h := range hosts {
 		if !p.AcceptsTasks(h) {
@@ -161,9 +163,9 @@
 // clean removes tasks that no longer wait, and gives back the queues of
 // machines that are gone or take no tasks.
 func (p *Planner) clean(r *round) {
-	seen := map[*work.Job]bool{}
-	note := func(q []*work.Task) {
-		var last *work.Job
+	seen := map[*taskstate.Job]bool{}
+	note := func(q []*taskstate.Task) {
+		var last *taskstate.Job
 		for _, t := range q {
 			if t.Job != last || !plain(t) {
 				if last = t.Job; !seen[last] || !plain(t) {
@@ -173,7 +175,7 @@
 			}
 		}
 	}
-	dead := func(t *work.Task) bool { return !live(t) }
+	dead := func(t *taskstate.Task) bool { return !live(t) }
 	p.extra = slices.DeleteFunc(p.extra, dead)
 	note(p.extra)
 	for id, q := range p.queues {
@@ -197,7 +199,7 @@
 // reorder sorts the queues anew when the rank of a job has changed.
 func (p *Planner) reorder(r *round) {
 	changed := false
-	look := func(j *work.Job) {
+	look := func(j *taskstate.Job) {
 		if p.UpdateRank(j, r.wall) {
 			changed = true
 		}
@@ -205,7 +207,7 @@
 	for _, t := range r.waiting {
 		look(t.Job)
 	}
-	var last *work.Job
+	var last *taskstate.Job
 	for _, t := range p.arrivals {
 		if t.Job != last {
 			last = t.Job
@@ -225,7 +227,7 @@
 func (p *Planner) pull(r *round) {
 	p.overdue(r)
 	for prio := jobs.PriorityCritical; prio >= jobs.PriorityLow; prio-- {
-		var some []*work.Task
+		var some []*taskstate.Task
 		for _, t := range r.waiting {
 			if t.Job.Spec.Priority() == prio {
 				some = append(some, t)
@@ -239,14 +241,14 @@
 			if r.kept[h] > prio {
 				continue
 			}
-			for slices.ContainsFunc(some, func(t *work.Task) bool { return fits(t, h) }) && p.pullOne(h, prio, r.now) {
+			for slices.ContainsFunc(some, func(t *taskstate.Task) bool { return fits(t, h) }) && p.pullOne(h, prio, r.now) {
 			}
 		}
 	}
 }
 
 // pullOne starts one task of a priority on a machine.
-func (p *Planner) pullOne(h *agents.Worker, prio jobs.Priority, now time.Duration) bool {
+func (p *Planner) pullOne(h *workers.Worker, prio jobs.Priority, now time.Duration) bool {
 	if i := first(p.queues[h.ID], h, prio, now); i >= 0 {
 		p.place(p.queues[h.ID][i], h)
 		return true
@@ -259,7 +261,7 @@
 	// with one whose image it caches come before the others. Several machines
 	// cache an image here, each with its part of the tasks that wait for it: one
 	// that has done its part goes on with theirs rather than fetch another.
-	var best *work.Task
+	var best *taskstate.Task
 	longest, cached := 0, false
 	for id, q := range p.queues {
 		if id == h.ID {
@@ -285,14 +287,14 @@
 	return true
 }
 
-func (p *Planner) place(t *work.Task, h *agents.Worker) {
+func (p *Planner) place(t *taskstate.Task, h *workers.Worker) {
 	t.Queued = false
 	p.PlaceTask(t, h)
 }
 
 // candidate tells whether a machine can start a queued task of a priority;
 // skip is a job whose plain tasks are known not to fit.
-func candidate(t *work.Task, h *agents.Worker, prio jobs.Priority, now time.Duration, skip **work.Job) bool {
+func candidate(t *taskstate.Task, h *workers.Worker, prio jobs.Priority, now time.Duration, skip **taskstate.Job) bool {
 	if (t.Job == *skip && plain(t)) || !live(t) || t.Job.Spec.Priority() != prio || !due(t, now) {
 		return false
 	}
@@ -304,8 +306,8 @@
 }
 
 // first finds the first task of a queue that the machine can start.
-func first(q []*work.Task, h *agents.Worker, prio jobs.Priority, now time.Duration) int {
-	var skip *work.Job
+func first(q []*taskstate.Task, h *workers.Worker, prio jobs.Priority, now time.Duration) int {
+	var skip *taskstate.Job
 	for i, t := range q {
 		if candidate(t, h, prio, now, &skip) {
 			return i
@@ -315,8 +317,8 @@
 }
 
 // last finds the last such task, if asked only one whose image is cached.
-func last(q []*work.Task, h *agents.Worker, prio jobs.Priority, now time.Duration, cached bool) int {
-	var skip *work.Job
+func last(q []*taskstate.Task, h *workers.Worker, prio jobs.Priority, now time.Duration, cached bool) int {
+	var skip *taskstate.Job
 	for i := len(q) - 1; i >= 0; i-- {
 		if cached && !h.HasImage(q[i].Job.Spec.Image) {
 			continue
@@ -330,7 +332,7 @@
 
 // starved tells whether nothing has been started of a job for so long that it
 // goes before all others.
-func (r *round) starved(j *work.Job) bool {
+func (r *round) starved(j *taskstate.Job) bool {
 	return !j.HasPlacedTask && r.wall-j.SubmittedMS > tuning.StarvedAfter.Milliseconds()
 }
 
@@ -339,10 +341,10 @@
 // machine where most is free from taking other work, so that its turn comes: of
 // its priority or below, or any if its job starves.
 func (p *Planner) overdue(r *round) {
-	r.kept = map[*agents.Worker]jobs.Priority{}
-	var skip *work.Job
-	serve := func(t *work.Task, over jobs.Priority) {
-		var best *agents.Worker
+	r.kept = map[*workers.Worker]jobs.Priority{}
+	var skip *taskstate.Job
+	serve := func(t *taskstate.Task, over jobs.Priority) {
+		var best *workers.Worker
 		for _, h := range r.orderFor(t) {
 			if _, taken := r.kept[h]; !taken && (fits(t, h) || (r.starved(t.Job) && fitsAtAll(t, h))) {
 				best = h
@@ -385,8 +387,8 @@
 // else on another with room, else in the queue of a caching machine, else in
 // the extra queue. The tasks of a job are alike and are placed together.
 func (p *Planner) arrive(r *round) {
-	tasks := slices.DeleteFunc(p.arrivals, func(t *work.Task) bool {
-		return t.State != work.StateWaiting || t.Job.Cancelled || t.Queued
+	tasks := slices.DeleteFunc(p.arrivals, func(t *taskstate.Task) bool {
+		return t.State != taskstate.StateWaiting || t.Job.Cancelled || t.Queued
 	})
 	p.arrivals = nil
 	slices.SortStableFunc(tasks, compare)
@@ -409,7 +411,7 @@
 
 // nearness ranks machines for a job: those that cache its image, those that
 // fetch nothing, and those where its image would share the rate with another.
-func nearness(h *agents.Worker, image string) int {
+func nearness(h *workers.Worker, image string) int {
 	switch {
 	case h.HasImage(image):
 		return 0
@@ -420,10 +422,10 @@
 }
 
 // spread starts as many of a job's tasks as there is room for.
-func (p *Planner) spread(tasks []*work.Task, r *round) []*work.Task {
+func (p *Planner) spread(tasks []*taskstate.Task, r *round) []*taskstate.Task {
 	job := tasks[0].Job
 	// As it is now: a machine caches the image as soon as a task is placed there.
-	var nearest [3][]*agents.Worker
+	var nearest [3][]*workers.Worker
 	for _, h := range r.orderFor(tasks[0]) {
 		if r.kept[h] <= job.Spec.Priority() {
 			near := nearness(h, job.Spec.Image)
@@ -443,10 +445,10 @@
 // replicas yet, so that the end of one machine does not take all of them. Only
 // machines that run replicas of services already are taken: no machine is kept, or
 // rented, for being apart.
-func (p *Planner) apart(tasks []*work.Task, hosts []*agents.Worker) []*work.Task {
+func (p *Planner) apart(tasks []*taskstate.Task, hosts []*workers.Worker) []*taskstate.Task {
 	taken := map[string]bool{}
 	for _, t := range tasks[0].Job.Tasks {
-		if t.State == work.StatePlaced {
+		if t.State == taskstate.StatePlaced {
 			taken[t.WorkerID] = true
 		}
 	}
@@ -463,7 +465,7 @@
 }
 
 // fill starts a job's tasks on the machines, one full after the other.
-func (p *Planner) fill(tasks []*work.Task, hosts []*agents.Worker) []*work.Task {
+func (p *Planner) fill(tasks []*taskstate.Task, hosts []*workers.Worker) []*taskstate.Task {
 	for _, h := range hosts {
 		for len(tasks) > 0 && fits(tasks[0], h) {
 			p.PlaceTask(tasks[0], h)
@@ -475,12 +477,12 @@
 
 // queue puts a job's tasks into the shortest queues of the machines that cache
 // its image, else into the extra queue.
-func (p *Planner) queue(tasks []*work.Task, r *round) {
+func (p *Planner) queue(tasks []*taskstate.Task, r *round) {
 	for _, t := range tasks {
 		t.Queued = true
 	}
 	image := tasks[0].Job.Spec.Image
-	var caching []*agents.Worker
+	var caching []*workers.Worker
 	for _, h := range r.open {
 		if h.HasImage(image) && could(tasks[0], h) {
 			caching = append(caching, h)
@@ -490,8 +492,8 @@
 		p.extra = insert(p.extra, tasks...)
 		return
 	}
-	length := func(h *agents.Worker) int { return len(p.queues[h.ID]) }
-	slices.SortStableFunc(caching, func(a, b *agents.Worker) int { return length(a) - length(b) })
+	length := func(h *workers.Worker) int { return len(p.queues[h.ID]) }
+	slices.SortStableFunc(caching, func(a, b *workers.Worker) int { return length(a) - length(b) })
 	for level := length(caching[0]); len(tasks) > 0; level++ {
 		for _, h := range caching {
 			if len(tasks) == 0 || length(h) > level {
@@ -504,7 +506,7 @@
 }
 
 // insert keeps a queue in order; the tasks are in order and of one job.
-func insert(q []*work.Task, tasks ...*work.Task) []*work.Task {
+func insert(q []*taskstate.Task, tasks ...*taskstate.Task) []*taskstate.Task {
 	i := sort.Search(len(q), func(i int) bool { return before(tasks[0], q[i]) })
 	if i == len(q) || q[i].Job != tasks[0].Job {
 		return slices.Insert(q, i, tasks...)
--- a/internal/block/flush.go
+++ b/internal/shard/flush.go
@@ -1,11 +1,11 @@
-package block
+package shard
 
 import (
 	"time"
 
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // later plans another flush.
@@ -61,20 +61,20 @@
 
 // saved is a task as it was when its page was written.
 type saved struct {
-	task    *work.Task
-	state   work.State
+	task    *taskstate.Task
+	state   taskstate.State
 	attempt uint64
 	page    int
 }
 
 // commit writes what has changed to pages of the log, as many as one commit may take.
 func (s *TaskStore) commit(most int) {
-	values, on, rest, err := work.PackPages(s.changed(), s.pageBytes(), most)
+	values, on, rest, err := taskstate.PackPages(s.changed(), s.pageBytes(), most)
 	if err != nil {
 		s.log.Error("log pages do not encode", "err", err)
 		return
 	}
-	s.dirty, s.urgent = append([]*work.Task(nil), rest...), s.urgent && len(rest) > 0
+	s.dirty, s.urgent = append([]*taskstate.Task(nil), rest...), s.urgent && len(rest) > 0
 	if len(values) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	for i, value := range values {
 		// A commit that is carried out once more, later, must not bring back
 		// what the page told then.
-		key := work.PageKey(s.block, c.free[i])
+		key := taskstate.PageKey(s.block, c.free[i])
 		guards = append(guards, statestore.Condition{Key: key, Revision: s.pages.at(c.free[i]).stamp})
 		apply = append(apply, statestore.Operation{PutKey: key, Value: value})
 		for _, t := range on[i] {
@@ -106,9 +106,9 @@
 }
 
 // changed lists the tasks that are to be written.
-func (s *TaskStore) changed() []*work.Task {
+func (s *TaskStore) changed() []*taskstate.Task {
 	tasks := s.dirty[:0:0]
-	take := func(t *work.Task) {
+	take := func(t *taskstate.Task) {
 		if s.chunks[t.Group.Key] == t.Group {
 			tasks = append(tasks, t)
 		}
@@ -187,7 +187,7 @@
 	if s.chunks[t.Group.Key] != t.Group {
 		return
 	}
-	if w.state == work.StatePlaced && t.State == work.StatePlaced && t.Attempt == w.attempt && !t.PlacementDurable {
+	if w.state == taskstate.StatePlaced && t.State == taskstate.StatePlaced && t.Attempt == w.attempt && !t.PlacementDurable {
 		t.PlacementDurable = true
 		s.PlacementDurable(t)
 	}
@@ -198,7 +198,7 @@
 	s.pages.take(t.LogPage)
 	t.LogPage = w.page
 	s.pages.put(t.LogPage, t)
-	if w.state == work.StateDone {
+	if w.state == taskstate.StateDone {
 		t.DoneDurable = true
 	}
 }
--- a/internal/block/pages.go
+++ b/internal/shard/pages.go
@@ -1,8 +1,8 @@
-package block
+package shard
 
 import (
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // pages knows which page of the block's log tells of which task, so that a page
@@ -14,9 +14,9 @@
 }
 
 type page struct {
-	live  int          // tasks of which it is the newest record
-	total int          // tasks it told of when it was written
-	tasks []*work.Task // those
+	live  int               // tasks of which it is the newest record
+	total int               // tasks it told of when it was written
+	tasks []*taskstate.Task // those
 	used  bool
 	held  bool // is being written
 	stamp uint64
@@ -30,7 +30,7 @@
 }
 
 // put notes that a page is the newest record on a task.
-func (p *pages) put(n int, t *work.Task) {
+func (p *pages) put(n int, t *taskstate.Task) {
 	if n < 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 
 // oldest returns the tasks that an old page, most of which is superseded, still
 // tells of; none while the log is short.
-func (p *pages) oldest() []*work.Task {
+func (p *pages) oldest() []*taskstate.Task {
 	if len(p.order) < tuning.LogCompactionPages {
 		return nil
 	}
@@ -96,7 +96,7 @@
 		if g.live == 0 || g.live*2 > g.total {
 			continue
 		}
-		tasks := make([]*work.Task, 0, g.live)
+		tasks := make([]*taskstate.Task, 0, g.live)
 		for _, t := range g.tasks {
 			if t.LogPage == n {
 				tasks = append(tasks, t)
--- a/internal/block/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -1,39 +1,39 @@
 // Package block is the duty of a block's owner: it keeps the records of the
 // tasks that were handed to the block, and commits every placement before its
 // launch is sent.
-package block
+package shard
 
 import (
 	"log/slog"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/userapi"
-	"lemonmoor/internal/work"
 )
 
 // TaskStore holds the tasks of one block while this process owns it.
 type TaskStore struct {
 	// Waiting is called for a task that may be given to a machine.
-	TaskWaiting func(*work.Task)
+	TaskWaiting func(*taskstate.Task)
 	// Launchable is called when a placement is durable.
-	PlacementDurable func(*work.Task)
+	PlacementDurable func(*taskstate.Task)
 	// Loaded is called when the records of a new token have been read.
 	RecordsLoaded func()
 	// Done is told that a gang is done, as another block has proven.
-	GangDone func(*work.Job)
+	GangDone func(*taskstate.Job)
 	// Discard takes a task that was never launched off its machine.
-	DiscardTask func(*work.Task)
+	DiscardTask func(*taskstate.Task)
 	// Cancel is told that a job is cancelled that may have tasks on machines.
-	CancelJob func(*work.Job)
+	CancelJob func(*taskstate.Job)
 
-	rt     engine.Runtime
+	rt     eventloop.Runtime
 	state  *statestore.Client
 	leases *statestore.LeaseManager
 	cat    *userapi.Catalog
-	store  *work.Store
+	store  *taskstate.Store
 	set    *settings.Settings
 	log    *slog.Logger
 	block  int
@@ -41,9 +41,9 @@
 	term    int // grows with every token; late answers of old ones are dropped
 	token   uint64
 	loaded  bool
-	jobs    map[string]*work.Job
-	chunks  map[string]*work.TaskGroup
-	dirty   []*work.Task
+	jobs    map[string]*taskstate.Job
+	chunks  map[string]*taskstate.TaskGroup
+	dirty   []*taskstate.Task
 	urgent  bool          // something waits for a commit of those
 	since   time.Duration // when the first of them changed
 	pages   pages
@@ -58,7 +58,7 @@
 }
 
 // NewTaskStore returns an empty task store.
-func NewTaskStore(rt engine.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *work.Store,
+func NewTaskStore(rt eventloop.Runtime, state *statestore.Client, leases *statestore.LeaseManager, cat *userapi.Catalog, store *taskstate.Store,
 	set *settings.Settings, log *slog.Logger, block int) *TaskStore {
 	s := &TaskStore{rt: rt, state: state, leases: leases, cat: cat, store: store, set: set, log: log, block: block}
 	s.EndTerm()
@@ -69,7 +69,7 @@
 func (s *TaskStore) EndTerm() {
 	s.term++
 	s.token, s.loaded, s.flights, s.resting, s.planned = 0, false, 0, false, false
-	s.jobs, s.chunks, s.dirty = map[string]*work.Job{}, map[string]*work.TaskGroup{}, nil
+	s.jobs, s.chunks, s.dirty = map[string]*taskstate.Job{}, map[string]*taskstate.TaskGroup{}, nil
 	s.pages = pages{stamp: func(n int) uint64 { return s.store.PageRevision(s.block, n) }}
 }
 
@@ -114,7 +114,7 @@
 }
 
 func (s *TaskStore) build() {
-	s.store.EachRecord(func(r *work.Record) {
+	s.store.EachRecord(func(r *taskstate.Record) {
 		if r.Shard == s.block {
 			s.add(r)
 		}
@@ -128,26 +128,26 @@
 }
 
 // add takes a record in.
-func (s *TaskStore) add(r *work.Record) *work.TaskGroup {
+func (s *TaskStore) add(r *taskstate.Record) *taskstate.TaskGroup {
 	e := s.cat.Get(r.Job)
 	if e == nil || e.Spec == nil {
 		return nil // its job is done; the leader removes what is left
 	}
 	j := s.jobs[r.Job]
 	if j == nil {
-		j = work.NewJob(e.Spec, e.SubmittedMS, s.cat.WithinQuota(e))
+		j = taskstate.NewJob(e.Spec, e.SubmittedMS, s.cat.WithinQuota(e))
 		j.Cancelled = e.Phase == userapi.PhaseCancelled
 		if e.Spec.IsGang() {
-			j.Gang = &work.Gang{}
+			j.Gang = &taskstate.Gang{}
 			for _, o := range s.store.JobRecords(r.Job) {
 				for _, m := range o.Statuses {
-					j.PartDoneElsewhere = j.PartDoneElsewhere || (o.Shard != s.block && m.State == work.StateDone)
+					j.PartDoneElsewhere = j.PartDoneElsewhere || (o.Shard != s.block && m.State == taskstate.StateDone)
 				}
 			}
 		}
 		s.jobs[r.Job] = j
 	}
-	c := work.LoadRecord(j, r)
+	c := taskstate.LoadRecord(j, r)
 	s.chunks[c.Key] = c
 	for _, t := range c.Tasks {
 		s.pages.put(t.LogPage, t)
@@ -156,9 +156,9 @@
 }
 
 // offer makes a chunk's waiting tasks known to the queues.
-func (s *TaskStore) offer(c *work.TaskGroup) {
+func (s *TaskStore) offer(c *taskstate.TaskGroup) {
 	for _, t := range c.Tasks {
-		if t.State != work.StateWaiting {
+		if t.State != taskstate.StateWaiting {
 			continue
 		}
 		if c.Job.Cancelled {
@@ -172,7 +172,7 @@
 // RecordAdded takes in what the leader has handed out. If the watch of the jobs
 // is behind that of the records, the job is not known yet; JobChanged comes back
 // to the record then.
-func (s *TaskStore) RecordAdded(r *work.Record) {
+func (s *TaskStore) RecordAdded(r *taskstate.Record) {
 	if !s.loaded || r.Shard != s.block || s.chunks[r.Key] != nil {
 		return
 	}
@@ -183,7 +183,7 @@
 
 // RecordRemoved forgets a record that the leader has removed: its tasks are
 // done, or given back.
-func (s *TaskStore) RecordRemoved(r *work.Record) {
+func (s *TaskStore) RecordRemoved(r *taskstate.Record) {
 	c := s.chunks[r.Key]
 	if !s.loaded || c == nil {
 		return
@@ -191,12 +191,12 @@
 	delete(s.chunks, c.Key)
 	delete(c.Job.Groups, c.Key)
 	for _, t := range c.Tasks {
-		if t.State == work.StatePlaced {
+		if t.State == taskstate.StatePlaced {
 			s.log.Error("a record was removed while a task may run", "task", t.Name())
 			s.DiscardTask(t)
 		}
-		if t.State != work.StateDone {
-			t.State = work.StateDropped
+		if t.State != taskstate.StateDone {
+			t.State = taskstate.StateDropped
 		}
 		s.pages.take(t.LogPage)
 		if c.Job.Tasks[t.Index] == t {
@@ -227,7 +227,7 @@
 	}
 	j.Cancelled = true
 	for _, t := range j.Tasks {
-		if t.State == work.StateWaiting {
+		if t.State == taskstate.StateWaiting {
 			s.DropTask(t)
 		}
 	}
@@ -242,8 +242,8 @@
 
 // TaskMoved takes note of a task of another block: one of a divided gang that is
 // done means that all are.
-func (s *TaskStore) TaskStatusChanged(r *work.Record, k int) {
-	if !s.loaded || r.Shard == s.block || r.Statuses[k].State != work.StateDone {
+func (s *TaskStore) TaskStatusChanged(r *taskstate.Record, k int) {
+	if !s.loaded || r.Shard == s.block || r.Statuses[k].State != taskstate.StateDone {
 		return
 	}
 	if j := s.jobs[r.Job]; j != nil && j.Gang != nil && !j.PartDoneElsewhere {
@@ -255,8 +255,8 @@
 // Drop ends a task of a cancelled job that is on no machine. The leader removes
 // a record only when its owner has written all of it off: removed on the
 // leader's own judgement, a placement committed meanwhile would be lost.
-func (s *TaskStore) DropTask(t *work.Task) {
-	t.State = work.StateDropped
+func (s *TaskStore) DropTask(t *taskstate.Task) {
+	t.State = taskstate.StateDropped
 	t.Group.OpenTasks--
 	s.TaskChanged(t, t.Group.OpenTasks == 0)
 }
@@ -275,8 +275,8 @@
 	}
 	for _, c := range j.Groups {
 		for i := len(c.Tasks) - 1; i >= 0 && n > 0; i-- {
-			if t := c.Tasks[i]; t.State == work.StateWaiting {
-				t.State = work.StateReturned
+			if t := c.Tasks[i]; t.State == taskstate.StateWaiting {
+				t.State = taskstate.StateReturned
 				c.OpenTasks--
 				delete(j.Tasks, t.Index)
 				s.TaskChanged(t, true)
@@ -287,17 +287,17 @@
 }
 
 // Job finds a job with tasks in the block.
-func (s *TaskStore) Job(id string) *work.Job { return s.jobs[id] }
+func (s *TaskStore) Job(id string) *taskstate.Job { return s.jobs[id] }
 
 // Jobs calls fn for every job with tasks in the block.
-func (s *TaskStore) EachJob(fn func(*work.Job)) {
+func (s *TaskStore) EachJob(fn func(*taskstate.Job)) {
 	for _, j := range s.jobs {
 		fn(j)
 	}
 }
 
 // Changed marks a task for a commit; urgent if something waits for it.
-func (s *TaskStore) TaskChanged(t *work.Task, urgent bool) {
+func (s *TaskStore) TaskChanged(t *taskstate.Task, urgent bool) {
 	if s.chunks[t.Group.Key] != t.Group {
 		return
 	}
@@ -313,8 +313,8 @@
 
 // TaskDone notes a completed task. When nothing else of its record is open, the
 // end of the job may wait for it.
-func (s *TaskStore) TaskDone(t *work.Task) {
-	t.State = work.StateDone
+func (s *TaskStore) TaskDone(t *taskstate.Task) {
+	t.State = taskstate.StateDone
 	t.Group.OpenTasks--
 	s.TaskChanged(t, t.Group.OpenTasks == 0)
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/engine"
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
@@ -68,7 +68,7 @@
 
 // Client sends requests to the state service.
 type Client struct {
-	rt   engine.Runtime
+	rt   eventloop.Runtime
 	addr string
 	log  *slog.Logger
 	// LastAnswer is when the service last answered anything but a refusal.
@@ -140,7 +140,7 @@
 }
 
 // New returns a client of the state service at addr.
-func New(rt engine.Runtime, addr string, log *slog.Logger) *Client {
+func New(rt eventloop.Runtime, addr string, log *slog.Logger) *Client {
 	return &Client{rt: rt, addr: addr, log: log, FreshnessCheckInterval: tuning.FreshnessCheckInterval, rate: 1, limits: Limits{MaxOperations: 1, MaxValueBytes: tuning.MaxPageBytes, FutureWriteShare: 1}}
 }
 
@@ -156,13 +156,13 @@
 		}
 	}
 	asked := c.rt.Now()
-	c.rt.CallHTTP(c.addr, httpwire.ClientRequest{Method: method, Target: target, Body: raw}, timeout,
-		func(ans httpwire.Response, err error) {
+	c.rt.CallHTTP(c.addr, http1.ClientRequest{Method: method, Target: target, Body: raw}, timeout,
+		func(ans http1.Response, err error) {
 			if err == nil && method == "POST" {
 				c.pace += (c.rt.Now() - asked - c.pace) / tuning.LatencyAverageCount
 			}
 			switch {
-			case err == engine.ErrNotSent:
+			case err == eventloop.ErrNotSent:
 				fn(OutcomeRefused, nil)
 				return
 			case err != nil:
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/tuning"
 )
 
@@ -53,7 +53,7 @@
 	// Hold is how long past its lease an owner goes on answering workers.
 	AnswerGracePeriod time.Duration
 
-	rt     engine.Runtime
+	rt     eventloop.Runtime
 	state  *Client
 	log    *slog.Logger
 	node   string
@@ -78,7 +78,7 @@
 }
 
 // NewLeaseManager returns the lease manager of a node; nonce differs for every process.
-func NewLeaseManager(rt engine.Runtime, state *Client, log *slog.Logger, node string, nonce uint64, rank, blocks int) *LeaseManager {
+func NewLeaseManager(rt eventloop.Runtime, state *Client, log *slog.Logger, node string, nonce uint64, rank, blocks int) *LeaseManager {
 	o := &LeaseManager{rt: rt, state: state, log: log, node: node, nonce: nonce, rank: rank, blocks: blocks,
 		stamps: map[string]uint64{}, holders: map[string]holder{},
 		held: map[int]uint64{}, busy: map[string]bool{}, waived: map[int]uint64{}, before: map[int]time.Duration{}}
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/tuning"
 )
 
@@ -26,7 +26,7 @@
 	// again; a copy that nothing is decided from can wait.
 	WatchPause func() time.Duration
 
-	rt     engine.Runtime
+	rt     eventloop.Runtime
 	state  *Client
 	prefix string
 	epoch  uint64
@@ -49,7 +49,7 @@
 }
 
 // NewMirror returns a mirror of the rows under prefix.
-func NewMirror(rt engine.Runtime, state *Client, prefix string) *Mirror {
+func NewMirror(rt eventloop.Runtime, state *Client, prefix string) *Mirror {
 	return &Mirror{rt: rt, state: state, prefix: prefix}
 }
 
--- a/internal/work/production_test.go
+++ b/internal/taskstate/production_test.go
@@ -1,4 +1,4 @@
-package work
+package taskstate
 
 import (
 	"bytes"
--- a/internal/work/record.go
+++ b/internal/taskstate/record.go
@@ -1,7 +1,7 @@
 // Package work is what has been handed out to the blocks of machines: the
 // leader's records, the pages on which a block's owner logs what becomes of the
 // tasks, every node's copy of both, and the tasks that an owner makes of them.
-package work
+package taskstate
 
 import (
 	"encoding/json"
--- a/internal/work/store.go
+++ b/internal/taskstate/store.go
@@ -1,11 +1,11 @@
-package work
+package taskstate
 
 import (
 	"encoding/json"
 	"log/slog"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/statestore"
 )
 
@@ -30,7 +30,7 @@
 type sum struct{ done, placed, running int }
 
 // NewStore returns an empty store.
-func NewStore(rt engine.Runtime, state *statestore.Client, log *slog.Logger) *Store {
+func NewStore(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger) *Store {
 	s := &Store{RecordAdded: func(*Record) {}, RecordRemoved: func(*Record) {}, TaskStatusChanged: func(*Record, int, TaskStatus) {},
 		records: map[string]*Record{}, byJob: map[string]map[string]*Record{}, sums: map[string]*sum{},
 		pages: map[string]uint64{}, log: log}
--- a/internal/seeded/seeded.go
+++ b/internal/testseed/seeded.go
@@ -1,7 +1,7 @@
 // Package seeded runs tests with a fixed seed of their generated inputs, so that CI sees
 // the same ones each time. `go test ./internal/NAME -rapid.seed N -rapid.checks 3000`
 // searches elsewhere.
-package seeded
+package testseed
 
 import (
 	"flag"
--- a/internal/userapi/api.go
+++ b/internal/userapi/api.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/engine"
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
@@ -25,7 +25,7 @@
 	// Types are the machine types, nil while unknown.
 	MachineTypes func() []jobs.MachineType
 
-	rt      engine.Runtime
+	rt      eventloop.Runtime
 	state   *statestore.Client
 	cat     *Catalog
 	set     *settings.Settings
@@ -48,21 +48,21 @@
 	expires time.Duration
 	tries   int
 	sent    bool // in a commit whose answer is awaited
-	replies []httpwire.ResponseWriter
+	replies []http1.ResponseWriter
 	// late are those who asked after it was sent. Another node may have read the
 	// job by then, told its user and even called it off: they get what is
 	// proven after their question.
-	late []httpwire.ResponseWriter
+	late []http1.ResponseWriter
 }
 
 // NewAPI returns the user API.
-func NewAPI(rt engine.Runtime, state *statestore.Client, cat *Catalog, set *settings.Settings, log *slog.Logger) *API {
+func NewAPI(rt eventloop.Runtime, state *statestore.Client, cat *Catalog, set *settings.Settings, log *slog.Logger) *API {
 	return &API{rt: rt, state: state, cat: cat, set: set, log: log, most: state.MaxOperations(), pending: map[string]*creation{},
 		Progress: func(string) (int, int) { return 0, 0 }, RunningGangTasks: func(string) int { return 0 }}
 }
 
-func refuse(reply httpwire.ResponseWriter, reason string) {
-	reply(503, httpwire.ErrorBody(reason), tuning.RetryAfterSeconds)
+func refuse(reply http1.ResponseWriter, reason string) {
+	reply(503, http1.ErrorBody(reason), tuning.RetryAfterSeconds)
 }
 
 // status is a job as its user sees it.
@@ -73,7 +73,7 @@
 	Running int    `json:"running"`
 }
 
-func (d *API) tell(reply httpwire.ResponseWriter, e *Entry) {
+func (d *API) tell(reply http1.ResponseWriter, e *Entry) {
 	s := status{ID: e.ID, Phase: e.Phase}
 	switch e.Phase {
 	case PhaseDone:
@@ -91,17 +91,17 @@
 	}
 	body, err := json.Marshal(s)
 	if err != nil {
-		reply(500, httpwire.ErrorBody("answer does not encode"), 0)
+		reply(500, http1.ErrorBody("answer does not encode"), 0)
 		return
 	}
 	reply(200, body, 0)
 }
 
 // Submit serves POST /work.
-func (d *API) Submit(body []byte, reply httpwire.ResponseWriter) {
+func (d *API) Submit(body []byte, reply http1.ResponseWriter) {
 	job, err := jobs.Parse(body)
 	if err != nil {
-		reply(400, httpwire.ErrorBody(err.Error()), 0)
+		reply(400, http1.ErrorBody(err.Error()), 0)
 		return
 	}
 	if !d.cat.Ready() {
@@ -126,7 +126,7 @@
 			case err != nil:
 				refuse(reply, "state service not reached")
 			default:
-				reply(status, httpwire.ErrorBody(why), 0)
+				reply(status, http1.ErrorBody(why), 0)
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 		unlessKnown(400, "description too large")
 		return
 	}
-	c := &creation{id: job.ID, value: value, expires: d.rt.Now() + tuning.SubmissionTimeout, replies: []httpwire.ResponseWriter{reply}}
+	c := &creation{id: job.ID, value: value, expires: d.rt.Now() + tuning.SubmissionTimeout, replies: []http1.ResponseWriter{reply}}
 	d.pending[job.ID] = c
 	d.queue = append(d.queue, c)
 	d.flush()
@@ -236,7 +236,7 @@
 
 // refuseBoth refuses a submission and its repeats, for now.
 func (d *API) refuseBoth(c *creation, why string) {
-	refused := func(r httpwire.ResponseWriter) { refuse(r, why) }
+	refused := func(r http1.ResponseWriter) { refuse(r, why) }
 	d.finish(c, refused, refused)
 }
 
@@ -254,7 +254,7 @@
 				d.queue = append(d.queue, c)
 				continue
 			}
-			poll := func(reply httpwire.ResponseWriter) { d.Poll(c.id, reply) }
+			poll := func(reply http1.ResponseWriter) { d.Poll(c.id, reply) }
 			d.finish(c, poll, poll)
 		}
 	case statestore.OutcomeRefused:
@@ -283,13 +283,13 @@
 // accepted tells a user that the job is stored.
 func (d *API) accepted(c *creation, epoch uint64) {
 	d.cat.Observe(c.id, c.value, epoch)
-	d.finish(c, func(reply httpwire.ResponseWriter) {
+	d.finish(c, func(reply http1.ResponseWriter) {
 		body, err := json.Marshal(map[string]string{"id": c.id, "phase": "pending"})
 		if err != nil {
 			body = []byte("{}")
 		}
 		reply(201, body, 0)
-	}, func(reply httpwire.ResponseWriter) { d.Poll(c.id, reply) })
+	}, func(reply http1.ResponseWriter) { d.Poll(c.id, reply) })
 }
 
 // again queues a refused batch once more, after a rest. A large commit finds no changes
@@ -318,7 +318,7 @@
 
 // finish answers all who wait for a submission; late is for those who asked after
 // it was sent.
-func (d *API) finish(c *creation, fn, late func(httpwire.ResponseWriter)) {
+func (d *API) finish(c *creation, fn, late func(http1.ResponseWriter)) {
 	delete(d.pending, c.id)
 	for _, reply := range c.replies {
 		fn(reply)
@@ -329,7 +329,7 @@
 }
 
 // Poll serves GET /work/{id}.
-func (d *API) Poll(id string, reply httpwire.ResponseWriter) {
+func (d *API) Poll(id string, reply http1.ResponseWriter) {
 	d.cat.Verify(func(err error) {
 		if err != nil {
 			refuse(reply, "state service not reached")
@@ -339,7 +339,7 @@
 		if e == nil {
 			// The catalog holds every job record and was just proven to be
 			// current.
-			reply(404, httpwire.ErrorBody("no such job"), 0)
+			reply(404, http1.ErrorBody("no such job"), 0)
 			return
 		}
 		d.tell(reply, e)
@@ -347,9 +347,9 @@
 }
 
 // Cancel serves POST /work/{id}/cancel.
-func (d *API) Cancel(id string, reply httpwire.ResponseWriter) { d.cancel(id, reply, 0) }
+func (d *API) Cancel(id string, reply http1.ResponseWriter) { d.cancel(id, reply, 0) }
 
-func (d *API) cancel(id string, reply httpwire.ResponseWriter, try int) {
+func (d *API) cancel(id string, reply http1.ResponseWriter, try int) {
 	if try > 6 {
 		refuse(reply, "state service not reached")
 		return
@@ -361,7 +361,7 @@
 		}
 		e := d.cat.Get(id)
 		if e == nil {
-			reply(404, httpwire.ErrorBody("no such job"), 0)
+			reply(404, http1.ErrorBody("no such job"), 0)
 			return
 		}
 		if e.Phase != "" {
@@ -378,7 +378,7 @@
 			value, err = json.Marshal(r)
 		}
 		if err != nil {
-			reply(500, httpwire.ErrorBody("record does not encode"), 0)
+			reply(500, http1.ErrorBody("record does not encode"), 0)
 			return
 		}
 		d.state.Commit([]statestore.Condition{{Key: KeyPrefix + id, Revision: e.Revision}}, []statestore.Operation{{PutKey: KeyPrefix + id, Value: value}},
@@ -400,10 +400,10 @@
 
 // Route sorts a user's request; it reports false for paths that are not the
 // users'.
-func (d *API) Route(req *httpwire.Request, reply httpwire.ResponseWriter) bool {
+func (d *API) Route(req *http1.Request, reply http1.ResponseWriter) bool {
 	if req.Path == "/work" {
 		if req.Method != "POST" {
-			reply(405, httpwire.ErrorBody("method not allowed"), 0)
+			reply(405, http1.ErrorBody("method not allowed"), 0)
 			return true
 		}
 		d.Submit(req.Body, reply)
@@ -417,20 +417,20 @@
 	switch {
 	case !has && req.Method == "GET":
 		if !jobs.ValidID(id) {
-			reply(404, httpwire.ErrorBody("no such job"), 0)
+			reply(404, http1.ErrorBody("no such job"), 0)
 			return true
 		}
 		d.Poll(id, reply)
 	case has && verb == "cancel" && req.Method == "POST":
 		if !jobs.ValidID(id) {
-			reply(404, httpwire.ErrorBody("no such job"), 0)
+			reply(404, http1.ErrorBody("no such job"), 0)
 			return true
 		}
 		d.Cancel(id, reply)
 	case !has || verb == "cancel":
-		reply(405, httpwire.ErrorBody("method not allowed"), 0)
+		reply(405, http1.ErrorBody("method not allowed"), 0)
 	default:
-		reply(404, httpwire.ErrorBody("no such path"), 0)
+		reply(404, http1.ErrorBody("no such path"), 0)
 	}
 	return true
 }
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
@@ -54,12 +54,12 @@
 	open    map[string]*Entry // without a final phase
 	teams   map[string]settings.Team
 	mirror  *statestore.Mirror
-	rt      engine.Runtime
+	rt      eventloop.Runtime
 	log     *slog.Logger
 }
 
 // NewCatalog returns an empty catalog.
-func NewCatalog(rt engine.Runtime, state *statestore.Client, teams []settings.Team, log *slog.Logger) *Catalog {
+func NewCatalog(rt eventloop.Runtime, state *statestore.Client, teams []settings.Team, log *slog.Logger) *Catalog {
 	c := &Catalog{entries: map[string]*Entry{}, open: map[string]*Entry{}, teams: map[string]settings.Team{},
 		rt: rt, log: log, JobChanged: func(*Entry) {}}
 	for _, t := range teams {
--- a/internal/agents/announce.go
+++ b/internal/workers/announce.go
@@ -1,9 +1,9 @@
-package agents
+package workers
 
 import (
 	"encoding/json"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
@@ -41,8 +41,8 @@
 		}
 		t.greeting++
 		begun := t.begun
-		t.rt.CallHTTP(h.Addr, httpwire.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
-			func(ans httpwire.Response, err error) {
+		t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.AnnounceTimeout,
+			func(ans http1.Response, err error) {
 				if t.begun != begun || t.lease.Token() != token {
 					return // a new term greets anew
 				}
--- a/internal/agents/cancel.go
+++ b/internal/workers/cancel.go
@@ -1,8 +1,8 @@
-package agents
+package workers
 
 import (
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // halts adds the orders that end what a machine may have of cancelled jobs. They are
@@ -22,9 +22,9 @@
 // Cancel has the tasks of a cancelled job halted at once: with the next report the
 // order would leave seconds later, and a machine whose reports are lost can still
 // be reached.
-func (t *Registry) CancelJob(j *work.Job) {
+func (t *Registry) CancelJob(j *taskstate.Job) {
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.WorkerID]; h != nil && k.State == work.StatePlaced {
+		if h := t.hosts[k.WorkerID]; h != nil && k.State == taskstate.StatePlaced {
 			t.ready[h] = true
 		}
 	}
--- a/internal/agents/deaf.go
+++ b/internal/workers/deaf.go
@@ -1,9 +1,9 @@
-package agents
+package workers
 
 import (
 	"encoding/json"
 
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/http1"
 	"lemonmoor/internal/tuning"
 )
 
@@ -30,8 +30,8 @@
 	if err != nil {
 		return
 	}
-	t.rt.CallHTTP(h.Addr, httpwire.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
-		func(ans httpwire.Response, err error) {
+	t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
+		func(ans http1.Response, err error) {
 			if err != nil || t.lease.Token() != token || t.hosts[h.ID] != h || !h.Deaf {
 				return
 			}
--- a/internal/agents/drain.go
+++ b/internal/workers/drain.go
@@ -1,7 +1,7 @@
-package agents
+package workers
 
 import (
-	"lemonmoor/internal/work"
+	"lemonmoor/internal/taskstate"
 )
 
 // OperatorDrain is why a machine is given back that operators have drained.
@@ -19,7 +19,7 @@
 
 // Stop has a task halted that an operators' drain moves, with the time that it needs to
 // save. The machine is told at once, and with each report until the task is gone.
-func (t *Registry) HaltTask(k *work.Task) {
+func (t *Registry) HaltTask(k *taskstate.Task) {
 	h := t.hosts[k.WorkerID]
 	if h == nil || k.HaltDecided {
 		return
@@ -31,7 +31,7 @@
 
 // StopGang has all tasks of a gang halted, at the same time. One that has not started
 // has nothing to save.
-func (t *Registry) HaltGang(j *work.Job) {
+func (t *Registry) HaltGang(j *taskstate.Job) {
 	now := t.rt.Now()
 	t.log.Info("moving gang", "job", j.Spec.ID, "why", OperatorDrain)
 	if j.Gang.Started && j.Spec.CheckpointIntervalSeconds > 0 {
@@ -40,7 +40,7 @@
 	}
 	j.EndAttempt(now)
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.WorkerID]; h != nil && k.State == work.StatePlaced && k.LaunchSent {
+		if h := t.hosts[k.WorkerID]; h != nil && k.State == taskstate.StatePlaced && k.LaunchSent {
 			k.Halt(0)
 			t.ready[h] = true
 		}
--- a/internal/agents/gang.go
+++ b/internal/workers/gang.go
@@ -1,14 +1,14 @@
-package agents
+package workers
 
 import (
 	"time"
 
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // take works out what the records of a new token say of a gang.
-func (t *Registry) take(j *work.Job) {
+func (t *Registry) take(j *taskstate.Job) {
 	j.RecoverGang(t.begun)
 	if j.Gang.Done {
 		t.GangDone(j)
@@ -17,7 +17,7 @@
 
 // lost takes note that a task of a gang is off its machine, and asks the others
 // how they are if that is what decides.
-func (t *Registry) lost(k *work.Task, how work.Loss) {
+func (t *Registry) lost(k *taskstate.Task, how taskstate.Loss) {
 	j, now := k.Job, t.rt.Now()
 	doubt, was := j.Gang.StartInDoubtSince, *j.Gang
 	j.TaskGone(k, how, now)
@@ -27,7 +27,7 @@
 	}
 	if j.Gang.StartInDoubtSince != doubt && j.Gang.StartInDoubtSince > 0 {
 		for _, o := range j.Tasks {
-			if h := t.hosts[o.WorkerID]; o.State == work.StatePlaced && h != nil {
+			if h := t.hosts[o.WorkerID]; o.State == taskstate.StatePlaced && h != nil {
 				h.probeTasks, t.ready[h] = true, true
 			}
 		}
@@ -36,7 +36,7 @@
 }
 
 // mate takes in the state of a task of a gang, which tells of the others too.
-func (t *Registry) mate(k *work.Task, phase string) {
+func (t *Registry) mate(k *taskstate.Task, phase string) {
 	j := k.Job
 	if j.Gang == nil || k.WireAttempt() != j.Gang.Attempt {
 		return
@@ -62,7 +62,7 @@
 // Done takes note that a task of a gang is proven done, and with it all are.
 // Those on no machine are written off at once, the others when they are proven
 // gone: their places are not free before.
-func (t *Registry) GangDone(j *work.Job) {
+func (t *Registry) GangDone(j *taskstate.Job) {
 	if j.Gang.Done && j.Gang.AttemptOver || j.Cancelled {
 		return
 	}
@@ -71,21 +71,21 @@
 	for _, k := range j.Tasks {
 		h := t.hosts[k.WorkerID]
 		switch {
-		case k.State == work.StateWaiting:
+		case k.State == taskstate.StateWaiting:
 			t.tasks.TaskDone(k)
-		case k.State == work.StatePlaced && !k.LaunchSent && h != nil && h.Tasks[k]:
-			t.proveGone(h, k, work.LossBeforeWaiting)
+		case k.State == taskstate.StatePlaced && !k.LaunchSent && h != nil && h.Tasks[k]:
+			t.proveGone(h, k, taskstate.LossBeforeWaiting)
 		}
 	}
 }
 
 // windUp halts what is left of an attempt that is over.
-func (t *Registry) windUp(j *work.Job, now time.Duration) {
+func (t *Registry) windUp(j *taskstate.Job, now time.Duration) {
 	if j.Cancelled || !j.MustHaltAttempt(now, t.set.GangPeerTimeout()) {
 		return
 	}
 	for _, k := range j.Tasks {
-		if h := t.hosts[k.WorkerID]; k.State == work.StatePlaced && k.LaunchSent && h != nil && !(k.HaltDecided && k.WindDownSeconds == 0) {
+		if h := t.hosts[k.WorkerID]; k.State == taskstate.StatePlaced && k.LaunchSent && h != nil && !(k.HaltDecided && k.WindDownSeconds == 0) {
 			k.Halt(0)
 			t.ready[h] = true
 		}
@@ -94,7 +94,7 @@
 
 // tend looks after a gang once a second: whether a task has to leave its
 // machine before the cloud takes it, and whether an attempt goes nowhere.
-func (t *Registry) tend(j *work.Job, now time.Duration) {
+func (t *Registry) tend(j *taskstate.Job, now time.Duration) {
 	g := j.Gang
 	if g.Attempt == 0 || j.Cancelled {
 		return
@@ -112,11 +112,11 @@
 // tasks are told to save at the same time, as late as that can be done. Without
 // the time for it, it runs on: it may still complete, or pass a checkpoint. One
 // that waits just leaves the machine.
-func (t *Registry) leave(j *work.Job, now time.Duration) {
+func (t *Registry) leave(j *taskstate.Job, now time.Duration) {
 	g, save := j.Gang, time.Duration(j.Spec.CheckpointSeconds*float64(time.Second))
 	for _, k := range j.Tasks {
 		h := t.hosts[k.WorkerID]
-		if k.State != work.StatePlaced || h == nil || h.SpotNoticeAt == 0 {
+		if k.State != taskstate.StatePlaced || h == nil || h.SpotNoticeAt == 0 {
 			continue
 		}
 		if !g.Started {
@@ -137,11 +137,11 @@
 }
 
 // saveAll ends a gang's attempt: all its tasks are told to save, at the same time.
-func (t *Registry) saveAll(j *work.Job, now time.Duration) {
+func (t *Registry) saveAll(j *taskstate.Job, now time.Duration) {
 	j.EndAttempt(now)
 	j.Gang.Checkpointing = true
 	for _, o := range j.Tasks {
-		if h := t.hosts[o.WorkerID]; o.State == work.StatePlaced && h != nil {
+		if h := t.hosts[o.WorkerID]; o.State == taskstate.StatePlaced && h != nil {
 			o.Halt(j.Spec.CheckpointSeconds)
 			t.ready[h] = true
 		}
--- /dev/null
+++ b/internal/workers/main_test.go
@@ -0,0 +1,9 @@
+package workers
+
+import (
+	"testing"
+
+	"lemonmoor/internal/testseed"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
--- a/internal/agents/orders.go
+++ b/internal/workers/orders.go
@@ -1,12 +1,12 @@
-package agents
+package workers
 
 import (
 	"encoding/json"
 
-	"lemonmoor/internal/engine"
-	"lemonmoor/internal/httpwire"
+	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/http1"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // Settle sends direct orders for placements that have become durable.
@@ -57,8 +57,8 @@
 	}
 	h.orderInFlight = true
 	begun := t.begun
-	t.rt.CallHTTP(h.Addr, httpwire.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
-		func(ans httpwire.Response, err error) {
+	t.rt.CallHTTP(h.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, tuning.CommandTimeout,
+		func(ans http1.Response, err error) {
 			if t.begun != begun || t.lease.Token() != token || t.hosts[h.ID] != h {
 				return // another term has read the records anew
 			}
@@ -77,8 +77,8 @@
 
 // launches adds the launches that wait for a machine to a message, and returns their
 // tasks.
-func (t *Registry) launches(h *Worker, msg *CommandMessage) []*work.Task {
-	var carried []*work.Task
+func (t *Registry) launches(h *Worker, msg *CommandMessage) []*taskstate.Task {
+	var carried []*taskstate.Task
 	if !t.accepts(h) {
 		return nil
 	}
@@ -115,7 +115,7 @@
 }
 
 // directAnswered takes what came of a direct message that carried launches.
-func (t *Registry) directAnswered(h *Worker, carried []*work.Task, ans httpwire.Response, err error) {
+func (t *Registry) directAnswered(h *Worker, carried []*taskstate.Task, ans http1.Response, err error) {
 	var r *Heartbeat
 	if err == nil && (ans.Status == 200 || ans.Status == 409) {
 		if r, err = ParseHeartbeat(ans.Body); err == nil && r.WorkerID != h.ID {
@@ -123,7 +123,7 @@
 		}
 	}
 	switch {
-	case err == engine.ErrNotSent || (err == nil && ans.Status == 409):
+	case err == eventloop.ErrNotSent || (err == nil && ans.Status == 409):
 		for _, k := range carried {
 			k.LaunchSent, k.GoneSession, k.GoneAfterSequence = k.Reported, 0, 0
 		}
@@ -143,7 +143,7 @@
 		// Not again at once: the next report carries the launches.
 		delete(t.ready, h)
 	}
-	if err == engine.ErrNoAnswer {
+	if err == eventloop.ErrNoAnswer {
 		h.missed = t.rt.Now()
 	}
 }
--- a/internal/agents/registry.go
+++ b/internal/workers/registry.go
@@ -1,4 +1,4 @@
-package agents
+package workers
 
 import (
 	"log/slog"
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"lemonmoor/internal/engine"
+	"lemonmoor/internal/eventloop"
 	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
+	"lemonmoor/internal/taskstate"
 	"lemonmoor/internal/tuning"
-	"lemonmoor/internal/work"
 )
 
 // Lease is what the table asks of the block's lease.
@@ -31,25 +31,25 @@
 // TaskStore is what the table asks of the block's records.
 type TaskStore interface {
 	IsLoaded() bool
-	Job(id string) *work.Job
+	Job(id string) *taskstate.Job
 	// CancelledFor is how long ago a job's user can have been told that it is
 	// cancelled, at most, if it is.
 	CancellationAge(id string) (time.Duration, bool)
-	EachJob(func(*work.Job))
-	TaskChanged(t *work.Task, urgent bool)
-	TaskDone(t *work.Task)
-	DropTask(t *work.Task)
+	EachJob(func(*taskstate.Job))
+	TaskChanged(t *taskstate.Task, urgent bool)
+	TaskDone(t *taskstate.Task)
+	DropTask(t *taskstate.Task)
 }
 
 // Registry holds all machines.
 type Registry struct {
 	// Waiting is called for a task that has become free for another machine.
-	TaskWaiting func(*work.Task)
+	TaskWaiting func(*taskstate.Task)
 	// Type finds a machine type by its label.
 	MachineType func(label string) *jobs.MachineType
 	// Closed tells whether operators' drains keep new tasks off a machine.
 	ClosedByDrain func(host string) bool
-	rt            engine.Runtime
+	rt            eventloop.Runtime
 	lease         Lease
 	tasks         TaskStore
 	set           *settings.Settings
@@ -75,7 +75,7 @@
 }
 
 // NewRegistry returns an empty table.
-func NewRegistry(rt engine.Runtime, lease Lease, tasks TaskStore, set *settings.Settings, log *slog.Logger) *Registry {
+func NewRegistry(rt eventloop.Runtime, lease Lease, tasks TaskStore, set *settings.Settings, log *slog.Logger) *Registry {
 	return &Registry{ClosedByDrain: func(string) bool { return false }, rt: rt, lease: lease, tasks: tasks, set: set, log: log,
 		hosts: map[string]*Worker{}, ready: map[*Worker]bool{}, held: map[*Worker]bool{}, gone: map[string]bool{}, zones: map[string]*zone{}}
 }
@@ -124,7 +124,7 @@
 	t.begun = t.rt.Now()
 	t.since = t.begun
 	for _, h := range t.hosts {
-		h.Tasks = map[*work.Task]bool{}
+		h.Tasks = map[*taskstate.Task]bool{}
 		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
 		// Between two tokens of its own a process knows what it has answered.
 		h.LeaseFrom = max(h.LeaseFrom, t.lease.PreviousOwnerAnswersUntil())
@@ -144,13 +144,13 @@
 		}
 	}
 	token := t.lease.Token()
-	t.tasks.EachJob(func(j *work.Job) {
+	t.tasks.EachJob(func(j *taskstate.Job) {
 		if j.Gang != nil {
 			t.take(j)
 		}
 		for _, c := range j.Groups {
 			for _, k := range c.Tasks {
-				if k.State == work.StatePlaced {
+				if k.State == taskstate.StatePlaced {
 					k.GoneMinToken, k.LaunchSent = token, true
 					t.occupy(t.host(k.WorkerID), k)
 				}
@@ -162,7 +162,7 @@
 // End forgets what only holds for a term.
 func (t *Registry) EndTerm() {
 	for _, h := range t.hosts {
-		h.Tasks = map[*work.Task]bool{}
+		h.Tasks = map[*taskstate.Task]bool{}
 		h.CPUs, h.GPUs, h.MemoryGB, h.orderInFlight, h.UnknownTasks, h.FetchingTasks = 0, 0, 0, false, 0, 0
 	}
 	clear(t.ready)
@@ -175,7 +175,7 @@
 	if h == nil {
 		now := t.rt.Now()
 		h = &Worker{ID: id, KnownSince: now, IdleSince: now, LeaseFrom: max(now, t.lease.PreviousOwnerAnswersUntil()),
-			Tasks: map[*work.Task]bool{}, FailedJobs: map[string]bool{}}
+			Tasks: map[*taskstate.Task]bool{}, FailedJobs: map[string]bool{}}
 		t.hosts[id] = h
 		i, _ := slices.BinarySearchFunc(t.list, id, func(h *Worker, id string) int { return strings.Compare(h.ID, id) })
 		t.list = slices.Insert(t.list, i, h)
@@ -201,14 +201,14 @@
 		h.missed <= h.LastHeartbeatAt && !t.cutOff(h.Zone)
 }
 
-func (t *Registry) occupy(h *Worker, k *work.Task) {
+func (t *Registry) occupy(h *Worker, k *taskstate.Task) {
 	if !k.HasImage {
 		h.FetchingTasks++
 	}
 	h.AddTask(k)
 }
 
-func (t *Registry) vacate(h *Worker, k *work.Task) {
+func (t *Registry) vacate(h *Worker, k *taskstate.Task) {
 	if !h.Tasks[k] {
 		return
 	}
@@ -224,7 +224,7 @@
 
 // Place gives a waiting task to a machine. The launch leaves once the
 // placement is durable.
-func (t *Registry) Place(k *work.Task, h *Worker) {
+func (t *Registry) Place(k *taskstate.Task, h *Worker) {
 	if g := k.Job.Gang; g != nil && !h.HasImage(k.Job.Spec.Image) {
 		g.UncachedPlacements++
 	}
@@ -237,7 +237,7 @@
 }
 
 // Launchable notes that a placement is durable.
-func (t *Registry) PlacementDurable(k *work.Task) {
+func (t *Registry) PlacementDurable(k *taskstate.Task) {
 	if k.Job.Gang != nil {
 		if k.Launchable() { // with the last of a gang, all of it
 			t.log.Debug("gang placed", "job", k.Job.Spec.ID, "attempt", k.WireAttempt(), "tasks", len(k.Job.Tasks), "fetching", k.Job.Gang.UncachedPlacements,
@@ -257,9 +257,9 @@
 
 // proveGone ends a placement: the task is surely not on its machine. how only
 // matters for a gang.
-func (t *Registry) proveGone(h *Worker, k *work.Task, how work.Loss) {
+func (t *Registry) proveGone(h *Worker, k *taskstate.Task, how taskstate.Loss) {
 	t.vacate(h, k)
-	k.State, k.WorkerID = work.StateWaiting, ""
+	k.State, k.WorkerID = taskstate.StateWaiting, ""
 	k.PlacementDurable, k.LaunchSent, k.LaunchInFlight, k.LaunchInDoubt, k.Reported, k.HaltDecided, k.HaltSent, k.HasRun = false, false, false, false, false, false, false, false
 	if k.Job.Cancelled {
 		t.tasks.DropTask(k)
@@ -319,7 +319,7 @@
 			// Never launched: free for another machine when this one does
 			// not take tasks any more.
 			if g := k.Job.Gang; (g != nil && (g.AttemptOver || g.Done)) || !t.accepts(h) || h.Deaf || k.Job.Cancelled || (h.HasReported && now-h.LastHeartbeatAt > t.set.WorkerDeadAfter()/2) || !h.HasReported {
-				t.proveGone(h, k, work.LossBeforeWaiting)
+				t.proveGone(h, k, taskstate.LossBeforeWaiting)
 			}
 		}
 		if !h.LeaseExpired && now > t.leaseEnd(h) && len(h.Tasks) > 0 {
@@ -328,7 +328,7 @@
 			t.clear(h)
 		}
 	}
-	t.tasks.EachJob(func(j *work.Job) {
+	t.tasks.EachJob(func(j *taskstate.Job) {
 		if j.Gang != nil {
 			t.tend(j, now)
 		}
@@ -338,7 +338,7 @@
 // move stops a running task that has to go on elsewhere: a replica on a machine
 // that is drained, or one that can save, in time before the cloud takes its
 // machine. The machine is told at once, and with each report until it is gone.
-func (t *Registry) move(h *Worker, k *work.Task, now time.Duration) {
+func (t *Registry) move(h *Worker, k *taskstate.Task, now time.Duration) {
 	d := k.Job.Spec
 	saves := d.CheckpointIntervalSeconds > 0 && h.SpotNoticeAt > 0 &&
 		now > h.SpotNoticeAt-time.Duration(d.CheckpointSeconds*float64(time.Second))-tuning.SpotNoticeReserve-tuning.CheckpointMargin
@@ -352,7 +352,7 @@
 
 // Discard takes a task that was never launched off its machine; its record is
 // gone.
-func (t *Registry) DiscardTask(k *work.Task) {
+func (t *Registry) DiscardTask(k *taskstate.Task) {
 	if h := t.hosts[k.WorkerID]; h != nil {
 		t.vacate(h, k)
 	}
@@ -361,7 +361,7 @@
 // clear proves all tasks of a machine gone.
 func (t *Registry) clear(h *Worker) {
 	for k := range h.Tasks {
-		t.proveGone(h, k, work.LossVanished)
+		t.proveGone(h, k, taskstate.LossVanished)
 	}
 }
 
--- a/internal/agents/release.go
+++ b/internal/workers/release.go
@@ -1,4 +1,4 @@
-package agents
+package workers
 
 import (
 	"slices"
