--- a/internal/controller/drain_measurement_test.go
+++ b/internal/controller/drain_measurement_test.go
@@ -13,7 +13,7 @@
 // meanBoot is what a machine of the simulated cloud takes to boot, in seconds.
 const meanBoot = 2.5
 
-// drainTimes is one row of what TestMeasureDrains prints.
+// drainMeasurement is one row of what TestMeasureDrains prints.
 type drainMeasurement struct {
 	duration     time.Duration
 	halts        int
--- a/internal/controller/processes_drain_test.go
+++ b/internal/controller/processes_drain_test.go
@@ -38,7 +38,7 @@
 	Gone      int            `json:"machinesGone"`
 }
 
-// liveDrain is what TestDrainOfRealProcesses has measured.
+// drainReport is what TestDrainOfRealProcesses has measured.
 type drainReport struct {
 	Machines     int            `json:"machines"`
 	LeaderKilled int64          `json:"leaderKilledAtMs"`
@@ -114,6 +114,7 @@
 	})
 }
 
+// running counts the tasks that run, inside do.
 func (d *processDeployment) running() int {
 	n := 0
 	for _, worker := range d.cloud.workers {
@@ -126,6 +127,7 @@
 	return n
 }
 
+// nameMachines notes machines that operators name.
 func (d *processDeployment) nameMachines(names []string) {
 	d.do(func() {
 		for _, name := range names {
@@ -134,7 +136,7 @@
 	})
 }
 
-// kill ends the leader's process, inside do.
+// killLeader ends the leader's process, inside do.
 func (d *processDeployment) killLeader() *controllerProcess {
 	var h struct {
 		Node string `json:"node"`
@@ -169,7 +171,8 @@
 	return string(out)
 }
 
-// lookAtTools tries the commands on the deployment, one of whose controllers is dead.
+// checkCommands tries the drain commands on the deployment, one of whose controllers is
+// dead.
 func (d *processDeployment) checkCommands(t *testing.T, program string, killed *controllerProcess) {
 	t.Helper()
 	for _, test := range []struct {
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -20,7 +20,7 @@
 	"lemonmoor/internal/http1"
 )
 
-// liveWorld runs the stand-ins of the simulated deployment on the real clock and on
+// processDeployment runs the stand-ins of the simulated deployment on the real clock and on
 // loopback, with controllers that are real processes.
 type processDeployment struct {
 	*simulation
@@ -33,13 +33,13 @@
 	done         chan struct{}
 }
 
-// liveNode is a controller's process.
+// controllerProcess is a controller's process.
 type controllerProcess struct {
 	name, serveOn, peerBind, config string
 	command                         *exec.Cmd
 }
 
-// tick is how often the stand-ins look at the clock.
+// processTick is how often the stand-ins check the clock.
 const processTick = 5 * time.Millisecond
 
 // freePort is a port of loopback that nobody listens on.
@@ -63,7 +63,7 @@
 	return program
 }
 
-// newLiveWorld starts stand-ins; the controllers are started by start.
+// newProcessDeployment starts the stand-ins; the controllers are started by start.
 func newProcessDeployment(t *testing.T, change func(*simulation)) *processDeployment {
 	sim := newSimulation(1)
 	for _, controller := range sim.controllers {
@@ -143,9 +143,10 @@
 	})
 }
 
-// fatal ends the test process: there is no other way inside the stand-ins.
+// panicOnFatal ends the test process: inside the stand-ins there is no test to fail.
 type panicOnFatal struct{}
 
+// Fatal ends the test process.
 func (panicOnFatal) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
 
 // request sends a stand-in's request to a controller's process.
@@ -159,6 +160,7 @@
 	}()
 }
 
+// post sends a request and reads the whole answer.
 func post(ctx context.Context, method, url string, body []byte) (http1.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -195,6 +197,7 @@
 	})
 }
 
+// writeSettings writes the settings file of a controller's process.
 func (d *processDeployment) writeSettings(t *testing.T, process *controllerProcess) {
 	t.Helper()
 	var seeds []map[string]string
@@ -221,6 +224,7 @@
 	}
 }
 
+// launch starts a controller's process, with its log in a file.
 func (d *processDeployment) launch(t *testing.T, program, operator string, process *controllerProcess) {
 	t.Helper()
 	log, err := os.OpenFile(filepath.Join(d.dir, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -235,7 +239,7 @@
 	}
 }
 
-// until waits for something to hold, and fails the test if it does not in time.
+// waitFor waits for something to hold, and fails the test if it does not in time.
 func (d *processDeployment) waitFor(t *testing.T, what string, limit time.Duration, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
--- a/internal/controller/sim_cloud_test.go
+++ b/internal/controller/sim_cloud_test.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// machineTypes answers GET /machine_types.
 func (c *simCloud) machineTypes() http1.Response {
 	return jsonResponse(200, map[string]any{"builds": []map[string]any{
 		{"label": "small", "cpus": 4, "cards": 0, "memoryGb": 16, "cacheGb": 5, "pullGbPerS": 1, "price": 1, "spotPrice": 0.3, "startupS": 2, "yards": []string{"a", "b"}},
--- a/internal/controller/sim_controller_test.go
+++ b/internal/controller/sim_controller_test.go
@@ -8,7 +8,7 @@
 	"lemonmoor/internal/settings"
 )
 
-// simNode is one controller process, or the pause between two.
+// simController is one controller process, or the pause between two of its processes.
 type simController struct {
 	sim           *simulation
 	name          string
@@ -25,10 +25,12 @@
 	incarnation int
 }
 
+// alive tells whether the process still runs.
 func (r *simRuntime) alive() bool {
 	return r.controller.incarnation == r.incarnation && r.controller.node != nil
 }
 
+// runOnLoop runs fn on the process's event loop, as a batch of its own.
 func (r *simRuntime) runOnLoop(fn func()) {
 	if r.alive() {
 		fn()
@@ -36,14 +38,18 @@
 	}
 }
 
+// Now is the time since the process began.
 func (r *simRuntime) Now() time.Duration { return r.controller.sim.now - r.controller.startedAt }
 
+// WallClock is the time of day.
 func (r *simRuntime) WallClock() time.Time {
 	return time.UnixMilli(1_790_000_000_000).Add(r.controller.sim.now)
 }
 
+// Rand draws a number from 0 to below 1.
 func (r *simRuntime) Rand() float64 { return r.controller.sim.rng.Float64() }
 
+// After runs fn later, if the process still runs then.
 func (r *simRuntime) After(d time.Duration, fn func()) {
 	r.controller.sim.after(d, func() { r.runOnLoop(fn) })
 }
@@ -90,6 +96,7 @@
 	}
 }
 
+// boot starts a new process.
 func (c *simController) boot() {
 	c.incarnation++
 	c.startedAt = c.sim.now
@@ -109,6 +116,7 @@
 	rt.runOnLoop(c.node.Start)
 }
 
+// crash ends the process; the next one starts after a while.
 func (c *simController) crash(down time.Duration) {
 	if c.node == nil {
 		return
@@ -122,7 +130,7 @@
 	})
 }
 
-// request sends a user's or worker's request to a node.
+// request sends a user's or worker's request to the controller.
 func (c *simController) request(from, method, path string, body []byte, timeout time.Duration, fn func(http1.Response, error)) {
 	if c.sim.realProcesses != nil {
 		c.sim.realProcesses.request(c.index, method, path, body, timeout, fn)
--- a/internal/controller/sim_gang_test.go
+++ b/internal/controller/sim_gang_test.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// simGang is one attempt of a gang, by the operators' words: its tasks find each
-// other by the attempt's number, start and complete together, notice a loss within
-// gang_peer_s and save together.
+// simGang is one attempt of a gang, as operators describe it: its tasks find each other by
+// the attempt's number, start and complete together, notice a loss within gang_peer_s and
+// save together.
 type simGang struct {
 	sim          *simulation
 	job          *simJob
@@ -18,13 +18,14 @@
 	checkpointed bool // progress is safe
 }
 
+// gangMember is one task of an attempt, on its machine.
 type gangMember struct {
 	worker *simWorker
 	task   *simTask
 }
 
-// join is what a task of a gang does on its machine: it gets its image, waits for
-// the others, and runs with them.
+// joinGang is what a task of a gang does on its machine: it gets its image, waits for the
+// others, and runs with them.
 func (w *simWorker) joinGang(task *simTask, job *simJob) {
 	if job.attempts == nil {
 		job.attempts = map[uint64]*simGang{}
@@ -62,11 +63,12 @@
 	})
 }
 
-// there tells whether a member is on its machine and able to speak.
+// inPhase tells whether a member is on its machine, in a phase, and able to speak.
 func (m *gangMember) inPhase(phase string) bool {
 	return !m.worker.dead && m.worker.sim.now >= m.worker.faults.hungUntil && m.task.phase == phase && m.worker.has(m.task)
 }
 
+// has tells whether a task is still on the machine.
 func (w *simWorker) has(task *simTask) bool {
 	for _, o := range w.tasks {
 		if o == task {
@@ -76,7 +78,7 @@
 	return false
 }
 
-// start lets the gang run when all are there.
+// startIfComplete lets the gang run when all its members wait.
 func (g *simGang) startIfComplete() {
 	if g.startedAt > 0 || len(g.members) < g.job.tasks {
 		return
@@ -98,7 +100,7 @@
 // progress of the job now.
 func (g *simGang) progress() time.Duration { return g.job.checkpoint + g.sim.now - g.startedAt }
 
-// watch looks at the running gang from time to time.
+// checkMembers looks at the running gang from time to time.
 func (g *simGang) checkMembers() {
 	if g.ended {
 		return
@@ -120,8 +122,8 @@
 	g.sim.after(100*time.Millisecond, g.checkMembers)
 }
 
-// fall is the loss of a member: progress falls back to the last checkpoint, and
-// the others notice.
+// loseMember is the loss of a member: progress falls back to the last checkpoint, and the
+// others notice.
 func (g *simGang) loseMember() {
 	if g.broken || g.ended {
 		return
@@ -187,7 +189,7 @@
 	return true
 }
 
-// aGang is a gang of the simulated deployment.
+// newGang is a gang of short tasks.
 func newGang(i, tasks int, cpus float64) *simJob {
 	return newJob(jobSpec{
 		id: jobID(i), team: teamOf(i), tasks: tasks, cpus: cpus,
--- a/internal/controller/sim_heartbeat_test.go
+++ b/internal/controller/sim_heartbeat_test.go
@@ -16,8 +16,8 @@
 	retained      []func() // these copies: each call delivers one
 }
 
-// changedHands lets go the copies of reports that were kept for the next leader or
-// owner: they arrive at all nodes just as it begins, and a little later.
+// releaseRetainedHeartbeats delivers the copies of heartbeats that were kept for the next
+// leader or owner: they arrive at all controllers just as it begins, and a little later.
 func (s *simulation) releaseRetainedHeartbeats() {
 	kept := s.heartbeats.retained
 	s.heartbeats.retained = nil
@@ -26,6 +26,7 @@
 	}
 }
 
+// heartbeatBody is the worker's next message, with its tasks as they are now.
 func (w *simWorker) heartbeatBody() []byte {
 	list := []map[string]any{}
 	for _, task := range w.tasks {
--- a/internal/controller/sim_job_test.go
+++ b/internal/controller/sim_job_test.go
@@ -58,6 +58,7 @@
 // teamOf has jobs belong to the teams in turn.
 func teamOf(number int) string { return []string{"red", "blue"}[number%2] }
 
+// newJob is a job that nobody has submitted yet.
 func newJob(spec jobSpec) *simJob {
 	return &simJob{jobSpec: spec, jobProgress: jobProgress{completed: map[int]bool{}}}
 }
@@ -88,6 +89,7 @@
 	return raw
 }
 
+// shapeAndEstimate is what the submission says of the kind of job and of its run time.
 func (s *jobSpec) shapeAndEstimate() (shape string, estimateSeconds int) {
 	switch {
 	case s.service:
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// timeOut fails the request if there is no answer yet.
 func (e *exchange) timeOut() { e.finish(http1.Response{}, eventloop.ErrNoAnswer) }
 
 // serveUnanswered carries the request out; its sender hears nothing of that.
@@ -70,6 +71,7 @@
 	e.sim.after(min(e.timeout, time.Second), func() { e.finish(http1.Response{}, eventloop.ErrNotSent) })
 }
 
+// partitioned tells whether there are no messages between two places.
 func (s *simulation) partitioned(a, b string) bool {
 	return s.network.partitions[a+"|"+b] || s.network.partitions[b+"|"+a]
 }
--- a/internal/controller/sim_operator_test.go
+++ b/internal/controller/sim_operator_test.go
@@ -10,7 +10,8 @@
 	"lemonmoor/internal/http1"
 )
 
-// operate has an operator ask, at any node, until there is a final answer.
+// requestDrain has an operator send a request, to any controller, until there is a final
+// answer.
 func (s *simulation) requestDrain(request drain.Request, fn func(drain.Response)) {
 	if request.Verb == drain.VerbStart {
 		for _, name := range request.Selection.Machines {
@@ -26,7 +27,7 @@
 	})
 }
 
-// askNode sends one request of an operator's to a node.
+// requestDrainAt sends one operator's request to one controller.
 func (s *simulation) requestDrainAt(controller *simController, request drain.Request, fn func(drain.Response, error)) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -55,7 +56,7 @@
 	})
 }
 
-// hosts lists the machines that are up, or those that are picked of them.
+// workerIDs lists the machines that are up, or those of them that are picked.
 func (s *simulation) workerIDs(pick func(*simWorker) bool) []string {
 	var names []string
 	for _, worker := range s.cloud.workers {
@@ -66,9 +67,10 @@
 	return names
 }
 
+// hasTasks picks machines with tasks.
 func hasTasks(worker *simWorker) bool { return len(worker.tasks) > 0 }
 
-// emptied tells how many of the machines named are gone.
+// countGone tells how many of the machines named are gone.
 func (s *simulation) countGone(names []string) int {
 	n := 0
 	for _, worker := range s.cloud.workers {
@@ -81,7 +83,7 @@
 	return n
 }
 
-// drainViews is what the leader says of its drains.
+// describeDrains is what the leader says of its drains.
 func (s *simulation) describeDrains() string {
 	text := "there is no leader"
 	if controller := s.leader(); controller != nil {
--- a/internal/controller/sim_rule_checker_test.go
+++ b/internal/controller/sim_rule_checker_test.go
@@ -148,12 +148,14 @@
 	c.checkStartsCancelled(worker, task, job)
 }
 
+// checkRanTwice checks that the task is on no other machine.
 func (c *ruleChecker) checkRanTwice(worker *simWorker, task *simTask, found startSituation) {
 	for _, other := range found.elsewhere {
 		c.violated(ruleRanTwice, "%s starts on %s while on %s", task.name, worker.id, other.id)
 	}
 }
 
+// checkQuota checks that the job's team is within its limit.
 func (c *ruleChecker) checkQuota(job *simJob, found startSituation) {
 	if found.teamCPUs > teamLimitCPUs+1e-9 {
 		c.violated(ruleQuota, "team %s uses %g of %g", job.team, found.teamCPUs, float64(teamLimitCPUs))
--- a/internal/controller/sim_state_faults_test.go
+++ b/internal/controller/sim_state_faults_test.go
@@ -24,7 +24,7 @@
 	undeclared      bool // the settings don't tell these limits: exceeding them breaks no rule
 }
 
-// outageFor has the state service down for a while; then every lease has its full
+// outageFor has the state service down for a while; afterwards every lease has its full
 // time again.
 func (s *simulation) outageFor(d time.Duration) {
 	s.stateFaults.outage = true
@@ -35,7 +35,8 @@
 	})
 }
 
-// refuseFor has the state service refuse one node for a while; its open watches wait.
+// refuseControllerFor has the state service refuse one controller for a while; its open
+// watches wait.
 func (s *simulation) refuseControllerFor(node string, d time.Duration) {
 	s.stateFaults.refusedControllers[node] = true
 	s.after(d, func() {
--- a/internal/controller/sim_state_service_test.go
+++ b/internal/controller/sim_state_service_test.go
@@ -54,10 +54,12 @@
 	answered bool
 }
 
+// newSimStateService is an empty state service.
 func newSimStateService(sim *simulation) *simStateService {
 	return &simStateService{sim: sim, keys: map[string]*storedValue{}, leases: map[uint64]*simLease{}}
 }
 
+// jsonResponse is an answer with a body in JSON.
 func jsonResponse(status int, body any) http1.Response {
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/internal/controller/sim_user_test.go
+++ b/internal/controller/sim_user_test.go
@@ -190,6 +190,7 @@
 	})
 }
 
+// askForUnknownJob asks about a job that nobody has submitted.
 func (u *mistakenUser) askForUnknownJob() {
 	u.ask("GET", "/work/wk-999999", nil, func(status int, _ string) {
 		if status != 404 {
@@ -198,6 +199,7 @@
 	})
 }
 
+// submitImpossibleJobs submits jobs that can never run, and one that lacks a field.
 func (u *mistakenUser) submitImpossibleJobs() {
 	fitsNoMachine := jobSpec{id: "wk-999998", team: "red", tasks: 1, cpus: 17}
 	aboveLimit := jobSpec{id: "wk-999997", team: "red", tasks: teamLimitCPUs + 1, cpus: 1, service: true}
@@ -247,6 +249,7 @@
 	}
 }
 
+// expectAnswer asks one controller about one job until it has answered.
 func (s *simulation) expectAnswer(controller *simController, job *simJob, limit time.Duration) {
 	answered := false
 	var ask func()
--- a/internal/controller/sim_worker_test.go
+++ b/internal/controller/sim_worker_test.go
@@ -51,6 +51,7 @@
 	saveCommandAt time.Duration // when a running task of a gang was told to stop and save
 }
 
+// boot starts the worker on a machine that is up.
 func (w *simWorker) boot() {
 	if w.dead {
 		return
@@ -62,6 +63,7 @@
 	w.checkLease()
 }
 
+// die ends the machine.
 func (w *simWorker) die() {
 	w.dead = true
 	for _, task := range w.tasks {
@@ -84,6 +86,7 @@
 	})
 }
 
+// checkLease ends the session, from time to time, when its lease has run out.
 func (w *simWorker) checkLease() {
 	if w.dead {
 		return
@@ -92,6 +95,8 @@
 	w.sim.after(200*time.Millisecond, w.checkLease)
 }
 
+// expireLease ends the session if its lease has run out: all tasks are killed and
+// forgotten.
 func (w *simWorker) expireLease() {
 	if w.sim.now-w.leaseFrom > w.sim.settings.WorkerLease() {
 		for _, task := range w.tasks {
@@ -268,7 +273,7 @@
 	w.sim.after(runTime, complete)
 }
 
-// notice tells a machine that the cloud takes it.
+// takeAfterNotice tells a machine that the cloud takes it after a while, and takes it then.
 func (w *simWorker) takeAfterNotice(in time.Duration) {
 	if w.dead || w.takenAt > 0 {
 		return
--- a/internal/controller/sim_workload_test.go
+++ b/internal/controller/sim_workload_test.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// fill submits jobs of several kinds over the first seconds: long ones, short ones,
-// services, some bound to a zone.
+// submitMixedJobs submits jobs of several kinds over the first seconds: long ones, short
+// ones, services, some bound to a zone.
 func (s *simulation) submitMixedJobs(number int, length time.Duration) {
 	for i := range number {
 		job := newJob(jobSpec{
@@ -24,7 +24,7 @@
 	}
 }
 
-// finishAll has all services that still run called off, so that every job ends.
+// cancelServicesAt has all services that still run cancelled, so that every job ends.
 func (s *simulation) cancelServicesAt(at time.Duration) {
 	s.after(at, func() {
 		for _, job := range s.jobs {
@@ -46,7 +46,8 @@
 	}
 }
 
-// cancelledBetween counts the jobs that users were told are cancelled in a time.
+// cancelledBetween counts the jobs whose users were told within a time that they are
+// cancelled.
 func (s *simulation) cancelledBetween(from, to time.Duration) int {
 	n := 0
 	for _, job := range s.jobs {
@@ -57,7 +58,7 @@
 	return n
 }
 
-// used is what a team's tasks take now.
+// usedCPUs is what a team's tasks take now.
 func (s *simulation) usedCPUs(team string) float64 {
 	sum := 0.0
 	for _, worker := range s.workers {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -1,5 +1,60 @@
 package controller
 
+// The tests of this package play days of a simulated deployment: three real controllers
+// on a fake clock, and stand-ins for all that surrounds them, written from PROTOCOL.
+//
+// # Where to look
+//
+//	simulation_test.go          the deployment, and how it begins
+//	sim_clock, sim_network      the time, and the way of requests with its faults
+//	sim_controller              a controller's processes: they crash and start again
+//	sim_state_service, _faults  the key-value store, its limits and faults
+//	sim_cloud                   rents and takes back machines
+//	sim_worker, _heartbeat      a machine's worker: commands, tasks, leases, heartbeats
+//	sim_gang                    tasks of a gang, which run together
+//	sim_job, _user, _workload   what users submit, ask and cancel
+//	sim_operator                operators' requests for drains
+//	sim_rule_checker            the rules of PROTOCOL, one function for each
+//	sim_budget_checker          the budgets of drains
+//	fault_injection             the table of faults by name
+//	two_faults                  scenarios in which two faults meet
+//	random_faults, gang_random_faults, drain_random_faults
+//	                            days whose faults and jobs are drawn
+//	scenarios, incidents, ...   days that are written out
+//	processes                   the same stand-ins around real processes on loopback
+//
+// # Running one scenario with one seed
+//
+// The scenarios' names and seeds are names of subtests:
+//
+//	go test ./internal/controller -run 'TestTwoFaults/all_controllers_are_down/seed_3$' -v
+//
+// Drawn days take their seed from the command line; a failed one prints the flags that
+// play it again:
+//
+//	go test ./internal/controller -run TestRandomFaultsTogether -rapid.seed 7 -rapid.checks 300
+//
+// A seed fixes the load, the faults and every draw of the stand-ins. The controllers, and
+// some loops of the stand-ins, go through Go's maps, whose order differs from run to run, so a
+// seed does not fix a day to the last event: repeat a day that failed with -count=20.
+//
+// # Reading its log
+//
+// With LEMONMOOR_SIM_LOG=1 the controllers log to standard error, at debug level, and a day
+// on which a job does not end is followed by a dump of what the controllers and workers
+// hold (sim_dump_test.go):
+//
+//	LEMONMOOR_SIM_LOG=1 go test ./internal/controller -run ... -v 2>day.log
+//
+// In each line "t" is the simulated time since the day began and "node" the controller.
+// A failed day names broken rules with their time in seconds, as in
+//
+//	  27.350 ran_twice: wk-000004/1 starts on vm-000007 while on vm-000003
+//
+// The rules are explained in sim_rule_checker_test.go. To find the cause, read the log
+// backwards from that time: first the lines with the task or the worker, then those about
+// leases ("shard", "token") of the controllers that sent the two commands.
+
 import (
 	"fmt"
 	"io"
@@ -12,10 +67,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// simulation is a simulated deployment on a fake clock: the real controllers, and
-// stand-ins, written from the protocol, of the state service, the cloud, the
-// workers and the users. It loses, delays and repeats messages, and checks the
-// rules at every step.
+// simulation is a simulated deployment on a fake clock: the controllers and the stand-ins
+// for the state service, the cloud, the workers and the users. It loses, delays and
+// repeats messages, and checks the rules at every step.
 type simulation struct {
 	clock
 	rng      *rand.Rand
