--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,11 +97,13 @@
 		Node: set.Node, Nonce: nonce, Rank: rank, ShardCount: set.ShardCount(),
 		AnswerGracePeriod: set.AnswerGracePeriod(), Observer: leaseObserver{n},
 	})
-	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log)
+	n.cat = userapi.NewCatalog(rt, n.state, set.Deployment.Teams, log, jobObserver{n})
 	n.store = taskstate.NewStore(rt, n.state, log)
 	n.fleet = fleet.New(rt, set.External.Cloud, n.leases, set, log)
 	n.leader = leader.New(rt, n.state, n.leases, n.cat, n.store, n.fleet, set, log)
-	n.api = userapi.NewAPI(rt, n.state, n.cat, set, log)
+	n.api = userapi.NewAPI(userapi.Config{
+		Runtime: rt, Client: n.state, Catalog: n.cat, Settings: set, Progress: n.store, Machines: n.fleet,
+	})
 	for b := range set.ShardCount() {
 		n.owners = append(n.owners, newOwner(n, b))
 	}
@@ -109,7 +111,6 @@
 	n.buildDrains()
 
 	n.connectRecords()
-	n.connectUsers()
 }
 
 // leaseObserver begins and ends the terms of a node's slices with its leases.
@@ -138,14 +139,18 @@
 
 func (o leaseObserver) ShardLost(shard int) { o.node.owners[shard].end() }
 
-// connectRecords has the slices told of the jobs and the records.
-func (n *Node) connectRecords() {
-	n.cat.JobChanged = func(e *userapi.Entry) {
-		n.leader.JobChanged(e)
-		for _, o := range n.owners {
-			o.tasks.JobChanged(e)
-		}
+// jobObserver tells a node's slices of jobs.
+type jobObserver struct{ node *Node }
+
+func (o jobObserver) JobChanged(entry *userapi.Entry) {
+	o.node.leader.JobChanged(entry)
+	for _, owner := range o.node.owners {
+		owner.tasks.JobChanged(entry)
 	}
+}
+
+// connectRecords has the slices told of the records.
+func (n *Node) connectRecords() {
 	n.store.RecordAdded = func(r *taskstate.Record) {
 		n.leader.RecordAdded(r)
 		for _, o := range n.owners {
@@ -174,13 +179,6 @@
 	n.cat.SetWatchPause(pace)
 }
 
-// connectUsers gives the user API what it answers from.
-func (n *Node) connectUsers() {
-	n.api.MachineTypes = n.fleet.MachineTypes
-	n.api.Progress = n.store.Progress
-	n.api.RunningGangTasks = n.store.RunningTasks
-}
-
 // Start begins the node's work, once it is known how the machines are divided.
 func (n *Node) Start() { n.settleLayout(0, n.begin) }
 
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -5,11 +5,9 @@
 	"time"
 
 	"lemonmoor/internal/eventloop"
+	"lemonmoor/internal/tuning"
 )
 
-// evaluateInterval is how often the leases are evaluated when nothing changes.
-const evaluateInterval = time.Second
-
 // LeaseObserver is told, on the event loop, which leases this process acquires and loses.
 type LeaseObserver interface {
 	// LeadershipAcquired tells that this process leads under a fencing token.
@@ -89,7 +87,7 @@
 
 func (m *LeaseManager) evaluatePeriodically() {
 	m.evaluateIfReady()
-	m.runtime.After(evaluateInterval, m.evaluatePeriodically)
+	m.runtime.After(tuning.LeaseEvaluateInterval, m.evaluatePeriodically)
 }
 
 func (m *LeaseManager) evaluateIfReady() {
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -14,11 +14,8 @@
 	return max(tuning.StateRequestTimeout, min(tuning.CommitTimeoutFactor*c.averageLatency, tuning.MaxCommitTimeout))
 }
 
-// maxBackoffDoublings keeps the shift of a backoff within its type.
-const maxBackoffDoublings = 5
-
 // Backoff returns the pause before another attempt, with jitter; attempt counts from 0.
 func (c *Client) Backoff(attempt int) time.Duration {
-	pause := min(tuning.MinStateBackoff<<min(attempt, maxBackoffDoublings), tuning.MaxStateBackoff)
+	pause := min(tuning.MinStateBackoff<<min(attempt, tuning.MaxStateBackoffDoublings), tuning.MaxStateBackoff)
 	return time.Duration(float64(pause) * (0.5 + c.runtime.Rand()))
 }
--- a/internal/tuning/leases.go
+++ b/internal/tuning/leases.go
@@ -20,6 +20,9 @@
 	// MaxAnswerGracePeriod bounds how long a shard owner whose lease has expired goes on
 	// answering heartbeats, so that a short outage of the state service ends no task.
 	MaxAnswerGracePeriod = 12 * time.Second
+	// LeaseEvaluateInterval is how often a node compares the leases with what it holds while
+	// nothing changes.
+	LeaseEvaluateInterval = 1 * time.Second
 	// FirstAssignmentDelay is how long a new leader waits for controllers to register
 	// before it assigns shards to them.
 	FirstAssignmentDelay = 400 * time.Millisecond
--- a/internal/tuning/statestore.go
+++ b/internal/tuning/statestore.go
@@ -26,10 +26,16 @@
 	MinStateBackoff = 100 * time.Millisecond
 	// MaxStateBackoff is the longest pause after a refused request.
 	MaxStateBackoff = 1 * time.Second
+	// MaxStateBackoffDoublings bounds how often the pause is doubled; MaxStateBackoff is
+	// reached before.
+	MaxStateBackoffDoublings = 5
 	// ListPageSize is the number of keys asked for in one listing (PROTOCOL: at most 1000).
 	ListPageSize = 1000
 	// MaxCommitBytes keeps a transaction below the service's 64 KiB (PROTOCOL).
 	MaxCommitBytes = 48 * 1024
+	// SubmissionOverheadBytes is what a submission takes of a commit besides its record: its
+	// key, twice, and the JSON around it.
+	SubmissionOverheadBytes = 100
 )
 
 // Copies of parts of the state, kept current by watches and checks.
@@ -63,6 +69,9 @@
 	// Without it three hundred jobs at once kept anything from being dispatched for half a
 	// minute.
 	SubmissionWriteShare = 0.45
+	// MinSubmissionWritesPerSecond is what a node may use for submissions however small its
+	// part is.
+	MinSubmissionWritesPerSecond = 0.5
 	// WritesThrottledPeriod is how long writes count as throttled after the service has
 	// refused one because there were too many.
 	WritesThrottledPeriod = 1500 * time.Millisecond
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -20,6 +20,9 @@
 	// SubmissionTimeout bounds the tries to make a submission durable; users wait 5 s for
 	// an answer (PROTOCOL).
 	SubmissionTimeout = 3500 * time.Millisecond
+	// MaxCancelAttempts is how often a cancellation is tried before its user is told to
+	// come back: each attempt verifies the job anew.
+	MaxCancelAttempts = 7
 )
 
 // Health of a node, as the users' load balancer sees it.
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -1,6 +1,3 @@
-// Package userapi serves users: submissions, polls and cancellations. It keeps
-// a copy of all job records, fed by a watch, and answers from it only what a
-// check has proven to be current.
 package userapi
 
 import (
@@ -11,67 +8,43 @@
 	"time"
 
 	"lemonmoor/internal/eventloop"
-	"lemonmoor/internal/jobs"
 	"lemonmoor/internal/settings"
 	"lemonmoor/internal/statestore"
 )
 
-// KeyPrefix of all job records.
-const KeyPrefix = "job/"
-
-// Final phases of a job; "" stands for any other.
-const (
-	PhaseDone      = "done"
-	PhaseCancelled = "cancelled"
-)
-
-// Record is a job as it is stored.
-type Record struct {
-	Phase       string     `json:"phase,omitempty"`
-	SubmittedMS int64      `json:"at"` // ms since the epoch, of the accepting node
-	Spec        *jobs.Spec `json:"job,omitempty"`
-	TaskCount   int        `json:"n,omitempty"` // of a done job, whose description is dropped
-	// CancelledMS is when a cancelled job was called off, in ms since the epoch by the clock
-	// of the node that wrote it, from before the commit; 0 if a version did that
-	// which does not tell.
-	CancelledMS int64 `json:"off,omitempty"`
-}
-
-// Entry is a job record in memory.
-type Entry struct {
-	ID       string
-	Revision uint64
-	Record
-	within int8 // 0: not looked at yet, 1: yes, -1: no
+// JobObserver is told of jobs.
+type JobObserver interface {
+	// JobChanged is called, on the event loop, for every new and every changed record.
+	JobChanged(entry *Entry)
 }
 
-// Catalog holds all jobs.
+// Catalog is the copy of all job records.
 type Catalog struct {
-	// JobChanged is called for every change of a job.
-	JobChanged func(*Entry)
-
-	entries map[string]*Entry
-	open    map[string]*Entry // without a final phase
-	teams   map[string]settings.Team
-	mirror  *statestore.Mirror
-	rt      eventloop.Runtime
-	log     *slog.Logger
+	runtime  eventloop.Runtime
+	log      *slog.Logger
+	observer JobObserver
+	mirror   *statestore.Mirror
+
+	entries    map[string]*Entry
+	unfinished map[string]*Entry // without a final phase
+	teams      map[string]settings.Team
 }
 
-// NewCatalog returns an empty catalog.
-func NewCatalog(rt eventloop.Runtime, state *statestore.Client, teams []settings.Team, log *slog.Logger) *Catalog {
-	c := &Catalog{
-		entries: map[string]*Entry{}, open: map[string]*Entry{}, teams: map[string]settings.Team{},
-		rt: rt, log: log, JobChanged: func(*Entry) {},
+// NewCatalog returns an empty catalog; observer is told of every change from Start on.
+func NewCatalog(runtime eventloop.Runtime, client *statestore.Client, teams []settings.Team, log *slog.Logger, observer JobObserver) *Catalog {
+	catalog := &Catalog{
+		runtime: runtime, log: log, observer: observer,
+		entries: map[string]*Entry{}, unfinished: map[string]*Entry{}, teams: map[string]settings.Team{},
 	}
-	for _, t := range teams {
-		c.teams[t.Name] = t
+	for _, team := range teams {
+		catalog.teams[team.Name] = team
 	}
-	c.mirror = statestore.NewMirror(rt, state, KeyPrefix, statestore.MirrorHandler{Apply: c.apply})
-	return c
+	catalog.mirror = statestore.NewMirror(runtime, client, KeyPrefix, statestore.MirrorHandler{Apply: catalog.apply})
+	return catalog
 }
 
-// SetWatchPause sets how long to rest between changes.
+// SetWatchPause sets how long the catalog waits between changes, see
+// statestore.Mirror.SetWatchPause.
 func (c *Catalog) SetWatchPause(pause func() time.Duration) { c.mirror.SetWatchPause(pause) }
 
 // Start begins to read the job records.
@@ -80,99 +53,79 @@
 // Ready tells whether all job records have been read.
 func (c *Catalog) Ready() bool { return c.mirror.IsReady() }
 
-// Verify calls fn when the catalog is proven to be current.
+// Verify calls fn once the catalog is shown to hold everything that was committed before
+// the call, or with statestore.ErrNotVerified.
 func (c *Catalog) Verify(fn func(error)) { c.mirror.Verify(fn) }
 
-// VerifiedAt is the newest moment of which it is proven that all cancellations before it
-// are known here, see statestore.Mirror.
+// VerifiedAt returns the latest moment of which it is shown that all cancellations before
+// it are known here, see statestore.Mirror.
 func (c *Catalog) VerifiedAt() (at time.Duration, known bool) { return c.mirror.VerifiedAt() }
 
-// VerifyIfOlder has the catalog shown to be current if that was longer ago than age.
+// VerifyIfOlder verifies the catalog unless VerifiedAt is younger than age.
 func (c *Catalog) VerifyIfOlder(age time.Duration) { c.mirror.VerifyIfOlder(age) }
 
-// CancellationAge is how long ago the user of a job can have been told that it is
-// cancelled, at most, if it is. skew bounds the difference of two nodes' clocks.
-func (c *Catalog) CancellationAge(id string, skew time.Duration) (age time.Duration, cancelled bool) {
-	e := c.entries[id]
-	if e == nil || e.Phase != PhaseCancelled {
+// CancellationAge returns how long ago, at most, the user of a job can have been told that
+// it is cancelled, if it is. maxClockSkew bounds the difference between two nodes' clocks.
+func (c *Catalog) CancellationAge(id string, maxClockSkew time.Duration) (age time.Duration, cancelled bool) {
+	entry := c.entries[id]
+	if entry == nil || entry.Phase != PhaseCancelled {
 		return 0, false
 	}
-	if e.CancelledMS == 0 {
+	if entry.CancelledMS == 0 {
 		return math.MaxInt64, true
 	}
-	return max(0, time.Duration(c.rt.WallClock().UnixMilli()-e.CancelledMS)*time.Millisecond) + skew, true
+	return max(0, time.Duration(c.runtime.WallClock().UnixMilli()-entry.CancelledMS)*time.Millisecond) + maxClockSkew, true
 }
 
-// Get finds a job.
+// Get returns a job, nil if it is not known here.
 func (c *Catalog) Get(id string) *Entry { return c.entries[id] }
 
-// EachUnfinished calls fn for every job without a final phase.
+// EachUnfinished calls fn for every job without a final phase, in no order.
 func (c *Catalog) EachUnfinished(fn func(*Entry)) {
-	for _, e := range c.open {
-		fn(e)
+	for _, entry := range c.unfinished {
+		fn(entry)
 	}
 }
 
-// WithinQuota tells whether a job fits into its team's guarantee together with the
-// team's earlier unfinished jobs. It is looked at once, when the job is new.
-func (c *Catalog) WithinQuota(e *Entry) bool {
-	if e.within == 0 && e.Spec != nil {
-		team := c.teams[e.Spec.Team]
-		var cpus, cards float64
-		for _, o := range c.open {
-			if o.Spec == nil || o.Spec.Team != e.Spec.Team || (o != e && (o.SubmittedMS > e.SubmittedMS || (o.SubmittedMS == e.SubmittedMS && o.ID > e.ID))) {
-				continue
-			}
-			cpus += o.Spec.CPUs * float64(o.Spec.Tasks)
-			cards += o.Spec.GPUs * float64(o.Spec.Tasks)
-		}
-		e.within = -1
-		if cpus <= team.CPUs+1e-9 && cards <= team.GPUs+1e-9 {
-			e.within = 1
-		}
-	}
-	return e.within > 0
+// Observe applies what this process has committed itself, ahead of the watch.
+func (c *Catalog) Observe(id string, value json.RawMessage, revision uint64) {
+	c.apply(KeyPrefix+id, value, revision)
 }
 
-func (c *Catalog) apply(key string, value json.RawMessage, stamp uint64) {
+// apply takes a record in, unless it is older than what is known or contradicts it.
+func (c *Catalog) apply(key string, value json.RawMessage, revision uint64) {
 	id := strings.TrimPrefix(key, KeyPrefix)
 	if value == nil {
-		c.log.Error("job record vanished", "job", id)
+		c.log.Error("job record was deleted", "job", id)
 		return
 	}
-	old := c.entries[id]
-	if old != nil && old.Revision >= stamp {
+	entry := c.entries[id]
+	if entry != nil && entry.Revision >= revision {
 		return
 	}
-	var r Record
-	if err := json.Unmarshal(value, &r); err != nil {
-		c.log.Error("job record does not parse", "job", id, "err", err)
+	var record Record
+	if err := json.Unmarshal(value, &record); err != nil {
+		c.log.Error("job record cannot be decoded", "job", id, "err", err)
 		return
 	}
-	if old != nil && old.Phase != "" && old.Phase != r.Phase {
-		// A final phase never changes; this guards what users were told
-		// against a record that contradicts it.
-		c.log.Error("job record went back", "job", id, "was", old.Phase, "is", r.Phase)
+	if entry != nil && entry.Phase != "" && entry.Phase != record.Phase {
+		// A final phase never changes; this guards what users were told against a record
+		// that contradicts it.
+		c.log.Error("job record contradicts its final phase", "job", id, "known", string(entry.Phase), "stored", string(record.Phase))
 		return
 	}
-	if r.Phase == PhaseDone {
-		r.Spec = nil
+	if record.Phase == PhaseDone {
+		record.Spec = nil
 	}
-	e := old
-	if e == nil {
-		e = &Entry{ID: id}
-		c.entries[id] = e
+	if entry == nil {
+		entry = &Entry{ID: id}
+		c.entries[id] = entry
 	}
-	e.Revision, e.Record = stamp, r
-	if r.Phase == "" {
-		c.open[id] = e
+	entry.Revision, entry.Record = revision, record
+	if record.Phase == "" {
+		c.unfinished[id] = entry
 	} else {
-		delete(c.open, id)
+		delete(c.unfinished, id)
 	}
-	c.JobChanged(e)
-}
-
-// Observe applies what this process has committed itself, ahead of the watch.
-func (c *Catalog) Observe(id string, value json.RawMessage, stamp uint64) {
-	c.apply(KeyPrefix+id, value, stamp)
+	c.observer.JobChanged(entry)
 }
