--- a/internal/placement/arrivals.go
+++ b/internal/placement/arrivals.go
@@ -8,31 +8,31 @@
 	"lemonmoor/internal/workers"
 )
 
-// placeArrivals places arriving tasks: on a machine with room that caches the image, else
-// on another with room, else in the queue of a caching machine, else in the extra queue.
-// The tasks of a job are alike and are placed together.
+// placeArrivals places arriving tasks on a machine with room that caches the image, else on
+// another machine with room, else in the queue of a machine that caches the image, else in
+// the extra queue. Tasks of a job that are interchangeable are placed together.
 func (p *Planner) placeArrivals(round *placementRound) {
 	tasks := slices.DeleteFunc(p.arrivals, func(task *taskstate.Task) bool {
 		return task.State != taskstate.StateWaiting || task.Job.Cancelled || task.Queue.Queued
 	})
 	p.arrivals = nil
-	slices.SortStableFunc(tasks, compare)
+	slices.SortStableFunc(tasks, compareTasks)
 	for len(tasks) > 0 {
-		count := countAlike(tasks, round)
-		alike := tasks[:count]
+		count := countInterchangeable(tasks, round)
+		batch := tasks[:count]
 		tasks = tasks[count:]
-		if isDue(alike[0], round.now) {
-			alike = p.startTasks(alike, round)
+		if isDue(batch[0], round.now) {
+			batch = p.startTasks(batch, round)
 		}
-		if len(alike) > 0 {
-			p.enqueue(alike, round)
+		if len(batch) > 0 {
+			p.enqueue(batch, round)
 		}
 	}
 }
 
-// countAlike tells how many tasks at the head of a list are of one job and may go to the
-// same machines at the same time.
-func countAlike(tasks []*taskstate.Task, round *placementRound) int {
+// countInterchangeable returns how many tasks at the head of a list belong to one job and may
+// be placed on the same machines at the same time.
+func countInterchangeable(tasks []*taskstate.Task, round *placementRound) int {
 	first := tasks[0]
 	if !isUnconstrained(first) {
 		return 1
@@ -45,42 +45,43 @@
 	return count
 }
 
-// startTasks starts as many of a job's tasks as there is room for, and returns the others.
+// startTasks starts as many of a job's tasks as there is room for and returns the others.
 func (p *Planner) startTasks(tasks []*taskstate.Task, round *placementRound) []*taskstate.Task {
 	spec := tasks[0].Job.Spec
-	// As it is now: a machine caches the image as soon as a task is placed there.
+	// The distances are computed before any task is placed, because a machine caches the
+	// image as soon as one is placed there.
 	var byDistance [farthestImage + 1][]*workers.Worker
 	for _, worker := range round.machinesFor(tasks[0]) {
-		if round.isOpenTo(spec.Priority(), worker) {
+		if round.acceptsPriority(spec.Priority(), worker) {
 			distance := imageDistance(worker, spec.Image)
 			byDistance[distance] = append(byDistance[distance], worker)
 		}
 	}
 	for _, machines := range byDistance {
 		if len(tasks) > 0 && spec.IsService() {
-			tasks = p.startReplicasApart(tasks, machines)
+			tasks = p.spreadReplicas(tasks, machines)
 		}
 		tasks = p.fillMachines(tasks, machines)
 	}
 	return tasks
 }
 
-// startReplicasApart starts one replica of a service on each of the machines that has none
-// of its replicas yet, so that the end of one machine does not take all of them, and
-// returns the others. Only machines that run replicas of services already are taken: no
-// machine is kept, or rented, for being apart.
-func (p *Planner) startReplicasApart(replicas []*taskstate.Task, machines []*workers.Worker) []*taskstate.Task {
-	taken := map[string]bool{}
+// spreadReplicas starts one replica of a service on each machine that runs none of its
+// replicas yet and returns the replicas that are not started. It guards against losing all
+// replicas with one machine. Only machines that already run replicas of services are used, so
+// that no machine is retained or rented just for the spread.
+func (p *Planner) spreadReplicas(replicas []*taskstate.Task, machines []*workers.Worker) []*taskstate.Task {
+	occupied := map[string]bool{}
 	for _, task := range replicas[0].Job.Tasks {
 		if task.State == taskstate.StatePlaced {
-			taken[task.WorkerID] = true
+			occupied[task.WorkerID] = true
 		}
 	}
 	for _, worker := range machines {
 		if len(replicas) == 0 {
 			break
 		}
-		if worker.ServiceCPUs > resource.Epsilon && !taken[worker.ID] && fits(replicas[0], worker) {
+		if worker.ServiceCPUs > resource.Epsilon && !occupied[worker.ID] && fits(replicas[0], worker) {
 			p.machines.PlaceTask(replicas[0], worker)
 			replicas = replicas[1:]
 		}
@@ -88,8 +89,8 @@
 	return replicas
 }
 
-// fillMachines starts a job's tasks on the machines, one full after the other, and returns
-// the tasks that are left.
+// fillMachines starts a job's tasks on the machines in their order, filling each before the
+// next, and returns the tasks that are not started.
 func (p *Planner) fillMachines(tasks []*taskstate.Task, machines []*workers.Worker) []*taskstate.Task {
 	for _, worker := range machines {
 		for len(tasks) > 0 && fits(tasks[0], worker) {
@@ -100,8 +101,8 @@
 	return tasks
 }
 
-// enqueue puts a job's tasks into the shortest queues of the machines that cache its image,
-// else into the extra queue.
+// enqueue adds a job's tasks to the queues of the machines that cache its image, the shortest
+// first, or to the extra queue if there is no such machine.
 func (p *Planner) enqueue(tasks []*taskstate.Task, round *placementRound) {
 	for _, task := range tasks {
 		task.Queue.Queued = true
--- a/internal/placement/fits.go
+++ b/internal/placement/fits.go
@@ -9,7 +9,8 @@
 	"lemonmoor/internal/workers"
 )
 
-// Allowed tells whether the job may use a machine at all.
+// Allowed reports whether a task may run on a machine by its job's machine types, by the
+// zones of the job and the task, and by whether the job may use spot machines.
 func Allowed(task *taskstate.Task, worker *workers.Worker) bool {
 	spec := task.Job.Spec
 	return (spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, worker.MachineTypeName)) &&
@@ -17,56 +18,62 @@
 		(spec.Spot || !worker.Spot)
 }
 
-// fits tells whether a machine may take a task now, besides what is reserved for gangs.
+// fits reports whether a task can be placed on a machine now without using the room that is
+// reserved for gangs.
 func fits(task *taskstate.Task, worker *workers.Worker) bool {
 	return fitsIn(task, worker, worker.Free().Minus(worker.Reserved))
 }
 
-// fitsWithReserved tells whether a machine may take a task now, also where room is reserved
-// for gangs.
+// fitsWithReserved reports whether a task can be placed on a machine now, including in the
+// room that is reserved for gangs.
 func fitsWithReserved(task *taskstate.Task, worker *workers.Worker) bool {
 	return fitsIn(task, worker, worker.Free())
 }
 
+// fitsIn reports whether a task can be placed on a machine of which the given resources are
+// available.
 func fitsIn(task *taskstate.Task, worker *workers.Worker, available resource.Vector) bool {
 	return task.Job.Spec.Resources().Fits(available) && task.Queue.AvoidWorker != worker.ID && Allowed(task, worker)
 }
 
-// couldFit tells whether a machine could take a task if it were empty.
+// couldFit reports whether a task could be placed on a machine if the machine were empty.
 func couldFit(task *taskstate.Task, worker *workers.Worker) bool {
 	return worker.MachineType != nil && worker.MachineType.CanRun(task.Job.Spec) && task.Queue.AvoidWorker != worker.ID && Allowed(task, worker)
 }
 
-// isBarred tells whether a task may not go to a machine, whatever is free there.
-func isBarred(task *taskstate.Task, worker *workers.Worker) bool {
+// isExcluded reports whether a task must not be placed on a machine, regardless of free
+// resources. A gang's task does not return to a worker that it has been on in this attempt.
+func isExcluded(task *taskstate.Task, worker *workers.Worker) bool {
 	return task.Queue.AvoidWorker == worker.ID || slices.Contains(task.Tried.Workers, worker.ID) || !Allowed(task, worker)
 }
 
-// countThatFit tells how many tasks of a job a machine has room for.
+// countThatFit returns how many tasks of a job fit on a machine now, including in room that
+// is reserved.
 func countThatFit(task *taskstate.Task, worker *workers.Worker) int {
 	return task.Job.Spec.Resources().CountIn(worker.Free())
 }
 
-// countBesidesReserved tells how many tasks of a job a machine has room for besides what is
-// reserved.
-func countBesidesReserved(task *taskstate.Task, worker *workers.Worker) int {
+// countThatFitUnreserved returns how many tasks of a job fit on a machine now without using
+// reserved room.
+func countThatFitUnreserved(task *taskstate.Task, worker *workers.Worker) int {
 	return task.Job.Spec.Resources().CountIn(worker.Free().Minus(worker.Reserved))
 }
 
-// countOnEmpty tells how many tasks of a job a machine would have room for if it were empty.
-func countOnEmpty(task *taskstate.Task, worker *workers.Worker) int {
+// countThatFitEmpty returns how many tasks of a job would fit on a machine if it were empty.
+func countThatFitEmpty(task *taskstate.Task, worker *workers.Worker) int {
 	if worker.MachineType == nil {
 		return 0
 	}
 	return task.Job.Spec.Resources().CountIn(worker.MachineType.Resources())
 }
 
-// isDue tells whether a task is not paused, after a failure for example.
+// isDue reports whether a task may start now. A task is paused after a failure, for example.
 func isDue(task *taskstate.Task, now time.Duration) bool {
 	return now >= task.Queue.NotBefore && now >= task.Job.NotBefore
 }
 
-// isUnconstrained tells whether a task may go wherever any other of its job may.
+// isUnconstrained reports whether a task has no placement constraint beyond those of its job:
+// neither a fixed zone nor a worker to avoid.
 func isUnconstrained(task *taskstate.Task) bool {
 	return task.Zone == "" && task.Queue.AvoidWorker == ""
 }
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -10,19 +10,20 @@
 	"lemonmoor/internal/workers"
 )
 
-// A gang is one unit of the policy: all its tasks that want a machine are placed in one
-// round or none is. It waits as a unit of the extra queue, since it may take several
-// machines, and goes first among the work of its priority: of the machines with room,
-// those that cache its image come first, and few of them.
+// A gang is one unit of the policy: in one round, either all of its tasks that need a machine
+// are placed or none is. It waits as a unit of the extra queue, since it may need several
+// machines, and goes first among the work of its priority. Of the machines with room, those
+// that cache its image are preferred, and as few of them as possible.
 
-// pendingGang is the tasks of a job that want machines together.
+// pendingGang contains the tasks of a job that must be placed together.
 type pendingGang struct {
 	job   *taskstate.Job
-	tasks []*taskstate.Task // ascending; nil once they are placed
+	tasks []*taskstate.Task // in ascending order of index; nil once placed
 }
 
-// addGang takes in a job whose tasks run together.
-func (p *Planner) addGang(job *taskstate.Job, now time.Duration) {
+// enqueueGang adds a job whose tasks run together to the waiting gangs, once, and records it
+// in the forecast if gangs of its class should start promptly.
+func (p *Planner) enqueueGang(job *taskstate.Job, now time.Duration) {
 	if slices.Contains(p.waitingGangs, job) {
 		return
 	}
@@ -33,7 +34,8 @@
 	}
 }
 
-// findPlaceableGangs finds the gangs that want machines now.
+// findPlaceableGangs adds the waiting gangs that may be placed now to the round, in the order
+// of their jobs, and removes settled ones. A gang with a paused task is skipped.
 func (p *Planner) findPlaceableGangs(round *placementRound) {
 	p.waitingGangs = slices.DeleteFunc(p.waitingGangs, isGangSettled)
 	for _, job := range p.waitingGangs {
@@ -46,10 +48,10 @@
 		slices.SortFunc(tasks, func(a, b *taskstate.Task) int { return cmp.Compare(a.Index, b.Index) })
 		round.gangs = append(round.gangs, pendingGang{job, tasks})
 	}
-	slices.SortFunc(round.gangs, func(a, b pendingGang) int { return compare(a.tasks[0], b.tasks[0]) })
+	slices.SortFunc(round.gangs, func(a, b pendingGang) int { return compareTasks(a.tasks[0], b.tasks[0]) })
 }
 
-// isGangSettled tells whether no task of a gang waits for a machine any more.
+// isGangSettled reports whether no task of a gang waits for a machine any longer.
 func isGangSettled(job *taskstate.Job) bool {
 	for _, task := range job.Tasks {
 		if task.State == taskstate.StateWaiting {
@@ -59,9 +61,9 @@
 	return true
 }
 
-// placeGangs places the gangs of a priority for which there is room.
+// placeGangs places those gangs of a priority for which there is room.
 func (p *Planner) placeGangs(round *placementRound, priority jobs.Priority) {
-	isUsable := func(worker *workers.Worker) bool { return round.isOpenTo(priority, worker) }
+	isUsable := func(worker *workers.Worker) bool { return round.acceptsPriority(priority, worker) }
 	for i := range round.gangs {
 		gang := &round.gangs[i]
 		if gang.tasks != nil && gang.job.Spec.Priority() == priority {
@@ -70,8 +72,8 @@
 	}
 }
 
-// placeGang places a gang on machines with room, all of it or nothing, and tells whether it
-// did.
+// placeGang places all tasks of a gang on machines with room, or none, and reports whether it
+// placed them.
 func (p *Planner) placeGang(round *placementRound, gang *pendingGang, isUsable func(*workers.Worker) bool) bool {
 	machines := findMachines(round.withRoom, gang.tasks, isUsable, countThatFit)
 	if machines == nil {
@@ -84,8 +86,8 @@
 	return true
 }
 
-// groupByZone sorts tasks, by their indexes in the list, by the zones fixed for them, ""
-// for none.
+// groupByZone groups tasks by the zones fixed for them, "" for none. The groups contain the
+// tasks' indexes in the list.
 func groupByZone(tasks []*taskstate.Task) map[string][]int {
 	byZone := map[string][]int{}
 	for i, task := range tasks {
@@ -94,14 +96,15 @@
 	return byZone
 }
 
-// findMachines finds a machine for each task of a job, nil if there are not enough: near ones
-// first, of like ones the one that just takes all that are left, else the one that takes
-// the most. Tasks on few machines have like speeds, and a gang runs at that of its slowest
-// machine. count tells how many of the tasks a machine has room for.
+// findMachines returns a machine for each task of a gang, or nil if there is not enough room.
+// Machines nearest to the image come first; at equal distance, the one that can run the most
+// of the remaining tasks, and of equals the one with the least capacity. A gang runs at the
+// speed of its slowest machine, and tasks on few machines have similar speeds. count returns
+// how many of the tasks a machine has room for.
 func findMachines(machines []*workers.Worker, tasks []*taskstate.Task, isUsable func(*workers.Worker) bool, count func(*taskstate.Task, *workers.Worker) int) []*workers.Worker {
 	found := make([]*workers.Worker, len(tasks))
 	for _, indexes := range groupByZone(tasks) {
-		search := zoneSearch{tasks: tasks, left: indexes}
+		search := zoneSearch{tasks: tasks, unassigned: indexes}
 		for _, worker := range machines {
 			if Allowed(tasks[indexes[0]], worker) && isUsable(worker) {
 				search.add(worker, count(tasks[0], worker))
@@ -114,79 +117,80 @@
 	return found
 }
 
-// zoneSearch looks for the machines of those tasks of a gang that go to one zone, or to
-// any.
+// zoneSearch assigns machines to those tasks of a gang that are fixed to one zone, or to
+// those that are fixed to none.
 type zoneSearch struct {
-	tasks      []*taskstate.Task // all of the gang
-	left       []int             // indexes of those that have no machine yet
-	candidates []gangCandidate
-	room       int // for tasks, on all candidates
+	tasks         []*taskstate.Task // all tasks of the gang
+	unassigned    []int             // indexes of tasks that have no machine yet
+	candidates    []gangCandidate
+	totalCapacity int // in tasks, of all candidates
 }
 
-// gangCandidate is a machine that may take tasks of a gang.
+// gangCandidate is a machine that can run tasks of a gang.
 type gangCandidate struct {
 	worker   *workers.Worker
-	room     int // for tasks
+	capacity int // in tasks
 	distance int // see imageDistance
 }
 
-// add adds a machine with room for so many tasks.
-func (s *zoneSearch) add(worker *workers.Worker, room int) {
-	if room > 0 {
-		s.candidates = append(s.candidates, gangCandidate{worker, room, imageDistance(worker, s.tasks[0].Job.Spec.Image)})
-		s.room += room
+// add adds a machine with room for capacity tasks as a candidate, unless capacity is 0.
+func (s *zoneSearch) add(worker *workers.Worker, capacity int) {
+	if capacity > 0 {
+		s.candidates = append(s.candidates, gangCandidate{worker, capacity, imageDistance(worker, s.tasks[0].Job.Spec.Image)})
+		s.totalCapacity += capacity
 	}
 }
 
-// assign notes a machine for each of the tasks, by their indexes, and tells whether there
-// are enough.
+// assign sets the element of found for each unassigned task to a machine and reports whether
+// the candidates had room for all of them.
 func (s *zoneSearch) assign(found []*workers.Worker) bool {
-	if s.room < len(s.left) {
+	if s.totalCapacity < len(s.unassigned) {
 		return false
 	}
-	hasBarred := slices.ContainsFunc(s.left, func(i int) bool {
+	hasExclusions := slices.ContainsFunc(s.unassigned, func(i int) bool {
 		return s.tasks[i].Queue.AvoidWorker != "" || len(s.tasks[i].Tried.Workers) > 0
 	})
-	for len(s.left) > 0 {
-		best := s.bestCandidate(hasBarred)
+	for len(s.unassigned) > 0 {
+		best := s.bestCandidate(hasExclusions)
 		if best == nil {
 			return false
 		}
-		s.left = slices.DeleteFunc(s.left, func(i int) bool {
-			if best.room == 0 || isBarred(s.tasks[i], best.worker) {
+		s.unassigned = slices.DeleteFunc(s.unassigned, func(i int) bool {
+			if best.capacity == 0 || isExcluded(s.tasks[i], best.worker) {
 				return false
 			}
 			found[i] = best.worker
-			best.room--
+			best.capacity--
 			return true
 		})
 	}
 	return true
 }
 
-// bestCandidate finds the machine that is to take tasks next, nil if none can. hasBarred:
-// there are tasks that may not go to some of the machines.
-func (s *zoneSearch) bestCandidate(hasBarred bool) *gangCandidate {
+// bestCandidate returns the candidate to assign tasks to next, or nil if none can run any.
+// hasExclusions tells whether some tasks are excluded from some machines.
+func (s *zoneSearch) bestCandidate(hasExclusions bool) *gangCandidate {
 	var best *gangCandidate
-	most := 0 // tasks that best can take
+	bestCount := 0 // unassigned tasks that best can run
 	for i := range s.candidates {
 		candidate := &s.candidates[i]
-		takes := min(candidate.room, len(s.left))
-		if hasBarred {
-			takes = min(takes, s.countNotBarred(candidate.worker))
+		count := min(candidate.capacity, len(s.unassigned))
+		if hasExclusions {
+			count = min(count, s.countEligible(candidate.worker))
 		}
-		if takes > 0 && (best == nil || candidate.distance < best.distance ||
-			(candidate.distance == best.distance && (takes > most || (takes == most && candidate.room < best.room)))) {
-			best, most = candidate, takes
+		if count > 0 && (best == nil || candidate.distance < best.distance ||
+			(candidate.distance == best.distance && (count > bestCount || (count == bestCount && candidate.capacity < best.capacity)))) {
+			best, bestCount = candidate, count
 		}
 	}
 	return best
 }
 
-func (s *zoneSearch) countNotBarred(worker *workers.Worker) int {
+// countEligible returns how many unassigned tasks are not excluded from a machine.
+func (s *zoneSearch) countEligible(worker *workers.Worker) int {
 	count := 0
-	for _, i := range s.left {
-		if !isBarred(s.tasks[i], worker) {
+	for _, i := range s.unassigned {
+		if !isExcluded(s.tasks[i], worker) {
 			count++
 		}
 	}
--- a/internal/placement/machine_order.go
+++ b/internal/placement/machine_order.go
@@ -7,19 +7,20 @@
 	"lemonmoor/internal/workers"
 )
 
-// arraysFirst orders machines for tasks that run to completion. On-demand machines with
-// replicas of services come last, since those stay until they are cancelled and a machine
-// with one cannot be returned. Then the smallest come first, since large tasks have only
-// the large ones; of like size the spot machines, then the fullest, so that expensive ones
-// and others run empty and can be returned.
-func arraysFirst(first, second *workers.Worker) int {
+// compareForArrays orders machines for tasks that run to completion. On-demand machines with
+// replicas of services come last: replicas stay until they are cancelled, so such a machine
+// cannot be returned. Otherwise smaller machines come first, since large tasks fit only on
+// large ones. Of equal size, spot machines come first, then the fullest, so that expensive
+// machines and others run empty and can be returned.
+func compareForArrays(first, second *workers.Worker) int {
 	if onDemandA, onDemandB := isOnDemandWithServices(first), isOnDemandWithServices(second); onDemandA != onDemandB {
 		return trueFirst(onDemandB)
 	}
-	return bySizeAndRoom(first, second)
+	return compareSizeAndRoom(first, second)
 }
 
-// trueFirst compares two that differ in a property, of which the first has it or not.
+// trueFirst compares two values that differ in a boolean property and puts the one with the
+// property first; first is whether that is the first value.
 func trueFirst(first bool) int {
 	if first {
 		return -1
@@ -27,39 +28,41 @@
 	return 1
 }
 
+// isOnDemandWithServices reports whether a machine is not a spot machine and runs replicas of
+// services.
 func isOnDemandWithServices(worker *workers.Worker) bool {
 	return !worker.Spot && worker.ServiceCPUs > resource.Epsilon
 }
 
-// servicesFirst orders machines for replicas of services: spot machines first, then those
-// with the most replicas, so that few machines serve all of them and the others run empty.
-// Scattered over all machines, a few hundred replicas kept a hundred on-demand ones from
-// being returned after a burst. Of machines without any the one whose processors cost the
-// least comes first.
-func servicesFirst(first, second *workers.Worker) int {
+// compareForServices orders machines for replicas of services: spot machines first, then
+// those where replicas use the most processors, so that few machines run all replicas and the
+// others run empty. Spread over all machines, a few hundred replicas keep a hundred on-demand
+// machines from being returned after a burst. Of machines without replicas, the one with the
+// lowest price per processor comes first.
+func compareForServices(first, second *workers.Worker) int {
 	if first.Spot != second.Spot {
 		return trueFirst(first.Spot)
 	}
 	if order := cmp.Compare(second.ServiceCPUs, first.ServiceCPUs); order != 0 {
 		return order
 	}
-	if order := cmp.Compare(processorPrice(first), processorPrice(second)); order != 0 {
+	if order := cmp.Compare(pricePerCPU(first), pricePerCPU(second)); order != 0 {
 		return order
 	}
-	return bySizeAndRoom(first, second)
+	return compareSizeAndRoom(first, second)
 }
 
-// processorPrice is the nominal price of one processor of a machine.
-func processorPrice(worker *workers.Worker) float64 {
+// pricePerCPU returns the nominal price of one processor of a machine.
+func pricePerCPU(worker *workers.Worker) float64 {
 	if worker.Spot {
 		return worker.MachineType.SpotPrice / worker.MachineType.CPUs
 	}
 	return worker.MachineType.Price / worker.MachineType.CPUs
 }
 
-// bySizeAndRoom orders machines: the smallest first, of like size spot machines, then the
-// fullest.
-func bySizeAndRoom(first, second *workers.Worker) int {
+// compareSizeAndRoom orders machines by size, the smallest first. Of equal size, spot machines
+// come first, then those with the fewest free processors.
+func compareSizeAndRoom(first, second *workers.Worker) int {
 	if first.MachineType.CPUs != second.MachineType.CPUs {
 		return cmp.Compare(first.MachineType.CPUs, second.MachineType.CPUs)
 	}
@@ -69,8 +72,8 @@
 	return cmp.Compare(first.Free().CPUs, second.Free().CPUs)
 }
 
-// imageDistance ranks machines for a job's image: those that cache it, those that fetch
-// nothing, and those where its fetch would share the rate with another.
+// imageDistance returns how far a machine is from having an image: 0 if it caches the image,
+// 1 if it fetches no image now, 2 if the fetch would share the pull rate with another one.
 func imageDistance(worker *workers.Worker, image string) int {
 	switch {
 	case worker.HasImage(image):
@@ -81,5 +84,5 @@
 	return farthestImage
 }
 
-// farthestImage is the greatest imageDistance.
+// farthestImage is the greatest value of imageDistance.
 const farthestImage = 2
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -9,42 +9,42 @@
 	"lemonmoor/internal/workers"
 )
 
-// Workers is what a Planner asks of the machines of its shard.
+// Workers gives a Planner access to the machines of its shard.
 type Workers interface {
-	// AcceptsTasks tells whether a machine may be given tasks.
+	// AcceptsTasks reports whether tasks may be placed on a machine.
 	AcceptsTasks(worker *workers.Worker) bool
-	// Worker finds a machine by its worker's ID, nil if it is not known.
+	// Worker returns the machine with a worker ID, or nil if the ID is unknown.
 	Worker(id string) *workers.Worker
-	// PlaceTask gives a task to a machine.
+	// PlaceTask assigns a task to a machine.
 	PlaceTask(task *taskstate.Task, worker *workers.Worker)
 }
 
-// Policy is what the users expect of jobs.
+// Policy ranks jobs by what their users expect of them.
 type Policy interface {
-	// UpdateRank brings a job's rank up to a time of day in milliseconds and tells
-	// whether it changed.
+	// UpdateRank recomputes a job's rank for a time of day in Unix milliseconds and
+	// reports whether the rank changed.
 	UpdateRank(job *taskstate.Job, wallMS int64) bool
-	// StartsPromptly tells whether gangs of a class should find room at once.
+	// StartsPromptly reports whether gangs of a class should start without waiting for room.
 	StartsPromptly(class string) bool
 }
 
-// Planner holds the tasks of a shard that wait for machines, and places them in rounds.
+// Planner queues the tasks of a shard that wait for machines and places them in rounds.
 type Planner struct {
 	machines  Workers
 	policy    Policy
-	waitBound time.Duration // in the extra queue, after which a task goes first
+	waitBound time.Duration // wait in the extra queue after which a task is overdue
 
-	arrivals    []*taskstate.Task    // since the last round
-	imageQueues map[string]taskQueue // by the ID of a machine that caches their image
-	extraQueue  taskQueue            // of tasks whose image no machine caches
-	// waitingGangs are units of the extra queue, see gangs.go.
+	arrivals    []*taskstate.Task    // tasks added since the last round
+	imageQueues map[string]taskQueue // by worker ID: tasks whose image the machine caches
+	extraQueue  taskQueue            // tasks whose image no machine caches
+	// waitingGangs belong to the extra queue, each as one unit; see gangs.go.
 	waitingGangs []*taskstate.Job
 	forecast     gangforecast.Forecast
-	gangSamples  map[string]gangSample // by class, see reservations.go
+	gangSamples  map[string]gangSample // by class; see reservations.go
 }
 
-// New returns a planner with empty queues. Tasks that have waited for waitBound in the
-// extra queue go first.
+// New returns a planner with empty queues. Tasks that have waited in the extra queue for
+// waitBound are placed before others.
 func New(machines Workers, policy Policy, waitBound time.Duration) *Planner {
 	return &Planner{
 		machines: machines, policy: policy, waitBound: waitBound,
@@ -53,26 +53,27 @@
 	}
 }
 
-// Reset empties the queues, since the task records are read anew. The classes of gangs that
-// have come of late are kept.
+// Reset empties the queues, for when the task records are read again. The forecast keeps the
+// recently seen classes of gangs.
 func (p *Planner) Reset() {
 	p.arrivals, p.extraQueue, p.waitingGangs = nil, nil, nil
 	clear(p.imageQueues)
 }
 
-// AddTask takes in a task that waits for a machine from now on, by the event loop's clock.
+// AddTask adds a task that waits for a machine. now is the event loop's clock and starts the
+// task's wait.
 func (p *Planner) AddTask(task *taskstate.Task, now time.Duration) {
 	task.Queue.Queued = false
 	task.Queue.EnqueuedAt = now
 	if task.Job.Gang != nil {
-		p.addGang(task.Job, now)
+		p.enqueueGang(task.Job, now)
 		return
 	}
 	p.arrivals = append(p.arrivals, task)
 }
 
-// RunRound places what can be placed on the machines given. now is by the event loop's
-// clock, wallClock the time of day, by which jobs are ranked.
+// RunRound places waiting tasks and gangs on the given machines as far as there is room. now
+// is the event loop's clock, wallClock the time of day that jobs are ranked by.
 func (p *Planner) RunRound(machines []*workers.Worker, now time.Duration, wallClock time.Time) {
 	round := &placementRound{now: now, wallMS: wallClock.UnixMilli()}
 	for _, worker := range machines {
@@ -85,13 +86,14 @@
 	p.resortQueues(round)
 	p.findPlaceableGangs(round)
 	p.reserveForGangs(round)
-	p.serveOverdue(round)
+	p.placeOverdue(round)
 	p.pullFromQueues(round)
 	p.placeArrivals(round)
 }
 
-// dropSettledTasks removes tasks that no longer wait. The queues of machines that are gone,
-// or take no tasks, count as arrivals again.
+// dropSettledTasks removes tasks that no longer wait from the queues and records the samples
+// of the queues in the round. The queued tasks of machines that are gone or accept no tasks
+// become arrivals again.
 func (p *Planner) dropSettledTasks(round *placementRound) {
 	sampled := map[*taskstate.Job]bool{}
 	p.extraQueue = slices.DeleteFunc(p.extraQueue, isSettled)
@@ -114,7 +116,7 @@
 	}
 }
 
-// resortQueues sorts the queues anew when the rank of a job has changed.
+// resortQueues updates the ranks of waiting jobs and sorts the queues again if one changed.
 func (p *Planner) resortQueues(round *placementRound) {
 	changed := false
 	for _, task := range round.samples {
@@ -130,8 +132,8 @@
 	if !changed {
 		return
 	}
-	slices.SortStableFunc(p.extraQueue, compare)
+	slices.SortStableFunc(p.extraQueue, compareTasks)
 	for _, queue := range p.imageQueues {
-		slices.SortStableFunc(queue, compare)
+		slices.SortStableFunc(queue, compareTasks)
 	}
 }
--- a/internal/placement/pull.go
+++ b/internal/placement/pull.go
@@ -8,7 +8,8 @@
 	"lemonmoor/internal/workers"
 )
 
-// pullFromQueues lets the machines take from the queues, one priority after the other.
+// pullFromQueues fills the machines from the queues, one priority after the other, the
+// highest first. Within a priority, gangs are placed first.
 func (p *Planner) pullFromQueues(round *placementRound) {
 	for priority := jobs.PriorityCritical; priority >= jobs.PriorityLow; priority-- {
 		samples := round.samplesOf(priority)
@@ -17,66 +18,67 @@
 			continue
 		}
 		for _, worker := range round.machinesFor(samples...) {
-			if round.isOpenTo(priority, worker) {
-				p.fillFromQueues(&machineOpening{worker, priority, round.now}, samples)
+			if round.acceptsPriority(priority, worker) {
+				p.fillFromQueues(&pullFilter{worker, priority, round.now}, samples)
 			}
 		}
 	}
 }
 
-// fillFromQueues has a machine take tasks for as long as any of the samples fits.
-func (p *Planner) fillFromQueues(opening *machineOpening, samples []*taskstate.Task) {
-	fitsHere := func(task *taskstate.Task) bool { return fits(task, opening.worker) }
+// fillFromQueues starts queued tasks on a machine for as long as any of the samples fits.
+func (p *Planner) fillFromQueues(filter *pullFilter, samples []*taskstate.Task) {
+	fitsHere := func(task *taskstate.Task) bool { return fits(task, filter.worker) }
 	for slices.ContainsFunc(samples, fitsHere) {
-		task := p.nextTask(opening)
+		task := p.nextTaskFor(filter)
 		if task == nil {
 			return
 		}
-		p.startQueued(task, opening.worker)
+		p.startQueued(task, filter.worker)
 	}
 }
 
-// nextTask finds the task that a machine takes next, nil if there is none: of its own
-// queue, else of the extra queue, else of another machine's.
-func (p *Planner) nextTask(opening *machineOpening) *taskstate.Task {
-	own := p.imageQueues[opening.worker.ID]
-	if i := own.firstFor(opening); i >= 0 {
+// nextTaskFor returns the task that a machine pulls next: from its own queue, else from the
+// extra queue, else from another machine's queue. It returns nil if none can start there.
+func (p *Planner) nextTaskFor(filter *pullFilter) *taskstate.Task {
+	own := p.imageQueues[filter.worker.ID]
+	if i := own.firstFor(filter); i >= 0 {
 		return own[i]
 	}
-	if i := p.extraQueue.firstFor(opening); i >= 0 {
+	if i := p.extraQueue.firstFor(filter); i >= 0 {
 		return p.extraQueue[i]
 	}
-	return p.lastOfLongestQueue(opening)
+	return p.lastOfLongestQueue(filter)
 }
 
-// lastOfLongestQueue finds the last task of the longest queue that has one for a machine;
-// queues with one whose image it caches come before the others. Several machines cache an
-// image here, each with its part of the tasks that wait for it: one that has done its part
-// goes on with theirs rather than fetch another.
-func (p *Planner) lastOfLongestQueue(opening *machineOpening) *taskstate.Task {
+// lastOfLongestQueue returns the last task that can start on a machine from the longest queue
+// of another machine that has such a task, or nil. Queues with a startable task whose image
+// the machine caches come before longer queues without one: several machines may cache an
+// image, each with a part of the tasks that wait for it, and a machine that has finished its
+// own part continues with the others' parts rather than fetch another image.
+func (p *Planner) lastOfLongestQueue(filter *pullFilter) *taskstate.Task {
 	var best *taskstate.Task
-	longest, cached := 0, false
+	longest, isCached := 0, false
 	for id, queue := range p.imageQueues {
-		if id == opening.worker.ID {
+		if id == filter.worker.ID {
 			continue
 		}
-		if i := queue.lastCachedFor(opening); i >= 0 {
-			if !cached || len(queue) > longest || (len(queue) == longest && before(queue[i], best)) {
-				best, longest, cached = queue[i], len(queue), true
+		if i := queue.lastCachedFor(filter); i >= 0 {
+			if !isCached || len(queue) > longest || (len(queue) == longest && taskBefore(queue[i], best)) {
+				best, longest, isCached = queue[i], len(queue), true
 			}
 			continue
 		}
-		if cached || len(queue) < longest {
+		if isCached || len(queue) < longest {
 			continue
 		}
-		if i := queue.lastFor(opening); i >= 0 && (len(queue) > longest || before(queue[i], best)) {
+		if i := queue.lastFor(filter); i >= 0 && (len(queue) > longest || taskBefore(queue[i], best)) {
 			best, longest = queue[i], len(queue)
 		}
 	}
 	return best
 }
 
-// startQueued places a task of a queue. It leaves the queue in the next round.
+// startQueued places a queued task. The task is removed from its queue in the next round.
 func (p *Planner) startQueued(task *taskstate.Task, worker *workers.Worker) {
 	task.Queue.Queued = false
 	p.machines.PlaceTask(task, worker)
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -10,95 +10,98 @@
 	"lemonmoor/internal/workers"
 )
 
-// taskQueue is tasks that wait, in the order of their jobs and their indexes.
+// taskQueue contains waiting tasks, sorted by taskBefore.
 type taskQueue []*taskstate.Task
 
-// before orders tasks within a queue.
-func before(a, b *taskstate.Task) bool {
+// taskBefore reports whether a goes before b in a queue: by the ranks of their jobs, and
+// within a job by index.
+func taskBefore(a, b *taskstate.Task) bool {
 	if a.Job != b.Job {
 		return taskstate.JobBefore(a.Job, b.Job)
 	}
 	return a.Index < b.Index
 }
 
-func compare(a, b *taskstate.Task) int {
+// compareTasks compares tasks in the order of taskBefore, for sorting.
+func compareTasks(a, b *taskstate.Task) int {
 	switch {
-	case before(a, b):
+	case taskBefore(a, b):
 		return -1
-	case before(b, a):
+	case taskBefore(b, a):
 		return 1
 	}
 	return 0
 }
 
-// isQueued tells whether a task of a queue still waits.
+// isQueued reports whether a task in a queue still waits there.
 func isQueued(task *taskstate.Task) bool {
 	return task.State == taskstate.StateWaiting && task.Queue.Queued && !task.Job.Cancelled
 }
 
+// isSettled reports whether a task in a queue no longer waits there.
 func isSettled(task *taskstate.Task) bool { return !isQueued(task) }
 
-// insert returns the queue with tasks added, which are in order and of one job.
+// insert returns the queue with tasks added. The tasks must be sorted and of one job.
 func (q taskQueue) insert(tasks ...*taskstate.Task) taskQueue {
-	i := sort.Search(len(q), func(i int) bool { return before(tasks[0], q[i]) })
+	i := sort.Search(len(q), func(i int) bool { return taskBefore(tasks[0], q[i]) })
 	if i == len(q) || q[i].Job != tasks[0].Job {
 		return slices.Insert(q, i, tasks...)
 	}
 	for _, task := range tasks {
-		i := sort.Search(len(q), func(i int) bool { return before(task, q[i]) })
+		i := sort.Search(len(q), func(i int) bool { return taskBefore(task, q[i]) })
 		q = slices.Insert(q, i, task)
 	}
 	return q
 }
 
-// machineOpening is a machine that takes tasks of a priority.
-type machineOpening struct {
+// pullFilter selects the queued tasks of one priority that can start on a machine now.
+type pullFilter struct {
 	worker   *workers.Worker
 	priority jobs.Priority
 	now      time.Duration
 }
 
-// canStart tells whether a task of a queue can start there. unfit is a job whose
-// unconstrained tasks are known not to fit.
-func (m *machineOpening) canStart(task *taskstate.Task, unfit **taskstate.Job) bool {
-	if (task.Job == *unfit && isUnconstrained(task)) || !isQueued(task) || task.Job.Spec.Priority() != m.priority || !isDue(task, m.now) {
+// canStart reports whether a queued task can start on the machine. unfit points to a job
+// whose unconstrained tasks are known not to fit, or to nil; canStart updates it.
+func (f *pullFilter) canStart(task *taskstate.Task, unfit **taskstate.Job) bool {
+	if (task.Job == *unfit && isUnconstrained(task)) || !isQueued(task) || task.Job.Spec.Priority() != f.priority || !isDue(task, f.now) {
 		return false
 	}
-	if fits(task, m.worker) {
+	if fits(task, f.worker) {
 		return true
 	}
-	*unfit = task.Job // its tasks are alike: if one does not fit, none does
+	*unfit = task.Job // its tasks are interchangeable: if one does not fit, none does
 	return false
 }
 
-// firstFor finds the first task that can start in an opening, -1 if there is none.
-func (q taskQueue) firstFor(opening *machineOpening) int {
+// firstFor returns the index of the first task that filter.canStart accepts, or -1.
+func (q taskQueue) firstFor(filter *pullFilter) int {
 	var unfit *taskstate.Job
 	for i, task := range q {
-		if opening.canStart(task, &unfit) {
+		if filter.canStart(task, &unfit) {
 			return i
 		}
 	}
 	return -1
 }
 
-// lastFor finds the last task that can start in an opening, -1 if there is none.
-func (q taskQueue) lastFor(opening *machineOpening) int {
+// lastFor returns the index of the last task that filter.canStart accepts, or -1.
+func (q taskQueue) lastFor(filter *pullFilter) int {
 	var unfit *taskstate.Job
 	for i := len(q) - 1; i >= 0; i-- {
-		if opening.canStart(q[i], &unfit) {
+		if filter.canStart(q[i], &unfit) {
 			return i
 		}
 	}
 	return -1
 }
 
-// lastCachedFor finds the last task that can start in an opening without a fetch, -1 if
-// there is none.
-func (q taskQueue) lastCachedFor(opening *machineOpening) int {
+// lastCachedFor returns the index of the last task that filter.canStart accepts and whose
+// image the machine caches, or -1.
+func (q taskQueue) lastCachedFor(filter *pullFilter) int {
 	var unfit *taskstate.Job
 	for i := len(q) - 1; i >= 0; i-- {
-		if opening.worker.HasImage(q[i].Job.Spec.Image) && opening.canStart(q[i], &unfit) {
+		if filter.worker.HasImage(q[i].Job.Spec.Image) && filter.canStart(q[i], &unfit) {
 			return i
 		}
 	}
--- a/internal/placement/reservations.go
+++ b/internal/placement/reservations.go
@@ -12,15 +12,16 @@
 	"lemonmoor/internal/workers"
 )
 
-// gangSample is tasks like those of an expected gang, to look for room with. It is kept
-// from round to round.
+// gangSample contains tasks like those of an expected gang, with which room for it is
+// searched. Planner.gangSamples retains it between rounds.
 type gangSample struct {
 	spec  *jobs.Spec
 	tasks []*taskstate.Task
 }
 
-// sampleOf returns the sample of a class of expected gangs.
-func (p *Planner) sampleOf(class *gangforecast.Class) gangSample {
+// gangSampleOf returns the sample of a class of expected gangs. It reuses the retained sample
+// unless the spec or the number of tasks has changed.
+func (p *Planner) gangSampleOf(class *gangforecast.Class) gangSample {
 	sample := p.gangSamples[class.Spec.Class]
 	if sample.spec == class.Spec && len(sample.tasks) == class.Tasks {
 		return sample
@@ -34,8 +35,8 @@
 	return sample
 }
 
-// dropSamples drops the samples of classes that are not expected any more.
-func (p *Planner) dropSamples(expected []*gangforecast.Class) {
+// dropGangSamples removes the samples of classes that are no longer expected.
+func (p *Planner) dropGangSamples(expected []*gangforecast.Class) {
 	if len(p.gangSamples) <= len(expected) {
 		return
 	}
@@ -44,22 +45,22 @@
 	})
 }
 
-// reserveForGangs reserves room for expected gangs from other work, in one zone each if
-// they must be, as the leader does when it dispatches work. A limited part of all
-// processors is reserved so.
+// reserveForGangs reserves room for expected gangs so that other work leaves it free. A gang
+// that must run in one zone gets all of its room in one zone, as in the leader's dispatch. At
+// most tuning.MaxGangReserveShare of all processors is reserved.
 func (p *Planner) reserveForGangs(round *placementRound) {
-	cpusLeft := 0.0
+	cpuBudget := 0.0
 	for _, worker := range round.accepting {
 		worker.Reserved = resource.Vector{}
-		cpusLeft += tuning.MaxGangReserveShare * worker.MachineType.CPUs
+		cpuBudget += tuning.MaxGangReserveShare * worker.MachineType.CPUs
 	}
 	recent := p.forecast.Recent(round.now)
-	p.dropSamples(recent)
+	p.dropGangSamples(recent)
 	for _, class := range recent {
-		sample := p.sampleOf(class)
+		sample := p.gangSampleOf(class)
 		zones := zonesFor(class.Spec, round.withRoom)
 		for range tuning.GangReserveCount {
-			if cpusLeft -= float64(class.Tasks) * class.Spec.CPUs; cpusLeft < 0 {
+			if cpuBudget -= float64(class.Tasks) * class.Spec.CPUs; cpuBudget < 0 {
 				return
 			}
 			for _, worker := range findReservation(round.withRoom, sample, zones) {
@@ -69,8 +70,8 @@
 	}
 }
 
-// zonesFor lists the zones in which a gang may find room: "", any, unless it has to be in
-// one zone.
+// zonesFor returns the zones in which room for a gang is searched: all zones of the machines
+// if the gang must run in one zone, else "" for any.
 func zonesFor(spec *jobs.Spec, machines []*workers.Worker) []string {
 	if !spec.SameZone {
 		return []string{""}
@@ -85,8 +86,9 @@
 	return zones
 }
 
-// findReservation finds a machine for each task of an expected gang, in the first of the
-// zones where it is nearest to its image; nil if there is no room for it.
+// findReservation returns a machine for each task of an expected gang, or nil if no zone has
+// room for it. Of the zones with room it selects the one whose first machine is nearest to the
+// image, and the first of equals.
 func findReservation(machines []*workers.Worker, sample gangSample, zones []string) []*workers.Worker {
 	image := sample.spec.Image
 	isUsable := func(*workers.Worker) bool { return true }
@@ -95,7 +97,7 @@
 		for _, task := range sample.tasks {
 			task.Zone = zone
 		}
-		found := findMachines(machines, sample.tasks, isUsable, countBesidesReserved)
+		found := findMachines(machines, sample.tasks, isUsable, countThatFitUnreserved)
 		if found != nil && (best == nil || imageDistance(found[0], image) < imageDistance(best[0], image)) {
 			best = found
 		}
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -11,25 +11,26 @@
 	"lemonmoor/internal/workers"
 )
 
-// placementRound is what one round of placement works on.
+// placementRound is the state of one round of placement.
 type placementRound struct {
-	now    time.Duration // by the event loop's clock
-	wallMS int64         // time of day
+	now    time.Duration // the event loop's clock
+	wallMS int64         // time of day in Unix milliseconds
 
-	accepting []*workers.Worker // machines that take tasks
-	withRoom  []*workers.Worker // those with room, in the order in which arrays fill them
-	// withRoomForServices is withRoom in the order in which services fill them.
+	accepting []*workers.Worker // machines that accept tasks
+	withRoom  []*workers.Worker // of these, machines with room, in the order for arrays
+	// withRoomForServices is withRoom in the order for replicas of services.
 	withRoomForServices []*workers.Worker
-	// heldBelow are machines that are held for overdue work, until there is room for it,
-	// with the priority below which nothing else is placed there.
-	heldBelow map[*workers.Worker]jobs.Priority
+	// heldMinPriority contains the machines that are held for overdue work until it fits.
+	// Only work of at least the given priority is placed on them.
+	heldMinPriority map[*workers.Worker]jobs.Priority
 
-	// samples is one task of each job in the queues, and each that may not go wherever
-	// the others may, to see quickly whether a machine has room for anything at all.
+	// samples contains one task of each job in the queues and every constrained task (see
+	// isUnconstrained). Checking only these shows quickly whether anything fits on a machine.
 	samples []*taskstate.Task
-	gangs   []pendingGang // that may be placed now, in the order of their jobs
+	gangs   []pendingGang // gangs that may be placed now, in the order of their jobs
 }
 
+// addMachine adds a machine that accepts tasks.
 func (r *placementRound) addMachine(worker *workers.Worker) {
 	r.accepting = append(r.accepting, worker)
 	if free := worker.Free(); free.CPUs > resource.Epsilon && free.MemoryGB > resource.Epsilon {
@@ -37,7 +38,8 @@
 	}
 }
 
-// addSamples adds the samples of a queue; sampled are the jobs that have one.
+// addSamples adds the samples of a queue. sampled contains the jobs that already have a
+// sample and is updated.
 func (r *placementRound) addSamples(queue taskQueue, sampled map[*taskstate.Job]bool) {
 	var previous *taskstate.Job
 	for _, task := range queue {
@@ -62,34 +64,36 @@
 	return samples
 }
 
-// isHeld tells whether a machine is held for overdue work.
+// isHeld reports whether a machine is held for overdue work.
 func (r *placementRound) isHeld(worker *workers.Worker) bool {
-	_, held := r.heldBelow[worker]
+	_, held := r.heldMinPriority[worker]
 	return held
 }
 
-func (r *placementRound) isNotHeld(worker *workers.Worker) bool { return !r.isHeld(worker) }
+func (r *placementRound) isUnheld(worker *workers.Worker) bool { return !r.isHeld(worker) }
 
-// isOpenTo tells whether work of a priority may be placed on a machine, held or not.
-func (r *placementRound) isOpenTo(priority jobs.Priority, worker *workers.Worker) bool {
-	return r.heldBelow[worker] <= priority
+// acceptsPriority reports whether work of a priority may be placed on a machine: any work if
+// the machine is not held, else only work of at least its minimum priority.
+func (r *placementRound) acceptsPriority(priority jobs.Priority, worker *workers.Worker) bool {
+	return r.heldMinPriority[worker] <= priority
 }
 
-// isStarved tells whether nothing has been started of a job for so long that it goes before
-// all others.
+// isStarved reports whether a job was submitted more than tuning.StarvedAfter ago and none
+// of its tasks has been started yet. Such a job goes before all others.
 func (r *placementRound) isStarved(job *taskstate.Job) bool {
 	return !job.HasPlacedTask && r.wallMS-job.SubmittedMS > tuning.StarvedAfter.Milliseconds()
 }
 
-// sortMachines puts the machines with room in the orders in which tasks fill them.
+// sortMachines sorts the machines with room into the orders in which arrays and services
+// fill them.
 func (r *placementRound) sortMachines() {
-	slices.SortStableFunc(r.withRoom, arraysFirst)
+	slices.SortStableFunc(r.withRoom, compareForArrays)
 	r.withRoomForServices = slices.Clone(r.withRoom)
-	slices.SortStableFunc(r.withRoomForServices, servicesFirst)
+	slices.SortStableFunc(r.withRoomForServices, compareForServices)
 }
 
-// machinesFor returns the machines with room in the order in which they are filled for
-// tasks: that of services if one of them is a replica of a service.
+// machinesFor returns the machines with room in the order in which the tasks fill them: the
+// order for services if one of the tasks is a replica of a service, else that for arrays.
 func (r *placementRound) machinesFor(tasks ...*taskstate.Task) []*workers.Worker {
 	for _, task := range tasks {
 		if task.Job.Spec.IsService() {
--- a/internal/placement/services_test.go
+++ b/internal/placement/services_test.go
@@ -9,18 +9,17 @@
 	"lemonmoor/internal/workers"
 )
 
-// servingRoom is the machines that run replicas of services and cache an image, and what
-// they have room for.
-type servingRoom struct {
-	cachingServices map[string]bool // IDs, with room or without
-	machines        int             // that have room
-	replicas        int             // that they have room for
+// serviceCapacity describes the machines that run replicas of services and cache an image.
+type serviceCapacity struct {
+	cachingServices map[string]bool // their IDs, with or without free processors
+	machines        int             // how many of them have free processors
+	replicas        int             // how many replicas of one processor fit on these
 }
 
-// runDrawnServices has the machines run replicas of services that need another image, and
-// some of them cache an image already.
-func (f *plannerFixture) runDrawnServices(t *rapid.T, image string) servingRoom {
-	room := servingRoom{cachingServices: map[string]bool{}}
+// runDrawnServices places a drawn number of replicas of services with another image on each
+// machine and has some machines cache the image. It returns what room these have.
+func (f *plannerFixture) runDrawnServices(t *rapid.T, image string) serviceCapacity {
+	room := serviceCapacity{cachingServices: map[string]bool{}}
 	for i, worker := range f.machines {
 		cached := rapid.Bool().Draw(t, "cached")
 		if cached {
@@ -42,9 +41,10 @@
 	return room
 }
 
-// TestReplicasOfAServiceGoToDifferentMachines: where that costs little: never later than
-// packed, never to a machine without services while one with services has room, and never
-// to one without the image while one that caches it has.
+// TestReplicasOfAServiceGoToDifferentMachines checks that the replicas of a service are spread
+// over machines only where that costs little: no replica starts later than if they were packed,
+// none goes to a machine without services while one with services has room, and none to a
+// machine without the image while one that caches it has room.
 func TestReplicasOfAServiceGoToDifferentMachines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fixture := newPlannerFixture(drawMachineTypes(t, 1, 8)...)
@@ -63,30 +63,30 @@
 			}
 		}
 		if placed != min(len(replicas), free) {
-			t.Fatalf("%d of %d replicas placed, room for %d", placed, len(replicas), free)
+			t.Fatalf("%d replicas are placed, want %d: %d wait and %d fit", placed, min(len(replicas), free), len(replicas), free)
 		}
-		machines, onThem := 0, 0
+		machines, placedOnCaching := 0, 0
 		for id, count := range placedOn {
 			if room.cachingServices[id] {
 				machines++
-				onThem += count
+				placedOnCaching += count
 			}
 		}
 		if want := min(room.machines, len(replicas)); machines != want {
-			t.Fatalf("replicas on %d machines with services and the image, %d of them had room", machines, want)
+			t.Fatalf("replicas are placed on %d machines with services and the image, want %d", machines, want)
 		}
-		if want := min(room.replicas, len(replicas)); onThem != want {
-			t.Fatalf("%d replicas on machines with services and the image, which had room for %d", onThem, want)
+		if want := min(room.replicas, len(replicas)); placedOnCaching != want {
+			t.Fatalf("%d replicas are placed on machines with services and the image, want %d", placedOnCaching, want)
 		}
 	})
 }
 
-// TestServicesShareFewMachines: replicas of many small services share few machines, and arrays
-// that are cached nowhere leave those to them while others have room.
+// TestServicesShareFewMachines checks that replicas of many small services share few machines,
+// and that arrays whose image no machine caches do not use these while others have room.
 func TestServicesShareFewMachines(t *testing.T) {
-	dear, cheap := *small, *large
-	dear.Price, cheap.Price = 1, 4
-	fixture := newPlannerFixture(&dear, &cheap, &cheap, &dear, &cheap)
+	expensive, cheap := *small, *large
+	expensive.Price, cheap.Price = 1, 4
+	fixture := newPlannerFixture(&expensive, &cheap, &cheap, &expensive, &cheap)
 	for i := range 20 {
 		fixture.addService(i, "x", 1, 1)
 		fixture.runRound()
@@ -100,13 +100,13 @@
 		return list
 	}
 	if list := serving(); len(list) != 1 || list[0].MachineType != &cheap {
-		t.Fatalf("20 replicas on %d machines, the first %s", len(list), list[0].MachineType.Name)
+		t.Fatalf("20 replicas are on %d machines, the first of type %s; want one of type %s", len(list), list[0].MachineType.Name, cheap.Name)
 	}
 	fixture.addJob(100, "standard", "y", 4, 10)
 	fixture.runRound()
 	for _, worker := range serving() {
 		if worker.Used.CPUs > worker.ServiceCPUs {
-			t.Errorf("%s has %.0f processors of arrays while others have room", worker.ID, worker.Used.CPUs-worker.ServiceCPUs)
+			t.Errorf("%s runs arrays on %.0f processors while other machines have room, want 0", worker.ID, worker.Used.CPUs-worker.ServiceCPUs)
 		}
 	}
 }
