--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -12,13 +12,14 @@
 	"lemonmoor/internal/workers"
 )
 
-// plannerFixture is a planner with machines whose tasks are kept here.
+// plannerFixture is a planner with machines. It implements Workers and Policy and keeps track
+// of the machines' tasks.
 type plannerFixture struct {
 	*Planner
 	machines    []*workers.Worker
 	now         time.Duration
 	byID        map[string]*workers.Worker
-	placesGangs bool                    // tasks are placed as gangs are
+	placesGangs bool                    // PlaceTask places tasks like those of gangs
 	promptly    func(class string) bool // nil: no class starts promptly
 }
 
@@ -27,6 +28,8 @@
 	large = &jobs.MachineType{Name: "large", CPUs: 32, MemoryGB: 128, CacheGB: 10, Zones: []string{"a"}}
 )
 
+// newPlannerFixture returns a planner with one empty machine of each of the types given, in
+// zone a.
 func newPlannerFixture(types ...*jobs.MachineType) *plannerFixture {
 	fixture := &plannerFixture{now: time.Hour, byID: map[string]*workers.Worker{}}
 	fixture.Planner = New(fixture, fixture, tuning.WaitBound)
@@ -42,6 +45,7 @@
 	return fixture
 }
 
+// newGangFixture returns a planner like newPlannerFixture that can place gangs.
 func newGangFixture(types ...*jobs.MachineType) *plannerFixture {
 	fixture := newPlannerFixture(types...)
 	fixture.placesGangs = true
@@ -67,15 +71,16 @@
 	worker.AddTask(task)
 }
 
+// runRound runs a round on all machines at the fixture's time.
 func (f *plannerFixture) runRound() { f.RunRound(f.machines, f.now, time.UnixMilli(0).Add(f.now)) }
 
-// endTask takes a task off its machine.
+// endTask removes a task from its machine and marks it done.
 func (f *plannerFixture) endTask(task *taskstate.Task) {
 	f.Worker(task.WorkerID).RemoveTask(task)
 	task.State = taskstate.StateDone
 }
 
-// addJob makes a job whose tasks arrive.
+// addJob creates a job and adds its tasks to the planner.
 func (f *plannerFixture) addJob(id int, urgency, image string, cpus float64, tasks int) []*taskstate.Task {
 	job := taskstate.NewJob(&jobs.Spec{ID: fmt.Sprintf("wk-%d", id), Urgency: urgency, Image: image, ImageGB: 1, CPUs: cpus, MemoryGB: cpus, Spot: true},
 		f.now.Milliseconds()+int64(id), false)
@@ -88,7 +93,7 @@
 	return list
 }
 
-// addService makes a service whose replicas arrive.
+// addService creates a service and adds its replicas to the planner.
 func (f *plannerFixture) addService(id int, image string, cpus float64, replicas int) []*taskstate.Task {
 	tasks := f.addJob(id, "urgent", image, cpus, replicas)
 	for _, task := range tasks {
@@ -98,7 +103,8 @@
 	return tasks
 }
 
-// addGangJob makes a gang whose tasks arrive.
+// addGangJob creates a gang and adds its tasks to the planner. zones are those fixed for the
+// gang.
 func (f *plannerFixture) addGangJob(id int, image string, cpus float64, tasks int, zones ...string) *taskstate.Job {
 	job := taskstate.NewJob(&jobs.Spec{
 		ID: fmt.Sprintf("wk-%d", id), Class: "g", Shape: "gang", Urgency: "standard", Image: image, ImageGB: 1, CPUs: cpus,
@@ -116,6 +122,7 @@
 	return job
 }
 
+// countPlaced returns how many of a job's tasks are placed.
 func countPlaced(job *taskstate.Job) (n int) {
 	for _, task := range job.Tasks {
 		if task.State == taskstate.StatePlaced {
@@ -125,7 +132,7 @@
 	return n
 }
 
-// drawMachineTypes draws so many types of machines.
+// drawMachineTypes draws the types of between atLeast and atMost machines.
 func drawMachineTypes(t *rapid.T, atLeast, atMost int) []*jobs.MachineType {
 	var types []*jobs.MachineType
 	for range rapid.IntRange(atLeast, atMost).Draw(t, "machines") {
--- a/internal/placement/longest_queue_test.go
+++ b/internal/placement/longest_queue_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestLongestQueueGivesItsLastTask: a machine that finds its own queue and the extra queue
-// empty takes the last task of the longest queue, of those with an image that it caches if
-// there are any.
-func TestLongestQueueGivesItsLastTask(t *testing.T) {
+// TestPullsLastTaskOfLongestQueue checks that a machine whose own queue and the extra queue are
+// empty pulls the last task of the longest queue, preferring queues with an image that it
+// caches.
+func TestPullsLastTaskOfLongestQueue(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		caches []string
@@ -31,11 +31,11 @@
 			fixture.endTask(busy[0])
 			fixture.runRound()
 			if len(machine.Tasks) != 1 {
-				t.Fatalf("%d tasks are taken", len(machine.Tasks))
+				t.Fatalf("%s pulled %d tasks, want 1", machine.ID, len(machine.Tasks))
 			}
 			for task := range machine.Tasks {
 				if task.Name() != test.want {
-					t.Errorf("takes %s, not %s", task.Name(), test.want)
+					t.Errorf("%s pulled %s, want %s", machine.ID, task.Name(), test.want)
 				}
 			}
 		})
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -13,50 +13,51 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestPullOrderOwnExtraThenLongestQueue: an arriving task runs on an idle machine that caches its image,
-// else on another, else it queues; a machine with room takes from its own queue,
-// then the extra queue, then the last task of the longest queue.
+// TestPullOrderOwnExtraThenLongestQueue checks the order of the policy: an arriving task runs
+// on an idle machine that caches its image, else on another idle machine, else it is queued; a
+// machine with room pulls from its own queue, then from the extra queue, then the last task of
+// the longest queue.
 func TestPullOrderOwnExtraThenLongestQueue(t *testing.T) {
 	fixture := newPlannerFixture(small, small)
 	first := fixture.addJob(1, "standard", "x", 4, 2)
 	fixture.runRound()
 	if first[0].WorkerID == "" || first[1].WorkerID == "" || first[0].WorkerID == first[1].WorkerID {
-		t.Fatal("idle machines are left idle")
+		t.Fatalf("tasks are placed on %q and %q, want two different machines", first[0].WorkerID, first[1].WorkerID)
 	}
 	own := fixture.addJob(2, "standard", "x", 4, 4)
 	fixture.runRound()
 	extra := fixture.addJob(3, "standard", "y", 4, 1)
 	fixture.runRound()
 	if len(fixture.imageQueues[fixture.machines[0].ID]) != 2 || len(fixture.imageQueues[fixture.machines[1].ID]) != 2 || len(fixture.extraQueue) != 1 {
-		t.Fatalf("queues %d and %d, extra %d", len(fixture.imageQueues[fixture.machines[0].ID]), len(fixture.imageQueues[fixture.machines[1].ID]), len(fixture.extraQueue))
+		t.Fatalf("image queues have %d and %d tasks, the extra queue %d; want 2, 2 and 1", len(fixture.imageQueues[fixture.machines[0].ID]), len(fixture.imageQueues[fixture.machines[1].ID]), len(fixture.extraQueue))
 	}
 	workerID := first[0].WorkerID
-	var taken []string
-	take := func(done *taskstate.Task) *taskstate.Task {
+	var pulled []string
+	endAndPull := func(done *taskstate.Task) *taskstate.Task {
 		fixture.endTask(done)
 		fixture.runRound()
 		for _, list := range [][]*taskstate.Task{own, extra} {
 			for _, task := range list {
 				if task.State == taskstate.StatePlaced && task.WorkerID == workerID {
-					taken = append(taken, task.Name())
+					pulled = append(pulled, task.Name())
 					return task
 				}
 			}
 		}
-		t.Fatal("a machine with room takes nothing")
+		t.Fatalf("%s has room but pulled no task after %s ended", workerID, done.Name())
 		return nil
 	}
 	task := first[0]
 	for range 4 {
-		task = take(task)
+		task = endAndPull(task)
 	}
-	// Two of its own queue, then the extra queue's, then the other's last.
-	if taken[2] != "wk-3/0" || taken[3] != fixture.lastPlacedOn(own, workerID) {
-		t.Errorf("taken in the order %v", taken)
+	// Two of its own queue, then the one of the extra queue, then the last of the other queue.
+	if pulled[2] != "wk-3/0" || pulled[3] != fixture.lastPlacedOn(own, workerID) {
+		t.Errorf("%s pulled %v, want wk-3/0 third and the last of the other queue fourth", workerID, pulled)
 	}
 }
 
-// lastPlacedOn is the highest task of a list that a machine has had.
+// lastPlacedOn returns the highest name of a task of a list that was placed on a machine.
 func (f *plannerFixture) lastPlacedOn(list []*taskstate.Task, workerID string) string {
 	last := ""
 	for _, task := range list {
@@ -67,35 +68,36 @@
 	return last
 }
 
-// TestQueuesWithCachedWorkComeFirst: of other machines' queues, those with work whose image is
-// cached come first, though another is longer.
+// TestQueuesWithCachedWorkComeFirst checks that a machine pulls from other machines' queues
+// with tasks whose image it caches first, even if another queue is longer.
 func TestQueuesWithCachedWorkComeFirst(t *testing.T) {
 	fixture := newPlannerFixture(small, small, small)
 	cached := fixture.addJob(1, "standard", "x", 4, 2)
 	other := fixture.addJob(2, "standard", "y", 4, 1)
 	fixture.runRound()
-	fixture.addJob(3, "standard", "y", 4, 3) // all in one queue
+	fixture.addJob(3, "standard", "y", 4, 3) // all in one machine's queue
 	fixture.runRound()
-	fixture.addJob(4, "standard", "x", 4, 3) // two and one
+	fixture.addJob(4, "standard", "x", 4, 3) // two in one machine's queue, one in the other's
 	fixture.runRound()
-	thief := cached[0].WorkerID
+	puller := cached[0].WorkerID
 	done := cached[0]
-	var taken []string
+	var pulled []string
 	for range 3 {
 		fixture.endTask(done)
 		fixture.runRound()
-		for task := range fixture.Worker(thief).Tasks {
+		for task := range fixture.Worker(puller).Tasks {
 			done = task
 		}
-		taken = append(taken, done.Job.Spec.Image)
+		pulled = append(pulled, done.Job.Spec.Image)
 	}
-	if len(fixture.imageQueues[other[0].WorkerID]) != 3 || fmt.Sprint(taken) != "[x x x]" {
-		t.Errorf("took %v, %d left in the longest queue", taken, len(fixture.imageQueues[other[0].WorkerID]))
+	if len(fixture.imageQueues[other[0].WorkerID]) != 3 || fmt.Sprint(pulled) != "[x x x]" {
+		t.Errorf("%s pulled images %v, %d tasks remain in the longest queue; want [x x x] and 3", puller, pulled, len(fixture.imageQueues[other[0].WorkerID]))
 	}
 }
 
-// TestOverdueTaskGetsTheNextMachine: a large task past the bound gets the next machine, though small
-// ones of its priority take every processor that comes free.
+// TestOverdueTaskGetsTheNextMachine guards against a large task that never starts because small
+// tasks of its priority use every processor that becomes free: once it has waited for the
+// bound, it gets the next machine.
 func TestOverdueTaskGetsTheNextMachine(t *testing.T) {
 	fixture := newPlannerFixture(large)
 	running := fixture.addJob(1, "standard", "x", 1, 32)
@@ -109,7 +111,7 @@
 		fixture.runRound()
 		if big.State == taskstate.StatePlaced {
 			if waited := time.Duration(step) * time.Second; waited < tuning.WaitBound-2*time.Second {
-				t.Fatalf("placed after %v", waited)
+				t.Fatalf("%s was placed after %v, want at least %v", big.Name(), waited, tuning.WaitBound-2*time.Second)
 			}
 			return
 		}
@@ -121,11 +123,11 @@
 			}
 		}
 	}
-	t.Error("the large task never ran")
+	t.Errorf("%s was not placed in 200 rounds of one second", big.Name())
 }
 
-// TestRoundsLoseNoTask: after any rounds every task is on one machine, which
-// has room for it, or in one queue, and no machine with room is passed over.
+// TestRoundsLoseNoTask guards against lost and duplicated tasks: after any sequence of rounds,
+// every unfinished task is either on a machine with room for it or in exactly one queue.
 func TestRoundsLoseNoTask(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var types []*jobs.MachineType
@@ -149,7 +151,7 @@
 		}
 		for _, worker := range fixture.machines {
 			if worker.Used.CPUs > worker.MachineType.CPUs+resource.Epsilon || worker.Used.MemoryGB > worker.MachineType.MemoryGB+resource.Epsilon {
-				t.Fatalf("%s has %g of %g processors taken", worker.ID, worker.Used.CPUs, worker.MachineType.CPUs)
+				t.Fatalf("%s uses %g processors and %g GB, want at most %g and %g", worker.ID, worker.Used.CPUs, worker.Used.MemoryGB, worker.MachineType.CPUs, worker.MachineType.MemoryGB)
 			}
 		}
 		queued := map[*taskstate.Task]int{}
@@ -166,15 +168,15 @@
 		}
 		for _, task := range all {
 			if task.State == taskstate.StateWaiting && queued[task] != 1 {
-				t.Fatalf("%s is in %d queues", task.Name(), queued[task])
+				t.Fatalf("%s waits in %d queues, want 1", task.Name(), queued[task])
 			}
 		}
 	})
 }
 
-// TestFetchesGoToDifferentMachines: a task whose image is cached nowhere goes to a machine that
-// fetches nothing, though a fuller one has room; images fetched at the same time
-// may share the rate.
+// TestFetchesGoToDifferentMachines checks that a task whose image no machine caches is placed
+// on a machine that fetches no image, even if a fuller one has room, because images fetched at
+// the same time may share the pull rate.
 func TestFetchesGoToDifferentMachines(t *testing.T) {
 	fixture := newPlannerFixture(large, large, large)
 	fixture.machines[0].Used.CPUs, fixture.machines[0].FetchingTasks = 16, 1
@@ -182,18 +184,18 @@
 	first := fixture.addJob(1, "standard", "x", 4, 1)
 	fixture.runRound()
 	if first[0].WorkerID != "vm-001" {
-		t.Errorf("placed on %s", first[0].WorkerID)
+		t.Errorf("task with an uncached image is placed on %q, want vm-001", first[0].WorkerID)
 	}
 	fixture.machines[0].UseImage("y", 1)
 	second := fixture.addJob(2, "standard", "y", 4, 1)
 	fixture.runRound()
 	if second[0].WorkerID != "vm-000" {
-		t.Errorf("with its image cached placed on %s", second[0].WorkerID)
+		t.Errorf("task with a cached image is placed on %q, want vm-000", second[0].WorkerID)
 	}
 }
 
-// BenchmarkRound shows what a round costs by the number of machines, all full,
-// with as many tasks waiting.
+// BenchmarkRound measures a round by the number of machines. All machines are full, and as many
+// tasks wait as are placed.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprint(n, "machines"), func(b *testing.B) {
