--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -45,8 +45,8 @@
 	return true
 }
 
-// putBack returns the batch's tasks to the queue of their job.
-func (b *taskBatch) putBack() {
+// requeue returns the batch's tasks to the queue of their job.
+func (b *taskBatch) requeue() {
 	queue := &b.job.pending
 	queue.returned = append(queue.returned, b.tasks...)
 	sort.Ints(queue.returned)
--- a/internal/leader/capacity.go
+++ b/internal/leader/capacity.go
@@ -54,17 +54,17 @@
 	sorted   bool
 }
 
-// take gives up to limit tasks of a job room on the group's machines, the fullest first, so
+// allocate gives up to limit tasks of a job room on the group's machines, the fullest first, so
 // that others run empty and can be returned, and returns how many got some.
-func (g *machineGroup) take(job *jobState, limit int) int {
+func (g *machineGroup) allocate(job *jobState, limit int) int {
 	if !g.sorted {
 		sort.Slice(g.machines, func(i, j int) bool { return g.machines[i].available.CPUs < g.machines[j].available.CPUs })
 		g.sorted = true
 	}
 	task := job.spec.Resources()
-	taken := 0
+	allocated := 0
 	for i := range g.machines {
-		if taken == limit {
+		if allocated == limit {
 			break
 		}
 		machine := &g.machines[i]
@@ -72,25 +72,25 @@
 		if job.starved { // has waited too long to leave room for others
 			count = task.CountIn(machine.available)
 		}
-		count = min(count, limit-taken)
+		count = min(count, limit-allocated)
 		machine.available = machine.available.Minus(task.Times(float64(count)))
-		taken += count
+		allocated += count
 	}
-	if taken > 0 {
+	if allocated > 0 {
 		g.removeFull()
 	}
-	return taken
+	return allocated
 }
 
 // removeFull drops the machines that have no room left.
 func (g *machineGroup) removeFull() {
-	rest := g.machines[:0]
+	remaining := g.machines[:0]
 	for _, machine := range g.machines {
 		if machine.hasRoom() {
-			rest = append(rest, machine)
+			remaining = append(remaining, machine)
 		}
 	}
-	g.machines = rest
+	g.machines = remaining
 }
 
 // capacityView is what the machines have left, as one dispatch round sees it: the round
@@ -160,9 +160,9 @@
 	return group.booting == s.booting && (s.shard == anyShard || group.shard == s.shard) && group.kind.CouldRun(spec, s.zone)
 }
 
-// take gives up to limit tasks of a job room on machines of a set, calls taken with how
+// allocate gives up to limit tasks of a job room on machines of a set, calls onAllocated with how
 // many each shard took, and returns their sum.
-func (v *capacityView) take(job *jobState, set machineSet, limit int, taken func(shard, tasks int)) int {
+func (v *capacityView) allocate(job *jobState, set machineSet, limit int, onAllocated func(shard, tasks int)) int {
 	total := 0
 	for _, group := range v.groups {
 		if total == limit {
@@ -171,9 +171,9 @@
 		if len(group.machines) == 0 || !set.includes(group, job.spec) {
 			continue
 		}
-		if count := group.take(job, limit-total); count > 0 {
+		if count := group.allocate(job, limit-total); count > 0 {
 			total += count
-			taken(group.shard, count)
+			onAllocated(group.shard, count)
 		}
 	}
 	return total
@@ -182,7 +182,7 @@
 // occupy takes room for tasks that are not dispatched by it: they are in a shard already, are
 // being recalled, or the room is kept for them. It returns for how many there was room.
 func (v *capacityView) occupy(job *jobState, set machineSet, limit int) int {
-	return v.take(job, set, limit, func(int, int) {})
+	return v.allocate(job, set, limit, func(int, int) {})
 }
 
 // countTasks returns for how many tasks of a job the machines of a set have room; cached:
@@ -202,8 +202,8 @@
 	return count
 }
 
-// shardsInOrder lists the shards: home first, then those with the most free processors.
-func (v *capacityView) shardsInOrder(home int) []int {
+// shardsByPreference lists the shards: home first, then those with the most free processors.
+func (v *capacityView) shardsByPreference(home int) []int {
 	shards := make([]int, len(v.totalCPUs))
 	free := make([]float64, len(v.totalCPUs))
 	for shard := range shards {
--- a/internal/leader/capacity_test.go
+++ b/internal/leader/capacity_test.go
@@ -51,14 +51,14 @@
 	return sum
 }
 
-// TestTakeGivesWhatFits: a job gets room for as many tasks as there is, on machines that it
+// TestAllocateUsesAllSuitableRoom: a job gets room for as many tasks as there is, on machines that it
 // may use, and never more than a machine holds.
-func TestTakeGivesWhatFits(t *testing.T) {
+func TestAllocateUsesAllSuitableRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawCapacityView(t)
-		before := map[*machineGroup]float64{}
+		freeBefore := map[*machineGroup]float64{}
 		for _, group := range view.groups {
-			before[group] = freeCPUs(t, group)
+			freeBefore[group] = freeCPUs(t, group)
 		}
 		job := &jobState{spec: &jobs.Spec{
 			CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 16}).Draw(t, "task"), MemoryGB: rapid.SampledFrom([]float64{0, 1, 40}).Draw(t, "gb"),
@@ -78,27 +78,27 @@
 			}
 		}
 		reported := 0
-		taken := view.take(job, set, limit, func(shard, tasks int) {
+		allocated := view.allocate(job, set, limit, func(shard, tasks int) {
 			reported += tasks
 			if set.shard >= 0 && shard != set.shard {
 				t.Fatalf("shard %d gave room, %d was asked", shard, set.shard)
 			}
 		})
-		if taken != min(limit, room) || reported != taken {
-			t.Fatalf("%d tasks, room for %d: %d taken, %d reported", limit, room, taken, reported)
+		if allocated != min(limit, room) || reported != allocated {
+			t.Fatalf("%d tasks, room for %d: %d taken, %d reported", limit, room, allocated, reported)
 		}
 		used := 0.0
 		for _, group := range view.groups {
-			left := freeCPUs(t, group)
-			if !usable(group) && math.Abs(left-before[group]) > 1e-6 {
+			freeAfter := freeCPUs(t, group)
+			if !usable(group) && math.Abs(freeAfter-freeBefore[group]) > 1e-6 {
 				t.Fatal("room was taken on machines that the job may not use")
 			}
 			if usable(group) {
-				used += before[group] - left // less what full machines had left
+				used += freeBefore[group] - freeAfter // less what full machines had left
 			}
 		}
-		if used < float64(taken)*job.spec.CPUs-1e-6 {
-			t.Fatalf("%d tasks of %g processors took %g", taken, job.spec.CPUs, used)
+		if used < float64(allocated)*job.spec.CPUs-1e-6 {
+			t.Fatalf("%d tasks of %g processors took %g", allocated, job.spec.CPUs, used)
 		}
 	})
 }
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -26,7 +26,7 @@
 	l.pacing.setMachineCount(round.capacity.machineCount)
 	clear(l.recalls)
 	round.reserveForGangs()
-	round.serveQueuedTasks()
+	round.planQueuedTasks()
 	round.dispatchJobs()
 	l.machines.pruneCaches(l.runtime.Now())
 	l.fleet.SetDemand(round.demands, l.largestMovableJob())
@@ -59,32 +59,32 @@
 // each of the users' objectives that is not missed yet.
 func (r *dispatchRound) objectiveSlack(job *jobState) []float64 {
 	age := float64(r.nowMS-job.entry.SubmittedMS) / 1000
-	var open []float64
+	var slacks []float64
 	spec := job.spec
 	r.leader.settings.EachObjectiveDeadline(spec.Class, spec.EstimateSeconds, spec.DeadlineSeconds, func(latest float64) {
-		if left := latest - age; left > 0 {
-			open = append(open, left)
+		if remaining := latest - age; remaining > 0 {
+			slacks = append(slacks, remaining)
 		}
 	})
-	return open
+	return slacks
 }
 
-// serveQueuedTasks gives the tasks that already wait in the shards' queues the room there is.
-func (r *dispatchRound) serveQueuedTasks() {
+// planQueuedTasks gives the tasks that already wait in the shards' queues the room there is.
+func (r *dispatchRound) planQueuedTasks() {
 	for _, job := range r.leader.jobs.ordered {
 		switch {
 		case job.cancelled:
 		case job.spec.IsGang():
-			r.serveQueuedGang(job)
+			r.planQueuedGang(job)
 		default:
 			for _, queue := range r.leader.queuedTasks(job) {
-				r.serveQueue(job, queue)
+				r.planQueue(job, queue)
 			}
 		}
 	}
 }
 
-func (r *dispatchRound) serveQueue(job *jobState, queue shardQueue) {
+func (r *dispatchRound) planQueue(job *jobState, queue shardQueue) {
 	set := machineSet{zone: queue.zone, shard: queue.shard}
 	waiting := queue.tasks - r.capacity.occupy(job, set, queue.tasks)
 	if waiting == 0 {
@@ -110,7 +110,7 @@
 			r.addHeldByQuota(job, job.pending.length())
 			continue
 		}
-		if !r.leader.fixZones(job) {
+		if !r.leader.bindZones(job) {
 			continue
 		}
 		exhausted[job.spec.Team] = r.dispatchJob(job)
@@ -137,9 +137,9 @@
 	return allowed < pending && (urgent || job.spec.IsGang()) || allowed == 0 && job.starved
 }
 
-// fixZones fixes the zones of a job that must stay in one or must be spread; false if they
+// bindZones fixes the zones of a job that must stay in one or must be spread; false if they
 // are not known yet.
-func (l *Leader) fixZones(job *jobState) bool {
+func (l *Leader) bindZones(job *jobState) bool {
 	spec := job.spec
 	if job.zones != nil || (!spec.Spread && (!spec.SameZone || spec.IsGang())) {
 		return true
@@ -159,15 +159,15 @@
 func (r *dispatchRound) dispatchTasks(job *jobState, limit int) {
 	zone := taskstate.ZoneOf(job.zones, 0)
 	home := r.leader.machines.homeShard(job.spec.Image)
-	give := func(shard, tasks int) {
+	assign := func(shard, tasks int) {
 		r.addTasks(job, shard, tasks)
 		limit -= tasks
 	}
 	for _, booting := range []bool{false, true} {
 		// Shard by shard, so that a job makes few records: writes are scarce.
-		for _, shard := range r.capacity.shardsInOrder(home) {
+		for _, shard := range r.capacity.shardsByPreference(home) {
 			if limit > 0 {
-				r.capacity.take(job, machineSet{zone, shard, booting}, limit, give)
+				r.capacity.allocate(job, machineSet{zone, shard, booting}, limit, assign)
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 		}
 		tasks := min(limit, r.capacity.queueableTasks(job.spec, shard))
 		r.capacity.queuedCPUs[shard] += float64(tasks) * job.spec.CPUs
-		give(shard, tasks)
+		assign(shard, tasks)
 	}
 }
 
@@ -187,14 +187,14 @@
 // turn: task by task.
 func (r *dispatchRound) dispatchSpreadTasks(job *jobState, limit int) {
 	home := r.leader.machines.homeShard(job.spec.Image)
-	give := func(shard, tasks int) {
+	assign := func(shard, tasks int) {
 		r.addTasks(job, shard, tasks)
 		limit -= tasks
 	}
 	for limit > 0 {
 		zone := taskstate.ZoneOf(job.zones, job.pending.at(0))
-		if r.capacity.take(job, machineSet{zone, anyShard, false}, 1, give) > 0 ||
-			r.capacity.take(job, machineSet{zone, anyShard, true}, 1, give) > 0 {
+		if r.capacity.allocate(job, machineSet{zone, anyShard, false}, 1, assign) > 0 ||
+			r.capacity.allocate(job, machineSet{zone, anyShard, true}, 1, assign) > 0 {
 			continue
 		}
 		shard := r.capacity.shardToQueueIn(job.spec, zone, home)
@@ -202,7 +202,7 @@
 			break
 		}
 		r.capacity.queuedCPUs[shard] += job.spec.CPUs
-		give(shard, 1)
+		assign(shard, 1)
 	}
 	unplaced := job.pending.tasksByZone(job.zones, limit)
 	for _, zone := range job.zones {
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -83,15 +83,15 @@
 	l.countTask(job, record.Shard, earlier, -1)
 	l.countTask(job, record.Shard, status, 1)
 	if status.State == taskstate.StateReturned && !job.cancelled {
-		job.pending.putBack(record.TaskIndexes[position], status.Attempt)
+		job.pending.requeue(record.TaskIndexes[position], status.Attempt)
 	}
 	if job.counts.open == 0 {
 		l.endIfComplete(job)
 	}
 }
 
-// putBack takes a task in that a shard has returned after so many attempts.
-func (q *taskQueue) putBack(index int, lastAttempt uint64) {
+// requeue takes a task in that a shard has returned after so many attempts.
+func (q *taskQueue) requeue(index int, lastAttempt uint64) {
 	if at, found := slices.BinarySearch(q.returned, index); !found {
 		q.returned = slices.Insert(q.returned, at, index)
 	}
--- a/internal/leader/gang_capacity.go
+++ b/internal/leader/gang_capacity.go
@@ -34,8 +34,8 @@
 	return true
 }
 
-// takeAll takes the room for so many tasks by zone, first on machines that are up.
-func (v *capacityView) takeAll(job *jobState, tasksByZone map[string]int, shard int) {
+// occupyByZone takes the room for so many tasks by zone, first on machines that are up.
+func (v *capacityView) occupyByZone(job *jobState, tasksByZone map[string]int, shard int) {
 	for zone, tasks := range tasksByZone {
 		tasks -= v.occupy(job, machineSet{zone, shard, false}, tasks)
 		v.occupy(job, machineSet{zone, shard, true}, tasks)
@@ -82,7 +82,7 @@
 // findPlace looks for a shard with room for all of a gang: the next so many tasks of a queue.
 func (r *dispatchRound) findPlace(job *jobState, queue *taskQueue, tasks int, scope machineScope) (place gangPlace, found bool) {
 	choices := r.leader.zoneChoices(job)
-	for _, shard := range r.capacity.shardsInOrder(r.leader.machines.homeShard(job.spec.Image)) {
+	for _, shard := range r.capacity.shardsByPreference(r.leader.machines.homeShard(job.spec.Image)) {
 		for _, zones := range choices {
 			if r.capacity.fits(job.spec, queue.tasksByZone(zones, tasks), shard, scope) {
 				return gangPlace{shard, zones}, true
@@ -96,17 +96,17 @@
 // its owner collects the room.
 func (l *Leader) findPlaceIfEmpty(job *jobState, tasks int) (place gangPlace, found bool) {
 	room := l.roomIfEmpty(job.spec)
-	most := 0
+	bestRoom := 0
 	for _, zones := range l.zoneChoices(job) {
 		for shard := range l.settings.ShardCount() {
-			fits, sum := true, 0
+			fits, totalRoom := true, 0
 			for zone, needed := range job.pending.tasksByZone(zones, tasks) {
 				available := room[shardZone{shard, zone}]
 				fits = fits && available >= needed
-				sum += available
+				totalRoom += available
 			}
-			if fits && sum > most {
-				place, found, most = gangPlace{shard, zones}, true, sum
+			if fits && totalRoom > bestRoom {
+				place, found, bestRoom = gangPlace{shard, zones}, true, totalRoom
 			}
 		}
 	}
--- a/internal/leader/gang_dispatch.go
+++ b/internal/leader/gang_dispatch.go
@@ -16,7 +16,7 @@
 	r.leader.observeGang(job)
 	switch {
 	case job.counts.done > 0:
-		r.dispatchDoneGang(job)
+		r.recordRestAsDone(job)
 	case job.counts.open > 0:
 		r.dispatchRestOfGang(job)
 	default:
@@ -25,12 +25,12 @@
 	}
 }
 
-// dispatchDoneGang records the rest of a gang as done. One task of it is done, so all are,
+// recordRestAsDone records the rest of a gang as done. One task of it is done, so all are,
 // also those that were returned unproven: nothing of it is launched any more.
-func (r *dispatchRound) dispatchDoneGang(job *jobState) {
-	first := len(r.batches)
+func (r *dispatchRound) recordRestAsDone(job *jobState) {
+	firstBatch := len(r.batches)
 	r.addTasks(job, 0, job.pending.length())
-	for _, batch := range r.batches[first:] {
+	for _, batch := range r.batches[firstBatch:] {
 		batch.allDone = true
 	}
 }
@@ -63,7 +63,7 @@
 func (r *dispatchRound) dispatchGangWithin(job *jobState, tasks int, scope machineScope) bool {
 	place, found := r.findPlace(job, &job.pending, tasks, scope)
 	if found {
-		r.capacity.takeAll(job, job.pending.tasksByZone(place.zones, tasks), place.shard)
+		r.capacity.occupyByZone(job, job.pending.tasksByZone(place.zones, tasks), place.shard)
 		r.dispatchGangTo(job, place)
 	}
 	return found
@@ -137,19 +137,19 @@
 		lastAttempt = max(lastAttempt, attempt/tuning.GangAttemptStride)
 	}
 	job.zones = zones
-	first := len(r.batches)
+	firstBatch := len(r.batches)
 	partSizes := map[int]int{} // by shard
 	for job.pending.length() > 0 {
 		set := machineSet{zone: taskstate.ZoneOf(zones, job.pending.at(0)), shard: anyShard}
-		taken := r.capacity.take(job, set, 1, func(shard, _ int) {
+		allocated := r.capacity.allocate(job, set, 1, func(shard, _ int) {
 			r.addTask(job, shard)
 			partSizes[shard]++
 		})
-		if taken == 0 {
+		if allocated == 0 {
 			break // cannot be: there was room for all
 		}
 	}
-	for _, batch := range r.batches[first:] {
+	for _, batch := range r.batches[firstBatch:] {
 		batch.gangAttempt, batch.partSize = lastAttempt+1, partSizes[batch.shard]
 	}
 	r.leader.log.Info("gang divided among shards", "job", job.entry.ID, "attempt", lastAttempt+1, "shards", len(partSizes))
--- a/internal/leader/gang_queue.go
+++ b/internal/leader/gang_queue.go
@@ -5,18 +5,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// serveQueuedGang looks after the parts of a gang that wait in shards.
-func (r *dispatchRound) serveQueuedGang(job *jobState) {
+// planQueuedGang looks after the parts of a gang that wait in shards.
+func (r *dispatchRound) planQueuedGang(job *jobState) {
 	for shard, tasks := range job.counts.waitingByShard {
 		if tasks > 0 {
-			r.serveQueuedPart(job, shard, tasks)
+			r.planQueuedPart(job, shard, tasks)
 		}
 	}
 }
 
-// serveQueuedPart looks after so many tasks of a gang that wait in a shard: they take the
+// planQueuedPart looks after so many tasks of a gang that wait in a shard: they take the
 // room there is, are recalled if another place has room for the whole gang, or are demand.
-func (r *dispatchRound) serveQueuedPart(job *jobState, shard, tasks int) {
+func (r *dispatchRound) planQueuedPart(job *jobState, shard, tasks int) {
 	if len(job.pending.returned) > 0 {
 		// Some of the gang came back: the rest is recalled too.
 		r.recallGang(job, shard, tasks)
@@ -24,15 +24,15 @@
 	}
 	tasksByZone := r.queuedTasksOfGang(job, tasks)
 	if r.capacity.fits(job.spec, tasksByZone, shard, scopeUp) {
-		r.capacity.takeAll(job, tasksByZone, shard)
+		r.capacity.occupyByZone(job, tasksByZone, shard)
 		return
 	}
-	if tasks == job.spec.Tasks && r.isBetterElsewhere(job, shard) {
+	if tasks == job.spec.Tasks && r.shouldRecallGang(job, shard) {
 		r.recallGang(job, shard, tasks)
 		return
 	}
 	if r.capacity.fits(job.spec, tasksByZone, shard, scopeBooting) {
-		r.capacity.takeAll(job, tasksByZone, shard)
+		r.capacity.occupyByZone(job, tasksByZone, shard)
 		return
 	}
 	for zone, count := range tasksByZone {
@@ -52,9 +52,9 @@
 	return tasksByZone
 }
 
-// isBetterElsewhere reports whether a gang that waits as a whole in a shard should be
+// shouldRecallGang reports whether a gang that waits as a whole in a shard should be
 // recalled from it.
-func (r *dispatchRound) isBetterElsewhere(job *jobState, shard int) bool {
+func (r *dispatchRound) shouldRecallGang(job *jobState, shard int) bool {
 	waited := r.leader.runtime.Now() - job.gang.dispatchedAt
 	if waited <= tuning.GangLeaderWait { // not to and fro
 		return false
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -15,9 +15,9 @@
 // reserveForGangs reserves room for gangs to come, and asks for machines where there is
 // none. Work that may wait has the rest.
 func (r *dispatchRound) reserveForGangs() {
-	left := 0.0 // processors that may yet be reserved
+	remainingCPUs := 0.0 // processors that may yet be reserved
 	for _, cpus := range r.capacity.totalCPUs {
-		left += tuning.MaxGangReserveShare * cpus
+		remainingCPUs += tuning.MaxGangReserveShare * cpus
 	}
 	for _, class := range r.leader.gangs.Recent(r.leader.runtime.Now()) {
 		zones := []string{""}
@@ -25,7 +25,7 @@
 			zones = r.leader.fleet.CandidateZones(class.Spec)
 		}
 		for range tuning.GangReserveCount {
-			if left -= float64(class.Tasks) * class.Spec.CPUs; left < 0 {
+			if remainingCPUs -= float64(class.Tasks) * class.Spec.CPUs; remainingCPUs < 0 {
 				return
 			}
 			if len(zones) > 0 && !r.reserveForGang(class, zones) {
@@ -51,7 +51,7 @@
 func (r *dispatchRound) reserveForGang(class *gangforecast.Class, zones []string) bool {
 	home := r.leader.machines.homeShard(class.Spec.Image)
 	for _, scope := range []machineScope{scopeCached, scopeUp, scopeBooting} {
-		for _, shard := range r.capacity.shardsInOrder(home) {
+		for _, shard := range r.capacity.shardsByPreference(home) {
 			for _, zone := range zones {
 				if machines, found := r.capacity.findForGang(class, shard, zone, scope); found {
 					reserveOn(machines, class)
@@ -88,10 +88,10 @@
 // reserveOn reserves the room for a gang of a class on machines that have it.
 func reserveOn(machines []*machineCapacity, class *gangforecast.Class) {
 	task := class.Spec.Resources()
-	left := class.Tasks
+	remainingTasks := class.Tasks
 	for _, machine := range machines {
-		count := min(left, machine.unreservedTaskCount(class.Spec))
+		count := min(remainingTasks, machine.unreservedTaskCount(class.Spec))
 		machine.reserved = machine.reserved.Plus(task.Times(float64(count)))
-		left -= count
+		remainingTasks -= count
 	}
 }
--- a/internal/leader/garbage.go
+++ b/internal/leader/garbage.go
@@ -38,9 +38,9 @@
 // are passed over.
 func (l *Leader) nextRemovals() []statestore.Operation {
 	writes := l.settings.Deployment.State.WriteRPS * l.state.WriteShare() * tuning.RecordSweepWriteShare * tuning.RecordSweepInterval.Seconds()
-	most := min(l.state.MaxOperations(), max(1, int(writes)))
+	maxOperations := min(l.state.MaxOperations(), max(1, int(writes)))
 	var operations []statestore.Operation
-	for len(l.garbage.keys) > 0 && len(operations) < most {
+	for len(l.garbage.keys) > 0 && len(operations) < maxOperations {
 		key := l.garbage.keys[0]
 		l.garbage.keys = l.garbage.keys[1:]
 		if l.records.Get(key) != nil {
--- a/internal/leader/job_end.go
+++ b/internal/leader/job_end.go
@@ -12,9 +12,9 @@
 // endQueue holds the jobs of which nothing is left to run, until their ends are committed.
 type endQueue struct {
 	jobs []*jobState
-	// singly has each end committed by itself: a condition of the last commit has failed,
+	// onePerCommit has each end committed by itself: a condition of the last commit has failed,
 	// and one job must not hold up the others.
-	singly bool
+	onePerCommit bool
 }
 
 // endCommit is a transaction that ends jobs.
@@ -41,7 +41,7 @@
 		return false
 	}
 	l.commits.commit(commit.conditions, commit.operations, func(result statestore.CommitResult) {
-		l.ends.singly = result.Outcome == statestore.OutcomeConflict
+		l.ends.onePerCommit = result.Outcome == statestore.OutcomeConflict
 		for _, job := range commit.jobs {
 			job.ending = false
 		}
@@ -67,19 +67,19 @@
 // nextEndCommit takes as many jobs out of the queue as one commit ends.
 func (l *Leader) nextEndCommit() *endCommit {
 	commit := &endCommit{}
-	most := l.state.MaxOperations()
-	rest := l.ends.jobs[:0:0]
+	maxOperations := l.state.MaxOperations()
+	remaining := l.ends.jobs[:0:0]
 	for i, job := range l.ends.jobs {
 		if !l.jobs.has(job) {
 			continue
 		}
-		if len(commit.operations) == most || (len(commit.operations) > 0 && l.ends.singly) {
-			rest = append(rest, l.ends.jobs[i:]...)
+		if len(commit.operations) == maxOperations || (len(commit.operations) > 0 && l.ends.onePerCommit) {
+			remaining = append(remaining, l.ends.jobs[i:]...)
 			break
 		}
-		l.addEnd(commit, job, most-len(commit.operations))
+		l.addEnd(commit, job, maxOperations-len(commit.operations))
 	}
-	l.ends.jobs = rest
+	l.ends.jobs = remaining
 	return commit
 }
 
@@ -116,20 +116,20 @@
 // in one commit with them the ends of a backlog took the writes of twenty seconds, and
 // nothing was dispatched meanwhile. Of a cancelled one it is the removal of its records, as
 // many as the commit takes.
-func (l *Leader) addEnd(commit *endCommit, job *jobState, most int) {
+func (l *Leader) addEnd(commit *endCommit, job *jobState, maxOperations int) {
 	job.ending = false
 	for _, record := range l.unseenRecords {
 		if record.Job == job.entry.ID {
 			return // checked again when the record shows up
 		}
 	}
-	before := len(commit.operations)
+	operationsBefore := len(commit.operations)
 	if job.cancelled {
-		l.addRecordRemovals(commit, job, most)
+		l.addRecordRemovals(commit, job, maxOperations)
 	} else {
 		l.addDonePhase(commit, job)
 	}
-	if len(commit.operations) > before {
+	if len(commit.operations) > operationsBefore {
 		job.ending = true
 		commit.jobs = append(commit.jobs, job)
 	}
@@ -168,7 +168,7 @@
 
 // addRecordRemovals adds the removal of records of a cancelled job. A job without any is
 // forgotten.
-func (l *Leader) addRecordRemovals(commit *endCommit, job *jobState, most int) {
+func (l *Leader) addRecordRemovals(commit *endCommit, job *jobState, maxOperations int) {
 	records := l.records.JobRecords(job.entry.ID)
 	if len(records) == 0 {
 		l.jobs.remove(job)
@@ -176,7 +176,7 @@
 	}
 	removed := 0
 	for key, record := range records {
-		if removed == most {
+		if removed == maxOperations {
 			return
 		}
 		commit.conditions = append(commit.conditions, statestore.Condition{Key: key, Revision: record.Revision})
--- a/internal/leader/job_state_test.go
+++ b/internal/leader/job_state_test.go
@@ -23,7 +23,7 @@
 				index := rapid.IntRange(0, total-1).Draw(t, "task")
 				if dispatched[index] {
 					delete(dispatched, index)
-					queue.putBack(index, 1)
+					queue.requeue(index, 1)
 				}
 				continue
 			}
@@ -79,13 +79,13 @@
 	recalls.ofShard(1)["wk-2"] += 3
 	recalls.ofShard(1)["wk-1"] = 5
 	recalls.ofShard(0)["wk-9"] = 1
-	if got, want := recalls.take(1), []fleet.Recall{{Job: "wk-1", Tasks: 5}, {Job: "wk-2", Tasks: 3}}; !slices.Equal(got, want) {
+	if got, want := recalls.pop(1), []fleet.Recall{{Job: "wk-1", Tasks: 5}, {Job: "wk-2", Tasks: 3}}; !slices.Equal(got, want) {
 		t.Errorf("taken %v, want %v", got, want)
 	}
-	if got := recalls.take(1); len(got) > 0 {
+	if got := recalls.pop(1); len(got) > 0 {
 		t.Errorf("taken twice: %v", got)
 	}
-	if got := recalls.take(0); len(got) != 1 {
+	if got := recalls.pop(0); len(got) != 1 {
 		t.Errorf("another shard's are gone too: %v", got)
 	}
 }
@@ -93,14 +93,14 @@
 func TestRoundsAreSpaced(t *testing.T) {
 	pacing := pacing{}
 	pacing.setMachineCount(1000)
-	if wait := pacing.untilNextTurn(time.Hour); wait != 0 {
+	if wait := pacing.untilNextRound(time.Hour); wait != 0 {
 		t.Errorf("the first round waits %v", wait)
 	}
-	pacing.lastTurnAt = time.Hour
-	if wait := pacing.untilNextTurn(time.Hour + 15*time.Millisecond); wait != 60*time.Millisecond {
+	pacing.lastRoundAt = time.Hour
+	if wait := pacing.untilNextRound(time.Hour + 15*time.Millisecond); wait != 60*time.Millisecond {
 		t.Errorf("the next round waits %v, want 60ms of the 75ms between two", wait)
 	}
-	if wait := pacing.untilNextTurn(time.Hour + time.Minute); wait != 0 {
+	if wait := pacing.untilNextRound(time.Hour + time.Minute); wait != 0 {
 		t.Errorf("a round that is overdue waits %v", wait)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -200,11 +200,11 @@
 		return
 	}
 	now := l.runtime.Now()
-	if wait := l.pacing.untilNextTurn(now); wait > 0 {
+	if wait := l.pacing.untilNextRound(now); wait > 0 {
 		l.wakeAfter(wait)
 		return
 	}
-	l.pacing.lastTurnAt = now
+	l.pacing.lastRoundAt = now
 	if l.pacing.requested {
 		l.pacing.requested = false
 		if l.dispatch() {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -85,8 +85,8 @@
 // ShardLost is of no interest here.
 func (n *node) ShardLost(int) {}
 
-// decide lets the leader decide once more.
-func (n *node) decide() {
+// runRound lets the leader decide once more.
+func (n *node) runRound() {
 	n.statuses++
 	n.fleet.HandleStatus(&fleet.ShardStatus{
 		Full: true, Token: 1, Seq: n.statuses,
@@ -99,7 +99,7 @@
 // run lets time pass; the leader decides every 100 ms.
 func (n *node) run(duration time.Duration) {
 	for ; duration > 0; duration -= 100 * time.Millisecond {
-		n.decide()
+		n.runRound()
 		n.service.Run(100 * time.Millisecond)
 	}
 }
@@ -142,13 +142,13 @@
 // putRecord stores a record of tasks of a job, as an earlier leader has.
 func putRecord(t *testing.T, service *statetest.Service, job string, number int, index ...int) *taskstate.Record {
 	t.Helper()
-	made := taskstate.NewRecord(0, job, number, index, nil, nil)
-	value, err := made.Encode()
+	record := taskstate.NewRecord(0, job, number, index, nil, nil)
+	value, err := record.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	service.Set(t, made.Key, value)
-	return made
+	service.Set(t, record.Key, value)
+	return record
 }
 
 func markDone(task *taskstate.Task) { task.State, task.Attempt = taskstate.StateDone, 1 }
@@ -183,7 +183,7 @@
 			node.run(100 * time.Millisecond)
 			for range 3 { // no watch tells of anything meanwhile
 				service.Skip(time.Second)
-				node.decide()
+				node.runRound()
 			}
 			node.run(2 * time.Second)
 			if got := node.dispatchedTasks("wk-1") + node.dispatchedTasks("wk-2"); got != test.want {
@@ -257,7 +257,7 @@
 	service.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
 	service.Held[0].Answer(service.Commit(service.Held[0]), nil)
 	service.Skip(time.Second)
-	node.decide()
+	node.runRound()
 	if len(service.Held) > 1 || node.leader.IsLoaded() {
 		t.Errorf("%d dispatches, leads %v", len(service.Held), node.leader.IsLoaded())
 	}
@@ -283,11 +283,11 @@
 			if !ok {
 				t.Fatal("not dispatched again")
 			}
-			again, err := taskstate.DecodeRecord(next.Key, next.Value, next.Revision)
+			redispatched, err := taskstate.DecodeRecord(next.Key, next.Value, next.Revision)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, status := range again.Statuses {
+			for _, status := range redispatched.Statuses {
 				if status.Attempt != 3 {
 					t.Errorf("dispatched with last attempt %d, it was 3", status.Attempt)
 				}
@@ -401,9 +401,9 @@
 	if entry := node.catalog.Get(spec.ID); entry.Phase != userapi.PhaseDone {
 		t.Fatalf("the job is %q", entry.Phase)
 	}
-	again := putRecord(t, service, spec.ID, 1, 0)
+	remade := putRecord(t, service, spec.ID, 1, 0)
 	node.run(10 * time.Second)
-	if _, stored := service.Get(again.Key); stored {
+	if _, stored := service.Get(remade.Key); stored {
 		t.Error("the record stays")
 	}
 }
--- a/internal/leader/machine_usage.go
+++ b/internal/leader/machine_usage.go
@@ -105,25 +105,25 @@
 		delete(u.loads, workerID)
 	}
 	if sign > 0 {
-		u.notePlacement(spec, shard, workerID)
+		u.recordPlacement(spec, shard, workerID)
 	}
 }
 
 func (l *machineLoad) count(spec *jobs.Spec, sign int) {
 	l.tasks += sign
-	taken := spec.Resources().Times(float64(sign))
-	l.used = l.used.Plus(taken)
-	l.cpusByPriority[spec.Priority()] += taken.CPUs
+	delta := spec.Resources().Times(float64(sign))
+	l.used = l.used.Plus(delta)
+	l.cpusByPriority[spec.Priority()] += delta.CPUs
 	if spec.IsService() {
-		l.serviceCPUs += taken.CPUs
+		l.serviceCPUs += delta.CPUs
 	}
 	if isMovable(spec) {
-		l.movableCPUs += taken.CPUs
+		l.movableCPUs += delta.CPUs
 	}
 }
 
-// notePlacement notes that a machine of the shard fetches the job's image.
-func (u *MachineUsage) notePlacement(spec *jobs.Spec, shard int, workerID string) {
+// recordPlacement notes that a machine of the shard fetches the job's image.
+func (u *MachineUsage) recordPlacement(spec *jobs.Spec, shard int, workerID string) {
 	placements := u.placementsByImage[spec.Image]
 	if placements == nil {
 		placements = make([]int, u.shards)
--- a/internal/leader/recall.go
+++ b/internal/leader/recall.go
@@ -19,8 +19,8 @@
 	return r[shard]
 }
 
-// take returns the requests to a shard in the order of the jobs' IDs, and forgets them.
-func (r recallRequests) take(shard int) []fleet.Recall {
+// pop returns the requests to a shard in the order of the jobs' IDs, and forgets them.
+func (r recallRequests) pop(shard int) []fleet.Recall {
 	var list []fleet.Recall
 	for job, tasks := range r[shard] {
 		list = append(list, fleet.Recall{Job: job, Tasks: tasks})
@@ -31,7 +31,7 @@
 }
 
 // TakeRecalls takes what a shard's owner is asked to return.
-func (l *Leader) TakeRecalls(shard int) []fleet.Recall { return l.recalls.take(shard) }
+func (l *Leader) TakeRecalls(shard int) []fleet.Recall { return l.recalls.pop(shard) }
 
 // shardQueue is tasks of a job that wait in a shard, all of them bound to one zone or to
 // none.
@@ -87,14 +87,14 @@
 	if len(r.capacity.totalCPUs) == 1 {
 		return 0
 	}
-	found := 0
+	recalled := 0
 	for shard := range r.capacity.totalCPUs {
-		if shard != queue.shard && found < limit {
-			found += r.capacity.occupy(job, machineSet{zone: queue.zone, shard: shard}, limit-found)
+		if shard != queue.shard && recalled < limit {
+			recalled += r.capacity.occupy(job, machineSet{zone: queue.zone, shard: shard}, limit-recalled)
 		}
 	}
-	if found > 0 {
-		r.leader.recalls.ofShard(queue.shard)[job.entry.ID] += found
+	if recalled > 0 {
+		r.leader.recalls.ofShard(queue.shard)[job.entry.ID] += recalled
 	}
-	return found
+	return recalled
 }
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -26,12 +26,12 @@
 	for _, batch := range batches {
 		batch.job.team.countPlanned(batch.job.spec, -float64(len(batch.tasks)))
 	}
-	if most := l.maxRecordsPerCommit(); len(batches) > most {
+	if maxRecords := l.maxRecordsPerCommit(); len(batches) > maxRecords {
 		l.fleet.NoteStalledDispatch()
-		for _, batch := range batches[most:] {
-			batch.putBack()
+		for _, batch := range batches[maxRecords:] {
+			batch.requeue()
 		}
-		batches = batches[:most]
+		batches = batches[:maxRecords]
 	}
 	commit := &recordCommit{leader: l}
 	for _, batch := range batches {
@@ -60,7 +60,7 @@
 	value, err := record.Encode()
 	if err != nil {
 		leader.log.Error("failed to encode a task record", "job", job.entry.ID, "err", err)
-		batch.putBack()
+		batch.requeue()
 		return
 	}
 	c.conditions = append(c.conditions, statestore.Condition{Key: record.Key}) // must not exist
@@ -134,5 +134,5 @@
 	record, batch := c.records[i], c.batches[i]
 	delete(c.leader.unseenRecords, record.Key)
 	c.leader.countRecord(batch.job, record, -1)
-	batch.putBack()
+	batch.requeue()
 }
