--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -6,33 +6,36 @@
 	"lemonmoor/internal/tuning"
 )
 
-// taskBatch is the tasks of one job that a dispatch round gives to a shard in one record.
+// taskBatch holds the tasks of one job that a dispatch round assigns to a shard in one task
+// record.
 type taskBatch struct {
 	job     *jobState
 	shard   int
 	tasks   []int
-	retried int // tasks that a shard has returned before
-	bytes   int // what the record takes, at most
+	retried int // number of tasks that a shard has returned before
+	bytes   int // upper bound of the size of the encoded record
 
-	// Of a divided gang, see taskstate.Record.
+	// Set for the parts of a divided gang only, see taskstate.Record.
 	gangAttempt uint64
 	partSize    int
-	// allDone: the tasks are proven done, since others of their gang are.
+	// allDone is set if the tasks are proven done, since other tasks of their gang are done.
 	allDone bool
 }
 
-// cost returns how many bytes a task adds to the record.
+// cost returns an upper bound of the bytes that a task adds to the record. retried is set if
+// a shard has returned the task before.
 func (b *taskBatch) cost(index int, retried bool) int {
 	switch {
 	case retried:
 		return tuning.RetriedTaskBytes
 	case len(b.tasks) > 0 && b.tasks[len(b.tasks)-1]+1 == index:
-		return 0 // it continues a run
+		return 0 // extends a run of consecutive indexes
 	}
 	return tuning.NewTaskBytes
 }
 
-// add puts a task into the batch, or reports that the record would be too large with it.
+// add adds a task to the batch and returns true. If the record would then exceed maxBytes or
+// one of the limits on its number of tasks, it returns false and the batch is unchanged.
 func (b *taskBatch) add(index int, retried bool, maxBytes int) bool {
 	retriedCount, cost := b.retried, b.cost(index, retried)
 	if retried {
@@ -45,17 +48,18 @@
 	return true
 }
 
-// requeue returns the batch's tasks to the queue of their job.
+// requeue returns the tasks of the batch to the queue of their job.
 func (b *taskBatch) requeue() {
 	queue := &b.job.pending
 	queue.returned = append(queue.returned, b.tasks...)
 	sort.Ints(queue.returned)
 }
 
-// addTask puts the next task of a job into a batch for a shard.
+// addTask moves the next task from the queue of a job to a batch for a shard. It starts a new
+// batch if no batch of the job for the shard has room for the task.
 func (r *dispatchRound) addTask(job *jobState, shard int) {
 	index, retried := job.pending.pop()
-	job.team.countPlanned(job.spec, 1) // until the record counts
+	job.team.countPlanned(job.spec, 1) // until the task is counted with its record
 	maxBytes := r.leader.state.MaxValueBytes() - tuning.RecordOverheadBytes
 	for i := len(r.batches) - 1; i >= 0 && r.batches[i].job == job; i-- {
 		if batch := r.batches[i]; batch.shard == shard && batch.add(index, retried, maxBytes) {
@@ -70,7 +74,7 @@
 	r.batches = append(r.batches, batch)
 }
 
-// addTasks puts the next so many tasks of a job into batches for a shard.
+// addTasks moves the next count tasks of a job to batches for a shard.
 func (r *dispatchRound) addTasks(job *jobState, shard, count int) {
 	for range count {
 		r.addTask(job, shard)
--- a/internal/leader/capacity.go
+++ b/internal/leader/capacity.go
@@ -10,18 +10,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// anyShard stands for all shards where one is asked for.
+// anyShard in place of a shard number selects all shards.
 const anyShard = -1
 
-// machineCapacity is what one machine has left.
+// machineCapacity is the free capacity of one machine.
 type machineCapacity struct {
 	available resource.Vector
-	reserved  resource.Vector // for gangs to come: other work gets none of it
-	cache     *machineCache   // nil if nothing is known
+	reserved  resource.Vector // part of available, for expected gangs only
+	cache     *machineCache   // nil if no cached image is known
 }
 
-// taskCount returns how many tasks of a job the machine has room for. Room is reserved for
-// gangs, so only other jobs have to leave it.
+// taskCount returns how many tasks of a job the machine has room for. Gangs may use reserved
+// room, other jobs may not.
 func (m *machineCapacity) taskCount(spec *jobs.Spec) int {
 	if spec.IsGang() {
 		return spec.Resources().CountIn(m.available)
@@ -29,7 +29,7 @@
 	return m.unreservedTaskCount(spec)
 }
 
-// unreservedTaskCount returns how many tasks of a job fit into what is not reserved.
+// unreservedTaskCount returns how many tasks of a job fit into the unreserved room.
 func (m *machineCapacity) unreservedTaskCount(spec *jobs.Spec) int {
 	return spec.Resources().CountIn(m.available.Minus(m.reserved))
 }
@@ -39,23 +39,24 @@
 	return m.cache != nil && m.cache.images.Contains(image)
 }
 
-// hasRoom reports whether any task could still fit.
+// hasRoom reports whether the machine has any processors and memory left.
 func (m *machineCapacity) hasRoom() bool {
 	return m.available.CPUs > resource.Epsilon && m.available.MemoryGB > resource.Epsilon
 }
 
-// machineGroup is the machines of one kind in one shard that are all up or all booting:
-// whether a job may use them is asked once for all of them.
+// machineGroup is the machines of one kind in one shard that are either all up or all
+// booting. Whether a job may use them is decided once for the whole group.
 type machineGroup struct {
 	kind     *fleet.AvailableMachine
 	shard    int
 	booting  bool
-	machines []machineCapacity // those with room
-	sorted   bool
+	machines []machineCapacity // those that have room
+	sorted   bool              // machines is sorted by free processors, the fewest first
 }
 
-// allocate gives up to limit tasks of a job room on the group's machines, the fullest first, so
-// that others run empty and can be returned, and returns how many got some.
+// allocate allocates room for up to limit tasks of a job on the machines of the group and
+// returns for how many there was room. The fullest machines are used first, so that the
+// others become empty and can be released.
 func (g *machineGroup) allocate(job *jobState, limit int) int {
 	if !g.sorted {
 		sort.Slice(g.machines, func(i, j int) bool { return g.machines[i].available.CPUs < g.machines[j].available.CPUs })
@@ -69,7 +70,7 @@
 		}
 		machine := &g.machines[i]
 		count := machine.taskCount(job.spec)
-		if job.starved { // has waited too long to leave room for others
+		if job.starved { // a starved job may use reserved room too
 			count = task.CountIn(machine.available)
 		}
 		count = min(count, limit-allocated)
@@ -82,7 +83,7 @@
 	return allocated
 }
 
-// removeFull drops the machines that have no room left.
+// removeFull removes the machines that have no room left.
 func (g *machineGroup) removeFull() {
 	remaining := g.machines[:0]
 	for _, machine := range g.machines {
@@ -93,16 +94,16 @@
 	g.machines = remaining
 }
 
-// capacityView is what the machines have left, as one dispatch round sees it: the round
-// takes from it what it plans.
+// capacityView is the free capacity of all available machines in one dispatch round. The
+// round subtracts from it what it plans.
 type capacityView struct {
 	groups       []*machineGroup
-	totalCPUs    []float64 // of all machines, by shard
-	queuedCPUs   []float64 // of tasks that wait in the shards' queues, by shard
+	totalCPUs    []float64 // processors of all machines, by shard
+	queuedCPUs   []float64 // processors that tasks in the shard's queues need, by shard
 	machineCount int
 }
 
-// newCapacityView sums up what all available machines have left.
+// newCapacityView returns the free capacity of all available machines.
 func newCapacityView(shards int, machines *fleet.Fleet, usage *MachineUsage, now time.Duration) *capacityView {
 	view := &capacityView{totalCPUs: make([]float64, shards), queuedCPUs: make([]float64, shards)}
 	type groupKey struct {
@@ -134,7 +135,8 @@
 	return view
 }
 
-// sortGroups puts small machines first: large ones are all that large tasks have.
+// sortGroups sorts the groups by machine size, the smallest first: large tasks fit on large
+// machines only, so small tasks should not occupy those.
 func (v *capacityView) sortGroups() {
 	sort.Slice(v.groups, func(i, j int) bool {
 		a, b := v.groups[i], v.groups[j]
@@ -148,20 +150,21 @@
 	})
 }
 
-// machineSet is the machines on which room for a job is sought.
+// machineSet selects the machines that are considered for the tasks of a job.
 type machineSet struct {
-	zone    string // "" for any
-	shard   int    // or anyShard
-	booting bool   // those that boot, else those that are up
+	zone    string // "" for all zones
+	shard   int    // a shard or anyShard
+	booting bool   // true: machines that boot; false: machines that are up
 }
 
-// includes reports whether the job may use the machines of a group of the set.
+// includes reports whether a group belongs to the set and a job may use its machines.
 func (s machineSet) includes(group *machineGroup, spec *jobs.Spec) bool {
 	return group.booting == s.booting && (s.shard == anyShard || group.shard == s.shard) && group.kind.CouldRun(spec, s.zone)
 }
 
-// allocate gives up to limit tasks of a job room on machines of a set, calls onAllocated with how
-// many each shard took, and returns their sum.
+// allocate allocates room for up to limit tasks of a job on the machines of a set and returns
+// for how many there was room. It calls onAllocated for each machine group used, with the
+// shard of the group and its number of tasks.
 func (v *capacityView) allocate(job *jobState, set machineSet, limit int, onAllocated func(shard, tasks int)) int {
 	total := 0
 	for _, group := range v.groups {
@@ -179,14 +182,15 @@
 	return total
 }
 
-// occupy takes room for tasks that are not dispatched by it: they are in a shard already, are
-// being recalled, or the room is kept for them. It returns for how many there was room.
+// occupy allocates room for up to limit tasks that the caller does not dispatch now: they are
+// in a shard already, are being recalled, or dispatched later. It returns for how many there
+// was room.
 func (v *capacityView) occupy(job *jobState, set machineSet, limit int) int {
 	return v.allocate(job, set, limit, func(int, int) {})
 }
 
-// countTasks returns for how many tasks of a job the machines of a set have room; cached:
-// only those that cache its image.
+// countTasks returns for how many tasks of a job the machines of a set have room. If cached
+// is set, only machines that cache the image of the job count.
 func (v *capacityView) countTasks(spec *jobs.Spec, set machineSet, cached bool) int {
 	count := 0
 	for _, group := range v.groups {
@@ -202,7 +206,8 @@
 	return count
 }
 
-// shardsByPreference lists the shards: home first, then those with the most free processors.
+// shardsByPreference returns all shards: home first, then the others by the free processors
+// of their machines that are up, the most first.
 func (v *capacityView) shardsByPreference(home int) []int {
 	shards := make([]int, len(v.totalCPUs))
 	free := make([]float64, len(v.totalCPUs))
@@ -225,7 +230,7 @@
 	return shards
 }
 
-// servingShards tells of each shard whether it has a machine that may run a job's tasks.
+// servingShards reports for each shard whether it has a machine that may run tasks of a job.
 func (v *capacityView) servingShards(spec *jobs.Spec, zone string) []bool {
 	serving := make([]bool, len(v.totalCPUs))
 	for _, group := range v.groups {
@@ -236,8 +241,9 @@
 	return serving
 }
 
-// shardToQueueIn finds the shard in whose queues a task should wait: home, else the one
-// whose queue is the shortest for its size; -1 if the queues are long enough.
+// shardToQueueIn returns the shard in whose queues a task should wait: home if its queues are
+// not full, else the shard whose queues are the shortest relative to its processors. It
+// returns -1 if the queues of all shards that could run the task are full.
 func (v *capacityView) shardToQueueIn(spec *jobs.Spec, zone string, home int) int {
 	best, bestLoad := -1, 0.0
 	for shard, serving := range v.servingShards(spec, zone) {
@@ -254,7 +260,7 @@
 	return best
 }
 
-// queueableTasks returns how many tasks of a job the queues of a shard still take, at least
+// queueableTasks returns how many more tasks of a job fit into the queues of a shard, at least
 // one.
 func (v *capacityView) queueableTasks(spec *jobs.Spec, shard int) int {
 	task := resource.Vector{CPUs: spec.CPUs}
--- a/internal/leader/commit.go
+++ b/internal/leader/commit.go
@@ -8,12 +8,13 @@
 	"lemonmoor/internal/term"
 )
 
-// commitObserver hears what commits mean for the leadership.
+// commitObserver is notified of the answers to commits.
 type commitObserver interface {
-	// commitAnswered says that a commit is over: there may be something to do.
+	// commitAnswered is called when a commit has been answered, before its result is
+	// processed: work that waited for the answer may be due.
 	commitAnswered()
-	// tokenRejected says that a commit has failed on the leader's lease, and that the
-	// leases have been read anew since.
+	// tokenRejected is called when a commit has failed on the condition on the leader's
+	// lease, after the leases have been read again.
 	tokenRejected()
 }
 
@@ -25,21 +26,24 @@
 	terms    *term.Counter
 	observer commitObserver
 	token    uint64
-	busy     bool // a commit is in flight or backs off, or copies are being verified after one
+	busy     bool // a commit is in flight or backs off, or a copy is being verified after one
 }
 
-// begin takes the fencing token of a new term.
+// begin sets the fencing token of a new term. A commit of an earlier term no longer blocks
+// new ones.
 func (c *committer) begin(token uint64) { c.token, c.busy = token, false }
 
-// commit sends operations on the condition that the leadership is still held. done is
-// called with the result unless the term has ended or that condition has failed.
+// commit sends operations under the given conditions and the one that this process still
+// holds the leadership. done is called with the result unless the term has ended or the
+// condition on the leadership has failed.
 func (c *committer) commit(conditions []statestore.Condition, operations []statestore.Operation, done func(statestore.CommitResult)) {
 	conditions = append([]statestore.Condition{{Key: statestore.LeaderKey, Revision: c.token}}, conditions...)
 	c.busy = true
 	c.state.Commit(conditions, operations, term.GuardValue(c.terms, func(result statestore.CommitResult) {
 		c.busy = false
 		if result.Outcome == statestore.OutcomeConflict && slices.Contains(result.FailedKeys, statestore.LeaderKey) {
-			// The watch will say who leads; until then nothing more is sent.
+			// Another node may lead by now, which the watch of the leases reports. Until the
+			// leases have been read again nothing more is sent.
 			c.busy = true
 			c.leases.Refresh(c.terms.Guard(c.observer.tokenRejected))
 			return
@@ -49,8 +53,8 @@
 	}))
 }
 
-// backOff calls retry after a pause that grows with the attempts so far; until then nothing
-// is sent.
+// backOff calls retry after a pause that grows with attempt, the number of earlier retries.
+// Until then nothing is sent.
 func (c *committer) backOff(attempt int, retry func()) {
 	c.busy = true
 	c.runtime.After(c.state.Backoff(attempt), c.terms.Guard(func() {
@@ -59,8 +63,8 @@
 	}))
 }
 
-// verify calls done when a copy of the state has been verified, or could not be; until then
-// nothing is sent.
+// verify verifies that a copy of the stored state is current and calls done with the error,
+// nil if it is. Until then nothing is sent.
 func (c *committer) verify(copied statestore.Verifier, done func(error)) {
 	c.busy = true
 	copied.Verify(term.GuardValue(c.terms, func(err error) {
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -7,18 +7,19 @@
 	"lemonmoor/internal/tuning"
 )
 
-// dispatchRound evaluates all jobs and machines once: it plans which tasks go to which
-// shards, and collects the demand for which there is no room.
+// dispatchRound evaluates all jobs and machines once. It plans which tasks are dispatched to
+// which shards, and collects the demand for machines from tasks that have no room.
 type dispatchRound struct {
 	leader   *Leader
 	nowMS    int64         // time of day, in milliseconds since the epoch
-	capacity *capacityView // what is left of the machines
+	capacity *capacityView // free capacity that is not planned yet
 	demands  []fleet.Demand
 	batches  []*taskBatch
 }
 
-// dispatch dispatches as many tasks as the quotas and the queues allow, tells the fleet for
-// which there is no room, and reports whether a commit was sent.
+// dispatch runs one dispatch round: it dispatches as many tasks as the quotas, the machines
+// and the queues allow and passes the demand for machines to the fleet. It reports whether a
+// commit was sent.
 func (l *Leader) dispatch() bool {
 	round := &dispatchRound{leader: l, nowMS: l.runtime.WallClock().UnixMilli()}
 	l.jobs.sort(round.nowMS, l.settings)
@@ -37,7 +38,7 @@
 	return true
 }
 
-// addDemand notes tasks that could run now if there were room.
+// addDemand adds demand for tasks that could run now if there were machines for them.
 func (r *dispatchRound) addDemand(job *jobState, zone string, tasks int) {
 	if tasks > 0 {
 		r.demands = append(r.demands, fleet.Demand{
@@ -48,15 +49,15 @@
 	}
 }
 
-// addHeldByQuota notes tasks that their team's quota holds back.
+// addHeldByQuota reports to the fleet tasks that wait because of the quota of their team.
 func (r *dispatchRound) addHeldByQuota(job *jobState, tasks int) {
 	if tasks > 0 {
 		r.demands = append(r.demands, fleet.Demand{Spec: job.spec, HeldByQuota: tasks})
 	}
 }
 
-// objectiveSlack returns how many seconds a job's tasks can still wait for a machine, for
-// each of the users' objectives that is not missed yet.
+// objectiveSlack returns for how many more seconds the tasks of a job can wait for a machine,
+// one number for each objective of the users that is not missed yet.
 func (r *dispatchRound) objectiveSlack(job *jobState) []float64 {
 	age := float64(r.nowMS-job.entry.SubmittedMS) / 1000
 	var slacks []float64
@@ -69,7 +70,7 @@
 	return slacks
 }
 
-// planQueuedTasks gives the tasks that already wait in the shards' queues the room there is.
+// planQueuedTasks plans the tasks that already wait in the queues of shards, job by job.
 func (r *dispatchRound) planQueuedTasks() {
 	for _, job := range r.leader.jobs.ordered {
 		switch {
@@ -84,13 +85,16 @@
 	}
 }
 
+// planQueue plans the tasks of a job in one shard queue. It allocates room on machines of the
+// shard that are up to them, recalls tasks that fit on machines of other shards that are up,
+// allocates room on booting machines of the shard, and adds demand for the rest.
 func (r *dispatchRound) planQueue(job *jobState, queue shardQueue) {
 	set := machineSet{zone: queue.zone, shard: queue.shard}
 	waiting := queue.tasks - r.capacity.occupy(job, set, queue.tasks)
 	if waiting == 0 {
 		return
 	}
-	// Machines of another shard that are up are better than this one's that boot.
+	// Machines of other shards that are up are preferred to machines of this one that boot.
 	waiting -= r.recallFrom(queue, job, waiting)
 	set.booting = true
 	waiting -= r.capacity.occupy(job, set, waiting)
@@ -98,9 +102,10 @@
 	r.addDemand(job, queue.zone, waiting)
 }
 
-// dispatchJobs dispatches what the quotas and the room allow, job by job.
+// dispatchJobs dispatches as many tasks as quotas and capacity allow, job by job in dispatch
+// order.
 func (r *dispatchRound) dispatchJobs() {
-	exhausted := map[string]bool{} // by team: nothing more goes past what the quota holds back
+	exhausted := map[string]bool{} // teams whose further jobs must not overtake one that waits for the quota
 	reserveForUrgent(r.leader.teams, r.leader.jobs.ordered, r.leader.runtime.Now())
 	for _, job := range r.leader.jobs.ordered {
 		if job.cancelled || job.ending || job.pending.length() == 0 || job.team == nil {
@@ -117,8 +122,8 @@
 	}
 }
 
-// dispatchJob dispatches what the quota and the room allow of one job, and reports whether
-// jobs that come after it must not go past what the quota holds back.
+// dispatchJob dispatches as many tasks of one job as quota and capacity allow. It reports
+// whether later jobs of the team must not overtake the tasks that wait for the quota.
 func (r *dispatchRound) dispatchJob(job *jobState) (exhausted bool) {
 	pending := job.pending.length()
 	allowed := job.team.tasksWithinQuota(job)
@@ -137,15 +142,16 @@
 	return allowed < pending && (urgent || job.spec.IsGang()) || allowed == 0 && job.starved
 }
 
-// bindZones fixes the zones of a job that must stay in one or must be spread; false if they
-// are not known yet.
+// bindZones chooses the zones of a job whose tasks must run in the same zone or must be
+// spread. It returns false if the zones that the job may use are not known yet. The zone of a
+// gang is chosen when it is dispatched.
 func (l *Leader) bindZones(job *jobState) bool {
 	spec := job.spec
 	if job.zones != nil || (!spec.Spread && (!spec.SameZone || spec.IsGang())) {
 		return true
 	}
-	// A leader that does not know the machine types yet must not fix "any zone" for a job
-	// that may not have it.
+	// While the machine types are unknown, ChooseZones finds no zones. That must not bind the
+	// job to "any zone", which it may not be allowed to use.
 	job.zones = l.fleet.ChooseZones(spec)
 	if len(job.zones) == 0 || (spec.Spread && len(job.zones) < 2 && spec.Tasks > 1) {
 		job.zones = nil
@@ -154,8 +160,9 @@
 	return true
 }
 
-// dispatchTasks finds shards for up to limit tasks of a job: where there is room, at home
-// first, then where machines boot, then in the queues while those are short.
+// dispatchTasks dispatches up to limit tasks of a job: to shards with room on machines that
+// are up, the home shard first, then to shards with room on machines that boot, then to
+// queues of shards until they are full.
 func (r *dispatchRound) dispatchTasks(job *jobState, limit int) {
 	zone := taskstate.ZoneOf(job.zones, 0)
 	home := r.leader.machines.homeShard(job.spec.Image)
@@ -164,7 +171,8 @@
 		limit -= tasks
 	}
 	for _, booting := range []bool{false, true} {
-		// Shard by shard, so that a job makes few records: writes are scarce.
+		// Filling one shard after the other needs few task records, and writes to the state
+		// service are scarce.
 		for _, shard := range r.capacity.shardsByPreference(home) {
 			if limit > 0 {
 				r.capacity.allocate(job, machineSet{zone, shard, booting}, limit, assign)
@@ -184,7 +192,7 @@
 }
 
 // dispatchSpreadTasks is dispatchTasks for a job whose tasks are bound to several zones in
-// turn: task by task.
+// turn. It finds a shard for each task separately.
 func (r *dispatchRound) dispatchSpreadTasks(job *jobState, limit int) {
 	home := r.leader.machines.homeShard(job.spec.Image)
 	assign := func(shard, tasks int) {
@@ -210,8 +218,8 @@
 	}
 }
 
-// largestMovableJob returns the job of which most runs that could as well run on spot
-// machines, nil if there is none.
+// largestMovableJob returns, of the jobs that could run on any spot machine, the one whose
+// placed tasks use the most processors; nil if there is none.
 func (l *Leader) largestMovableJob() *jobs.Spec {
 	var largest *jobs.Spec
 	largestCPUs := 0.0
@@ -226,7 +234,7 @@
 	return largest
 }
 
-// addReserveDemand asks for machines for a gang that may come.
+// addReserveDemand adds demand for machines for an expected gang.
 func (r *dispatchRound) addReserveDemand(spec *jobs.Spec, zone string, tasks int) {
 	r.demands = append(r.demands, fleet.Demand{
 		Spec: spec, Zone: zone, Tasks: tasks, ObjectiveSlackSeconds: []float64{tuning.MaxQueueTime.Seconds()},
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -8,20 +8,22 @@
 	"lemonmoor/internal/tuning"
 )
 
-// recordCommit is a transaction that makes task records, and what is known of it. It is sent
-// until it is known what came of it.
+// recordCommit is a transaction that creates task records. It is sent repeatedly until its
+// outcome is known.
 type recordCommit struct {
 	leader     *Leader
 	conditions []statestore.Condition
 	operations []statestore.Operation
 	records    []*taskstate.Record
-	batches    []*taskBatch // of the records
-	attempt    int
-	// inDoubt: an attempt got no answer, and may yet be carried out as it was sent.
+	batches    []*taskBatch // batches[i] is the source of records[i]
+	attempt    int          // number of retries so far
+	// inDoubt is set after an attempt got no answer: the state service may have carried it out,
+	// or may still do so, as it was sent.
 	inDoubt bool
 }
 
-// commitBatches commits the records of a dispatch round.
+// commitBatches commits the task records of a dispatch round. Batches beyond the limit of a
+// commit are returned to the queues of their jobs.
 func (l *Leader) commitBatches(batches []*taskBatch) {
 	for _, batch := range batches {
 		batch.job.team.countPlanned(batch.job.spec, -float64(len(batch.tasks)))
@@ -40,14 +42,15 @@
 	commit.send()
 }
 
-// maxRecordsPerCommit keeps a commit within the service's limits and within the part of the
-// writes of a second that records may take.
+// maxRecordsPerCommit returns how many records one commit may create: a commit must stay within
+// the limits of the state service and within the share of a second's writes that is available
+// for records.
 func (l *Leader) maxRecordsPerCommit() int {
 	writes := l.settings.Deployment.State.WriteRPS * tuning.ShardWriteShare * l.state.WriteShare()
 	return min(l.state.MaxOperations(), max(1, int(writes)))
 }
 
-// add makes the record of a batch, and counts its tasks from now on.
+// add adds the record of a batch to the transaction and counts its tasks as dispatched.
 func (c *recordCommit) add(batch *taskBatch) {
 	leader, job := c.leader, batch.job
 	sort.Ints(batch.tasks)
@@ -70,19 +73,20 @@
 	leader.countRecord(job, record, 1)
 }
 
-// send sends the transaction. Sent again after no answer, it fails on its own records if the
-// earlier attempt was carried out.
+// send sends the transaction. If an earlier attempt without an answer was carried out, the
+// transaction fails with a conflict, since its records exist already.
 func (c *recordCommit) send() { c.leader.commits.commit(c.conditions, c.operations, c.answered) }
 
+// answered processes the answer to an attempt.
 func (c *recordCommit) answered(result statestore.CommitResult) {
 	switch result.Outcome {
 	case statestore.OutcomeOK:
-		// The watch brings the records in.
+		// RecordAdded is called for the records when the watch reports them.
 	case statestore.OutcomeRefused:
 		c.leader.fleet.NoteStalledDispatch()
-		// Where writes are scarce, a large commit finds none left again and again while
-		// small ones of others pass: half of it next. Not so if an earlier attempt may yet
-		// be carried out, whole.
+		// While writes are throttled, a large commit is refused repeatedly while small ones
+		// of other nodes pass, so half of the records are dropped before the retry. The
+		// transaction stays whole if an earlier attempt may still be carried out.
 		if half := len(c.records) / 2; half > 0 && !c.inDoubt {
 			c.dropFrom(half)
 		}
@@ -102,8 +106,9 @@
 	c.leader.commits.backOff(attempt, c.send)
 }
 
-// dropUnlessStored drops the records that the verified copy does not have. Some of the keys
-// exist: an earlier attempt was carried out, and the watch has counted its records.
+// dropUnlessStored verifies the copy of the records and drops the records that it does not
+// have. It is called when some of the keys exist already: then an earlier attempt was carried
+// out, and RecordAdded has counted its records.
 func (c *recordCommit) dropUnlessStored() {
 	leader := c.leader
 	leader.commits.verify(leader.records, func(err error) {
@@ -120,7 +125,7 @@
 	})
 }
 
-// dropFrom takes the records from the given one on out of the transaction.
+// dropFrom removes the records from index first on from the transaction.
 func (c *recordCommit) dropFrom(first int) {
 	for i := first; i < len(c.records); i++ {
 		c.drop(i)
@@ -129,7 +134,8 @@
 	c.batches, c.records = c.batches[:first], c.records[:first]
 }
 
-// drop returns the tasks of a record that was not made to the queue of their job.
+// drop returns the tasks of the record at index i, which was not created, to the queue of their
+// job.
 func (c *recordCommit) drop(i int) {
 	record, batch := c.records[i], c.batches[i]
 	delete(c.leader.unseenRecords, record.Key)
--- a/internal/leader/team_usage.go
+++ b/internal/leader/team_usage.go
@@ -10,13 +10,14 @@
 	"lemonmoor/internal/tuning"
 )
 
-// teamUsage is what a team's open tasks take of its quota. Memory is not limited.
+// teamUsage is the part of a team's quota that its open tasks use. The quota does not limit
+// memory.
 type teamUsage struct {
-	maxCPUs, maxGPUs float64 // the quota
-	cpus, gpus       float64 // of open tasks, also of those about to be dispatched
-	urgentCPUs       float64 // of open tasks of urgent jobs
-	reservedCPUs     float64 // of the quota, for urgent jobs
-	reservedAt       time.Duration
+	maxCPUs, maxGPUs float64       // the quota
+	cpus, gpus       float64       // of open tasks, including those planned in the current round
+	urgentCPUs       float64       // of open tasks of urgent jobs
+	reservedCPUs     float64       // part of the quota that is reserved for urgent jobs
+	reservedAt       time.Duration // when reservedCPUs was last updated, by the loop's clock
 }
 
 func newTeamUsages(teams []settings.Team, now time.Duration) map[string]*teamUsage {
@@ -30,7 +31,7 @@
 	return usages
 }
 
-// count adds so many open tasks of a job; a negative number takes them off.
+// count adds open tasks of a job. A negative number subtracts them.
 func (u *teamUsage) count(spec *jobs.Spec, tasks float64) {
 	u.cpus += tasks * spec.CPUs
 	u.gpus += tasks * spec.GPUs
@@ -39,13 +40,14 @@
 	}
 }
 
-// countPlanned adds tasks that a dispatch round has planned, until their record counts.
+// countPlanned adds tasks that a dispatch round has planned. They are subtracted again when
+// their record is counted.
 func (u *teamUsage) countPlanned(spec *jobs.Spec, tasks float64) {
 	u.cpus += tasks * spec.CPUs
 	u.gpus += tasks * spec.GPUs
 }
 
-// tasksWithinQuota returns how many more tasks of a job may be dispatched.
+// tasksWithinQuota returns how many pending tasks of a job may be dispatched within the quota.
 func (u *teamUsage) tasksWithinQuota(job *jobState) int {
 	limit := u.maxCPUs
 	if job.spec.Priority() < jobs.PriorityUrgent && !job.starved {
@@ -55,9 +57,10 @@
 	return min(job.pending.length(), task.CountIn(resource.Vector{CPUs: limit - u.cpus, GPUs: u.maxGPUs - u.gpus}))
 }
 
-// reserveForUrgent reserves a part of the teams' quotas for urgent jobs, as much as their
-// urgent jobs have lately needed at once: other work, which may run for minutes, would else
-// take up the quota and urgent work would wait for its ends.
+// reserveForUrgent reserves a part of each team's quota for its urgent jobs: the processors that
+// they have needed at once, where past need decays with tuning.UrgentReserveHalfLife, and at
+// most tuning.MaxUrgentReserveShare. Without a reserve, other work, which may run for minutes,
+// would use up the quota, and urgent work would have to wait until it ends.
 func reserveForUrgent(teams map[string]*teamUsage, ordered []*jobState, now time.Duration) {
 	needed := map[*teamUsage]float64{}
 	for _, job := range ordered {
