--- a/internal/gangforecast/gangforecast.go
+++ b/internal/gangforecast/gangforecast.go
@@ -1,6 +1,7 @@
-// Package gangforecast remembers which classes of gangs have come of late. More of them may
-// come, and where the users expect a class to start within seconds, leader and owners
-// reserve room for its next gangs: a machine rented when they come would boot too long.
+// Package gangforecast records which classes of gangs were submitted recently. More gangs of
+// these classes may follow. If users expect the gangs of a class to start within seconds, the
+// leader and the shard owners reserve room for the next ones: a machine that is rented only
+// when a gang is submitted would take too long to boot.
 //
 // A Forecast belongs to the event loop and is not safe for concurrent use.
 package gangforecast
@@ -14,18 +15,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Class is a class of gangs that may come.
+// Class is a class of gangs of which more may be submitted.
 type Class struct {
 	Spec  *jobs.Spec // of the newest gang
-	Tasks int        // of the largest gang since the class was last forgotten
-	// SeenAt is when the newest gang came, by the loop's clock.
+	Tasks int        // number of tasks of the largest gang since the class was last removed
+	// SeenAt is when the newest gang was observed, by the loop's clock.
 	SeenAt time.Duration
 }
 
-// Forecast holds the classes seen of late. The zero value is ready for use.
+// Forecast holds the recently observed classes. The zero value is ready for use.
 type Forecast struct{ classes map[string]*Class }
 
-// Observe notes that a gang has come, of which so many tasks are known.
+// Observe records a gang. tasks is the number of its tasks that the caller knows of.
 func (f *Forecast) Observe(spec *jobs.Spec, tasks int, now time.Duration) {
 	if f.classes == nil {
 		f.classes = map[string]*Class{}
@@ -38,8 +39,8 @@
 	class.Spec, class.Tasks, class.SeenAt = spec, max(class.Tasks, tasks), now
 }
 
-// Recent returns the classes seen within tuning.GangReservePeriod, in the order of their
-// names, and forgets the others.
+// Recent returns the classes observed within tuning.GangReservePeriod, sorted by name, and
+// removes the others.
 func (f *Forecast) Recent(now time.Duration) []*Class {
 	recent := make([]*Class, 0, len(f.classes))
 	for name, class := range f.classes {
--- a/internal/leader/gang_capacity.go
+++ b/internal/leader/gang_capacity.go
@@ -5,22 +5,23 @@
 	"lemonmoor/internal/jobs"
 )
 
-// machineScope is the machines that are considered for a gang.
+// machineScope selects the machines that are considered for a gang.
 type machineScope int
 
 const (
-	scopeCached  machineScope = iota // machines that are up and have its image
-	scopeUp                          // all that are up
-	scopeBooting                     // those that are up or boot
+	scopeCached  machineScope = iota // machines that are up and cache the gang's image
+	scopeUp                          // machines that are up
+	scopeBooting                     // machines that are up or booting
 )
 
-// gangPlace is where a gang can be dispatched to: a shard, with its tasks bound to zones.
+// gangPlace is a shard to which a gang can be dispatched, and the zones to which its tasks are
+// then bound.
 type gangPlace struct {
 	shard int
 	zones []string
 }
 
-// fits reports whether a shard has room for so many tasks by zone.
+// fits reports whether a shard has room for the given number of tasks in each zone.
 func (v *capacityView) fits(spec *jobs.Spec, tasksByZone map[string]int, shard int, scope machineScope) bool {
 	for zone, needed := range tasksByZone {
 		room := v.countTasks(spec, machineSet{zone, shard, false}, scope == scopeCached)
@@ -34,7 +35,8 @@
 	return true
 }
 
-// occupyByZone takes the room for so many tasks by zone, first on machines that are up.
+// occupyByZone allocates room in a shard for the given number of tasks in each zone, on
+// machines that are up first.
 func (v *capacityView) occupyByZone(job *jobState, tasksByZone map[string]int, shard int) {
 	for zone, tasks := range tasksByZone {
 		tasks -= v.occupy(job, machineSet{zone, shard, false}, tasks)
@@ -42,8 +44,8 @@
 	}
 }
 
-// fitsTogether reports whether the shards together have room for so many tasks by zone, on
-// machines that are up.
+// fitsTogether reports whether all shards together have room for the given number of tasks in
+// each zone, on machines that are up.
 func (v *capacityView) fitsTogether(spec *jobs.Spec, tasksByZone map[string]int) bool {
 	fits := true
 	for zone, needed := range tasksByZone {
@@ -52,7 +54,8 @@
 	return fits
 }
 
-// zoneChoices lists the zones that a gang's tasks may be bound to.
+// zoneChoices returns the alternative lists of zones to which the tasks of a gang may be
+// bound.
 func (l *Leader) zoneChoices(job *jobState) [][]string {
 	if !job.spec.SameZone {
 		return [][]string{job.zones}
@@ -64,8 +67,9 @@
 	return choices
 }
 
-// zonesToRent returns the zones in which machines for a gang are asked for: one where some
-// can be had.
+// zonesToRent returns the zones for which demand for machines for a gang is added. For a gang
+// that must stay in one zone it is the first in which machines can be rented now, else the
+// first candidate.
 func (l *Leader) zonesToRent(job *jobState) []string {
 	choices := l.zoneChoices(job)
 	if !job.spec.SameZone || len(choices) == 0 {
@@ -79,7 +83,8 @@
 	return choices[0]
 }
 
-// findPlace looks for a shard with room for all of a gang: the next so many tasks of a queue.
+// findPlace returns a shard with room for a whole gang, which is the given number of tasks at
+// the head of a queue, and reports whether there is one.
 func (r *dispatchRound) findPlace(job *jobState, queue *taskQueue, tasks int, scope machineScope) (place gangPlace, found bool) {
 	choices := r.leader.zoneChoices(job)
 	for _, shard := range r.capacity.shardsByPreference(r.leader.machines.homeShard(job.spec.Image)) {
@@ -92,8 +97,9 @@
 	return gangPlace{}, false
 }
 
-// findPlaceIfEmpty looks for a shard whose machines would hold a gang if they were empty:
-// its owner collects the room.
+// findPlaceIfEmpty returns the shard whose machines would have the most room for a gang if
+// they were empty, and reports whether any shard could hold the gang. The owner of the shard
+// then collects the room as it becomes free.
 func (l *Leader) findPlaceIfEmpty(job *jobState, tasks int) (place gangPlace, found bool) {
 	room := l.roomIfEmpty(job.spec)
 	bestRoom := 0
@@ -113,14 +119,14 @@
 	return place, found
 }
 
-// shardZone is the machines of a shard in a zone; "" stands for all zones.
+// shardZone identifies the machines of a shard in a zone, "" for all zones.
 type shardZone struct {
 	shard int
 	zone  string
 }
 
 // roomIfEmpty returns how many tasks of a gang the machines that are up would hold if they
-// were empty.
+// were empty, by shard and zone.
 func (l *Leader) roomIfEmpty(spec *jobs.Spec) map[shardZone]int {
 	room := map[shardZone]int{}
 	l.fleet.EachAvailable(func(machine *fleet.AvailableMachine) {
--- a/internal/leader/gang_dispatch.go
+++ b/internal/leader/gang_dispatch.go
@@ -7,11 +7,12 @@
 	"lemonmoor/internal/tuning"
 )
 
-// dispatchGang dispatches a gang if there is a place for all of it. A gang is dispatched
-// whole, to one shard: where there is room for all of it, first on machines that cache its
-// image, else where machines boot for it, else, after a while, to a shard whose owner
-// collects the room. The zone of one that must stay in one is fixed with that, and anew if
-// the gang comes back, when nothing of it is on a machine.
+// dispatchGang dispatches a gang if there is a place for all of it. Unless it has to be divided
+// (see divideGang), a gang is dispatched whole, to one shard: to one with room for all of it,
+// preferably on machines that cache its image; else to one with enough machines that boot;
+// else, after tuning.GangLeaderWait, to one whose owner collects the room. The zone of a gang
+// that must stay in one zone is chosen at its dispatch. It is chosen again if all of the gang
+// is returned, since no task of it is on a machine then.
 func (r *dispatchRound) dispatchGang(job *jobState) {
 	r.leader.observeGang(job)
 	switch {
@@ -25,8 +26,9 @@
 	}
 }
 
-// recordRestAsDone records the rest of a gang as done. One task of it is done, so all are,
-// also those that were returned unproven: nothing of it is launched any more.
+// recordRestAsDone records the tasks of a gang that no shard has as done. A gang with one done
+// task counts as done as a whole, including tasks that were returned without proof that they
+// are done. None of them is launched again.
 func (r *dispatchRound) recordRestAsDone(job *jobState) {
 	firstBatch := len(r.batches)
 	r.addTasks(job, 0, job.pending.length())
@@ -35,6 +37,8 @@
 	}
 }
 
+// dispatchWholeGang dispatches a gang of which no shard has any task, whole or divided among
+// shards, or adds demand for machines for it.
 func (r *dispatchRound) dispatchWholeGang(job *jobState) {
 	tasks := job.pending.length()
 	for _, scope := range []machineScope{scopeCached, scopeUp} {
@@ -59,7 +63,8 @@
 	r.addGangDemand(job, r.leader.zonesToRent(job), tasks)
 }
 
-// dispatchGangWithin dispatches a gang if a shard has room for all of it.
+// dispatchGangWithin dispatches a gang to one shard with room for all of it on machines within
+// a scope. It reports whether there is such a shard.
 func (r *dispatchRound) dispatchGangWithin(job *jobState, tasks int, scope machineScope) bool {
 	place, found := r.findPlace(job, &job.pending, tasks, scope)
 	if found {
@@ -69,6 +74,7 @@
 	return found
 }
 
+// dispatchGangTo dispatches all tasks of a gang to a place.
 func (r *dispatchRound) dispatchGangTo(job *jobState, place gangPlace) {
 	l := r.leader
 	tasks := job.pending.length()
@@ -78,15 +84,17 @@
 	r.addTasks(job, place.shard, tasks)
 }
 
-// addGangDemand asks for machines for the next so many tasks of a gang.
+// addGangDemand adds demand for machines for the given number of tasks at the head of the
+// queue of a gang.
 func (r *dispatchRound) addGangDemand(job *jobState, zones []string, tasks int) {
 	for zone, count := range job.pending.tasksByZone(zones, tasks) {
 		r.addDemand(job, zone, count)
 	}
 }
 
-// dispatchRestOfGang sends the rest of a gang of which a part is with a shard after it. If
-// that part is coming back instead, or is one of a divided gang, the rest stays.
+// dispatchRestOfGang handles a gang of which a shard has a part: it dispatches the rest to the
+// same shard. The rest stays in the queue if that part is probably being returned too, or if
+// the gang is divided among shards.
 func (r *dispatchRound) dispatchRestOfGang(job *jobState) {
 	now := r.leader.runtime.Now()
 	since := &job.gang.partReturnedSince
@@ -104,13 +112,13 @@
 			}
 		}
 	}
-	// Parts of a divided gang: all of them have to come back.
+	// The gang is divided: all of its parts have to be returned first.
 }
 
-// divideGang dispatches a gang that no single shard would hold to several at once, under an
-// attempt chosen here. Each shard owner places its part whole, once; when it comes to
-// nothing all parts come back, and the next attempt has a higher number. It reports whether
-// the shards together have the room.
+// divideGang dispatches a gang that no single shard could hold to several shards at once, under
+// an attempt number chosen here. Each shard owner places its part as a whole and only once. If
+// the attempt fails, all parts are returned, and the next attempt has a higher number.
+// divideGang reports whether all shards together have room for the gang.
 func (r *dispatchRound) divideGang(job *jobState, tasks int) bool {
 	if len(r.capacity.totalCPUs) == 1 {
 		return false
@@ -122,7 +130,8 @@
 		}
 	}
 	if job.starved {
-		// Room comes free bit by bit: what there is is kept for it.
+		// Room becomes free in small pieces. They are kept for the gang, since other jobs
+		// would else use each of them before there is enough.
 		for zone, count := range job.pending.tasksByZone(job.zones, tasks) {
 			r.capacity.occupy(job, machineSet{zone, anyShard, false}, count)
 		}
@@ -130,7 +139,7 @@
 	return false
 }
 
-// dispatchParts dispatches a gang to all shards that have room for some of it.
+// dispatchParts dispatches a gang in parts, to the shards that have room for some of its tasks.
 func (r *dispatchRound) dispatchParts(job *jobState, zones []string) {
 	lastAttempt := uint64(0)
 	for _, attempt := range job.pending.attempts {
@@ -146,7 +155,7 @@
 			partSizes[shard]++
 		})
 		if allocated == 0 {
-			break // cannot be: there was room for all
+			break // unreachable: the caller has checked that there is room for all tasks
 		}
 	}
 	for _, batch := range r.batches[firstBatch:] {
--- a/internal/leader/gang_queue.go
+++ b/internal/leader/gang_queue.go
@@ -5,7 +5,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// planQueuedGang looks after the parts of a gang that wait in shards.
+// planQueuedGang plans the parts of a gang that wait in shards.
 func (r *dispatchRound) planQueuedGang(job *jobState) {
 	for shard, tasks := range job.counts.waitingByShard {
 		if tasks > 0 {
@@ -14,11 +14,12 @@
 	}
 }
 
-// planQueuedPart looks after so many tasks of a gang that wait in a shard: they take the
-// room there is, are recalled if another place has room for the whole gang, or are demand.
+// planQueuedPart plans the tasks of a gang that wait in one shard. It allocates room to them if
+// there is enough for all, recalls them if another place has room for the whole gang, or adds
+// demand for machines.
 func (r *dispatchRound) planQueuedPart(job *jobState, shard, tasks int) {
 	if len(job.pending.returned) > 0 {
-		// Some of the gang came back: the rest is recalled too.
+		// A part of the gang has been returned: the rest is recalled too.
 		r.recallGang(job, shard, tasks)
 		return
 	}
@@ -40,7 +41,7 @@
 	}
 }
 
-// queuedTasksOfGang counts by zone the tasks of a gang that wait.
+// queuedTasksOfGang counts the waiting tasks of a gang by zone. tasks is their total number.
 func (r *dispatchRound) queuedTasksOfGang(job *jobState, tasks int) map[string]int {
 	if len(job.zones) <= 1 {
 		return map[string]int{taskstate.ZoneOf(job.zones, 0): tasks}
@@ -52,11 +53,11 @@
 	return tasksByZone
 }
 
-// shouldRecallGang reports whether a gang that waits as a whole in a shard should be
-// recalled from it.
+// shouldRecallGang reports whether a gang that waits as a whole in a shard should be recalled
+// from it, because it has room elsewhere or could no longer fit into the shard.
 func (r *dispatchRound) shouldRecallGang(job *jobState, shard int) bool {
 	waited := r.leader.runtime.Now() - job.gang.dispatchedAt
-	if waited <= tuning.GangLeaderWait { // not to and fro
+	if waited <= tuning.GangLeaderWait { // else a gang could move back and forth between shards
 		return false
 	}
 	place, found := r.findPlace(job, &taskQueue{}, job.spec.Tasks, scopeUp)
@@ -66,12 +67,13 @@
 	if waited <= tuning.GangDivideAfter {
 		return false
 	}
-	// The machines that the gang was to have here may not have come.
+	// The machines that were to boot for the gang in this shard may have failed to.
 	_, wouldFit := r.leader.findPlaceIfEmpty(job, job.spec.Tasks)
 	return !wouldFit
 }
 
-// recallGang asks a shard for all tasks of a gang, or of its part of one.
+// recallGang requests that a shard returns the tasks of a gang, or of a part of one, that wait
+// in it.
 func (r *dispatchRound) recallGang(job *jobState, shard, tasks int) {
 	r.leader.recalls.ofShard(shard)[job.entry.ID] = tasks
 }
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -5,17 +5,19 @@
 	"lemonmoor/internal/tuning"
 )
 
-// observeGang notes that a gang has come: more may.
+// observeGang adds a gang to the forecast if the gangs of its class are expected to start
+// promptly: more gangs of the class may follow.
 func (l *Leader) observeGang(job *jobState) {
 	if l.settings.StartsPromptly(job.spec.Class) && job.counts.done == 0 {
 		l.gangs.Observe(job.spec, job.spec.Tasks, l.runtime.Now())
 	}
 }
 
-// reserveForGangs reserves room for gangs to come, and asks for machines where there is
-// none. Work that may wait has the rest.
+// reserveForGangs reserves room for the gangs that the forecast expects, and adds demand for
+// machines where there is not enough. Other jobs, which may wait, use
+// the remaining room.
 func (r *dispatchRound) reserveForGangs() {
-	remainingCPUs := 0.0 // processors that may yet be reserved
+	remainingCPUs := 0.0 // limit of the processors that may still be reserved
 	for _, cpus := range r.capacity.totalCPUs {
 		remainingCPUs += tuning.MaxGangReserveShare * cpus
 	}
@@ -35,8 +37,8 @@
 	}
 }
 
-// zoneToReserveIn returns the first zone where machines for a gang can be had now, else the
-// first of all.
+// zoneToReserveIn returns the first of the zones in which machines for a gang can be rented
+// now, or the first zone if there is none.
 func (r *dispatchRound) zoneToReserveIn(class *gangforecast.Class, zones []string) string {
 	for _, zone := range zones {
 		if r.leader.fleet.IsRentable(class.Spec, zone) {
@@ -46,8 +48,9 @@
 	return zones[0]
 }
 
-// reserveForGang reserves room for one gang of a class, on machines that cache its image if
-// there is enough on those, else on others, at worst on those that boot.
+// reserveForGang reserves room for one gang of a class and reports whether there was enough in
+// one shard. It prefers machines that cache the image, then other machines that are up, then
+// machines that boot.
 func (r *dispatchRound) reserveForGang(class *gangforecast.Class, zones []string) bool {
 	home := r.leader.machines.homeShard(class.Spec.Image)
 	for _, scope := range []machineScope{scopeCached, scopeUp, scopeBooting} {
@@ -63,8 +66,8 @@
 	return false
 }
 
-// findForGang finds machines of a shard with unreserved room for a gang of a class, and
-// reports whether there is enough.
+// findForGang returns machines of a shard and zone with unreserved room for a gang of a class,
+// and reports whether they have room for all of it.
 func (v *capacityView) findForGang(class *gangforecast.Class, shard int, zone string, scope machineScope) (machines []*machineCapacity, found bool) {
 	tasks := 0
 	for _, group := range v.groups {
@@ -85,7 +88,7 @@
 	return machines, tasks >= class.Tasks
 }
 
-// reserveOn reserves the room for a gang of a class on machines that have it.
+// reserveOn reserves room for a gang of a class on machines that together have enough.
 func reserveOn(machines []*machineCapacity, class *gangforecast.Class) {
 	task := class.Spec.Resources()
 	remainingTasks := class.Tasks
