--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -7,7 +7,7 @@
 	"lemonmoor/internal/userapi"
 )
 
-// JobChanged notes a new, cancelled or completed job.
+// JobChanged updates the leader's state after a job was submitted, cancelled or completed.
 func (l *Leader) JobChanged(entry *userapi.Entry) {
 	if !l.loaded {
 		return
@@ -34,7 +34,8 @@
 	}
 }
 
-// RecordAdded notes a task record that this leader, or an earlier one, has made.
+// RecordAdded counts the tasks of a task record that the watch has reported. This leader or
+// an earlier one has created it.
 func (l *Leader) RecordAdded(record *taskstate.Record) {
 	if !l.loaded {
 		return
@@ -51,12 +52,13 @@
 		l.countRecord(job, record, 1)
 		l.endIfComplete(job)
 	} else if entry := l.catalog.Get(record.Job); entry != nil && entry.Phase != "" {
-		// A dispatch that was carried out once more after its job was over.
+		// A dispatch that the state service carried out a second time, after its job had
+		// ended, has created the record again. Nothing else would remove it.
 		l.garbage.keys = append(l.garbage.keys, record.Key)
 	}
 }
 
-// RecordRemoved notes that a task record is gone.
+// RecordRemoved subtracts the tasks of a task record that has been deleted.
 func (l *Leader) RecordRemoved(record *taskstate.Record) {
 	if !l.loaded {
 		return
@@ -68,8 +70,8 @@
 	}
 }
 
-// TaskStatusChanged notes what a shard owner has logged of the task at a position of a
-// record; earlier is the task's status until now.
+// TaskStatusChanged updates the leader's state after a shard owner has logged a new status of
+// the task at a position of a record. earlier is the previous status of the task.
 func (l *Leader) TaskStatusChanged(record *taskstate.Record, position int, earlier taskstate.TaskStatus) {
 	if !l.loaded {
 		return
@@ -90,7 +92,8 @@
 	}
 }
 
-// requeue takes a task in that a shard has returned after so many attempts.
+// requeue adds a task that a shard has returned to the queue. lastAttempt is the number of the
+// last attempt of the task.
 func (q *taskQueue) requeue(index int, lastAttempt uint64) {
 	if at, found := slices.BinarySearch(q.returned, index); !found {
 		q.returned = slices.Insert(q.returned, at, index)
--- a/internal/leader/garbage.go
+++ b/internal/leader/garbage.go
@@ -7,14 +7,15 @@
 	"lemonmoor/internal/tuning"
 )
 
-// garbage is the task records of jobs that are over. They are removed a few at a time, so
-// that dispatch and ends of jobs keep the state service's writes.
+// garbage holds the keys of the task records of finished jobs. The records are removed a few at
+// a time, so that the state service has enough writes left for dispatches and ends of jobs.
 type garbage struct {
 	keys        []string
-	collectedAt time.Duration // when the last ones were removed
+	collectedAt time.Duration // time of the last removal, by the loop's clock
 }
 
-// collectRecords removes records of jobs that are over, with a part of the writes.
+// collectRecords removes some records of finished jobs, once per tuning.RecordSweepInterval and
+// within tuning.RecordSweepWriteShare of the state service's writes.
 func (l *Leader) collectRecords() {
 	now := l.runtime.Now()
 	if len(l.garbage.keys) == 0 || now-l.garbage.collectedAt < tuning.RecordSweepInterval {
@@ -34,8 +35,8 @@
 	})
 }
 
-// nextRemovals takes as many records as one commit may remove; those that are gone already
-// are passed over.
+// nextRemovals removes keys from the garbage and returns the operations that delete their
+// records, at most as many as one commit may have. Records that no longer exist are skipped.
 func (l *Leader) nextRemovals() []statestore.Operation {
 	writes := l.settings.Deployment.State.WriteRPS * l.state.WriteShare() * tuning.RecordSweepWriteShare * tuning.RecordSweepInterval.Seconds()
 	maxOperations := min(l.state.MaxOperations(), max(1, int(writes)))
--- a/internal/leader/job_end.go
+++ b/internal/leader/job_end.go
@@ -9,11 +9,11 @@
 	"lemonmoor/internal/userapi"
 )
 
-// endQueue holds the jobs of which nothing is left to run, until their ends are committed.
+// endQueue holds the jobs that have no tasks left to run, until their ends are committed.
 type endQueue struct {
 	jobs []*jobState
-	// onePerCommit has each end committed by itself: a condition of the last commit has failed,
-	// and one job must not hold up the others.
+	// onePerCommit is set after a condition of the last commit has failed. Each end is then
+	// committed separately, so that one job cannot hold up the others.
 	onePerCommit bool
 }
 
@@ -24,7 +24,7 @@
 	jobs       []*jobState
 }
 
-// endIfComplete queues a job's end once nothing of it is left to run.
+// endIfComplete queues the end of a job if the job is complete and its end is not queued yet.
 func (l *Leader) endIfComplete(job *jobState) {
 	if job.ending || !job.isComplete() {
 		return
@@ -33,8 +33,8 @@
 	l.ends.jobs = append(l.ends.jobs, job)
 }
 
-// commitEnds commits the ends of jobs, several at a time, and reports whether a commit was
-// sent.
+// commitEnds commits the ends of queued jobs, several in one commit, and reports whether a
+// commit was sent.
 func (l *Leader) commitEnds() bool {
 	commit := l.nextEndCommit()
 	if len(commit.operations) == 0 {
@@ -55,7 +55,8 @@
 				}
 			})
 		case statestore.OutcomeConflict, statestore.OutcomeUnknown, statestore.OutcomeGone, statestore.OutcomeInvalid:
-			// Cancelled in the meantime, or carried out unseen.
+			// The jobs may have been cancelled in the meantime, or the commit may have been
+			// carried out although no answer arrived.
 			for _, job := range commit.jobs {
 				l.recheckEnd(job)
 			}
@@ -64,7 +65,8 @@
 	return true
 }
 
-// nextEndCommit takes as many jobs out of the queue as one commit ends.
+// nextEndCommit removes jobs from the queue and returns a transaction that ends them, with as
+// many jobs as fit.
 func (l *Leader) nextEndCommit() *endCommit {
 	commit := &endCommit{}
 	maxOperations := l.state.MaxOperations()
@@ -83,7 +85,8 @@
 	return commit
 }
 
-// endsCommitted has users told of the ends, which are durable now.
+// endsCommitted updates the catalog, from which users are answered, now that the ends are
+// durable.
 func (l *Leader) endsCommitted(commit *endCommit, revision uint64) {
 	for _, operation := range commit.operations {
 		if id, ok := strings.CutPrefix(operation.PutKey, userapi.KeyPrefix); ok {
@@ -99,7 +102,8 @@
 	}
 }
 
-// recheckEnd checks a job again when the copies are verified to be current.
+// recheckEnd calls endIfComplete for a job after the copies of records and jobs have been
+// verified, or could not be.
 func (l *Leader) recheckEnd(job *jobState) {
 	check := l.terms.Guard(func() {
 		if l.jobs.has(job) {
@@ -111,16 +115,16 @@
 	})
 }
 
-// addEnd adds the operations that end a job, at most so many. Of a job that is done that is
-// the phase that its user will be told; its records are removed when there is time for it:
-// in one commit with them the ends of a backlog took the writes of twenty seconds, and
-// nothing was dispatched meanwhile. Of a cancelled one it is the removal of its records, as
-// many as the commit takes.
+// addEnd adds at most maxOperations operations that end a job. For a job that is done, that is
+// the update of its phase, which its user is told. Its records are removed later (see garbage):
+// removals in the same commit would let the ends of a backlog use up the writes of twenty
+// seconds, in which nothing could be dispatched. For a cancelled job, the operations remove its
+// records, as many as fit into the commit.
 func (l *Leader) addEnd(commit *endCommit, job *jobState, maxOperations int) {
 	job.ending = false
 	for _, record := range l.unseenRecords {
 		if record.Job == job.entry.ID {
-			return // checked again when the record shows up
+			return // RecordAdded checks the job again when the watch reports the record
 		}
 	}
 	operationsBefore := len(commit.operations)
@@ -135,8 +139,9 @@
 	}
 }
 
-// addDonePhase adds the operation that makes a job done. Its tasks are counted once more,
-// each by its index: a job is never called done before all of its tasks are.
+// addDonePhase adds the operation that sets the phase of a job to done. It counts the done
+// tasks again, by index: a task that is done in two records counts twice in taskCounts, and a
+// job must not be reported done before all of its tasks are.
 func (l *Leader) addDonePhase(commit *endCommit, job *jobState) {
 	id := job.entry.ID
 	entry := l.catalog.Get(id)
@@ -153,7 +158,7 @@
 	commit.operations = append(commit.operations, statestore.Operation{PutKey: key, Value: value})
 }
 
-// countDoneTasks counts the tasks that any of the job's records calls done.
+// countDoneTasks returns how many tasks of a job are done in at least one of its records.
 func (l *Leader) countDoneTasks(job *jobState) int {
 	done := make(map[int]bool, job.spec.Tasks)
 	for _, record := range l.records.JobRecords(job.entry.ID) {
@@ -166,8 +171,8 @@
 	return len(done)
 }
 
-// addRecordRemovals adds the removal of records of a cancelled job. A job without any is
-// forgotten.
+// addRecordRemovals adds the removal of at most maxOperations records of a cancelled job. A job
+// without records is removed from the job table.
 func (l *Leader) addRecordRemovals(commit *endCommit, job *jobState, maxOperations int) {
 	records := l.records.JobRecords(job.entry.ID)
 	if len(records) == 0 {
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -8,18 +8,18 @@
 	"lemonmoor/internal/userapi"
 )
 
-// jobState is what the leader knows of an unfinished job.
+// jobState is the leader's state of an unfinished job.
 type jobState struct {
 	entry      *userapi.Entry
 	spec       *jobs.Spec
-	team       *teamUsage // nil if the settings don't name the team
+	team       *teamUsage // nil if the team is not in the settings
 	rank       jobs.Rank
-	position   int      // in the dispatch order, as of the newest round
-	zones      []string // its tasks are bound to them in turn; empty: to none
+	position   int      // place in the dispatch order of the latest round, from 0
+	zones      []string // zones to which the tasks are bound in turn; empty: not bound
 	nextRecord int      // number of the next task record
 	cancelled  bool
 	ending     bool // the commit of its end is queued or in flight
-	starved    bool // has waited too long for its first task
+	starved    bool // has waited too long for its first task to be placed
 	pending    taskQueue
 	counts     taskCounts
 	gang       gangState
@@ -28,32 +28,32 @@
 // taskCounts counts the tasks of a job that have been dispatched to shards.
 type taskCounts struct {
 	open           int   // dispatched, neither done nor returned
-	placed         int   // open and on a machine
+	placed         int   // open and placed on a machine
 	done           int   // completed
-	waitingByShard []int // open and in a shard's queue
+	waitingByShard []int // open and in the queue of a shard
 }
 
-// gangState is what the leader knows of a job of shape gang besides.
+// gangState is additional state of a job of shape gang. Times are by the loop's clock.
 type gangState struct {
-	// partReturnedSince is since when only a part of the gang has been returned, 0 if
-	// none or all of it has.
+	// partReturnedSince is the time since which only a part of the gang has been returned,
+	// 0 if none or all of it has been.
 	partReturnedSince time.Duration
-	dispatchedAt      time.Duration // the last time
+	dispatchedAt      time.Duration // time of the last dispatch
 }
 
-// taskQueue holds the tasks of a job that no shard has: those that shards have returned go
-// first, then the ones never dispatched.
+// taskQueue holds the tasks of a job that are not dispatched to a shard: first the tasks that
+// shards have returned, then those that were never dispatched.
 type taskQueue struct {
-	total    int            // tasks of the job
-	nextNew  int            // first task never dispatched
-	returned []int          // returned by shards, in ascending order
-	attempts map[int]uint64 // last attempts of tasks that were returned
+	total    int            // number of tasks of the job
+	nextNew  int            // index of the first task that was never dispatched
+	returned []int          // indexes of returned tasks, in ascending order
+	attempts map[int]uint64 // number of the last attempt of each returned task
 }
 
-// length returns how many tasks are to be dispatched.
+// length returns the number of tasks in the queue.
 func (q *taskQueue) length() int { return len(q.returned) + q.total - q.nextNew }
 
-// at returns the task with so many others before it in the queue.
+// at returns the index of the task at an offset from the head of the queue.
 func (q *taskQueue) at(offset int) int {
 	if offset < len(q.returned) {
 		return q.returned[offset]
@@ -61,7 +61,8 @@
 	return q.nextNew + offset - len(q.returned)
 }
 
-// pop takes the next task out of the queue; retried: a shard has returned it before.
+// pop removes the next task from the queue and returns its index, and whether a shard has
+// returned the task before.
 func (q *taskQueue) pop() (index int, retried bool) {
 	index = q.at(0)
 	if len(q.returned) > 0 {
@@ -72,8 +73,8 @@
 	return index, false
 }
 
-// tasksByZone counts how many of the next so many tasks must go to each of the zones; ""
-// stands for any.
+// tasksByZone returns how many of the next count tasks are bound to each of the zones, or to
+// any zone ("") if there are none.
 func (q *taskQueue) tasksByZone(zones []string, count int) map[string]int {
 	byZone := map[string]int{}
 	for offset := range count {
@@ -82,20 +83,20 @@
 	return byZone
 }
 
-// isComplete reports whether nothing of the job is left to run, so that its end can be
+// isComplete reports whether the job has no tasks left to run, so that its end can be
 // committed.
 func (j *jobState) isComplete() bool {
 	if j.cancelled {
-		// The shard owner has to write off every task before the record may go: a
-		// placement that is on its way to the state service would be lost.
+		// The shard owner has to write off every task before its record may be removed.
+		// Otherwise a placement that is on its way to the state service would be lost.
 		return j.counts.open == 0
 	}
 	return !j.spec.IsService() && j.counts.done >= j.spec.Tasks && j.counts.open == 0
 }
 
-// updateStarved notes whether the job waits too long for its first task, and reports
-// whether that has changed: a job that nothing has been done for is not passed over for
-// ever.
+// updateStarved sets starved if no task of the job is placed or done and the age of the job
+// exceeds the limit, and resets it once a task is. It reports whether starved has changed. Starved
+// jobs are dispatched first, so that no job is passed over for ever.
 func (j *jobState) updateStarved(age time.Duration, limit time.Duration) bool {
 	begun := j.counts.placed+j.counts.done > 0
 	switch {
@@ -109,7 +110,7 @@
 	return true
 }
 
-// jobBefore orders jobs as the shard owners order them.
+// jobBefore reports whether a is dispatched before b. Shard owners use the same order.
 func jobBefore(a, b *jobState) bool {
 	if a.starved != b.starved {
 		return a.starved
--- a/internal/leader/job_table.go
+++ b/internal/leader/job_table.go
@@ -18,24 +18,25 @@
 
 func newJobTable() jobTable { return jobTable{byID: map[string]*jobState{}} }
 
-// add takes a job in.
+// add adds a job to the table.
 func (t *jobTable) add(job *jobState) {
 	t.byID[job.entry.ID] = job
 	t.ordered = append(t.ordered, job)
 	t.needsSort = true
 }
 
-// remove forgets a job.
+// remove removes a job from the table.
 func (t *jobTable) remove(job *jobState) {
 	delete(t.byID, job.entry.ID)
 	t.ordered = slices.DeleteFunc(t.ordered, func(other *jobState) bool { return other == job })
 }
 
-// has reports whether this state of a job is still the current one.
+// has reports whether the table contains this job state, which may have been removed or
+// replaced since the caller got it.
 func (t *jobTable) has(job *jobState) bool { return t.byID[job.entry.ID] == job }
 
-// sort brings the jobs into the order in which they are dispatched at a time of day, in
-// milliseconds since the epoch.
+// sort updates the ranks of the jobs and sorts them into dispatch order. nowMS is the time of
+// day in milliseconds since the epoch.
 func (t *jobTable) sort(nowMS int64, settings *settings.Settings) {
 	for _, job := range t.ordered {
 		age := time.Duration(nowMS-job.entry.SubmittedMS) * time.Millisecond
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,16 +1,20 @@
-// Package leader is the leader's one job: it dispatches the tasks of jobs to the shards of
-// machines, by cached image and by room and within the teams' quotas, recalls waiting ones
-// for shards with room, and commits the ends of jobs.
+// Package leader implements the work of the controller that holds the leadership. It
+// dispatches the tasks of jobs to shards of machines, by cached image and free capacity and
+// within the quotas of teams, recalls waiting tasks for shards with room, and commits the ends
+// of jobs.
 //
-// It owns what it derives from the jobs and the task records for the length of a term: the
-// tasks of each job that no shard has, the quotas in use and the loads of the machines. All
-// of it is durable elsewhere and is read anew at the start of a term. It commits task
-// records (made and removed) and the final phase of jobs that are done.
+// It owns the state that it derives from the jobs and the task records during a term: the
+// tasks of each job that are not dispatched, the quotas in use and the loads of the machines.
+// All of it is durable elsewhere and is derived again at the start of each term. The package
+// commits the creation and removal of task records and the final phase of jobs that are done.
 //
-// It must never dispatch or end anything before the copies of jobs and records are verified
-// to be current, commit without the condition on the leader's lease, let a team's open tasks
-// exceed its quota, call a job done of which a task is not, or remove a record before the
-// shard's owner has written every task in it off.
+// It must never
+//   - dispatch tasks or end jobs before the copies of jobs and records are verified to be
+//     current,
+//   - commit without the condition on the leader's lease,
+//   - let the open tasks of a team exceed its quota,
+//   - commit a job as done while one of its tasks is not,
+//   - remove a record before the shard's owner has written off every task in it.
 package leader
 
 import (
@@ -30,15 +34,15 @@
 	"lemonmoor/internal/userapi"
 )
 
-// Dependencies are what a leader works with.
+// Dependencies are the components that a leader uses.
 type Dependencies struct {
 	Runtime  eventloop.Runtime
 	State    *statestore.Client
 	Leases   *statestore.LeaseManager
-	Catalog  *userapi.Catalog // the copy of the jobs
-	Records  *taskstate.Store // the copy of the task records
+	Catalog  *userapi.Catalog // local copy of the jobs
+	Records  *taskstate.Store // local copy of the task records
 	Fleet    *fleet.Fleet
-	Machines *MachineUsage // kept current by the leader, read by the fleet
+	Machines *MachineUsage // updated by the leader, read by the fleet
 	Settings *settings.Settings
 	Log      *slog.Logger
 }
@@ -55,22 +59,23 @@
 	settings *settings.Settings
 	log      *slog.Logger
 
-	terms    term.Counter // a term begins with every leadership won, and when one is lost
-	loaded   bool         // all jobs and records of the term are known
+	terms    term.Counter // advances when the leadership is won and when it is lost
+	loaded   bool         // state is derived from verified copies of jobs and records
 	jobs     jobTable
 	teams    map[string]*teamUsage
 	machines *MachineUsage
 	gangs    gangforecast.Forecast
 	pacing   pacing
 	commits  committer
-	// unseenRecords are those committed, or about to be, that the watch has not brought in.
+	// unseenRecords are the records whose commit is answered or in progress but which the
+	// watch has not reported yet, by key.
 	unseenRecords map[string]*taskstate.Record
 	recalls       recallRequests
 	ends          endQueue
 	garbage       garbage
 }
 
-// New returns a leader without the leadership.
+// New returns a Leader that does not hold the leadership.
 func New(dependencies Dependencies) *Leader {
 	l := &Leader{
 		runtime: dependencies.Runtime, state: dependencies.State, leases: dependencies.Leases, catalog: dependencies.Catalog,
@@ -82,7 +87,7 @@
 	return l
 }
 
-// EndTerm forgets everything: the leadership is lost.
+// EndTerm discards all state of the term after the leadership was lost.
 func (l *Leader) EndTerm() {
 	l.terms.Advance()
 	l.loaded = false
@@ -97,15 +102,17 @@
 	l.ends.jobs, l.garbage.keys = nil, nil
 }
 
-// BeginTerm starts a term under a fencing token: earlier leaders' commits fail from now on,
-// so the records verified to be current are all that has been dispatched.
+// BeginTerm starts a term under a fencing token. It loads the state once the copies of records
+// and jobs are verified to be current. Commits of earlier leaders fail from now on, so the
+// verified records show all dispatched tasks.
 func (l *Leader) BeginTerm(token uint64) {
 	l.EndTerm()
 	l.commits.begin(token)
 	l.state.VerifyUntilCurrent(&l.terms, l.load, l.records, l.catalog)
 }
 
-// IsLoaded reports whether the leader knows all jobs and records of its term.
+// IsLoaded reports whether the state of the term has been derived from verified copies of the
+// jobs and records.
 func (l *Leader) IsLoaded() bool { return l.loaded }
 
 // load derives the state of the term from the copies of jobs and records.
@@ -119,7 +126,7 @@
 			continue
 		}
 		if job.counts.open == 0 && job.counts.done == 0 {
-			job.zones = nil // all of it is off its machines: it may go elsewhere
+			job.zones = nil // no task is on a machine, so the gang may be dispatched to other zones
 		}
 		l.observeGang(job)
 	}
@@ -130,7 +137,8 @@
 	l.log.Info("leadership begins", "token", l.commits.token, "jobs", len(l.jobs.byID))
 }
 
-// loadRecord takes a record in that an earlier term has made.
+// loadRecord counts the tasks of a record that was created in an earlier term. A record whose
+// job has ended is added to the garbage.
 func (l *Leader) loadRecord(record *taskstate.Record) {
 	job := l.jobs.byID[record.Job]
 	if job == nil {
@@ -150,7 +158,7 @@
 	}
 }
 
-// loadReturned finds the tasks of a job that its newest records call returned.
+// loadReturned queues the tasks of a job whose newest record has them as returned.
 func (l *Leader) loadReturned(job *jobState) {
 	records := make([]*taskstate.Record, 0, 4)
 	for _, record := range l.records.JobRecords(job.entry.ID) {
@@ -160,7 +168,8 @@
 	queue := &job.pending
 	for _, record := range records {
 		for position, index := range record.TaskIndexes {
-			// A task may have been returned more than once.
+			// A task may be in several records, since it may have been returned more than
+			// once: the newest record decides.
 			if status := record.Statuses[position]; status.State == taskstate.StateReturned {
 				queue.attempts[index] = status.Attempt
 			} else {
@@ -174,7 +183,7 @@
 	slices.Sort(queue.returned)
 }
 
-// addJob takes an unfinished job in.
+// addJob adds an unfinished job to the job table.
 func (l *Leader) addJob(entry *userapi.Entry) *jobState {
 	spec := entry.Spec
 	job := &jobState{
@@ -187,11 +196,12 @@
 	return job
 }
 
-// RequestRound has the next AfterBatch evaluate all jobs and machines again.
+// RequestRound requests a dispatch round, which evaluates all jobs and machines again. A later
+// AfterBatch runs it.
 func (l *Leader) RequestRound() { l.pacing.requested = true }
 
-// AfterBatch dispatches and commits what is due. The event loop calls it after every batch
-// of events.
+// AfterBatch commits ends of jobs, runs a dispatch round or removes records, whichever is due,
+// and sends at most one commit. The event loop calls it after every batch of events.
 func (l *Leader) AfterBatch() {
 	if !l.loaded || !l.leases.LeaseValid() || l.commits.busy || !l.hasWork() {
 		return
@@ -214,12 +224,13 @@
 	l.collectRecords()
 }
 
-// hasWork reports whether there may be anything to dispatch or to commit.
+// hasWork reports whether there may be tasks to dispatch or anything to commit.
 func (l *Leader) hasWork() bool {
 	return l.pacing.requested || len(l.ends.jobs) > 0 || len(l.garbage.keys) > 0
 }
 
-// wakeAfter has the event loop come back, since nothing else may happen until then.
+// wakeAfter sets a timer, unless one is set, so that the event loop calls AfterBatch after the
+// given time even if there are no other events.
 func (l *Leader) wakeAfter(wait time.Duration) {
 	if l.pacing.timerSet {
 		return
@@ -228,9 +239,10 @@
 	l.runtime.After(wait, l.terms.Guard(func() { l.pacing.timerSet = false }))
 }
 
-// commitAnswered requests a round: what the commit held up may go on.
+// commitAnswered implements commitObserver. It requests a round for the work that the commit
+// has delayed.
 func (l *Leader) commitAnswered() { l.RequestRound() }
 
-// tokenRejected starts the term anew. If another node leads by now, the watch of the leases
-// ends it.
+// tokenRejected implements commitObserver. It starts a new term under the same token. If
+// another node leads by now, the watch of the leases ends that term.
 func (l *Leader) tokenRejected() { l.BeginTerm(l.commits.token) }
--- a/internal/leader/machine_usage.go
+++ b/internal/leader/machine_usage.go
@@ -11,50 +11,50 @@
 	"lemonmoor/internal/workers"
 )
 
-// MachineUsage holds what the task records say of the machines: what the tasks placed on
-// each take, and which images they have brought there. The leader keeps it current while
-// it leads; the fleet reads the loads.
+// MachineUsage holds the usage of machines that is derived from the task records: the
+// resources that the tasks placed on each machine use, and the images that they have caused it
+// to cache. The leader updates it during its term; the fleet reads the loads.
 type MachineUsage struct {
 	shards            int
-	loads             map[string]*machineLoad // by worker ID; none: nothing is placed there
-	placementsByImage map[string][]int        // placements of tasks so far in the term, by image and shard
+	loads             map[string]*machineLoad // by worker ID; no entry if no task is placed there
+	placementsByImage map[string][]int        // number of placements in the term, by image and shard
 	caches            map[string]*machineCache
 	cachesPrunedAt    time.Duration
 }
 
 var _ fleet.LoadSource = (*MachineUsage)(nil)
 
-// NewMachineUsage returns the usage of machines that are divided into so many shards, with
-// nothing placed on them.
+// NewMachineUsage returns the usage of machines without any tasks. shards is the number of
+// shards into which the machines are divided.
 func NewMachineUsage(shards int) *MachineUsage {
 	usage := &MachineUsage{shards: shards}
 	usage.reset()
 	return usage
 }
 
-// machineLoad is what the tasks placed on a machine take.
+// machineLoad is the sum of the resources that the tasks placed on a machine use.
 type machineLoad struct {
 	tasks          int
 	used           resource.Vector
-	movableCPUs    float64 // of tasks that any spot machine could run
-	serviceCPUs    float64 // of replicas of services
+	movableCPUs    float64 // processors of tasks that could run on any spot machine
+	serviceCPUs    float64 // processors of replicas of services
 	cpusByPriority [jobs.PriorityCritical + 1]float64
 }
 
-// machineCache is what a machine caches, inferred from the tasks that this leader has seen
-// placed there.
+// machineCache is the image cache of a machine, inferred from the tasks that were placed there
+// during this term.
 type machineCache struct {
 	images      workers.ImageCache
 	machineType *jobs.MachineType // nil until the machine is known
-	seenAt      time.Duration     // when the machine was last available
+	seenAt      time.Duration     // when the machine was last available, by the loop's clock
 }
 
-// reset forgets all placements.
+// reset discards all loads, placements and caches.
 func (u *MachineUsage) reset() {
 	u.loads, u.placementsByImage, u.caches = map[string]*machineLoad{}, map[string][]int{}, map[string]*machineCache{}
 }
 
-// MachineLoad returns what the tasks placed on a machine take.
+// MachineLoad returns the processors that the tasks placed on a machine use.
 func (u *MachineUsage) MachineLoad(machineID string) fleet.MachineLoad {
 	if load := u.loads[machineID]; load != nil {
 		return fleet.MachineLoad{CPUs: load.used.CPUs, MovableCPUs: load.movableCPUs, ServiceCPUs: load.serviceCPUs, CPUsByPriority: load.cpusByPriority}
@@ -62,7 +62,7 @@
 	return fleet.MachineLoad{}
 }
 
-// available returns what a machine of a type has left.
+// available returns the free resources of a machine of the given type.
 func (u *MachineUsage) available(machineID string, machineType *jobs.MachineType) resource.Vector {
 	available := machineType.Resources()
 	if load := u.loads[machineID]; load != nil {
@@ -71,8 +71,8 @@
 	return available
 }
 
-// observe notes that a machine of a type is available, and returns its cache, nil if
-// nothing is known of that.
+// observe records that a machine of the given type is available. It returns the machine's
+// cache, nil if no cached image is known.
 func (u *MachineUsage) observe(machineID string, machineType *jobs.MachineType, now time.Duration) *machineCache {
 	cache := u.caches[machineID]
 	if cache != nil {
@@ -81,7 +81,8 @@
 	return cache
 }
 
-// homeShard returns the shard where most tasks with the image were placed, -1 if none was.
+// homeShard returns the shard in which the most tasks with the image were placed in the term,
+// -1 if none was.
 func (u *MachineUsage) homeShard(image string) int {
 	placements := u.placementsByImage[image]
 	home := -1
@@ -93,7 +94,7 @@
 	return home
 }
 
-// count adds a placed task (sign 1), or takes it off (sign -1).
+// count adds a placed task (sign 1) or subtracts it (sign -1).
 func (u *MachineUsage) count(spec *jobs.Spec, shard int, workerID string, sign int) {
 	load := u.loads[workerID]
 	if load == nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// recordPlacement notes that a machine of the shard fetches the job's image.
+// recordPlacement counts a placement and records that the machine fetches the job's image.
 func (u *MachineUsage) recordPlacement(spec *jobs.Spec, shard int, workerID string) {
 	placements := u.placementsByImage[spec.Image]
 	if placements == nil {
@@ -140,7 +141,8 @@
 	cache.images.Use(spec.Image, spec.ImageGB, cache.machineType)
 }
 
-// pruneCaches forgets, once in a while, what machines cached that are long gone.
+// pruneCaches removes the caches of machines that have not been available for
+// tuning.ReleasedMachineMemory. It does so once in that period.
 func (u *MachineUsage) pruneCaches(now time.Duration) {
 	if now-u.cachesPrunedAt <= tuning.ReleasedMachineMemory {
 		return
@@ -153,19 +155,19 @@
 	}
 }
 
-// isMovable reports whether a job's tasks can as well run on spot machines.
+// isMovable reports whether the tasks of a job could run on any spot machine.
 func isMovable(spec *jobs.Spec) bool {
 	return spec.Spot && !spec.IsService() && !spec.IsGang() && spec.MachineTypes == nil && spec.Zone == "" && !spec.SameZone && !spec.Spread
 }
 
-// countRecord adds the tasks of a record to all sums (sign 1), or takes them off (sign -1).
+// countRecord adds the tasks of a record to all sums (sign 1) or subtracts them (sign -1).
 func (l *Leader) countRecord(job *jobState, record *taskstate.Record, sign int) {
 	for _, status := range record.Statuses {
 		l.countTask(job, record.Shard, status, sign)
 	}
 }
 
-// countTask adds a task to the sums of its job, team and machine (sign 1), or takes it off
+// countTask adds a task to the sums of its job, team and machine (sign 1) or subtracts it
 // (sign -1).
 func (l *Leader) countTask(job *jobState, shard int, status taskstate.TaskStatus, sign int) {
 	counts := &job.counts
--- a/internal/leader/queries.go
+++ b/internal/leader/queries.go
@@ -8,13 +8,13 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// CPUsPlacedOn returns how many processors the tasks placed on a machine take.
+// CPUsPlacedOn returns how many processors the tasks placed on a machine use.
 func (l *Leader) CPUsPlacedOn(machineID string) float64 {
 	return l.machines.MachineLoad(machineID).CPUs
 }
 
-// CapacityFor returns how many tasks of a job the machines that are up have room for, in a
-// zone or, if that is empty, anywhere.
+// CapacityFor returns for how many tasks of a job the machines that are up have room, in a zone
+// or, if zone is empty, in all zones.
 func (l *Leader) CapacityFor(spec *jobs.Spec, zone string) int {
 	tasks := 0
 	l.fleet.EachAvailable(func(machine *fleet.AvailableMachine) {
@@ -25,11 +25,11 @@
 	return tasks
 }
 
-// TaskStatus returns what the records say of a task; false if none names it.
+// TaskStatus returns the status of a task in its newest record, and whether any record has it.
 func (l *Leader) TaskStatus(job string, index int) (status taskstate.TaskStatus, found bool) {
 	newest := -1
 	for _, record := range l.records.JobRecords(job) {
-		// A task that was returned is in a later record.
+		// A task that was returned and dispatched again is in a later record too.
 		position, named := slices.BinarySearch(record.TaskIndexes, index)
 		if named && record.Number > newest {
 			status, newest = record.Statuses[position], record.Number
@@ -38,7 +38,7 @@
 	return status, newest >= 0
 }
 
-// EachPlacement calls fn for all tasks that are placed on machines.
+// EachPlacement calls fn for each task that is placed on a machine.
 func (l *Leader) EachPlacement(fn func(spec *jobs.Spec, status taskstate.TaskStatus)) {
 	l.records.EachRecord(func(record *taskstate.Record) {
 		job := l.jobs.byID[record.Job]
@@ -53,7 +53,8 @@
 	})
 }
 
-// EachReturnedTask calls fn for each task that has had an attempt and that no shard has now.
+// EachReturnedTask calls fn for each returned task of a job that is not cancelled, if the task
+// has had an attempt and has not been dispatched again.
 func (l *Leader) EachReturnedTask(fn func(spec *jobs.Spec, index int)) {
 	for _, job := range l.jobs.ordered {
 		if job.cancelled {
--- a/internal/leader/recall.go
+++ b/internal/leader/recall.go
@@ -7,11 +7,11 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// recallRequests says how many waiting tasks of which jobs the owners of shards are asked
-// to return. Owners fetch them with the answers to their status messages.
-type recallRequests map[int]map[string]int // by shard and job
+// recallRequests holds the number of waiting tasks that the owners of shards are asked to
+// return, by shard and job. Owners receive them in the answers to their status messages.
+type recallRequests map[int]map[string]int
 
-// ofShard returns the requests to a shard.
+// ofShard returns the requests to a shard, by job. The caller may add to them.
 func (r recallRequests) ofShard(shard int) map[string]int {
 	if r[shard] == nil {
 		r[shard] = map[string]int{}
@@ -19,7 +19,7 @@
 	return r[shard]
 }
 
-// pop returns the requests to a shard in the order of the jobs' IDs, and forgets them.
+// pop removes the requests to a shard and returns them, sorted by job ID.
 func (r recallRequests) pop(shard int) []fleet.Recall {
 	var list []fleet.Recall
 	for job, tasks := range r[shard] {
@@ -30,18 +30,18 @@
 	return list
 }
 
-// TakeRecalls takes what a shard's owner is asked to return.
+// TakeRecalls removes and returns the requests to the owner of a shard to return tasks.
 func (l *Leader) TakeRecalls(shard int) []fleet.Recall { return l.recalls.pop(shard) }
 
-// shardQueue is tasks of a job that wait in a shard, all of them bound to one zone or to
-// none.
+// shardQueue is the number of tasks of a job that wait in a shard and are bound to the same
+// zone, "" if they are not bound to one.
 type shardQueue struct {
 	shard int
 	zone  string
 	tasks int
 }
 
-// queuedTasks tells where tasks of a job wait.
+// queuedTasks returns how many tasks of a job wait, by shard and zone.
 func (l *Leader) queuedTasks(job *jobState) []shardQueue {
 	if len(job.zones) > 1 {
 		return l.queuedTasksByZone(job)
@@ -55,8 +55,8 @@
 	return queues
 }
 
-// queuedTasksByZone is queuedTasks for a job whose tasks are bound to several zones: only
-// its records say which of them wait.
+// queuedTasksByZone is queuedTasks for a job whose tasks are bound to several zones. It reads
+// the job's records, since only they show which tasks wait.
 func (l *Leader) queuedTasksByZone(job *jobState) []shardQueue {
 	counts := map[shardQueue]int{}
 	add := func(record *taskstate.Record) {
@@ -81,8 +81,8 @@
 	return queues
 }
 
-// recallFrom asks a shard to return up to limit waiting tasks of a job when other shards
-// have room for them on machines that are up, and returns how many.
+// recallFrom requests that a shard returns up to limit waiting tasks of a job, as many as other
+// shards have room for on machines that are up. It returns the number of tasks recalled.
 func (r *dispatchRound) recallFrom(queue shardQueue, job *jobState, limit int) int {
 	if len(r.capacity.totalCPUs) == 1 {
 		return 0
