--- a/internal/leader/capacity_test.go
+++ b/internal/leader/capacity_test.go
@@ -11,7 +11,7 @@
 	"lemonmoor/internal/resource"
 )
 
-// drawCapacityView draws machines of two types with some room left on them.
+// drawCapacityView draws groups of machines of two types, each machine with some free capacity.
 func drawCapacityView(t *rapid.T) *capacityView {
 	view := &capacityView{totalCPUs: make([]float64, 2), queuedCPUs: make([]float64, 2)}
 	types := []*jobs.MachineType{
@@ -39,20 +39,21 @@
 	return view
 }
 
-// freeCPUs sums up what the machines of a group have left.
+// freeCPUs returns the free processors of the machines of a group. It fails the test if a
+// machine has negative free capacity.
 func freeCPUs(t *rapid.T, group *machineGroup) float64 {
 	sum := 0.0
 	for _, machine := range group.machines {
 		if machine.available.CPUs < -resource.Epsilon || machine.available.MemoryGB < -resource.Epsilon {
-			t.Fatalf("a machine is left with %+v", machine)
+			t.Fatalf("free capacity of a machine is %+v, want no negative value", machine)
 		}
 		sum += machine.available.CPUs
 	}
 	return sum
 }
 
-// TestAllocateUsesAllSuitableRoom: a job gets room for as many tasks as there is, on machines that it
-// may use, and never more than a machine holds.
+// TestAllocateUsesAllSuitableRoom guards against a job that gets less room than its machines
+// have, room on machines that it may not use, or more than a machine has.
 func TestAllocateUsesAllSuitableRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawCapacityView(t)
@@ -81,24 +82,24 @@
 		allocated := view.allocate(job, set, limit, func(shard, tasks int) {
 			reported += tasks
 			if set.shard >= 0 && shard != set.shard {
-				t.Fatalf("shard %d gave room, %d was asked", shard, set.shard)
+				t.Fatalf("allocated room in shard %d, want only shard %d", shard, set.shard)
 			}
 		})
 		if allocated != min(limit, room) || reported != allocated {
-			t.Fatalf("%d tasks, room for %d: %d taken, %d reported", limit, room, allocated, reported)
+			t.Fatalf("limit %d, room for %d tasks: allocated %d, reported %d by callback, want %d", limit, room, allocated, reported, min(limit, room))
 		}
 		used := 0.0
 		for _, group := range view.groups {
 			freeAfter := freeCPUs(t, group)
 			if !usable(group) && math.Abs(freeAfter-freeBefore[group]) > 1e-6 {
-				t.Fatal("room was taken on machines that the job may not use")
+				t.Fatalf("free processors of a group that the job may not use went from %g to %g, want no change", freeBefore[group], freeAfter)
 			}
 			if usable(group) {
-				used += freeBefore[group] - freeAfter // less what full machines had left
+				used += freeBefore[group] - freeAfter // includes the remainder of machines removed as full
 			}
 		}
 		if used < float64(allocated)*job.spec.CPUs-1e-6 {
-			t.Fatalf("%d tasks of %g processors took %g", allocated, job.spec.CPUs, used)
+			t.Fatalf("%d tasks of %g processors used %g processors, want at least %g", allocated, job.spec.CPUs, used, float64(allocated)*job.spec.CPUs)
 		}
 	})
 }
--- a/internal/leader/job_state_test.go
+++ b/internal/leader/job_state_test.go
@@ -11,8 +11,8 @@
 	"lemonmoor/internal/jobs"
 )
 
-// TestTaskQueueLosesNoTask: every task is dispatched once, returned ones before new ones, and
-// the queue tells beforehand in which order.
+// TestTaskQueueLosesNoTask guards against tasks that are lost or dispatched twice when tasks
+// are popped and returned in any order, and against at and pop disagreeing on the order.
 func TestTaskQueueLosesNoTask(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 30).Draw(t, "tasks")
@@ -33,15 +33,15 @@
 			next, last, length := queue.at(0), queue.at(queue.length()-1), queue.length()
 			index, _ := queue.pop()
 			if index != next || dispatched[index] || last >= total {
-				t.Fatalf("dispatched %d, announced %d, the last is %d of %d", index, next, last, total)
+				t.Fatalf("pop returned task %d (popped before: %v), at(0) %d; the last task in the queue is %d, want one below %d", index, dispatched[index], next, last, total)
 			}
 			if queue.length() != length-1 {
-				t.Fatalf("%d tasks left of %d", queue.length(), length)
+				t.Fatalf("queue length after pop is %d, want %d", queue.length(), length-1)
 			}
 			dispatched[index] = true
 		}
 		if queue.length()+len(dispatched) != total || !slices.IsSorted(queue.returned) {
-			t.Fatalf("%d queued, %d dispatched of %d, returned %v", queue.length(), len(dispatched), total, queue.returned)
+			t.Fatalf("%d tasks queued and %d dispatched, want %d in total; returned tasks are %v, want them sorted", queue.length(), len(dispatched), total, queue.returned)
 		}
 	})
 }
@@ -68,7 +68,7 @@
 				counts: taskCounts{open: test.open, done: test.done},
 			}
 			if got := job.isComplete(); got != test.complete {
-				t.Errorf("complete: %v, want %v", got, test.complete)
+				t.Errorf("isComplete() = %v, want %v", got, test.complete)
 			}
 		})
 	}
@@ -80,13 +80,13 @@
 	recalls.ofShard(1)["wk-1"] = 5
 	recalls.ofShard(0)["wk-9"] = 1
 	if got, want := recalls.pop(1), []fleet.Recall{{Job: "wk-1", Tasks: 5}, {Job: "wk-2", Tasks: 3}}; !slices.Equal(got, want) {
-		t.Errorf("taken %v, want %v", got, want)
+		t.Errorf("pop(1) = %v, want %v", got, want)
 	}
 	if got := recalls.pop(1); len(got) > 0 {
-		t.Errorf("taken twice: %v", got)
+		t.Errorf("second pop(1) = %v, want no requests", got)
 	}
 	if got := recalls.pop(0); len(got) != 1 {
-		t.Errorf("another shard's are gone too: %v", got)
+		t.Errorf("pop(0) after pop(1) = %v, want one request", got)
 	}
 }
 
@@ -94,13 +94,13 @@
 	pacing := pacing{}
 	pacing.setMachineCount(1000)
 	if wait := pacing.untilNextRound(time.Hour); wait != 0 {
-		t.Errorf("the first round waits %v", wait)
+		t.Errorf("the first round waits %v, want 0", wait)
 	}
 	pacing.lastRoundAt = time.Hour
 	if wait := pacing.untilNextRound(time.Hour + 15*time.Millisecond); wait != 60*time.Millisecond {
-		t.Errorf("the next round waits %v, want 60ms of the 75ms between two", wait)
+		t.Errorf("15ms after a round, the next one waits %v, want 60ms of the interval of 75ms", wait)
 	}
 	if wait := pacing.untilNextRound(time.Hour + time.Minute); wait != 0 {
-		t.Errorf("a round that is overdue waits %v", wait)
+		t.Errorf("an overdue round waits %v, want 0", wait)
 	}
 }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -18,8 +18,8 @@
 	"lemonmoor/internal/userapi"
 )
 
-// node is a controller that leads, with one shard of one large machine. Nobody carries the
-// work out.
+// node is a controller that leads, with one shard that has one large machine. No shard owner or
+// worker runs the dispatched tasks.
 type node struct {
 	service  *statetest.Service
 	leases   *statestore.LeaseManager
@@ -30,7 +30,7 @@
 	statuses uint64
 }
 
-// startNode returns a controller that stands for the leadership.
+// startNode returns a started controller that tries to acquire the leadership.
 func startNode(service *statetest.Service) *node {
 	log := slog.New(slog.DiscardHandler)
 	config := &settings.Settings{}
@@ -64,7 +64,7 @@
 	return node
 }
 
-// JobChanged tells the leader of a job.
+// JobChanged passes a changed job to the leader.
 func (n *node) JobChanged(entry *userapi.Entry) { n.leader.JobChanged(entry) }
 
 // LeadershipAcquired begins a term.
@@ -79,13 +79,13 @@
 	n.fleet.EndTerm()
 }
 
-// ShardAcquired is of no interest here.
+// ShardAcquired does nothing: the tests need no shard owner.
 func (n *node) ShardAcquired(int, uint64) {}
 
-// ShardLost is of no interest here.
+// ShardLost does nothing: the tests need no shard owner.
 func (n *node) ShardLost(int) {}
 
-// runRound lets the leader decide once more.
+// runRound passes the machine's status to the fleet and lets the leader run a dispatch round.
 func (n *node) runRound() {
 	n.statuses++
 	n.fleet.HandleStatus(&fleet.ShardStatus{
@@ -96,7 +96,7 @@
 	n.leader.AfterBatch()
 }
 
-// run lets time pass; the leader decides every 100 ms.
+// run advances the simulated time and runs a dispatch round every 100 ms.
 func (n *node) run(duration time.Duration) {
 	for ; duration > 0; duration -= 100 * time.Millisecond {
 		n.runRound()
@@ -104,12 +104,12 @@
 	}
 }
 
-// newSpec returns a job of the team red.
+// newSpec returns a job of the team red with tasks of one processor.
 func newSpec(id string, tasks int) *jobs.Spec {
 	return &jobs.Spec{ID: id, Team: "red", Shape: "array", Urgency: "urgent", Tasks: tasks, CPUs: 1, EstimateSeconds: 5}
 }
 
-// submit stores jobs as accepted.
+// submit stores jobs as accepted submissions.
 func submit(t *testing.T, service *statetest.Service, list ...*jobs.Spec) {
 	t.Helper()
 	for i, spec := range list {
@@ -117,7 +117,7 @@
 	}
 }
 
-// dispatchedTasks counts the tasks of a job in all records.
+// dispatchedTasks returns the number of tasks of a job in all of its records.
 func (n *node) dispatchedTasks(job string) (tasks int) {
 	for _, record := range n.store.JobRecords(job) {
 		tasks += len(record.TaskIndexes)
@@ -125,7 +125,8 @@
 	return tasks
 }
 
-// putPage writes a log page of the shard that tells of the tasks of a record.
+// putPage stores a log page of a record's shard with all tasks of the record, after change was
+// applied to each.
 func putPage(t *testing.T, service *statetest.Service, page int, record *taskstate.Record, change func(*taskstate.Task)) {
 	t.Helper()
 	group := taskstate.LoadRecord(&taskstate.Job{Spec: newSpec(record.Job, len(record.TaskIndexes)), Tasks: map[int]*taskstate.Task{}, Groups: map[string]*taskstate.TaskGroup{}}, record)
@@ -139,7 +140,7 @@
 	service.Set(t, taskstate.PageKey(record.Shard, page), pages[0].Value)
 }
 
-// putRecord stores a record of tasks of a job, as an earlier leader has.
+// putRecord stores a task record of a job, as an earlier leader would have created it.
 func putRecord(t *testing.T, service *statetest.Service, job string, number int, index ...int) *taskstate.Record {
 	t.Helper()
 	record := taskstate.NewRecord(0, job, number, index, nil, nil)
@@ -163,8 +164,8 @@
 	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, userapi.KeyPrefix)
 }
 
-// TestOpenTasksStayWithinTheQuota: the open tasks of a team's jobs never exceed its quota of
-// processors and of GPUs, also while the newest records have not been seen yet.
+// TestOpenTasksStayWithinTheQuota guards against open tasks that exceed the team's quota of
+// processors or GPUs: records that are committed but not reported by the watch yet must count.
 func TestOpenTasksStayWithinTheQuota(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -181,20 +182,20 @@
 				submit(t, service, spec)
 			}
 			node.run(100 * time.Millisecond)
-			for range 3 { // no watch tells of anything meanwhile
+			for range 3 { // no watch reports changes meanwhile
 				service.Skip(time.Second)
 				node.runRound()
 			}
 			node.run(2 * time.Second)
 			if got := node.dispatchedTasks("wk-1") + node.dispatchedTasks("wk-2"); got != test.want {
-				t.Errorf("%d tasks are dispatched, the quota is %d", got, test.want)
+				t.Errorf("%d tasks are dispatched, want %d, the quota", got, test.want)
 			}
 		})
 	}
 }
 
-// TestLateDispatchOfAnEarlierLeaderFails: a dispatch that is held up on its way until another
-// node leads changes nothing.
+// TestLateDispatchOfAnEarlierLeaderFails guards against a dispatch that is delayed on its way to
+// the state service and carried out after another node has become the leader.
 func TestLateDispatchOfAnEarlierLeaderFails(t *testing.T) {
 	service := statetest.New()
 	service.Hold = isDispatch
@@ -202,15 +203,16 @@
 	submit(t, service, newSpec("wk-1", 3))
 	node.run(3 * time.Second)
 	if len(service.Held) != 1 {
-		t.Fatalf("%d dispatches", len(service.Held))
+		t.Fatalf("%d dispatches were sent, want 1", len(service.Held))
 	}
 	service.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
 	if answer := service.Commit(service.Held[0]); answer.Status != 409 {
-		t.Errorf("carried out under another leader: %d", answer.Status)
+		t.Errorf("commit under another leader answered %d, want 409", answer.Status)
 	}
 }
 
-// TestRepeatedDispatchFails: carried out once more, later, it does not make its records anew.
+// TestRepeatedDispatchFails guards against a dispatch that the state service carries out twice:
+// the second time must not create its records again.
 func TestRepeatedDispatchFails(t *testing.T) {
 	service := statetest.New()
 	service.Hold = isDispatch
@@ -218,15 +220,16 @@
 	submit(t, service, newSpec("wk-1", 3))
 	node.run(3 * time.Second)
 	if answer := service.Commit(service.Held[0]); answer.Status != 200 {
-		t.Fatalf("answered %d", answer.Status)
+		t.Fatalf("first commit answered %d, want 200", answer.Status)
 	}
 	if answer := service.Commit(service.Held[0]); answer.Status != 409 {
-		t.Errorf("carried out twice: %d", answer.Status)
+		t.Errorf("repeated commit answered %d, want 409", answer.Status)
 	}
 }
 
-// TestDispatchOfUnknownOutcomeIsRepeatedWhole: a dispatch that got no answer may have been
-// carried out. Until that is known all of it is sent again, also when an attempt is refused.
+// TestDispatchOfUnknownOutcomeIsRepeatedWhole guards against records that are dropped from a
+// dispatch while it is unknown whether it was carried out: after an attempt without an answer,
+// all of it must be sent again, even if a later attempt is refused.
 func TestDispatchOfUnknownOutcomeIsRepeatedWhole(t *testing.T) {
 	service := statetest.New()
 	node := startNode(service)
@@ -235,19 +238,20 @@
 	submit(t, service, newSpec("wk-1", 3), newSpec("wk-2", 3))
 	node.run(2 * time.Second)
 	if len(service.Held) != 1 || len(service.Held[0].Apply) != 2 {
-		t.Fatalf("%d dispatches, the first of %d records", len(service.Held), len(service.Held[0].Apply))
+		t.Fatalf("%d dispatches were sent, the first of %d records, want one of 2", len(service.Held), len(service.Held[0].Apply))
 	}
 	service.Held[0].Answer(http1.Response{}, eventloop.ErrNoAnswer)
 	node.run(2 * time.Second)
 	service.Held[1].Answer(statetest.Reply(503, nil), nil)
 	node.run(2 * time.Second)
 	if len(service.Held) != 3 || len(service.Held[1].Apply) != 2 || len(service.Held[2].Apply) != 2 {
-		t.Errorf("%d attempts, the last of %d records", len(service.Held), len(service.Held[len(service.Held)-1].Apply))
+		t.Errorf("%d attempts were sent, the last of %d records, want 3 of 2 each", len(service.Held), len(service.Held[len(service.Held)-1].Apply))
 	}
 }
 
-// TestNothingIsSentAfterTheTokenWasRejected: when a commit has failed on the leader's lease,
-// nothing more is sent before the leases have been read anew.
+// TestNothingIsSentAfterTheTokenWasRejected guards against dispatches by a node that has lost
+// the leadership: when a commit has failed on the condition on the leader's lease, nothing more
+// may be sent before the leases have been read again.
 func TestNothingIsSentAfterTheTokenWasRejected(t *testing.T) {
 	service := statetest.New()
 	service.Hold = isDispatch
@@ -259,13 +263,13 @@
 	service.Skip(time.Second)
 	node.runRound()
 	if len(service.Held) > 1 || node.leader.IsLoaded() {
-		t.Errorf("%d dispatches, leads %v", len(service.Held), node.leader.IsLoaded())
+		t.Errorf("%d dispatches were sent, want 1; leader is loaded: %v, want false", len(service.Held), node.leader.IsLoaded())
 	}
 }
 
-// TestReturnedTaskKeepsItsLastAttempt: a task that a shard has returned keeps its last attempt
-// in its next record, also when another leader dispatches it, so that no attempt is used
-// twice.
+// TestReturnedTaskKeepsItsLastAttempt guards against an attempt number that is used twice: the
+// next record of a returned task must contain the last attempt, also if another leader
+// dispatches it.
 func TestReturnedTaskKeepsItsLastAttempt(t *testing.T) {
 	for name, takeover := range map[string]bool{"same leader": false, "next leader": true} {
 		t.Run(name, func(t *testing.T) {
@@ -281,7 +285,7 @@
 			node.run(3 * time.Second)
 			next, ok := service.Get(taskstate.RecordKey(0, spec.ID, 1))
 			if !ok {
-				t.Fatal("not dispatched again")
+				t.Fatal("the returned tasks are not dispatched again")
 			}
 			redispatched, err := taskstate.DecodeRecord(next.Key, next.Value, next.Revision)
 			if err != nil {
@@ -289,15 +293,16 @@
 			}
 			for _, status := range redispatched.Statuses {
 				if status.Attempt != 3 {
-					t.Errorf("dispatched with last attempt %d, it was 3", status.Attempt)
+					t.Errorf("dispatched with last attempt %d, want 3", status.Attempt)
 				}
 			}
 		})
 	}
 }
 
-// TestRecordsOfACancelledJobStayUntilWrittenOff: removed on the leader's own judgement, a
-// placement that the shard owner commits at the same time would be lost.
+// TestRecordsOfACancelledJobStayUntilWrittenOff guards against the loss of a placement that the
+// shard owner commits while the leader removes the record: the leader must not remove it before
+// the owner has written off its tasks.
 func TestRecordsOfACancelledJobStayUntilWrittenOff(t *testing.T) {
 	service := statetest.New()
 	node := startNode(service)
@@ -308,17 +313,17 @@
 	service.Set(t, userapi.KeyPrefix+spec.ID, userapi.Record{SubmittedMS: 1, Spec: spec, Phase: userapi.PhaseCancelled, CancelledMS: 1})
 	node.run(3 * time.Second)
 	if _, ok := service.Get(record.Key); !ok {
-		t.Fatal("removed while its tasks may be on machines")
+		t.Fatal("the record is removed while its tasks may be on machines")
 	}
 	putPage(t, service, 0, record, func(task *taskstate.Task) { task.State, task.Attempt = taskstate.StateDropped, 1 })
 	node.run(3 * time.Second)
 	if _, ok := service.Get(record.Key); ok {
-		t.Error("never removed")
+		t.Error("the record is not removed after its tasks are written off")
 	}
 }
 
-// TestJobIsDoneOnlyWhenEveryTaskIs: the tasks of a job that seems to be over are counted
-// once more, each by its index, since one may be done on two records.
+// TestJobIsDoneOnlyWhenEveryTaskIs guards against a job that is reported done too early: one
+// task may be done in two records, so the done tasks must be counted by index.
 func TestJobIsDoneOnlyWhenEveryTaskIs(t *testing.T) {
 	service := statetest.New()
 	node := startNode(service)
@@ -329,11 +334,11 @@
 	putPage(t, service, 1, second, markDone)
 	node.run(3 * time.Second)
 	if entry := node.catalog.Get(spec.ID); entry.Phase != "" {
-		t.Fatalf("%s when one of its two tasks is", entry.Phase)
+		t.Fatalf("phase is %q when one of two tasks is done, want none", entry.Phase)
 	}
 	stored, ok := service.Get(taskstate.RecordKey(0, spec.ID, 2))
 	if !ok {
-		t.Fatal("its other task is not dispatched")
+		t.Fatal("the other task of the job is not dispatched")
 	}
 	last, err := taskstate.DecodeRecord(stored.Key, stored.Value, stored.Revision)
 	if err != nil {
@@ -342,12 +347,12 @@
 	putPage(t, service, 2, last, markDone)
 	node.run(3 * time.Second)
 	if entry := node.catalog.Get(spec.ID); entry.Phase != userapi.PhaseDone {
-		t.Errorf("%q when both are", entry.Phase)
+		t.Errorf("phase is %q when both tasks are done, want %q", entry.Phase, userapi.PhaseDone)
 	}
 }
 
-// TestJobEndIsReportedOnlyWhenDurable: users are told of the end of a job when it is durable,
-// and it never overwrites a cancellation.
+// TestJobEndIsReportedOnlyWhenDurable guards against users being told of the end of a job before
+// it is durable, and against an end that overwrites a cancellation stored meanwhile.
 func TestJobEndIsReportedOnlyWhenDurable(t *testing.T) {
 	service := statetest.New()
 	service.Hold = isJobEnd
@@ -357,19 +362,19 @@
 	putPage(t, service, 0, putRecord(t, service, spec.ID, 0, 0), markDone)
 	node.run(3 * time.Second)
 	if len(service.Held) != 1 || !slices.ContainsFunc(service.Held[0].Apply, func(operation statestore.Operation) bool { return operation.PutKey == userapi.KeyPrefix+spec.ID }) {
-		t.Fatalf("%d ends of jobs", len(service.Held))
+		t.Fatalf("%d commits of job ends were sent, want one that ends %s", len(service.Held), spec.ID)
 	}
 	if entry := node.catalog.Get(spec.ID); entry.Phase != "" {
-		t.Errorf("told %q before that is durable", entry.Phase)
+		t.Errorf("phase is %q before the end is durable, want none", entry.Phase)
 	}
 	service.Set(t, userapi.KeyPrefix+spec.ID, userapi.Record{SubmittedMS: 1, Spec: spec, Phase: userapi.PhaseCancelled, CancelledMS: 1})
 	if answer := service.Commit(service.Held[0]); answer.Status != 409 {
-		t.Errorf("a cancelled job is overwritten: %d", answer.Status)
+		t.Errorf("commit of the end of a cancelled job answered %d, want 409", answer.Status)
 	}
 }
 
-// TestDispatchWaitsForVerifiedCopies: a new leader dispatches nothing before the copies of the
-// records and of the jobs are verified to hold all that earlier leaders have committed.
+// TestDispatchWaitsForVerifiedCopies guards against a new leader that dispatches from outdated
+// copies of the records or the jobs, which may lack what earlier leaders have committed.
 func TestDispatchWaitsForVerifiedCopies(t *testing.T) {
 	for name, prefix := range map[string]string{"records": taskstate.KeyPrefix, "jobs": userapi.KeyPrefix} {
 		t.Run(name, func(t *testing.T) {
@@ -379,18 +384,19 @@
 			submit(t, service, newSpec("wk-1", 3))
 			node.run(5 * time.Second)
 			if node.leases.LeaderToken() == 0 || node.leader.IsLoaded() || node.dispatchedTasks("wk-1") > 0 {
-				t.Errorf("token %d, acts %v on copies that are not verified", node.leases.LeaderToken(), node.leader.IsLoaded())
+				t.Errorf("with unverified copies: token %d, want one; loaded %v, want false; %d tasks dispatched, want 0", node.leases.LeaderToken(), node.leader.IsLoaded(), node.dispatchedTasks("wk-1"))
 			}
 			service.Refuse = nil
 			if node.run(5 * time.Second); node.dispatchedTasks("wk-1") != 3 {
-				t.Error("does not act when they are")
+				t.Errorf("with verified copies: %d tasks dispatched, want 3", node.dispatchedTasks("wk-1"))
 			}
 		})
 	}
 }
 
-// TestRecordMadeAgainAfterItsJobEndedIsRemoved: a dispatch carried out once more, late, makes a
-// record that nobody acts on.
+// TestRecordMadeAgainAfterItsJobEndedIsRemoved guards against records that stay for ever: a
+// dispatch that is carried out again after its job has ended creates a record that no other
+// component removes.
 func TestRecordMadeAgainAfterItsJobEndedIsRemoved(t *testing.T) {
 	service := statetest.New()
 	node := startNode(service)
@@ -399,11 +405,11 @@
 	putPage(t, service, 0, putRecord(t, service, spec.ID, 0, 0), markDone)
 	node.run(5 * time.Second)
 	if entry := node.catalog.Get(spec.ID); entry.Phase != userapi.PhaseDone {
-		t.Fatalf("the job is %q", entry.Phase)
+		t.Fatalf("phase of the job is %q, want %q", entry.Phase, userapi.PhaseDone)
 	}
 	remade := putRecord(t, service, spec.ID, 1, 0)
 	node.run(10 * time.Second)
 	if _, stored := service.Get(remade.Key); stored {
-		t.Error("the record stays")
+		t.Errorf("record %s is still stored, want it removed", remade.Key)
 	}
 }
