--- a/internal/leader/capacity_test.go
+++ b/internal/leader/capacity_test.go
@@ -11,7 +11,7 @@
 	"lemonmoor/internal/resource"
 )
 
-// drawCapacityView draws machines of two types with some room left on them.
+// drawCapacityView draws groups of machines of two types, each machine with some free capacity.
 func drawCapacityView(t *rapid.T) *capacityView {
 	view := &capacityView{totalCPUs: make([]float64, 2), queuedCPUs: make([]float64, 2)}
 	types := []*jobs.MachineType{
@@ -39,26 +39,27 @@
 	return view
 }
 
-// freeCPUs sums up what the machines of a group have left.
+// freeCPUs returns the free processors of the machines of a group. It fails the test if a
+// machine has negative free capacity.
 func freeCPUs(t *rapid.T, group *machineGroup) float64 {
 	sum := 0.0
 	for _, machine := range group.machines {
 		if machine.available.CPUs < -resource.Epsilon || machine.available.MemoryGB < -resource.Epsilon {
-			t.Fatalf("a machine is left with %+v", machine)
+			t.Fatalf("free capacity of a machine is %+v, want no negative value", machine)
 		}
 		sum += machine.available.CPUs
 	}
 	return sum
 }
 
-// TestTakeGivesWhatFits: a job gets room for as many tasks as there is, on machines that it
-// may use, and never more than a machine holds.
-func TestTakeGivesWhatFits(t *testing.T) {
+// TestAllocateUsesAllSuitableRoom guards against a job that gets less room than its machines
+// have, room on machines that it may not use, or more than a machine has.
+func TestAllocateUsesAllSuitableRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := drawCapacityView(t)
-		before := map[*machineGroup]float64{}
+		freeBefore := map[*machineGroup]float64{}
 		for _, group := range view.groups {
-			before[group] = freeCPUs(t, group)
+			freeBefore[group] = freeCPUs(t, group)
 		}
 		job := &jobState{spec: &jobs.Spec{
 			CPUs: rapid.SampledFrom([]float64{0.5, 1, 4, 16}).Draw(t, "task"), MemoryGB: rapid.SampledFrom([]float64{0, 1, 40}).Draw(t, "gb"),
@@ -78,27 +79,27 @@
 			}
 		}
 		reported := 0
-		taken := view.take(job, set, limit, func(shard, tasks int) {
+		allocated := view.allocate(job, set, limit, func(shard, tasks int) {
 			reported += tasks
 			if set.shard >= 0 && shard != set.shard {
-				t.Fatalf("shard %d gave room, %d was asked", shard, set.shard)
+				t.Fatalf("allocated room in shard %d, want only shard %d", shard, set.shard)
 			}
 		})
-		if taken != min(limit, room) || reported != taken {
-			t.Fatalf("%d tasks, room for %d: %d taken, %d reported", limit, room, taken, reported)
+		if allocated != min(limit, room) || reported != allocated {
+			t.Fatalf("limit %d, room for %d tasks: allocated %d, reported %d by callback, want %d", limit, room, allocated, reported, min(limit, room))
 		}
 		used := 0.0
 		for _, group := range view.groups {
-			left := freeCPUs(t, group)
-			if !usable(group) && math.Abs(left-before[group]) > 1e-6 {
-				t.Fatal("room was taken on machines that the job may not use")
+			freeAfter := freeCPUs(t, group)
+			if !usable(group) && math.Abs(freeAfter-freeBefore[group]) > 1e-6 {
+				t.Fatalf("free processors of a group that the job may not use went from %g to %g, want no change", freeBefore[group], freeAfter)
 			}
 			if usable(group) {
-				used += before[group] - left // less what full machines had left
+				used += freeBefore[group] - freeAfter // includes the remainder of machines removed as full
 			}
 		}
-		if used < float64(taken)*job.spec.CPUs-1e-6 {
-			t.Fatalf("%d tasks of %g processors took %g", taken, job.spec.CPUs, used)
+		if used < float64(allocated)*job.spec.CPUs-1e-6 {
+			t.Fatalf("%d tasks of %g processors used %g processors, want at least %g", allocated, job.spec.CPUs, used, float64(allocated)*job.spec.CPUs)
 		}
 	})
 }
