--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -155,12 +155,12 @@
 
 // isDispatch reports whether a commit dispatches tasks.
 func isDispatch(commit *statetest.Commit) bool {
-	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, taskstate.KeyPrefix)
+	return len(commit.Operations) > 0 && strings.HasPrefix(commit.Operations[0].PutKey, taskstate.KeyPrefix)
 }
 
 // isJobEnd reports whether a commit ends jobs.
 func isJobEnd(commit *statetest.Commit) bool {
-	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, userapi.KeyPrefix)
+	return len(commit.Operations) > 0 && strings.HasPrefix(commit.Operations[0].PutKey, userapi.KeyPrefix)
 }
 
 // TestOpenTasksStayWithinTheQuota: the open tasks of a team's jobs never exceed its quota of
@@ -182,7 +182,7 @@
 			}
 			node.run(100 * time.Millisecond)
 			for range 3 { // no watch tells of anything meanwhile
-				service.Skip(time.Second)
+				service.AdvanceClock(time.Second)
 				node.decide()
 			}
 			node.run(2 * time.Second)
@@ -234,15 +234,15 @@
 	service.Hold = isDispatch
 	submit(t, service, newSpec("wk-1", 3), newSpec("wk-2", 3))
 	node.run(2 * time.Second)
-	if len(service.Held) != 1 || len(service.Held[0].Apply) != 2 {
-		t.Fatalf("%d dispatches, the first of %d records", len(service.Held), len(service.Held[0].Apply))
+	if len(service.Held) != 1 || len(service.Held[0].Operations) != 2 {
+		t.Fatalf("%d dispatches, the first of %d records", len(service.Held), len(service.Held[0].Operations))
 	}
 	service.Held[0].Answer(http1.Response{}, eventloop.ErrNoAnswer)
 	node.run(2 * time.Second)
 	service.Held[1].Answer(statetest.Reply(503, nil), nil)
 	node.run(2 * time.Second)
-	if len(service.Held) != 3 || len(service.Held[1].Apply) != 2 || len(service.Held[2].Apply) != 2 {
-		t.Errorf("%d attempts, the last of %d records", len(service.Held), len(service.Held[len(service.Held)-1].Apply))
+	if len(service.Held) != 3 || len(service.Held[1].Operations) != 2 || len(service.Held[2].Operations) != 2 {
+		t.Errorf("%d attempts, the last of %d records", len(service.Held), len(service.Held[len(service.Held)-1].Operations))
 	}
 }
 
@@ -256,7 +256,7 @@
 	node.run(3 * time.Second)
 	service.Set(t, statestore.LeaderKey, map[string]any{"node": "node-1", "nonce": 1})
 	service.Held[0].Answer(service.Commit(service.Held[0]), nil)
-	service.Skip(time.Second)
+	service.AdvanceClock(time.Second)
 	node.decide()
 	if len(service.Held) > 1 || node.leader.IsLoaded() {
 		t.Errorf("%d dispatches, leads %v", len(service.Held), node.leader.IsLoaded())
@@ -356,7 +356,7 @@
 	submit(t, service, spec)
 	putPage(t, service, 0, putRecord(t, service, spec.ID, 0, 0), markDone)
 	node.run(3 * time.Second)
-	if len(service.Held) != 1 || !slices.ContainsFunc(service.Held[0].Apply, func(operation statestore.Operation) bool { return operation.PutKey == userapi.KeyPrefix+spec.ID }) {
+	if len(service.Held) != 1 || !slices.ContainsFunc(service.Held[0].Operations, func(operation statestore.Operation) bool { return operation.PutKey == userapi.KeyPrefix+spec.ID }) {
 		t.Fatalf("%d ends of jobs", len(service.Held))
 	}
 	if entry := node.catalog.Get(spec.ID); entry.Phase != "" {
@@ -374,7 +374,7 @@
 	for name, prefix := range map[string]string{"records": taskstate.KeyPrefix, "jobs": userapi.KeyPrefix} {
 		t.Run(name, func(t *testing.T) {
 			service := statetest.New()
-			service.Refuse = func(call http1.ClientRequest) bool { return statetest.IsCheck(call, prefix) }
+			service.Refuse = func(call http1.ClientRequest) bool { return statetest.IsFreshnessCheck(call, prefix) }
 			node := startNode(service)
 			submit(t, service, newSpec("wk-1", 3))
 			node.run(5 * time.Second)
--- a/internal/shard/commit_test.go
+++ b/internal/shard/commit_test.go
@@ -93,7 +93,7 @@
 func TestNoCommitWithoutAValidLease(t *testing.T) {
 	service, node := newShardOwner(t, 1)
 	service.Hold = writesLogPage
-	service.Skip(time.Minute) // no renewal has been answered
+	service.AdvanceClock(time.Minute) // no renewal has been answered
 	node.place("vm-1")
 	if len(service.Held) > 0 {
 		t.Error("a commit has left")
@@ -168,7 +168,7 @@
 func TestNewOwnerActsOnVerifiedCopiesOnly(t *testing.T) {
 	for _, prefix := range []string{taskstate.KeyPrefix, userapi.KeyPrefix} {
 		service, node := newShardOwner(t, 1)
-		service.Refuse = func(c http1.ClientRequest) bool { return statetest.IsCheck(c, prefix) }
+		service.Refuse = func(c http1.ClientRequest) bool { return statetest.IsFreshnessCheck(c, prefix) }
 		node.leases.RenewToken(0)
 		service.Run(5 * time.Second)
 		if node.terms != 2 || node.tasks.IsLoaded() {
--- a/internal/shard/node_test.go
+++ b/internal/shard/node_test.go
@@ -133,5 +133,5 @@
 
 // writesLogPage reports whether a commit writes the shard's log.
 func writesLogPage(commit *statetest.Commit) bool {
-	return len(commit.Apply) > 0 && strings.HasPrefix(commit.Apply[0].PutKey, "work/0/log/")
+	return len(commit.Operations) > 0 && strings.HasPrefix(commit.Operations[0].PutKey, "work/0/log/")
 }
--- a/internal/shard/records_test.go
+++ b/internal/shard/records_test.go
@@ -18,7 +18,7 @@
 	service.Hold = writesLogPage
 	task := node.place("vm-1")
 	committed := service.Commit(service.Held[0])
-	service.Commit(&statetest.Commit{Apply: []statestore.Operation{{DeleteKey: taskstate.RecordKey(0, jobID, 0)}}})
+	service.Commit(&statetest.Commit{Operations: []statestore.Operation{{DeleteKey: taskstate.RecordKey(0, jobID, 0)}}})
 	service.Run(time.Second)
 	if node.tasks.Job(jobID) != nil || task.State != taskstate.StateDropped {
 		t.Fatalf("the record is not removed: %v", task.State)
--- a/internal/statetest/statetest.go
+++ b/internal/statetest/statetest.go
@@ -46,8 +46,8 @@
 
 // Commit is a transaction on its way.
 type Commit struct {
-	Guards []statestore.Condition `json:"guards"`
-	Apply  []statestore.Operation `json:"apply"`
+	Conditions []statestore.Condition `json:"guards"`
+	Operations  []statestore.Operation `json:"apply"`
 	// Answer gives its sender an answer, or an error in place of one.
 	Answer func(http1.Response, error) `json:"-"`
 }
@@ -133,7 +133,7 @@
 
 // IsCheck tells whether a request asks for the changes under a prefix without waiting, as a
 // proof that a copy is current.
-func IsCheck(call http1.ClientRequest, prefix string) bool {
+func IsFreshnessCheck(call http1.ClientRequest, prefix string) bool {
 	u, err := url.Parse(call.Target)
 	return err == nil && u.Path == "/watch" && u.Query().Get("under") == prefix && u.Query().Get("waitMs") == "0"
 }
@@ -177,7 +177,7 @@
 // Commit carries a commit out, or refuses it for its guards.
 func (s *Service) Commit(commit *Commit) http1.Response {
 	failed := []string{}
-	for _, g := range commit.Guards {
+	for _, g := range commit.Conditions {
 		if s.rows[g.Key].Revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
@@ -186,7 +186,7 @@
 		return Reply(409, map[string]any{"failed": failed, "epoch": s.epoch})
 	}
 	s.epoch++
-	for _, a := range commit.Apply {
+	for _, a := range commit.Operations {
 		if a.DeleteKey != "" {
 			delete(s.rows, a.DeleteKey)
 		} else {
@@ -204,7 +204,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Commit(&Commit{Apply: []statestore.Operation{{PutKey: key, Value: raw}}})
+	s.Commit(&Commit{Operations: []statestore.Operation{{PutKey: key, Value: raw}}})
 }
 
 // Get finds a row.
@@ -214,7 +214,7 @@
 }
 
 // Skip moves the clock without anything happening meanwhile.
-func (s *Service) Skip(d time.Duration) { s.now += d }
+func (s *Service) AdvanceClock(d time.Duration) { s.now += d }
 
 // Run lets time pass: timers fire and watches tell of changes.
 func (s *Service) Run(d time.Duration) {
