--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,10 +1,11 @@
-// Package resource adds and compares what tasks take of machines: processors, GPUs and
-// memory. It holds no state. It knows nothing of jobs, teams or prices.
+// Package resource adds and compares amounts of the resources that tasks use on machines:
+// processors, GPUs and memory. It has no state and does not depend on jobs, teams or prices.
 package resource
 
 import "math"
 
-// Epsilon is the tolerance of comparisons: sums of decimal amounts are not exact.
+// Epsilon is the tolerance of comparisons, since sums of decimal fractions are not exact in
+// floating point.
 const Epsilon = 1e-9
 
 // Vector is an amount of each resource.
@@ -19,23 +20,23 @@
 	return Vector{v.CPUs + o.CPUs, v.GPUs + o.GPUs, v.MemoryGB + o.MemoryGB}
 }
 
-// Minus returns what is left of v without o; a resource may come out negative.
+// Minus returns the difference of two amounts, which may be negative.
 func (v Vector) Minus(o Vector) Vector {
 	return Vector{v.CPUs - o.CPUs, v.GPUs - o.GPUs, v.MemoryGB - o.MemoryGB}
 }
 
-// Times returns n times the amount.
+// Times returns the amount multiplied by n.
 func (v Vector) Times(n float64) Vector {
 	return Vector{n * v.CPUs, n * v.GPUs, n * v.MemoryGB}
 }
 
-// Fits reports whether v is available in capacity.
+// Fits reports whether v fits into capacity, within Epsilon for each resource.
 func (v Vector) Fits(capacity Vector) bool {
 	return v.CPUs <= capacity.CPUs+Epsilon && v.GPUs <= capacity.GPUs+Epsilon && v.MemoryGB <= capacity.MemoryGB+Epsilon
 }
 
-// CountIn returns how many times v is available in capacity, at least 0. A resource
-// that v takes nothing of sets no bound; if v takes nothing at all the count is
+// CountIn returns how many times v fits into capacity, at least 0. A resource of which v
+// needs nothing does not limit the count; if v needs nothing at all, the count is
 // math.MaxInt32.
 func (v Vector) CountIn(capacity Vector) int {
 	count := math.MaxInt32
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -1,40 +1,41 @@
-// Package tokenbucket meters a budget that refills at a rate, such as the state service's
-// changes a second or the cloud's calls. golang.org/x/time/rate is not used: its bursts are
-// whole numbers and its clock is the time of day, while here both rate and burst are
-// fractions that change between calls and the clock is the event loop's.
+// Package tokenbucket implements a token bucket for budgets that refill at a rate, such as the
+// state service's changes per second or the calls to the cloud. golang.org/x/time/rate is not
+// suitable: its bursts are integers and its clock is the time of day, while here rate and
+// burst are fractions that change between calls and the clock is the event loop's.
 //
 // A Bucket belongs to the event loop and is not safe for concurrent use.
 package tokenbucket
 
 import "time"
 
-// Bucket holds the tokens that may be spent now. The zero value is empty, last refilled
-// at time 0 of the loop's clock.
+// Bucket is a token bucket whose rate and capacity are given with each call. The zero value
+// is empty and was last refilled at time 0 of the loop's clock.
 type Bucket struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// Refill adds what has come in since the last refill, at rate tokens a second, up to
+// Refill adds the tokens of the time since the last refill, at rate tokens per second, up to
 // capacity.
 func (b *Bucket) Refill(now time.Duration, rate, capacity float64) {
 	b.tokens = min(capacity, b.tokens+rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// Reset gives the bucket exactly so many tokens.
+// Reset sets the number of tokens as of now.
 func (b *Bucket) Reset(now time.Duration, tokens float64) {
 	b.tokens, b.refilledAt = tokens, now
 }
 
-// Tokens returns how many tokens there are, as of the last refill.
+// Tokens returns the number of tokens, without refilling the bucket. It is negative if the
+// bucket is overdrawn.
 func (b *Bucket) Tokens() float64 { return b.tokens }
 
-// Spend takes tokens out. The bucket may be overdrawn; refills then make up for it first.
+// Spend removes tokens. The bucket may be overdrawn; later refills cover the deficit first.
 func (b *Bucket) Spend(tokens float64) { b.tokens -= tokens }
 
-// UntilNext returns how long refilling takes at rate tokens a second until there is one
-// whole token, rounded down to the nanosecond.
+// UntilNext returns the time until the bucket holds one whole token, at rate tokens per
+// second, rounded down to the nanosecond.
 func (b *Bucket) UntilNext(rate float64) time.Duration {
 	return time.Duration((1 - b.tokens) / rate * float64(time.Second))
 }
