--- a/internal/statestore/answer_deadlines.go
+++ b/internal/statestore/answer_deadlines.go
@@ -7,18 +7,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// answerDeadlines is until when earlier owners of the shards may answer workers, so that a
-// new owner can wait until none does.
+// answerDeadlines records until when previous owners of the shards may answer workers, so
+// that a new owner can wait until none of them does.
 type answerDeadlines struct {
 	runtime        eventloop.Runtime
-	gracePeriod    time.Duration // of every owner, see LeaseConfig
-	previousOwners map[int]time.Duration
+	gracePeriod    time.Duration         // of every owner, see LeaseConfig
+	previousOwners map[int]time.Duration // deadlines on the loop's clock, by shard
 }
 
-// ownerChanged notes that the owner of a shard has changed by now. The one before goes on
-// answering for the grace period if its lease has expired. If the shard was taken from it
-// while its lease was valid, it goes on until its copy of the leases is too old besides,
-// see LeaseManager.AnswersUntil.
+// ownerChanged records that the owner of a shard changed, now or earlier. A previous owner
+// whose lease has expired may answer for another grace period. If its lease may still
+// be valid, it may answer until its copy of the leases is too old, which takes up to
+// tuning.LeaseTTL, and then for the grace period, see LeaseManager.AnswersUntil.
 func (d *answerDeadlines) ownerChanged(shard int, leaseMayBeValid bool) {
 	until := d.runtime.Now() + d.gracePeriod
 	if leaseMayBeValid {
@@ -27,16 +27,19 @@
 	d.previousOwners[shard] = max(d.previousOwners[shard], until)
 }
 
-// PreviousOwnerAnswersUntil returns the moment after which no earlier owner of a shard
-// answers a worker any more. New fencing tokens of the present owner do not move it.
+// PreviousOwnerAnswersUntil returns the time, on the loop's clock, after which no previous
+// owner of a shard answers workers. A new fencing token of the current owner does not move
+// it.
 func (m *LeaseManager) PreviousOwnerAnswersUntil(shard int) time.Duration {
 	return m.answers.previousOwners[shard]
 }
 
-// AnswersUntil returns how long this process may answer workers under the leases it holds:
-// for the grace period past its node lease, so that a short outage ends no task, but no
-// longer than its copy of the leases is young enough. The renewal of the node lease alone
-// shows too little: a shard may be another's while this process's watch reports nothing.
+// AnswersUntil returns the time, on the loop's clock, until which this process may answer
+// workers under the leases it holds, or 0 if its copy of the leases was never verified. Both
+// the node lease and a verification of the copy, which counts for tuning.LeaseTTL, are
+// extended by the grace period, so that a short outage ends no task; the earlier of the two
+// decides. Renewing the node lease alone is not enough: another process may own a shard
+// while this process's watch reports nothing.
 func (m *LeaseManager) AnswersUntil() time.Duration {
 	verifiedAt, known := m.mirror.VerifiedAt()
 	if !known {
@@ -45,5 +48,6 @@
 	return min(m.node.validUntil, verifiedAt+tuning.LeaseTTL) + m.answers.gracePeriod
 }
 
-// VerifyIfStale verifies the copy of the leases if that was last done long ago.
+// VerifyIfStale verifies the copy of the leases unless it was verified within the last
+// tuning.KnowledgeVerifyInterval.
 func (m *LeaseManager) VerifyIfStale() { m.mirror.VerifyIfOlder(tuning.KnowledgeVerifyInterval) }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	// commitTarget is the path of commits.
+	// commitTarget is the request path of commits.
 	commitTarget = "/commit"
-	// leaseEndedText is how the service says that an operation names a lease that has ended.
+	// leaseEndedText is the error text of the service for an operation under a lease that has
+	// ended.
 	leaseEndedText = "no such lease"
 )
 
 // Client sends requests to the state service. It belongs to the event loop.
 type Client struct {
-	// LastResponseAt is when the service last answered anything but a refusal, by the
-	// loop's clock; it counts once HasResponded.
+	// LastResponseAt is when the last answer that was not a refusal arrived, on the loop's
+	// clock. It is valid only if HasResponded is set.
 	LastResponseAt time.Duration
-	// HasResponded tells whether the service has ever answered anything but a refusal.
+	// HasResponded reports whether any answer but a refusal has arrived yet.
 	HasResponded bool
-	// FreshnessCheckInterval is the least time between two verifications of one mirror.
+	// FreshnessCheckInterval is the minimum time between two freshness checks of one mirror.
 	FreshnessCheckInterval time.Duration
 
 	runtime        eventloop.Runtime
 	address        string
 	log            *slog.Logger
-	averageLatency time.Duration // of the answers to POST requests, moving
+	averageLatency time.Duration // moving average over the answers to POST requests
 	limits         Limits
 	throttle       writeThrottle
 }
 
 // New returns a client of the state service at an address. Until SetLimits is called its
-// commits hold one operation.
+// commits are limited to one operation.
 func New(runtime eventloop.Runtime, address string, log *slog.Logger) *Client {
 	return &Client{
 		runtime: runtime, address: address, log: log,
@@ -51,8 +52,8 @@
 	}
 }
 
-// send sends one request; a nil body sends none. fn gets the outcome and, unless there was
-// no answer, the answer's body.
+// send sends one request, without a body if body is nil, and passes fn the outcome and the
+// body of the answer, nil if there was no answer.
 func (c *Client) send(method, target string, body any, timeout time.Duration, fn func(Outcome, []byte)) {
 	var raw []byte
 	if body != nil {
@@ -76,18 +77,19 @@
 			c.log.Debug("state service did not answer", "target", target, "err", err)
 			fn(OutcomeUnknown, nil)
 		default:
-			fn(c.received(target, response), response.Body)
+			fn(c.recordResponse(target, response), response.Body)
 		}
 	})
 }
 
-// received takes note of an answer and returns the outcome it tells.
-func (c *Client) received(target string, response http1.Response) Outcome {
+// recordResponse records an answer for the throttle and for LastResponseAt, and returns its
+// outcome.
+func (c *Client) recordResponse(target string, response http1.Response) Outcome {
 	outcome := outcomeOfStatus(response.Status)
 	if outcome == OutcomeRefused {
 		c.log.Debug("state service refused a request", "target", target, "status", response.Status)
 		if response.Status == 429 && target == commitTarget {
-			c.throttle.refused(c.runtime.Now(), c.limits.FutureWriteShare)
+			c.throttle.recordRefusal(c.runtime.Now(), c.limits.FutureWriteShare)
 		}
 		return outcome
 	}
@@ -98,12 +100,12 @@
 	return outcome
 }
 
-// Commit carries all operations out if all conditions hold, or none.
+// Commit carries out all operations atomically if all conditions hold, and none otherwise.
 func (c *Client) Commit(conditions []Condition, operations []Operation, fn func(CommitResult)) {
 	c.CommitWithTimeout(conditions, operations, tuning.StateRequestTimeout, fn)
 }
 
-// CommitWithTimeout is Commit with a time after which the outcome counts as unknown.
+// CommitWithTimeout is Commit with a timeout, after which the outcome is OutcomeUnknown.
 func (c *Client) CommitWithTimeout(conditions []Condition, operations []Operation, timeout time.Duration, fn func(CommitResult)) {
 	if conditions == nil {
 		conditions = []Condition{}
@@ -116,13 +118,14 @@
 			}
 		}
 		if outcome == OutcomeInvalid && !strings.Contains(string(body), leaseEndedText) {
-			c.halveLimits(operations)
+			c.lowerLimits(operations)
 		}
 		fn(CommitResult{outcome, reply.Revision, reply.FailedKeys})
 	})
 }
 
-// List reads all key-values under a prefix, page by page.
+// List reads all key-values under a prefix, page by page. The result has the revision of the
+// first page.
 func (c *Client) List(prefix string, fn func(ListResult)) {
 	var listed ListResult
 	var readPage func(afterKey string)
@@ -155,8 +158,9 @@
 	readPage("")
 }
 
-// Watch asks for the changes under a prefix after a revision and waits for the first of
-// them up to wait. OutcomeGone means that the service has dropped the history since then.
+// Watch requests the changes under a prefix after a revision. If there are none yet, the
+// service waits up to wait for the first one. OutcomeGone means that the service no longer
+// has the history since that revision.
 func (c *Client) Watch(prefix string, after uint64, wait time.Duration, fn func(WatchResult)) {
 	target := fmt.Sprintf("/watch?under=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), after, wait.Milliseconds())
 	c.send("GET", target, nil, wait+tuning.StateRequestTimeout, func(outcome Outcome, body []byte) {
@@ -173,7 +177,7 @@
 	})
 }
 
-// GrantLease asks for a new lease that ends when it has not been renewed for ttl.
+// GrantLease requests a new lease that ends if it is not renewed for ttl.
 func (c *Client) GrantLease(ttl time.Duration, fn func(GrantResult)) {
 	c.send("POST", "/grants", grantRequest{ttl.Milliseconds()}, tuning.StateRequestTimeout, func(outcome Outcome, body []byte) {
 		var reply grantReply
@@ -192,7 +196,7 @@
 		func(outcome Outcome, _ []byte) { fn(outcome) })
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease ends a lease immediately.
 func (c *Client) RevokeLease(leaseID uint64, fn func(Outcome)) {
 	c.send("DELETE", fmt.Sprintf("/grants/%d", leaseID), nil, tuning.StateRequestTimeout,
 		func(outcome Outcome, _ []byte) { fn(outcome) })
--- a/internal/statestore/election.go
+++ b/internal/statestore/election.go
@@ -7,21 +7,21 @@
 	"lemonmoor/internal/tuning"
 )
 
-// election stands for leadership and remembers whether this process has it.
+// election campaigns for leadership and records whether this process is the leader.
 type election struct {
 	runtime eventloop.Runtime
 	table   *leaseTable
 	node    *nodeLease
 	commits *leaseCommits
-	rank    int // spreads the nodes' attempts
+	rank    int // see LeaseConfig
 
 	token      uint64 // fencing token of the leadership, 0 if not held
 	acquiredAt time.Duration
 }
 
-// stand tries to become the leader, after a pause, if nobody leads or an earlier process of
-// this node is still recorded as the leader.
-func (e *election) stand() {
+// campaign tries to become the leader, after a pause that depends on the rank, if there is no
+// leader or if an earlier process of this node is still recorded as the leader.
+func (e *election) campaign() {
 	slot := commitSlot{purposeLead, noShard}
 	if !e.isVacant() || e.commits.isBusy(slot) {
 		return
@@ -37,7 +37,8 @@
 	})
 }
 
+// isVacant reports whether no live process is recorded as the leader.
 func (e *election) isVacant() bool {
-	leader, taken := e.table.holders[LeaderKey]
-	return !taken || leader.isEarlierProcess(e.node.process)
+	leader, held := e.table.holders[LeaderKey]
+	return !held || leader.isEarlierProcess(e.node.process)
 }
--- a/internal/statestore/lease_commit.go
+++ b/internal/statestore/lease_commit.go
@@ -8,16 +8,16 @@
 	"lemonmoor/internal/tuning"
 )
 
-// leasePurpose is what a commit of lease changes is for.
+// leasePurpose is the purpose of a commit of lease changes.
 type leasePurpose int
 
 const (
-	purposeRegister   leasePurpose = iota // the node's own entry
+	purposeRegister   leasePurpose = iota // write the node's own entry
 	purposeLead                           // become the leader
-	purposeReclaim                        // take back shards of an earlier process of this node
+	purposeReclaim                        // acquire the shards of an earlier process of this node
 	purposeAssign                         // assign shards, as the leader
 	purposeRenewToken                     // replace the fencing token of one shard
-	purposeRelinquish                     // give shards up
+	purposeRelinquish                     // release shards
 )
 
 // String returns the purpose's name in logs.
@@ -39,36 +39,37 @@
 	return "purpose " + strconv.Itoa(int(p))
 }
 
-// noShard is the shard of commits that are not for a single one.
+// noShard is the shard number in the slot of a commit that is not about a single shard.
 const noShard = -1
 
-// commitSlot is what at most one commit may be on its way for.
+// commitSlot identifies a kind of commit of which at most one is in flight at a time.
 type commitSlot struct {
 	purpose leasePurpose
 	shard   int
 }
 
-// leaseCommits sends lease changes, one commit at a time for each slot. The watch shows
-// what came of them. Repeats do no harm: their conditions fail.
+// leaseCommits sends lease changes, one commit at a time per slot. Their effect is learned
+// from the watch alone. Repeating a commit that succeeded is harmless, since its conditions
+// then fail.
 type leaseCommits struct {
 	runtime  eventloop.Runtime
 	client   *Client
 	log      *slog.Logger
 	node     *nodeLease
-	evaluate func() // called when a slot is free again
+	evaluate func() // called whenever send has freed a slot
 	busy     map[commitSlot]bool
 }
 
 func (c *leaseCommits) isBusy(slot commitSlot) bool { return c.busy[slot] }
 
-// reserve keeps others out of a slot until free or send is called.
+// reserve marks a slot as busy until free is called or a commit sent in it is finished.
 func (c *leaseCommits) reserve(slot commitSlot) { c.busy[slot] = true }
 
-// free gives a reserved slot back.
+// free ends the reservation of a slot.
 func (c *leaseCommits) free(slot commitSlot) { delete(c.busy, slot) }
 
-// send commits operations and keeps the slot busy until the watch has had time to show
-// their effect, or until the commit may be tried again.
+// send commits operations. The slot stays busy after the answer: after a success until the
+// watch has had time to report the change, otherwise until the commit may be retried.
 func (c *leaseCommits) send(slot commitSlot, conditions []Condition, operations []Operation) {
 	c.reserve(slot)
 	leaseID := c.node.id
@@ -78,7 +79,7 @@
 		}
 		pause := c.client.Backoff(1)
 		if result.Outcome == OutcomeOK {
-			pause = tuning.MinStateBackoff // time for the watch
+			pause = tuning.MinStateBackoff // for the watch to report the change
 		}
 		c.runtime.After(pause, func() {
 			c.free(slot)
--- a/internal/statestore/lease_keys.go
+++ b/internal/statestore/lease_keys.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Keys of the leases. They share one prefix, so that one watch sees them all.
+// Keys of the leases. They share a prefix so that one watch covers all of them.
 const (
 	leasePrefix = "lease/"
 	nodePrefix  = leasePrefix + "node/"
@@ -17,30 +17,30 @@
 // ShardKey returns the key of a shard's lease. Its revision is the owner's fencing token.
 func ShardKey(shard int) string { return shardPrefix + strconv.Itoa(shard) }
 
-// leaseHolder is the value of a lease key. A restarted node is another holder: its nonce
-// differs.
+// leaseHolder is the value of a lease key. After a restart a node counts as another holder,
+// since its nonce differs.
 type leaseHolder struct {
 	Node  string `json:"node"`
 	Nonce uint64 `json:"nonce"`
-	// LeaseID, in a node's own entry, is the lease that keys assigned to the node are
-	// attached to.
+	// LeaseID, in a node's own entry, is the lease to which keys assigned to the node are
+	// attached.
 	LeaseID uint64 `json:"permit,omitempty"`
-	// Abstains, in a node's own entry, tells that it wants no shards now.
+	// Abstains, in a node's own entry, means that no shards are to be assigned to the node.
 	Abstains bool `json:"unfit,omitempty"`
 }
 
-// isProcess tells whether two entries name the same process.
+// isProcess reports whether two entries name the same process.
 func (h leaseHolder) isProcess(other leaseHolder) bool {
 	return h.Node == other.Node && h.Nonce == other.Nonce
 }
 
-// isEarlierProcess tells whether the holder is another process of the same node, which must
-// be dead, since nodes run one.
+// isEarlierProcess reports whether the holder is another process of the node of current.
+// That process must be dead, since a node runs only one.
 func (h leaseHolder) isEarlierProcess(current leaseHolder) bool {
 	return h.Node == current.Node && h.Nonce != current.Nonce
 }
 
-// encode returns the value to store.
+// encode returns the JSON value to store.
 func (h leaseHolder) encode() json.RawMessage {
 	raw, err := json.Marshal(h)
 	if err != nil {
--- a/internal/statestore/lease_table.go
+++ b/internal/statestore/lease_table.go
@@ -10,17 +10,17 @@
 	"lemonmoor/internal/eventloop"
 )
 
-// leaseTable is this process's copy of the lease keys. It learns of them from the mirror
-// alone, also of its own changes, so that it sees all changes in their order.
+// leaseTable is this process's copy of the lease keys. It is updated by the mirror alone,
+// also with this process's own commits, so that all changes are applied in order.
 type leaseTable struct {
 	runtime    eventloop.Runtime
 	log        *slog.Logger
 	shardCount int
-	answers    *answerDeadlines // told of every change of a shard's owner
+	answers    *answerDeadlines // notified of every change of a shard's owner
 
 	revisions       map[string]uint64
 	holders         map[string]leaseHolder
-	shardsChangedAt time.Duration // latest change of the shards' leases
+	shardsChangedAt time.Duration // time of the latest change of a shard's lease
 }
 
 func newLeaseTable(runtime eventloop.Runtime, log *slog.Logger, shardCount int, answers *answerDeadlines) *leaseTable {
@@ -30,8 +30,9 @@
 	}
 }
 
-// reset forgets all keys before a complete listing is applied. How the shards came to their
-// present owners is not known then.
+// reset removes all keys before a complete listing is applied. Since the changes of owners
+// before the listing were not seen, the previous owner of a shard that is owned now is
+// assumed to hold a lease that is still valid.
 func (t *leaseTable) reset(entries []KeyValue) {
 	clear(t.revisions)
 	clear(t.holders)
@@ -44,7 +45,7 @@
 	}
 }
 
-// apply takes one change in.
+// apply records one change of a key; a nil value means that the key was deleted.
 func (t *leaseTable) apply(key string, value json.RawMessage, revision uint64) {
 	shard, isShard := t.shardOfKey(key)
 	if strings.HasPrefix(key, shardPrefix) {
@@ -68,8 +69,8 @@
 	t.revisions[key], t.holders[key] = revision, holder
 }
 
-// shardOfKey returns the shard of a lease key; ok is false for other keys and for shards
-// that this deployment does not have.
+// shardOfKey returns the shard of a shard's lease key; ok is false for other keys and for
+// shards outside this deployment.
 func (t *leaseTable) shardOfKey(key string) (shard int, ok bool) {
 	number, isShard := strings.CutPrefix(key, shardPrefix)
 	if !isShard {
@@ -79,5 +80,5 @@
 	return shard, err == nil && shard >= 0 && shard < t.shardCount
 }
 
-// condition demands that a key is as this copy has it.
+// condition returns the condition that a key is still at the revision of this copy.
 func (t *leaseTable) condition(key string) Condition { return Condition{key, t.revisions[key]} }
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -8,42 +8,44 @@
 	"lemonmoor/internal/tuning"
 )
 
-// LeaseObserver is told, on the event loop, which leases this process acquires and loses.
+// LeaseObserver is notified, on the event loop, of the leases that this process acquires and
+// loses.
 type LeaseObserver interface {
-	// LeadershipAcquired tells that this process leads under a fencing token.
+	// LeadershipAcquired is called when this process has become the leader under a fencing
+	// token.
 	LeadershipAcquired(token uint64)
-	// LeadershipLost tells that it leads no longer.
+	// LeadershipLost is called when this process is no longer the leader.
 	LeadershipLost()
-	// ShardAcquired tells that this process owns a shard under a fencing token. It is also
-	// called when the token of a shard already owned is replaced.
+	// ShardAcquired is called when this process has acquired a shard under a fencing token,
+	// and when the token of a shard that it already owned has been replaced.
 	ShardAcquired(shard int, token uint64)
-	// ShardLost tells that it owns the shard no longer.
+	// ShardLost is called when this process no longer owns a shard.
 	ShardLost(shard int)
 }
 
-// LeaseConfig is what a lease manager needs to know.
+// LeaseConfig configures a lease manager.
 type LeaseConfig struct {
 	// Node names this node.
 	Node string
-	// Nonce differs for every process.
+	// Nonce is different for every process, also of the same node.
 	Nonce uint64
-	// Rank differs for every node of the deployment, from 0 on; it spreads their attempts
-	// to become the leader.
+	// Rank numbers the nodes of the deployment from 0. It spreads their attempts to become
+	// the leader over time.
 	Rank int
 	// ShardCount is the number of shards.
 	ShardCount int
-	// AnswerGracePeriod is how long after the end of its lease an owner goes on answering
-	// workers.
+	// AnswerGracePeriod is how long a shard owner continues to answer workers after its
+	// lease has ended.
 	AnswerGracePeriod time.Duration
-	// Observer is told of what this process acquires and loses.
+	// Observer is notified of leases acquired and lost.
 	Observer LeaseObserver
 }
 
-// LeaseManager stands for leadership and holds this process's leases. A lease key is put
-// when it is assigned or when a new fencing token is needed, never to renew it, so its
-// revision is the token; what is renewed is the one lease of the node that the keys are
-// attached to. What this process holds it learns from the watch alone, so that it sees all
-// changes in their order.
+// LeaseManager campaigns for leadership and manages this process's leases. A lease key is
+// put only when it is assigned or when it needs a new fencing token, so its revision is the
+// token. Renewal does not touch the keys: it renews the node's one lease, to which they are
+// attached. The leases that this process holds are learned from the watch alone, so that all
+// changes are processed in order.
 type LeaseManager struct {
 	runtime  eventloop.Runtime
 	log      *slog.Logger
@@ -64,7 +66,7 @@
 	manager.answers = &answerDeadlines{runtime: runtime, gracePeriod: config.AnswerGracePeriod, previousOwners: map[int]time.Duration{}}
 	manager.table = newLeaseTable(runtime, log, config.ShardCount, manager.answers)
 	manager.node = &nodeLease{
-		runtime: runtime, client: client, log: log, changed: manager.evaluateIfReady,
+		runtime: runtime, client: client, log: log, onChange: manager.evaluateIfReady,
 		process: leaseHolder{Node: config.Node, Nonce: config.Nonce},
 	}
 	commits := &leaseCommits{runtime: runtime, client: client, log: log, node: manager.node, evaluate: manager.evaluate, busy: map[commitSlot]bool{}}
@@ -78,7 +80,8 @@
 	return manager
 }
 
-// Start begins to follow the leases and to stand for leadership.
+// Start begins to watch the leases, to keep the node lease alive and to campaign for
+// leadership.
 func (m *LeaseManager) Start() {
 	m.mirror.Start()
 	m.node.keepAlive()
@@ -96,8 +99,8 @@
 	}
 }
 
-// evaluate compares the lease keys with what this process believes to hold, then does what
-// its roles ask for.
+// evaluate updates the leadership and the shards of this process from the lease keys, then
+// sends the commits that its roles require.
 func (m *LeaseManager) evaluate() {
 	m.updateLeadership()
 	m.updateShards()
@@ -106,7 +109,7 @@
 	}
 	m.shards.finishRelinquishing()
 	m.shards.register()
-	m.election.stand()
+	m.election.campaign()
 	m.shards.reclaim()
 	if m.election.token != 0 {
 		m.assigner.assign()
@@ -161,29 +164,33 @@
 // ShardToken returns the fencing token of a shard, 0 if this process does not own it.
 func (m *LeaseManager) ShardToken(shard int) uint64 { return m.shards.tokens[shard] }
 
-// LeaderNode names the node that was last seen to lead, "" if there was none.
+// LeaderNode returns the name of the leader's node as last seen by the watch, "" if there
+// was no leader.
 func (m *LeaseManager) LeaderNode() string { return m.table.holders[LeaderKey].Node }
 
-// ShardOwner names the node that was last seen to own a shard, "" if there was none.
+// ShardOwner returns the name of the node that owns a shard as last seen by the watch, "" if
+// it had no owner.
 func (m *LeaseManager) ShardOwner(shard int) string { return m.table.holders[ShardKey(shard)].Node }
 
-// LeaseValid tells whether what this process holds is surely held now.
+// LeaseValid reports whether the leases of this process are certain to be valid now.
 func (m *LeaseManager) LeaseValid() bool { return m.node.isValid() }
 
-// RenewToken asks for a new fencing token of a shard owned: commands sent under the old one
-// are void wherever the new one has been seen, and late commits fail.
+// RenewToken requests a new fencing token for a shard that this process owns. Recipients that
+// have seen the new token ignore commands sent under the old one, and late commits under the
+// old one fail.
 func (m *LeaseManager) RenewToken(shard int) { m.shards.renewToken(shard) }
 
-// Refresh reads the leases at once and calls fn then, also if they could not be read: a
-// condition on one of them has failed.
+// Refresh brings the copy of the leases up to date after a condition on one of them has
+// failed, without waiting for the watch. fn is called afterwards, also if that failed.
 func (m *LeaseManager) Refresh(fn func()) {
 	m.mirror.Verify(func(error) { fn() })
 }
 
-// Relinquished tells whether nothing may be answered any more under a shard's token: it is
-// being given up, and the next owner may begin before this process hears of it.
+// Relinquished reports whether this process is giving up a shard and must not answer under
+// the shard's token any more. The next owner may start before the watch shows this process
+// that the shard is released.
 func (m *LeaseManager) Relinquished(shard int) bool { return m.shards.isRelinquished(shard) }
 
-// RelinquishShards gives up all shards and takes none for a while: no worker reaches this
-// node.
+// RelinquishShards gives up all shards because no worker reaches this node, and abstains
+// from owning shards for tuning.AbstainAfterStepDown.
 func (m *LeaseManager) RelinquishShards() { m.shards.relinquishAll() }
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -37,7 +37,7 @@
 func (noObserver) ShardLost(int)             {}
 
 // take finds the first request to a path that has not been answered.
-func (f *fakeService) take(t *testing.T, path string) request {
+func (f *fakeService) takeRequest(t *testing.T, path string) request {
 	t.Helper()
 	i := slices.IndexFunc(f.requests, func(r request) bool { return strings.HasPrefix(r.call.Target, path) })
 	if i < 0 {
@@ -51,11 +51,11 @@
 // reply answers the first request to a path.
 func (f *fakeService) reply(t *testing.T, path, body string) {
 	t.Helper()
-	f.take(t, path).answer(http1.Response{Status: 200, Body: []byte(body)}, nil)
+	f.takeRequest(t, path).answer(http1.Response{Status: 200, Body: []byte(body)}, nil)
 }
 
 // fire runs the timers that are set now.
-func (f *fakeService) fire() {
+func (f *fakeService) fireTimers() {
 	timers := f.timers
 	f.timers = nil
 	for _, fn := range timers {
@@ -107,7 +107,7 @@
 	service.reply(t, "/grants", `{"permit":5}`)
 	check("grant", sentAt)
 	service.now = sentAt + 3*time.Second
-	service.fire() // the renewal leaves
+	service.fireTimers() // the renewal leaves
 	sentAt = service.now
 	service.now += 2 * time.Second
 	service.reply(t, "/grants/5/touch", `{}`)
@@ -124,9 +124,9 @@
 	if manager.ShardToken(0) != 7 || !manager.LeaseValid() {
 		t.Fatalf("token %d, valid %v", manager.ShardToken(0), manager.LeaseValid())
 	}
-	service.fire()
-	service.take(t, "/grants/5/touch").answer(http1.Response{Status: 404, Body: []byte(`{}`)}, nil)
-	service.fire()
+	service.fireTimers()
+	service.takeRequest(t, "/grants/5/touch").answer(http1.Response{Status: 404, Body: []byte(`{}`)}, nil)
+	service.fireTimers()
 	service.reply(t, "/grants", `{"permit":6}`)
 	if manager.ShardToken(0) != 0 {
 		t.Errorf("holds a shard of the expired lease under token %d", manager.ShardToken(0))
@@ -185,7 +185,7 @@
 	verifiedAt := service.now
 	service.reply(t, "/grants", `{"permit":5}`)
 	service.now += 5 * time.Second
-	service.fire()
+	service.fireTimers()
 	service.reply(t, "/grants/5/touch", `{}`)
 	if got, want := manager.AnswersUntil(), verifiedAt+tuning.LeaseTTL+manager.answers.gracePeriod; got != want {
 		t.Errorf("answers until %v after the verification, want %v", got-verifiedAt, want-verifiedAt)
@@ -208,7 +208,7 @@
 				}
 			}
 			service.now += 100 * time.Millisecond
-			service.fire()
+			service.fireTimers()
 		}
 		t.Fatalf("no commit of %s", key)
 		return request{}
--- a/internal/statestore/messages.go
+++ b/internal/statestore/messages.go
@@ -2,28 +2,29 @@
 
 import "encoding/json"
 
-// KeyValue is one key with its value (PROTOCOL, "Controller nodes -> state service").
+// KeyValue is a key with its value (PROTOCOL, "Controller nodes -> state service").
 type KeyValue struct {
 	Key      string          `json:"key"`
 	Value    json.RawMessage `json:"v"`
-	Revision uint64          `json:"stamp"` // of the key's latest change
+	Revision uint64          `json:"stamp"` // revision of the key's latest change
 }
 
-// Condition demands that a key is at a revision; 0 means that the key does not exist.
+// Condition requires that a key is at a revision; revision 0 means that the key does not
+// exist.
 type Condition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Operation is one change of a commit: a key is put or deleted.
+// Operation is one change in a commit: it puts or deletes a key.
 type Operation struct {
 	PutKey    string          `json:"set,omitempty"`
 	Value     json.RawMessage `json:"v,omitempty"`
-	LeaseID   uint64          `json:"permit,omitempty"` // the key ends with this lease; 0: with none
+	LeaseID   uint64          `json:"permit,omitempty"` // the key is deleted when this lease ends; 0: no lease
 	DeleteKey string          `json:"remove,omitempty"`
 }
 
-// WatchEvent is one change seen by a watch: a key was put or deleted.
+// WatchEvent is one change reported by a watch: a key was put or deleted.
 type WatchEvent struct {
 	PutKey     string          `json:"set"`
 	Value      json.RawMessage `json:"v"`
@@ -34,9 +35,10 @@
 // CommitResult is the result of a commit.
 type CommitResult struct {
 	Outcome Outcome
-	// Revision is that of the commit; with OutcomeConflict, the service's latest.
+	// Revision is the revision of the commit or, with OutcomeConflict, the service's latest
+	// revision.
 	Revision uint64
-	// FailedKeys are the keys whose conditions did not hold, with OutcomeConflict.
+	// FailedKeys are, with OutcomeConflict, the keys whose conditions did not hold.
 	FailedKeys []string
 }
 
@@ -44,7 +46,8 @@
 type ListResult struct {
 	Outcome Outcome
 	Entries []KeyValue
-	// Revision is that of the first page: later changes may or may not be in Entries.
+	// Revision is the revision of the first page. Entries may or may not include later
+	// changes.
 	Revision uint64
 }
 
@@ -52,7 +55,7 @@
 type WatchResult struct {
 	Outcome Outcome
 	Events  []WatchEvent
-	// Revision is the one up to which Events are complete.
+	// Revision is the revision up to which Events is complete.
 	Revision uint64
 }
 
--- a/internal/statestore/mirror.go
+++ b/internal/statestore/mirror.go
@@ -10,20 +10,21 @@
 	"lemonmoor/internal/tuning"
 )
 
-// MirrorHandler is what the owner of a mirror does with the key-values it receives.
+// MirrorHandler holds the callbacks that apply key-values to the copy of a mirror's owner.
 type MirrorHandler struct {
-	// Apply takes every key-value and every change in the order of their revisions. A nil
-	// value means that the key has been deleted.
+	// Apply is called for every key-value of a listing and every change, in the order of
+	// their revisions. A nil value means that the key has been deleted.
 	Apply func(key string, value json.RawMessage, revision uint64)
 	// Reset, if set, is called with a complete listing before its entries are applied.
 	Reset func(entries []KeyValue)
-	// Updated, if set, is called after every complete listing and after every change.
+	// Updated, if set, is called after every complete listing and after every batch of
+	// changes.
 	Updated func()
 }
 
-// Mirror keeps a copy of all key-values under a prefix current: it lists them once, then
-// follows their changes by a watch, and lists them anew when the service has dropped the
-// history in between. The handler holds the copy; the mirror owns how far it has come.
+// Mirror keeps a copy of all key-values under a prefix current. It lists them once, then
+// watches their changes, and lists them again if the service no longer has the history that
+// the watch needs. The handler holds the copy; the mirror tracks the revision it has reached.
 type Mirror struct {
 	runtime eventloop.Runtime
 	client  *Client
@@ -32,11 +33,11 @@
 
 	revision uint64 // all changes up to this one have been applied
 	ready    bool   // a listing has been applied
-	// generation grows with every listing begun. Answers to requests of earlier
-	// generations are dropped.
+	// generation is incremented by every listing that is started. Answers to requests of
+	// earlier generations are dropped.
 	generation int
-	// listing tells that a listing is on its way. The answer to a check that arrives
-	// meanwhile would move the copy on, and the listing, which is older, back again.
+	// listing is set while a listing is in flight. The answer to a freshness check must not
+	// be applied then: it would advance the copy, and the older listing would revert it.
 	listing bool
 
 	pacer    watchPacer
@@ -49,18 +50,19 @@
 	return &Mirror{runtime: runtime, client: client, prefix: prefix, handler: handler}
 }
 
-// SetWatchPause sets how long the mirror waits after changes before it opens the watch
-// again; a copy that nothing is decided from may lag behind. It is asked after each watch
-// that brought changes.
+// SetWatchPause sets the average pause before the mirror reopens a watch that has returned
+// changes. A copy on which no decision is based may lag behind. pause is called after each
+// watch that returned changes.
 func (m *Mirror) SetWatchPause(pause func() time.Duration) { m.pacer.pause = pause }
 
-// IsReady tells whether a complete listing has been applied.
+// IsReady reports whether a complete listing has been applied.
 func (m *Mirror) IsReady() bool { return m.ready }
 
-// Start lists the key-values and follows their changes from then on.
+// Start lists the key-values and watches their changes from then on.
 func (m *Mirror) Start() { m.list(0) }
 
-// list begins a new generation with a complete listing.
+// list starts a new generation with a complete listing; attempt counts the listings that
+// failed before it.
 func (m *Mirror) list(attempt int) {
 	m.generation++
 	m.listing = true
@@ -89,7 +91,7 @@
 	if m.handler.Reset != nil {
 		m.handler.Reset(listed.Entries)
 	}
-	// In the order of their changes, as a watch would have reported them.
+	// In the order of their revisions, as a watch would have reported them.
 	slices.SortStableFunc(listed.Entries, func(a, b KeyValue) int { return cmp.Compare(a.Revision, b.Revision) })
 	for _, entry := range listed.Entries {
 		m.handler.Apply(entry.Key, entry.Value, entry.Revision)
@@ -103,7 +105,8 @@
 	}
 }
 
-// watch follows the changes of one generation.
+// watch requests the next changes within one generation; attempt counts the watches that
+// failed before it.
 func (m *Mirror) watch(generation, attempt int) {
 	sentAt := m.runtime.Now()
 	m.client.Watch(m.prefix, m.revision, tuning.WatchTimeout, func(watched WatchResult) {
@@ -127,7 +130,8 @@
 	})
 }
 
-// watchAgain opens the watch after a pause; without one, at once and not by a timer.
+// watchAgain reopens the watch after a pause. Without a pause it does so directly, without a
+// timer.
 func (m *Mirror) watchAgain(generation, attempt int, pause time.Duration) {
 	if pause == 0 {
 		m.watch(generation, attempt)
@@ -140,8 +144,8 @@
 	})
 }
 
-// applyEvents applies the changes up to a revision. The long watch and the checks overlap;
-// what has been applied already is skipped.
+// applyEvents applies the events of a watch or a freshness check. The two overlap, so events
+// that have already been applied are skipped.
 func (m *Mirror) applyEvents(watched WatchResult) {
 	if watched.Revision <= m.revision {
 		return
@@ -162,14 +166,14 @@
 	}
 }
 
-// watchPacer spreads the watches of a mirror under constant change.
+// watchPacer limits the rate of the watches of a mirror whose keys change constantly.
 type watchPacer struct {
 	pause  func() time.Duration // nil: none
-	nextAt time.Duration        // when the next watch is due on average
+	nextAt time.Duration        // when the next watch is due at the average rate
 }
 
-// next returns the pause before the next watch, so that the pauses asked for are kept on
-// average: after a quiet time the first changes are followed at once.
+// next returns the pause before the next watch. The requested pause is kept on average: after
+// a quiet period the first tuning.WatchBurst watches are reopened without a pause.
 func (p *watchPacer) next(now time.Duration) time.Duration {
 	if p.pause == nil {
 		return 0
--- a/internal/statestore/mirror_verify.go
+++ b/internal/statestore/mirror_verify.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// ErrNotVerified means that a copy could not be shown to be current.
+// ErrNotVerified means that a copy could not be verified to be current.
 var ErrNotVerified = errors.New("state not verified to be current")
 
-// verifiedMoment is the latest moment of which it is shown that a mirror holds all that was
-// committed before it.
+// verifiedMoment is the latest time for which a mirror has been verified: it holds everything
+// committed before.
 type verifiedMoment struct {
-	at    time.Duration
+	at    time.Duration // on the loop's clock
 	known bool
 }
 
@@ -21,25 +21,27 @@
 	}
 }
 
-// checkQueue holds who waits for a check: a watch that does not wait for changes, whose
-// answer shows that the mirror is current. At most one check is on its way.
+// checkQueue holds the callers that wait for a freshness check, which is a watch that does
+// not wait for changes: its answer proves that the mirror is current. At most one check is in
+// flight.
 type checkQueue struct {
-	waiters    []func(error)
+	waiters    []func(error) // called by the next check that is sent
 	inFlight   bool
 	scheduled  bool
 	lastSentAt time.Duration
 	everSent   bool
 }
 
-// VerifiedAt returns the latest moment of which it is shown that the mirror holds all that
-// was committed before it: when a request was sent whose answer has been applied. A watch
-// shows nothing of the time for which it was open. Answers come late and watches fail
-// unseen, so whatever rests on the copy asks for this moment, not for when the copy last
-// changed. known is false before the first answer.
+// VerifiedAt returns the latest time, on the loop's clock, for which the mirror is verified to
+// hold everything committed before: the time at which a request was sent whose answer has
+// been applied. The answer to a watch proves nothing about the time during which the watch
+// was open. Code that relies on the copy must use VerifiedAt rather than the time of the
+// copy's last change, because answers may arrive late and watches may fail unnoticed. known
+// is false before the first answer.
 func (m *Mirror) VerifiedAt() (at time.Duration, known bool) { return m.verified.at, m.verified.known }
 
-// Verify calls fn once the mirror is shown to hold everything that was committed before
-// the call, or with ErrNotVerified. Calls share requests.
+// Verify calls fn with nil once the mirror is verified to hold everything committed before
+// the call, or with ErrNotVerified. Concurrent calls share requests.
 func (m *Mirror) Verify(fn func(error)) {
 	if !m.ready || m.listing {
 		fn(ErrNotVerified)
@@ -49,8 +51,9 @@
 	m.scheduleCheck()
 }
 
-// VerifyIfOlder verifies the mirror, by a request sent from now on, unless VerifiedAt is
-// younger than age. While a verification waits to be sent, no other is asked for.
+// VerifyIfOlder verifies the mirror unless VerifiedAt is less than age ago or a verification is
+// already waiting to be sent. A check in flight does not count, since the request of the
+// verification must be sent from now on.
 func (m *Mirror) VerifyIfOlder(age time.Duration) {
 	if !m.ready || m.listing || (m.verified.known && m.runtime.Now()-m.verified.at < age) || len(m.checks.waiters) > 0 {
 		return
@@ -58,8 +61,8 @@
 	m.Verify(func(error) {})
 }
 
-// scheduleCheck sends a check for those who wait, no sooner than FreshnessCheckInterval
-// after the last one.
+// scheduleCheck sends a freshness check for the waiting callers, if there are any, at least
+// FreshnessCheckInterval after the last one.
 func (m *Mirror) scheduleCheck() {
 	if m.checks.inFlight || m.checks.scheduled || len(m.checks.waiters) == 0 {
 		return
@@ -79,15 +82,15 @@
 	})
 }
 
-// check verifies the mirror for all who wait now.
+// check verifies the mirror for all callers waiting now.
 func (m *Mirror) check() {
 	if m.checks.inFlight {
 		return
 	}
 	waiters := m.checks.waiters
 	m.checks.waiters = nil
-	if m.listing { // it has begun since they asked
-		answerAll(waiters, ErrNotVerified)
+	if m.listing { // started after the callers began to wait
+		notifyAll(waiters, ErrNotVerified)
 		return
 	}
 	sentAt := m.runtime.Now()
@@ -105,12 +108,12 @@
 		case watched.Outcome == OutcomeGone:
 			m.list(0)
 		}
-		answerAll(waiters, err)
+		notifyAll(waiters, err)
 		m.scheduleCheck()
 	})
 }
 
-func answerAll(waiters []func(error), err error) {
+func notifyAll(waiters []func(error), err error) {
 	for _, fn := range waiters {
 		fn(err)
 	}
--- a/internal/statestore/node_lease.go
+++ b/internal/statestore/node_lease.go
@@ -8,30 +8,34 @@
 	"lemonmoor/internal/tuning"
 )
 
-// nodeLease is this node's one lease at the state service. All lease keys that the process
-// holds are attached to it, so that renewing it renews them all and none is put anew.
+// nodeLease is this node's lease at the state service. All lease keys that the process holds
+// are attached to it, so that one renewal extends all of them and no key has to be put
+// again.
 type nodeLease struct {
 	runtime eventloop.Runtime
 	client  *Client
 	log     *slog.Logger
-	// changed is called when a lease has been granted or has expired.
-	changed func()
+	// onChange is called when a lease has been granted or has expired.
+	onChange func()
 
 	process    leaseHolder   // this process, as holder of lease keys
-	id         uint64        // 0: none
-	validUntil time.Duration // end of the time for which the lease is surely valid
+	id         uint64        // 0: no lease
+	validUntil time.Duration // until when the lease is certain to be valid
 }
 
-// isValid tells whether the keys attached to the lease are surely held now.
+// isValid reports whether the lease, and so every key attached to it, is certain to be valid
+// now.
 func (l *nodeLease) isValid() bool { return l.id != 0 && l.runtime.Now() < l.validUntil }
 
-// attach returns the operation that puts a lease key, held by this process.
+// attach returns the operation that puts a lease key with this process as its holder,
+// attached to the lease.
 func (l *nodeLease) attach(key string) Operation {
 	return Operation{PutKey: key, Value: l.process.encode(), LeaseID: l.id}
 }
 
-// keepAlive renews the lease, or asks for one if there is none, and goes on doing so. The
-// validity counts from before the request: when the service carried it out is not known.
+// keepAlive renews the lease, or requests one if there is none, and schedules its next call.
+// The validity counts from the time at which the request is sent, since the time at which
+// the service carries it out is unknown.
 func (l *nodeLease) keepAlive() {
 	validUntil := l.runtime.Now() + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
 	if l.id == 0 {
@@ -50,7 +54,7 @@
 			return
 		}
 		l.id, l.validUntil = granted.LeaseID, validUntil
-		l.changed()
+		l.onChange()
 		l.keepAliveAfter(tuning.LeaseRenewInterval)
 	})
 }
@@ -62,7 +66,7 @@
 			l.validUntil = max(l.validUntil, validUntil)
 			l.keepAliveAfter(tuning.LeaseRenewInterval)
 		case OutcomeGone:
-			l.expired()
+			l.handleExpiry()
 			l.keepAliveAfter(0)
 		case OutcomeConflict, OutcomeRefused, OutcomeUnknown, OutcomeInvalid:
 			l.keepAliveAfter(tuning.LeaseRenewRetryDelay)
@@ -70,9 +74,9 @@
 	})
 }
 
-func (l *nodeLease) expired() {
+func (l *nodeLease) handleExpiry() {
 	l.log.Info("node lease expired")
 	l.id, l.validUntil = 0, 0
-	l.process.Nonce++ // keys attached to the expired lease are another holder's
-	l.changed()
+	l.process.Nonce++ // keys attached to the expired lease now count as another holder's
+	l.onChange()
 }
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -2,25 +2,25 @@
 
 import "strconv"
 
-// Outcome is what is known of a request to the state service.
+// Outcome is what is known about the effect of a request to the state service.
 type Outcome int
 
 // The outcomes of a request.
 const (
 	// OutcomeOK means that the request was carried out.
 	OutcomeOK Outcome = iota
-	// OutcomeConflict means that a condition did not hold; nothing was changed.
+	// OutcomeConflict means that a condition did not hold and nothing was changed.
 	OutcomeConflict
-	// OutcomeRefused means that the request was surely not carried out and may be sent
-	// again after a pause.
+	// OutcomeRefused means that the request was not carried out and may be retried after a
+	// pause.
 	OutcomeRefused
-	// OutcomeUnknown means that no valid answer came: the request may have been carried out,
-	// or may yet be.
+	// OutcomeUnknown means that no valid answer arrived: the request may have been carried
+	// out or may still be.
 	OutcomeUnknown
 	// OutcomeGone means that the lease or the watched history no longer exists.
 	OutcomeGone
-	// OutcomeInvalid means that the service calls the request malformed, too large or made
-	// under a lease that has ended. It was surely not carried out.
+	// OutcomeInvalid means that the service rejected the request as malformed, as too large
+	// or as made under a lease that has ended. It was not carried out.
 	OutcomeInvalid
 )
 
@@ -43,8 +43,8 @@
 	return "outcome " + strconv.Itoa(int(o))
 }
 
-// outcomeOfStatus translates the status of an answer. A status outside the protocol proves
-// nothing.
+// outcomeOfStatus returns the outcome for the HTTP status of an answer. A status that the
+// protocol does not define proves nothing, so it gives OutcomeUnknown.
 func outcomeOfStatus(status int) Outcome {
 	switch status {
 	case 200, 201, 204:
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -6,15 +6,16 @@
 	"lemonmoor/internal/tuning"
 )
 
-// CommitTimeout returns how long to wait for a commit whose outcome must be known. A service
-// that answers slowly is not one that has failed: given up on at the usual time, commits
-// were in doubt one after the other, and each doubt cost a new fencing token and a reading
-// of all records.
+// CommitTimeout returns how long to wait for a commit whose outcome must be known. It grows
+// with the average latency: with the usual timeout, the outcomes of commit after commit
+// would be unknown while the service is merely slow, and each unknown outcome costs a new
+// fencing token and a reread of all records.
 func (c *Client) CommitTimeout() time.Duration {
 	return max(tuning.StateRequestTimeout, min(tuning.CommitTimeoutFactor*c.averageLatency, tuning.MaxCommitTimeout))
 }
 
-// Backoff returns the pause before another attempt, with jitter; attempt counts from 0.
+// Backoff returns the pause before a retry, with jitter. attempt is the number of retries so
+// far, from 0; the pause doubles with each up to tuning.MaxStateBackoff.
 func (c *Client) Backoff(attempt int) time.Duration {
 	pause := min(tuning.MinStateBackoff<<min(attempt, tuning.MaxStateBackoffDoublings), tuning.MaxStateBackoff)
 	return time.Duration(float64(pause) * (0.5 + c.runtime.Rand()))
--- a/internal/statestore/shard_assignment.go
+++ b/internal/statestore/shard_assignment.go
@@ -8,7 +8,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// shardAssigner assigns shards to nodes while this process leads.
+// shardAssigner assigns shards to nodes while this process is the leader.
 type shardAssigner struct {
 	runtime  eventloop.Runtime
 	client   *Client
@@ -18,8 +18,9 @@
 	election *election
 }
 
-// assign gives the shards that have no owner to the nodes with the fewest, and now and then
-// moves one from a node with many to one with few.
+// assign assigns the shards without an owner to the candidates with the fewest shards. If all
+// shards have owners and none has changed for tuning.ShardRebalanceDelay, it moves one shard
+// to the candidate with the fewest.
 func (a *shardAssigner) assign() {
 	slot := commitSlot{purposeAssign, noShard}
 	if a.commits.isBusy(slot) || a.runtime.Now() < a.election.acquiredAt+tuning.FirstAssignmentDelay {
@@ -51,6 +52,7 @@
 	a.commits.send(slot, conditions, operations)
 }
 
+// unownedShards returns the shards without an owner, in ascending order.
 func (a *shardAssigner) unownedShards() []int {
 	var shards []int
 	for shard := range a.table.shardCount {
@@ -61,6 +63,7 @@
 	return shards
 }
 
+// countShards adds the number of shards that each node owns to the candidates' counts.
 func (a *shardAssigner) countShards(candidates candidateNodes) {
 	for shard := range a.table.shardCount {
 		if owner, owned := a.table.holders[ShardKey(shard)]; owned {
@@ -69,8 +72,8 @@
 	}
 }
 
-// shardToMove returns the first shard whose owner has at least two more than the least
-// loaded candidate, or none.
+// shardToMove returns the first shard whose owner has at least two more shards than the least
+// loaded candidate, or nil if there is none.
 func (a *shardAssigner) shardToMove(candidates candidateNodes) []int {
 	target := candidates.leastLoaded()
 	for shard := range a.table.shardCount {
@@ -84,11 +87,11 @@
 
 // candidateNodes are the nodes that may be assigned shards.
 type candidateNodes struct {
-	names       []string       // in the order of preference
-	shardCounts map[string]int // shards owned, by node, also of nodes that are no candidates
+	names       []string       // in order of preference
+	shardCounts map[string]int // number of shards owned, by node, including other nodes
 }
 
-// leastLoaded returns the first of the candidates with the fewest shards.
+// leastLoaded returns the first candidate among those with the fewest shards.
 func (c candidateNodes) leastLoaded() string {
 	best := c.names[0]
 	for _, name := range c.names {
@@ -99,8 +102,8 @@
 	return best
 }
 
-// candidates lists the nodes that may be assigned shards, the leader last, since it has
-// enough to do. Their shards are not counted yet.
+// candidates returns the nodes that may be assigned shards, with all counts 0. The leader is
+// last because of its additional work.
 func (a *shardAssigner) candidates() candidateNodes {
 	candidates := candidateNodes{shardCounts: map[string]int{}}
 	for key, entry := range a.table.holders {
@@ -110,7 +113,7 @@
 		}
 	}
 	slices.Sort(candidates.names)
-	// The name stands once at most: a node has one entry.
+	// The name occurs at most once, since a node has a single entry.
 	if own := slices.Index(candidates.names, a.node.process.Node); own >= 0 {
 		candidates.names = append(slices.Delete(candidates.names, own, own+1), a.node.process.Node)
 	}
--- a/internal/statestore/shard_leases.go
+++ b/internal/statestore/shard_leases.go
@@ -8,9 +8,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// shardLeases are the shards that this process owns: it replaces their fencing tokens,
-// gives them up and takes back those of an earlier process of this node. It never takes
-// others; the leader assigns them.
+// shardLeases manages the shards that this process owns: it replaces their fencing tokens,
+// relinquishes them, and reclaims the shards of an earlier process of this node. It never
+// acquires any other shard; those are assigned by the leader.
 type shardLeases struct {
 	runtime eventloop.Runtime
 	log     *slog.Logger
@@ -20,10 +20,10 @@
 	commits *leaseCommits
 
 	tokens map[int]uint64 // fencing tokens of the shards owned
-	// relinquished are the tokens under which nothing may be answered any more, also if
-	// the commit that gives the shard up fails or its answer is lost.
+	// relinquished maps shards to the tokens under which this process must not answer any
+	// more, also if the commit that releases the shard fails or its answer is lost.
 	relinquished map[int]uint64
-	abstainUntil time.Duration // no shards are taken before
+	abstainUntil time.Duration // until then this node asks for no shards
 }
 
 func (s *shardLeases) isAbstaining() bool { return s.runtime.Now() < s.abstainUntil }
@@ -32,7 +32,8 @@
 	return s.tokens[shard] != 0 && s.relinquished[shard] == s.tokens[shard]
 }
 
-// register keeps the node's own entry current, by which the leader knows it as a candidate.
+// register keeps the node's own entry current. The leader finds its candidates by these
+// entries.
 func (s *shardLeases) register() {
 	key := nodePrefix + s.node.process.Node
 	slot := commitSlot{purposeRegister, noShard}
@@ -47,8 +48,8 @@
 	return leaseHolder{s.node.process.Node, s.node.process.Nonce, s.node.id, abstains}
 }
 
-// reclaim takes back the shards of an earlier process of this node: it is dead, and under
-// the new token nothing that it sends counts.
+// reclaim acquires the shards of an earlier process of this node. That process is dead, and
+// the new token invalidates everything that it sends.
 func (s *shardLeases) reclaim() {
 	slot := commitSlot{purposeReclaim, noShard}
 	if s.isAbstaining() || s.commits.isBusy(slot) {
@@ -68,7 +69,8 @@
 	}
 }
 
-// renewToken replaces the fencing token of a shard.
+// renewToken replaces the fencing token of a shard, if this process owns it, by putting its
+// key again.
 func (s *shardLeases) renewToken(shard int) {
 	slot := commitSlot{purposeRenewToken, shard}
 	token := s.tokens[shard]
@@ -79,7 +81,8 @@
 	s.commits.send(slot, []Condition{{key, token}}, []Operation{s.node.attach(key)})
 }
 
-// relinquishAll gives up all shards and takes none for a while.
+// relinquishAll gives up all shards and abstains from owning any for
+// tuning.AbstainAfterStepDown.
 func (s *shardLeases) relinquishAll() {
 	if len(s.tokens) == 0 || s.commits.isBusy(commitSlot{purposeRelinquish, noShard}) {
 		return
@@ -92,7 +95,8 @@
 	s.release()
 }
 
-// release commits that the relinquished shards have no owner.
+// release deletes the keys of the relinquished shards, so that they have no owner, in as many
+// commits as the limit of operations requires.
 func (s *shardLeases) release() {
 	slot := commitSlot{purposeRelinquish, noShard}
 	if s.commits.isBusy(slot) {
@@ -116,8 +120,8 @@
 	s.commits.send(slot, conditions, operations)
 }
 
-// finishRelinquishing repeats a release that was refused or whose answer was lost. Shards
-// still owned after the time of abstaining are owned anew, under new tokens.
+// finishRelinquishing repeats a release that was refused or whose answer was lost. Shards that
+// this process still owns when it no longer abstains are kept under new tokens.
 func (s *shardLeases) finishRelinquishing() {
 	for shard := range s.tokens {
 		if !s.isRelinquished(shard) {
--- a/internal/statestore/verify.go
+++ b/internal/statestore/verify.go
@@ -2,16 +2,16 @@
 
 import "lemonmoor/internal/term"
 
-// Verifier is a copy of a part of the state that can be verified to be current.
+// Verifier is a copy of part of the state that can be verified to be current.
 type Verifier interface {
-	// Verify calls fn once the copy is shown to hold everything that was committed
-	// before the call, or with an error if that could not be shown.
+	// Verify calls fn with nil once the copy is verified to hold everything committed
+	// before the call, or with an error if it could not be verified.
 	Verify(fn func(error))
 }
 
-// VerifyUntilCurrent verifies copies one after the other and calls done when all of them
-// are verified. Whenever one is not, all are verified again, after a pause that
-// grows. It gives up silently when the term ends.
+// VerifyUntilCurrent verifies copies one after the other and calls done when all of them are
+// verified. If one cannot be verified, all are verified again after a pause that grows with
+// each attempt. When the term ends it stops without calling done.
 func (c *Client) VerifyUntilCurrent(terms *term.Counter, done func(), copies ...Verifier) {
 	c.verifyUntilCurrent(terms, done, copies, 0)
 }
--- a/internal/statestore/wire_test.go
+++ b/internal/statestore/wire_test.go
@@ -33,7 +33,7 @@
 
 // takeOnly takes the one request that a client has sent, checks it and returns how to
 // answer it.
-func (f *fakeService) takeOnly(t *testing.T, method, target, body string) func(http1.Response, error) {
+func (f *fakeService) takeOnlyRequest(t *testing.T, method, target, body string) func(http1.Response, error) {
 	t.Helper()
 	if len(f.requests) != 1 {
 		t.Fatalf("%d requests instead of %s %s", len(f.requests), method, target)
@@ -73,14 +73,14 @@
 		var got CommitResult
 		client.Commit([]Condition{{Key: "lease/lead", Revision: 3}, {Key: "job/wk-1"}},
 			[]Operation{{PutKey: "job/wk-1", Value: json.RawMessage(`{"at":1}`), LeaseID: 4}, {DeleteKey: "work/0/wk-1/0"}}, func(result CommitResult) { got = result })
-		service.takeOnly(t, "POST", "/commit", `{"guards":[{"key":"lease/lead","stamp":3},{"key":"job/wk-1","stamp":0}],`+
+		service.takeOnlyRequest(t, "POST", "/commit", `{"guards":[{"key":"lease/lead","stamp":3},{"key":"job/wk-1","stamp":0}],`+
 			`"apply":[{"set":"job/wk-1","v":{"at":1},"permit":4},{"remove":"work/0/wk-1/0"}]}`)(reply(answer.status, answer.body), nil)
 		if !reflect.DeepEqual(got, answer.want) {
 			t.Errorf("%d %s: %+v", answer.status, answer.body, got)
 		}
 	}
 	client.Commit(nil, nil, func(CommitResult) {})
-	service.takeOnly(t, "POST", "/commit", `{"guards":[]}`)
+	service.takeOnlyRequest(t, "POST", "/commit", `{"guards":[]}`)
 }
 
 // TestWireList: keys are listed page by page.
@@ -97,8 +97,8 @@
 	})
 	first := service.requests[0].call.Target
 	limit, _ := strings.CutPrefix(first, "/keys?under=job%2F&limit=")
-	service.takeOnly(t, "GET", "/keys?under=job%2F&limit="+limit, "")(reply(200, `{"rows":[{"key":"job/a&b","v":{"at":1},"stamp":5}],"hasNext":true,"epoch":6}`), nil)
-	service.takeOnly(t, "GET", "/keys?under=job%2F&limit="+limit+"&since=job%2Fa%26b", "")(reply(200, `{"rows":[{"key":"job/c","v":2,"stamp":7}],"hasNext":false,"epoch":8}`), nil)
+	service.takeOnlyRequest(t, "GET", "/keys?under=job%2F&limit="+limit, "")(reply(200, `{"rows":[{"key":"job/a&b","v":{"at":1},"stamp":5}],"hasNext":true,"epoch":6}`), nil)
+	service.takeOnlyRequest(t, "GET", "/keys?under=job%2F&limit="+limit+"&since=job%2Fa%26b", "")(reply(200, `{"rows":[{"key":"job/c","v":2,"stamp":7}],"hasNext":false,"epoch":8}`), nil)
 	wiretest.Written(t, got, `[{"key":"job/a\u0026b","v":{"at":1},"stamp":5},{"key":"job/c","v":2,"stamp":7}]`)
 	if revision != 6 || limit == "" {
 		t.Errorf("revision %d, limit %q", revision, limit)
@@ -117,7 +117,7 @@
 		}
 		got, revision = watched.Events, watched.Revision
 	})
-	service.takeOnly(t, "GET", "/watch?under=work%2F&since=6&waitMs=1500", "")(reply(200, `{"epoch":9,"log":[{"set":"work/0/wk-1/0","v":{"i":"0"},"stamp":7},`+
+	service.takeOnlyRequest(t, "GET", "/watch?under=work%2F&since=6&waitMs=1500", "")(reply(200, `{"epoch":9,"log":[{"set":"work/0/wk-1/0","v":{"i":"0"},"stamp":7},`+
 		`{"remove":"work/0/wk-2/0","stamp":9}]}`), nil)
 	if len(got) != 2 || revision != 9 || got[0].PutKey != "work/0/wk-1/0" || string(got[0].Value) != `{"i":"0"}` || got[0].Revision != 7 ||
 		got[1].DeletedKey != "work/0/wk-2/0" || got[1].Revision != 9 {
@@ -131,16 +131,16 @@
 	client := New(service, "state", slog.New(slog.DiscardHandler))
 	leaseID, renewed, revoked := uint64(0), OutcomeUnknown, OutcomeUnknown
 	client.GrantLease(1500*time.Millisecond, func(granted GrantResult) { leaseID = granted.LeaseID })
-	service.takeOnly(t, "POST", "/grants", `{"ttlMs":1500}`)(reply(201, `{"permit":12}`), nil)
+	service.takeOnlyRequest(t, "POST", "/grants", `{"ttlMs":1500}`)(reply(201, `{"permit":12}`), nil)
 	client.RenewLease(12, func(outcome Outcome) { renewed = outcome })
-	service.takeOnly(t, "POST", "/grants/12/touch", "")(reply(200, `{}`), nil)
+	service.takeOnlyRequest(t, "POST", "/grants/12/touch", "")(reply(200, `{}`), nil)
 	client.RevokeLease(12, func(outcome Outcome) { revoked = outcome })
-	service.takeOnly(t, "DELETE", "/grants/12", "")(reply(204, ""), nil)
+	service.takeOnlyRequest(t, "DELETE", "/grants/12", "")(reply(204, ""), nil)
 	if leaseID != 12 || renewed != OutcomeOK || revoked != OutcomeOK {
 		t.Error(leaseID, renewed, revoked)
 	}
 	client.RenewLease(13, func(outcome Outcome) { renewed = outcome })
-	service.takeOnly(t, "POST", "/grants/13/touch", "")(reply(404, `{}`), nil)
+	service.takeOnlyRequest(t, "POST", "/grants/13/touch", "")(reply(404, `{}`), nil)
 	if renewed != OutcomeGone {
 		t.Error(renewed)
 	}
