--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -13,8 +13,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// newTestManager returns the lease manager of node-0 for two shards, which has listed an
-// empty set of leases, and the service that holds the requests it has sent since.
+// newTestManager returns a started lease manager of node-0 for two shards, which has applied
+// an empty listing of the leases, and the service with the manager's unanswered requests.
 func newTestManager(t *testing.T) (*fakeService, *LeaseManager) {
 	t.Helper()
 	service := newFakeService()
@@ -28,7 +28,7 @@
 	return service, manager
 }
 
-// noObserver is an observer that does nothing.
+// noObserver is a LeaseObserver that does nothing.
 type noObserver struct{}
 
 func (noObserver) LeadershipAcquired(uint64) {}
@@ -36,25 +36,25 @@
 func (noObserver) ShardAcquired(int, uint64) {}
 func (noObserver) ShardLost(int)             {}
 
-// take finds the first request to a path that has not been answered.
+// takeRequest removes and returns the first unanswered request whose target starts with path.
 func (f *fakeService) takeRequest(t *testing.T, path string) request {
 	t.Helper()
 	i := slices.IndexFunc(f.requests, func(r request) bool { return strings.HasPrefix(r.call.Target, path) })
 	if i < 0 {
-		t.Fatalf("no request to %s", path)
+		t.Fatalf("no unanswered request to %s", path)
 	}
 	r := f.requests[i]
 	f.requests = slices.Delete(f.requests, i, i+1)
 	return r
 }
 
-// reply answers the first request to a path.
+// reply answers the first unanswered request to a path with status 200.
 func (f *fakeService) reply(t *testing.T, path, body string) {
 	t.Helper()
 	f.takeRequest(t, path).answer(http1.Response{Status: 200, Body: []byte(body)}, nil)
 }
 
-// fire runs the timers that are set now.
+// fireTimers runs the timers that are set now, regardless of when they are due.
 func (f *fakeService) fireTimers() {
 	timers := f.timers
 	f.timers = nil
@@ -63,7 +63,7 @@
 	}
 }
 
-// conditions returns those of a commit.
+// conditions returns the conditions of a commit request.
 func (r request) conditions(t *testing.T) []Condition {
 	t.Helper()
 	var commit struct {
@@ -75,6 +75,7 @@
 	return commit.Guards
 }
 
+// holderValue returns the value of a lease key held by holder.
 func holderValue(t *testing.T, holder leaseHolder) json.RawMessage {
 	t.Helper()
 	raw, err := json.Marshal(holder)
@@ -84,9 +85,11 @@
 	return raw
 }
 
-// TestLeaseValidityCountsFromBeforeTheRequest: however late its answer, a grant or a renewal
-// counts from when the request left, less the drift of the clocks and a margin.
-func TestLeaseValidityCountsFromBeforeTheRequest(t *testing.T) {
+// TestLeaseValidityCountsFromTheRequest checks that the validity of a lease counts from
+// the time at which the grant or renewal was sent, less clock drift and a margin, however late
+// the answer arrives. Counted from the answer, a lease would be considered valid after the
+// service has ended it.
+func TestLeaseValidityCountsFromTheRequest(t *testing.T) {
 	service, manager := newTestManager(t)
 	validUntil := func(sentAt time.Duration) time.Duration {
 		return sentAt + tuning.LeaseTTL - tuning.LeaseTTL*tuning.DriftPerMille/1000 - tuning.LeaseMargin
@@ -98,7 +101,7 @@
 			valid bool
 		}{{validUntil(sentAt) - time.Millisecond, true}, {validUntil(sentAt), false}} {
 			if service.now = moment.at; manager.LeaseValid() != moment.valid {
-				t.Errorf("%s: valid %v, %v after the request", what, manager.LeaseValid(), moment.at-sentAt)
+				t.Errorf("%s: lease valid %v after the request: got %v, want %v", what, moment.at-sentAt, manager.LeaseValid(), moment.valid)
 			}
 		}
 	}
@@ -107,36 +110,36 @@
 	service.reply(t, "/grants", `{"permit":5}`)
 	check("grant", sentAt)
 	service.now = sentAt + 3*time.Second
-	service.fireTimers() // the renewal leaves
+	service.fireTimers() // sends the renewal
 	sentAt = service.now
 	service.now += 2 * time.Second
 	service.reply(t, "/grants/5/touch", `{}`)
 	check("renewal", sentAt)
 }
 
-// TestExpiredNodeLeaseHoldsNothing: when its node lease has expired, a process holds nothing
-// any more, also while its copy of the leases still shows its old entries.
-func TestExpiredNodeLeaseHoldsNothing(t *testing.T) {
+// TestExpiredNodeLeaseEndsShardOwnership checks that a process whose node lease has expired owns no
+// shard, even while its copy of the leases still shows its old entries.
+func TestExpiredNodeLeaseEndsShardOwnership(t *testing.T) {
 	service, manager := newTestManager(t)
 	service.reply(t, "/grants", `{"permit":5}`)
 	manager.table.apply(ShardKey(0), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 7)
 	manager.evaluate()
 	if manager.ShardToken(0) != 7 || !manager.LeaseValid() {
-		t.Fatalf("token %d, valid %v", manager.ShardToken(0), manager.LeaseValid())
+		t.Fatalf("before the expiry: token %d, lease valid %v, want 7 and true", manager.ShardToken(0), manager.LeaseValid())
 	}
 	service.fireTimers()
 	service.takeRequest(t, "/grants/5/touch").answer(http1.Response{Status: 404, Body: []byte(`{}`)}, nil)
 	service.fireTimers()
 	service.reply(t, "/grants", `{"permit":6}`)
 	if manager.ShardToken(0) != 0 {
-		t.Errorf("holds a shard of the expired lease under token %d", manager.ShardToken(0))
+		t.Errorf("after the expiry: token %d of shard 0, want 0", manager.ShardToken(0))
 	}
 }
 
-// TestPreviousOwnerAnswersUntilItsDeadline: a new owner waits out the grace period after a
-// lease that has expired, and the lease's time to live besides if the shard was taken from a
-// live owner or if how it changed hands was not seen; a new token of the same process moves
-// nothing.
+// TestPreviousOwnerAnswersUntilItsDeadline checks that a new owner waits for the grace period
+// if the previous owner's lease has expired. It waits for the lease's TTL in addition if the
+// shard was reassigned from a live owner or if the change of owner was not seen. A new token
+// for the same process changes nothing.
 func TestPreviousOwnerAnswersUntilItsDeadline(t *testing.T) {
 	first, second := leaseHolder{Node: "node-1", Nonce: 1}, leaseHolder{Node: "node-0", Nonce: 1}
 	for _, test := range []struct {
@@ -148,10 +151,10 @@
 			manager.table.apply(ShardKey(0), nil, 8)
 			manager.table.apply(ShardKey(0), holderValue(t, second), 9)
 		}, 4 * time.Second},
-		{"taken from a live owner", func(manager *LeaseManager) {
+		{"reassigned from a live owner", func(manager *LeaseManager) {
 			manager.table.apply(ShardKey(0), holderValue(t, second), 8)
 		}, 4*time.Second + tuning.LeaseTTL},
-		{"listed anew", func(manager *LeaseManager) {
+		{"change of owner not seen", func(manager *LeaseManager) {
 			entries := []KeyValue{{ShardKey(0), holderValue(t, second), 8}}
 			manager.table.reset(entries)
 			manager.table.apply(entries[0].Key, entries[0].Value, entries[0].Revision)
@@ -171,15 +174,15 @@
 				want = service.now + test.wait
 			}
 			if got := manager.PreviousOwnerAnswersUntil(0); got != want {
-				t.Errorf("earlier owners answer until %v from now, want %v", got-service.now, want-service.now)
+				t.Errorf("previous owners answer for %v from now, want %v", got-service.now, want-service.now)
 			}
 		})
 	}
 }
 
-// TestAnswersEndWhenTheLeaseTableIsTooOld: an owner answers no longer than its copy of the
-// leases is young enough, however often its node lease is renewed, since the shard may be
-// another's.
+// TestAnswersEndWhenTheLeaseTableIsTooOld checks that an owner stops answering when its copy
+// of the leases is too old, however often its node lease is renewed, since another process may
+// own the shard by then.
 func TestAnswersEndWhenTheLeaseTableIsTooOld(t *testing.T) {
 	service, manager := newTestManager(t)
 	verifiedAt := service.now
@@ -188,17 +191,17 @@
 	service.fireTimers()
 	service.reply(t, "/grants/5/touch", `{}`)
 	if got, want := manager.AnswersUntil(), verifiedAt+tuning.LeaseTTL+manager.answers.gracePeriod; got != want {
-		t.Errorf("answers until %v after the verification, want %v", got-verifiedAt, want-verifiedAt)
+		t.Errorf("answers for %v after the verification, want %v", got-verifiedAt, want-verifiedAt)
 	}
 }
 
-// TestLeaseCommitsAreConditional: leadership is taken only if its key is as it was seen; a
-// shard is assigned only under the leader's token, and its key is replaced only as it was
-// seen.
+// TestLeaseCommitsAreConditional checks that a lease key is replaced only at the revision that
+// was seen, and a shard is assigned only under the leader's current token. An unconditional
+// commit could overwrite a change that this process has not seen yet.
 func TestLeaseCommitsAreConditional(t *testing.T) {
 	service, manager := newTestManager(t)
 	service.reply(t, "/grants", `{"permit":5}`)
-	next := func(key string) request {
+	nextCommitOf := func(key string) request {
 		t.Helper()
 		for range 20 {
 			for i, r := range service.requests {
@@ -210,25 +213,25 @@
 			service.now += 100 * time.Millisecond
 			service.fireTimers()
 		}
-		t.Fatalf("no commit of %s", key)
+		t.Fatalf("no commit of %s within 20 timer runs", key)
 		return request{}
 	}
-	if conditions := next(LeaderKey).conditions(t); !slices.Contains(conditions, Condition{LeaderKey, 0}) {
-		t.Errorf("leadership is taken under %v", conditions)
+	if conditions := nextCommitOf(LeaderKey).conditions(t); !slices.Contains(conditions, Condition{LeaderKey, 0}) {
+		t.Errorf("conditions of the leadership commit: %v, want %s at revision 0 among them", conditions, LeaderKey)
 	}
 	manager.table.apply(nodePrefix+"node-1", holderValue(t, leaseHolder{Node: "node-1", Nonce: 1, LeaseID: 9}), 3)
 	manager.table.apply(LeaderKey, holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 4)
-	service.now += time.Second // it has let the nodes register
+	service.now += time.Second // past the time for the nodes to register
 	manager.evaluate()
 	manager.node.validUntil = service.now + time.Hour
-	if conditions := next(ShardKey(0)).conditions(t); !slices.Contains(conditions, Condition{LeaderKey, 4}) || !slices.Contains(conditions, Condition{ShardKey(0), 0}) {
-		t.Errorf("a shard is assigned under %v", conditions)
+	if conditions := nextCommitOf(ShardKey(0)).conditions(t); !slices.Contains(conditions, Condition{LeaderKey, 4}) || !slices.Contains(conditions, Condition{ShardKey(0), 0}) {
+		t.Errorf("conditions of the assignment: %v, want %s at revision 4 and %s at revision 0 among them", conditions, LeaderKey, ShardKey(0))
 	}
 	manager.table.apply(ShardKey(1), holderValue(t, leaseHolder{Node: "node-0", Nonce: 1}), 6)
 	manager.evaluate()
 	manager.RenewToken(1)
-	if conditions := next(ShardKey(1)).conditions(t); !slices.Contains(conditions, Condition{ShardKey(1), 6}) {
-		t.Errorf("a token is renewed under %v", conditions)
+	if conditions := nextCommitOf(ShardKey(1)).conditions(t); !slices.Contains(conditions, Condition{ShardKey(1), 6}) {
+		t.Errorf("conditions of the token renewal: %v, want %s at revision 6 among them", conditions, ShardKey(1))
 	}
 }
 
--- a/internal/statestore/mirror_test.go
+++ b/internal/statestore/mirror_test.go
@@ -18,18 +18,18 @@
 	"lemonmoor/internal/http1"
 )
 
-// fakeService is a small state service on a clock of its own, and the runtime of the code
-// under test. Answers wait until the test releases them, so that it can delay, lose and
-// reorder them.
+// fakeService is a small state service with its own clock, and the eventloop.Runtime of the
+// code under test. It answers requests only when the test says so, which lets the test
+// delay, lose and reorder answers.
 type fakeService struct {
 	now         time.Duration
 	revision    uint64
 	values      map[string]string
 	revisions   map[string]uint64
 	events      []WatchEvent
-	droppedUpTo uint64 // the history up to this revision is dropped
+	droppedUpTo uint64 // the history up to this revision is no longer available
 	timers      []func()
-	requests    []request
+	requests    []request // not answered yet, in the order sent
 }
 
 type request struct {
@@ -52,6 +52,7 @@
 	f.requests = append(f.requests, request{c, fn})
 }
 
+// set puts a key, or deletes it if value is empty.
 func (f *fakeService) set(key, value string) {
 	f.revision++
 	if value == "" {
@@ -64,7 +65,7 @@
 	f.events = append(f.events, WatchEvent{PutKey: key, Value: json.RawMessage(value), Revision: f.revision})
 }
 
-// serve carries a request out now and returns the answer.
+// serve carries out a listing or a watch now and returns the answer.
 func (f *fakeService) serve(call http1.ClientRequest) http1.Response {
 	target, err := url.Parse(call.Target)
 	if err != nil {
@@ -84,7 +85,7 @@
 			}
 		}
 		slices.SortFunc(entries, func(a, b KeyValue) int { return strings.Compare(a.Key, b.Key) })
-		hasNext := len(entries) > 2 // small pages
+		hasNext := len(entries) > 2 // small pages, so that listings take several
 		if hasNext {
 			entries = entries[:2]
 		}
@@ -105,8 +106,8 @@
 	return http1.Response{Status: 400}
 }
 
-// step fires one timer or, if none is set, answers one request; lost leaves that without
-// an answer.
+// step fires the first timer or, if none is set, answers the first request. If lost is set,
+// the request fails without an answer.
 func (f *fakeService) step(lost bool) {
 	if len(f.timers) > 0 {
 		fn := f.timers[0]
@@ -127,9 +128,9 @@
 	}
 }
 
-// TestVerifiedMirrorHoldsEverythingCommittedBefore: whatever answers are lost, and also when
-// the service has dropped the history, a mirror whose verification succeeds holds all that
-// was committed before the verification was asked for.
+// TestVerifiedMirrorHoldsEverythingCommittedBefore checks that a mirror whose verification
+// succeeds holds everything committed before the verification was requested, also if answers
+// are lost or the service has dropped the history.
 func TestVerifiedMirrorHoldsEverythingCommittedBefore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := newFakeService()
@@ -161,10 +162,10 @@
 						want[key] = v
 					}
 				}
-				asked := service.revision
+				revisionBefore := service.revision
 				mirror.Verify(func(err error) {
-					if err == nil && asked == service.revision && fmt.Sprint(copied) != fmt.Sprint(want) {
-						t.Fatalf("verified current with %v, the service has %v", copied, want)
+					if err == nil && revisionBefore == service.revision && fmt.Sprint(copied) != fmt.Sprint(want) {
+						t.Fatalf("verified mirror has %v, want %v as in the service", copied, want)
 					}
 				})
 			case 3:
@@ -178,38 +179,39 @@
 	})
 }
 
-// TestCommitTimeoutFollowsLatency: commits of a slow service are waited for longer than those
-// of a quick one, within bounds.
+// TestCommitTimeoutFollowsLatency checks that the commit timeout grows with the latency of the
+// service, within bounds. With a fixed one, the outcomes of commits would be unknown while the
+// service is merely slow.
 func TestCommitTimeoutFollowsLatency(t *testing.T) {
 	service := newFakeService()
 	client := New(service, "state", slog.New(slog.DiscardHandler))
-	answer := func(took time.Duration) {
+	commitWithLatency := func(latency time.Duration) {
 		client.Commit(nil, nil, func(CommitResult) {})
 		r := service.requests[0]
 		service.requests = service.requests[1:]
-		service.now += took
+		service.now += latency
 		r.answer(http1.Response{Status: 200, Body: []byte(`{"epoch":1}`)}, nil)
 	}
 	for range 30 {
-		answer(5 * time.Millisecond)
+		commitWithLatency(5 * time.Millisecond)
 	}
-	quick := client.CommitTimeout()
+	fast := client.CommitTimeout()
 	for range 30 {
-		answer(100 * time.Millisecond)
+		commitWithLatency(100 * time.Millisecond)
 	}
-	if slow := client.CommitTimeout(); slow < 2*quick || slow > 10*time.Second {
-		t.Errorf("waits %v for a quick service, %v for a slow one", quick, slow)
+	if slow := client.CommitTimeout(); slow < 2*fast || slow > 10*time.Second {
+		t.Errorf("timeout with a slow service: %v, want at least twice the %v with a fast one and at most 10s", slow, fast)
 	}
 }
 
-// write is a value that a key was given.
+// write is a value that a key was set to, and when.
 type write struct {
 	at    time.Duration
 	value string
 }
 
-// mayBeCopiedAt tells whether a copy verified at a moment may hold a value of a key with a
-// history: the newest before the moment, or any later one.
+// mayBeCopiedAt reports whether a copy verified at verifiedAt may hold value for a key with the
+// given history: the latest value before verifiedAt or any later one.
 func mayBeCopiedAt(verifiedAt time.Duration, value string, history []write) bool {
 	for i, written := range history {
 		if value == written.value && (written.at >= verifiedAt || i == len(history)-1 || history[i+1].at >= verifiedAt) {
@@ -219,9 +221,10 @@
 	return history[0].at >= verifiedAt
 }
 
-// TestMirrorHoldsEverythingBeforeVerifiedAt: whatever answers are lost or late, and whatever
-// history the service drops, a mirror holds everything that was committed before VerifiedAt;
-// a watch that was open for long shows nothing of that time.
+// TestMirrorHoldsEverythingBeforeVerifiedAt checks that a mirror holds everything committed
+// before VerifiedAt, also if answers are lost, late or out of order, or the service has
+// dropped the history. The answer to a watch proves nothing about the time during which the
+// watch was open.
 func TestMirrorHoldsEverythingBeforeVerifiedAt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := newFakeService()
@@ -259,16 +262,17 @@
 			}
 			for key, values := range history {
 				if !mayBeCopiedAt(verifiedAt, copied[key], values) {
-					t.Fatalf("verified at %v, but %s is %q of %v", verifiedAt, key, copied[key], values)
+					t.Fatalf("verified at %v: key %s is %q, want the latest value before or any later one of %v", verifiedAt, key, copied[key], values)
 				}
 			}
 		}
 	})
 }
 
-// TestNewListingDoesNotRevertVerifiedChanges guards against a fault that generated inputs
-// found: while the keys were listed anew, a check moved the copy past the listing's revision
-// and verified it, and the listing took it back.
+// TestNewListingDoesNotRevertVerifiedChanges checks that a listing does not revert a copy that
+// has been verified. If a freshness check were applied while a new listing is in flight, it
+// would advance the copy past the listing's revision and verify it, and the listing would then
+// restore older values.
 func TestNewListingDoesNotRevertVerifiedChanges(t *testing.T) {
 	service := newFakeService()
 	copied := map[string]string{}
@@ -282,28 +286,29 @@
 	mirror.Start()
 	service.step(false)
 	service.step(false)
-	service.droppedUpTo = 9 // the history is gone
+	service.droppedUpTo = 9 // the history that the watch needs is no longer available
 	service.step(false)
 	service.step(false) // the first page of the new listing
 	service.droppedUpTo = 0
 	service.set("a/0", "2")
 	verified := false
 	mirror.Verify(func(err error) { verified = err == nil })
-	for len(service.requests) > 1 { // the check first, if it has been sent
+	for len(service.requests) > 1 { // answer the check first, if it has been sent
 		service.requests = append(service.requests[1:], service.requests[0])
 		service.step(false)
 	}
 	for range 3 {
 		service.step(false)
 		if verified && copied["a/0"] != "2" {
-			t.Fatalf("verified current, then back at %v", copied)
+			t.Fatalf("verified mirror was reverted to %v, want \"2\" for a/0", copied)
 		}
 	}
 }
 
-// TestVerifiedAtCountsFromTheRequest: an answer shows what was committed before its request
-// was sent. It may have been given long before it came, and a watch shows nothing of the time
-// for which it was open.
+// TestVerifiedAtCountsFromTheRequest checks that VerifiedAt is the time at which the request
+// was sent, not the time at which the answer arrived: the service may have answered long
+// before, and the answer to a watch proves nothing about the time during which the watch was
+// open.
 func TestVerifiedAtCountsFromTheRequest(t *testing.T) {
 	service := newFakeService()
 	service.now = time.Hour
@@ -319,7 +324,7 @@
 		service.now += 4 * time.Second
 		r.answer(response, nil)
 		if at, known := mirror.VerifiedAt(); !known || at != sentAt {
-			t.Errorf("%s: verified at %v after its request", what, at-sentAt)
+			t.Errorf("%s: verified at %v after its request (known: %v), want 0s", what, at-sentAt, known)
 		}
 	}
 	mirror.Start()
@@ -330,8 +335,9 @@
 	deliver("check")
 }
 
-// TestEachChangeIsAppliedOnce: the long watch and the checks overlap; a change that a check
-// has brought is not applied once more, since what follows it may have been applied already.
+// TestEachChangeIsAppliedOnce checks that a change that a freshness check has returned is not
+// applied again when the overlapping watch returns it too, since later changes may have been
+// applied in between.
 func TestEachChangeIsAppliedOnce(t *testing.T) {
 	service := newFakeService()
 	applied := map[uint64]int{}
@@ -345,15 +351,15 @@
 	service.requests[0], service.requests[1] = service.requests[1], service.requests[0]
 	service.step(false) // the check
 	service.set("a/0", "2")
-	service.step(false) // the watch, from before
+	service.step(false) // the watch sent before the check
 	if applied[1] != 1 || applied[2] != 1 {
-		t.Errorf("applied %d and %d times", applied[1], applied[2])
+		t.Errorf("changes 1 and 2 applied %d and %d times, want once each", applied[1], applied[2])
 	}
 }
 
-// TestCheckOvertakenByNewListingVerifiesNothing: a check is on its way when the service turns
-// out to have dropped the history. Applied while the keys are listed anew, its answer would
-// move the copy past the listing, which then takes it back.
+// TestCheckOvertakenByNewListingVerifiesNothing checks that a freshness check in flight when a
+// new listing starts, because the service has dropped the history, verifies nothing. If its
+// answer were applied, it would advance the copy past the listing, which would then revert it.
 func TestCheckOvertakenByNewListingVerifiesNothing(t *testing.T) {
 	service := newFakeService()
 	mirror := NewMirror(service, New(service, "state", slog.New(slog.DiscardHandler)), "a/", MirrorHandler{
@@ -369,9 +375,9 @@
 	response := service.serve(check.call)
 	service.droppedUpTo = 9
 	service.requests = service.requests[:1]
-	service.step(false) // the watch: gone
+	service.step(false) // the watch fails and the new listing starts
 	check.answer(response, nil)
 	if !errors.Is(outcome, ErrNotVerified) {
-		t.Errorf("the check came to %v", outcome)
+		t.Errorf("result of the check: %v, want %v", outcome, ErrNotVerified)
 	}
 }
--- a/internal/statestore/verify_test.go
+++ b/internal/statestore/verify_test.go
@@ -8,13 +8,13 @@
 	"lemonmoor/internal/term"
 )
 
-// scriptedCopy answers each verification with the next of its errors, and with nil
-// once there are none left.
+// scriptedCopy is a Verifier that answers each verification with the next of its errors, and
+// with nil when none remain. With hold set it does not answer; the test calls onHold.
 type scriptedCopy struct {
 	name   string
 	errs   []error
-	asked  *[]string
-	onHold []func(error) // with hold: who waits for an answer
+	asked  *[]string     // names of the copies verified, shared by the copies of a test
+	onHold []func(error) // callbacks of unanswered verifications
 	hold   bool
 }
 
@@ -36,7 +36,9 @@
 	return service, New(service, "state", slog.New(slog.DiscardHandler))
 }
 
-func TestVerifyUntilCurrentBeginsAnewAfterAFailure(t *testing.T) {
+// TestVerifyUntilCurrentRestartsAfterAFailure checks that after a failure all copies are
+// verified again, also those verified before it.
+func TestVerifyUntilCurrentRestartsAfterAFailure(t *testing.T) {
 	service, client := newVerifyClient()
 	var terms term.Counter
 	var asked []string
@@ -45,21 +47,23 @@
 	done := 0
 	client.VerifyUntilCurrent(&terms, func() { done++ }, records, jobs)
 	if done != 0 || len(service.timers) != 1 {
-		t.Fatalf("after a failure: done %d times, %d timers", done, len(service.timers))
+		t.Fatalf("after a failure: done called %d times, %d timers set, want 0 calls and 1 timer", done, len(service.timers))
 	}
 	service.step(false)
 	if want := []string{"records", "jobs", "records", "jobs"}; done != 1 || len(asked) != len(want) {
-		t.Fatalf("done %d times, asked %q", done, asked)
+		t.Fatalf("after the retry: done called %d times, verified %q, want 1 call and %q", done, asked, want)
 	}
 }
 
+// TestVerifyUntilCurrentEndsWithTheTerm checks that a verification of an earlier term neither
+// calls done nor retries after the term has ended.
 func TestVerifyUntilCurrentEndsWithTheTerm(t *testing.T) {
 	t.Run("while a copy is being verified", func(t *testing.T) {
 		_, client := newVerifyClient()
 		var terms term.Counter
 		var asked []string
 		records := &scriptedCopy{name: "records", asked: &asked, hold: true}
-		client.VerifyUntilCurrent(&terms, func() { t.Error("done in a later term") }, records)
+		client.VerifyUntilCurrent(&terms, func() { t.Error("done called after the end of the term") }, records)
 		terms.Advance()
 		records.onHold[0](nil)
 	})
@@ -68,11 +72,11 @@
 		var terms term.Counter
 		var asked []string
 		records := &scriptedCopy{name: "records", asked: &asked, errs: []error{errors.New("not reached")}}
-		client.VerifyUntilCurrent(&terms, func() { t.Error("done in a later term") }, records)
+		client.VerifyUntilCurrent(&terms, func() { t.Error("done called after the end of the term") }, records)
 		terms.Advance()
 		service.step(false)
 		if len(asked) != 1 {
-			t.Errorf("asked %d times", len(asked))
+			t.Errorf("verified %d times, want 1", len(asked))
 		}
 	})
 }
--- a/internal/statestore/wire_test.go
+++ b/internal/statestore/wire_test.go
@@ -12,7 +12,7 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// TestWireKeyValues: key-values, conditions, operations and events.
+// TestWireKeyValues checks the JSON encoding of key-values, conditions, operations and events.
 func TestWireKeyValues(t *testing.T) {
 	wiretest.Same(t, `{"key":"job/wk-1","v":{"at":1},"stamp":2}`, &KeyValue{})
 	wiretest.Same(t, `{"key":"job/wk-1","stamp":2}`, &Condition{})
@@ -22,25 +22,26 @@
 	wiretest.Same(t, `{"set":"job/wk-1","v":{"at":1},"remove":"job/wk-2","stamp":4}`, &WatchEvent{})
 }
 
-// TestWireLeases: the keys and values of leases.
+// TestWireLeases checks the keys of leases and the JSON encoding of their values.
 func TestWireLeases(t *testing.T) {
 	wiretest.Same(t, `{"node":"n0","nonce":1125899906842623,"permit":3,"unfit":true}`, &leaseHolder{})
 	wiretest.Written(t, leaseHolder{}, `{"node":"","nonce":0}`)
 	if LeaderKey != "lease/lead" || ShardKey(12) != "lease/block/12" || nodePrefix != "lease/node/" || leasePrefix != "lease/" {
-		t.Error(LeaderKey, ShardKey(12), nodePrefix, leasePrefix)
+		t.Errorf("lease keys: %q, %q, %q, %q, want %q, %q, %q, %q", LeaderKey, ShardKey(12), nodePrefix, leasePrefix,
+			"lease/lead", "lease/block/12", "lease/node/", "lease/")
 	}
 }
 
-// takeOnly takes the one request that a client has sent, checks it and returns how to
-// answer it.
+// takeOnlyRequest removes the only unanswered request, checks it and returns the function that
+// answers it.
 func (f *fakeService) takeOnlyRequest(t *testing.T, method, target, body string) func(http1.Response, error) {
 	t.Helper()
 	if len(f.requests) != 1 {
-		t.Fatalf("%d requests instead of %s %s", len(f.requests), method, target)
+		t.Fatalf("%d unanswered requests, want only %s %s", len(f.requests), method, target)
 	}
 	c := f.requests[0].call
 	if c.Method != method || c.Target != target || string(c.Body) != body {
-		t.Errorf("sent %s %s %s\nnot  %s %s %s", c.Method, c.Target, c.Body, method, target, body)
+		t.Errorf("sent %s %s %s\nwant %s %s %s", c.Method, c.Target, c.Body, method, target, body)
 	}
 	fn := f.requests[0].answer
 	f.requests = nil
@@ -51,7 +52,7 @@
 	return http1.Response{Status: status, Body: []byte(body)}
 }
 
-// TestWireCommit: a commit and the answers to it.
+// TestWireCommit checks commit requests, and the result for each kind of answer.
 func TestWireCommit(t *testing.T) {
 	service := newFakeService()
 	client := New(service, "state", slog.New(slog.DiscardHandler))
@@ -76,14 +77,14 @@
 		service.takeOnlyRequest(t, "POST", "/commit", `{"guards":[{"key":"lease/lead","stamp":3},{"key":"job/wk-1","stamp":0}],`+
 			`"apply":[{"set":"job/wk-1","v":{"at":1},"permit":4},{"remove":"work/0/wk-1/0"}]}`)(reply(answer.status, answer.body), nil)
 		if !reflect.DeepEqual(got, answer.want) {
-			t.Errorf("%d %s: %+v", answer.status, answer.body, got)
+			t.Errorf("answer %d %s: got %+v, want %+v", answer.status, answer.body, got, answer.want)
 		}
 	}
 	client.Commit(nil, nil, func(CommitResult) {})
 	service.takeOnlyRequest(t, "POST", "/commit", `{"guards":[]}`)
 }
 
-// TestWireList: keys are listed page by page.
+// TestWireList checks that keys are listed page by page, at the revision of the first page.
 func TestWireList(t *testing.T) {
 	service := newFakeService()
 	client := New(service, "state", slog.New(slog.DiscardHandler))
@@ -91,7 +92,7 @@
 	var revision uint64
 	client.List("job/", func(listed ListResult) {
 		if listed.Outcome != OutcomeOK {
-			t.Errorf("outcome %v", listed.Outcome)
+			t.Errorf("listing: outcome %v, want ok", listed.Outcome)
 		}
 		got, revision = listed.Entries, listed.Revision
 	})
@@ -101,11 +102,11 @@
 	service.takeOnlyRequest(t, "GET", "/keys?under=job%2F&limit="+limit+"&since=job%2Fa%26b", "")(reply(200, `{"rows":[{"key":"job/c","v":2,"stamp":7}],"hasNext":false,"epoch":8}`), nil)
 	wiretest.Written(t, got, `[{"key":"job/a\u0026b","v":{"at":1},"stamp":5},{"key":"job/c","v":2,"stamp":7}]`)
 	if revision != 6 || limit == "" {
-		t.Errorf("revision %d, limit %q", revision, limit)
+		t.Errorf("revision %d, limit %q, want revision 6 and a limit", revision, limit)
 	}
 }
 
-// TestWireWatch: changes are watched from a revision on.
+// TestWireWatch checks watch requests and the events in their answers.
 func TestWireWatch(t *testing.T) {
 	service := newFakeService()
 	client := New(service, "state", slog.New(slog.DiscardHandler))
@@ -113,7 +114,7 @@
 	var revision uint64
 	client.Watch("work/", 6, 1500*time.Millisecond, func(watched WatchResult) {
 		if watched.Outcome != OutcomeOK {
-			t.Errorf("outcome %v", watched.Outcome)
+			t.Errorf("watch: outcome %v, want ok", watched.Outcome)
 		}
 		got, revision = watched.Events, watched.Revision
 	})
@@ -121,11 +122,11 @@
 		`{"remove":"work/0/wk-2/0","stamp":9}]}`), nil)
 	if len(got) != 2 || revision != 9 || got[0].PutKey != "work/0/wk-1/0" || string(got[0].Value) != `{"i":"0"}` || got[0].Revision != 7 ||
 		got[1].DeletedKey != "work/0/wk-2/0" || got[1].Revision != 9 {
-		t.Errorf("%+v at %d", got, revision)
+		t.Errorf("events %+v at revision %d, want a put of work/0/wk-1/0 at 7 and a removal of work/0/wk-2/0 at 9, up to revision 9", got, revision)
 	}
 }
 
-// TestWireNodeLeases: leases are asked for, renewed and revoked.
+// TestWireNodeLeases checks the requests that grant, renew and revoke leases.
 func TestWireNodeLeases(t *testing.T) {
 	service := newFakeService()
 	client := New(service, "state", slog.New(slog.DiscardHandler))
@@ -137,17 +138,17 @@
 	client.RevokeLease(12, func(outcome Outcome) { revoked = outcome })
 	service.takeOnlyRequest(t, "DELETE", "/grants/12", "")(reply(204, ""), nil)
 	if leaseID != 12 || renewed != OutcomeOK || revoked != OutcomeOK {
-		t.Error(leaseID, renewed, revoked)
+		t.Errorf("granted lease %d, renewal %v, revocation %v, want 12, ok, ok", leaseID, renewed, revoked)
 	}
 	client.RenewLease(13, func(outcome Outcome) { renewed = outcome })
 	service.takeOnlyRequest(t, "POST", "/grants/13/touch", "")(reply(404, `{}`), nil)
 	if renewed != OutcomeGone {
-		t.Error(renewed)
+		t.Errorf("renewal of an ended lease: %v, want gone", renewed)
 	}
 }
 
-// TestWireRefusals: which refusals of commits throttle writes, and which lower the limits
-// that the settings tell.
+// TestWireRefusals checks which refusals of commits throttle writes and which lower the limits
+// given by the settings.
 func TestWireRefusals(t *testing.T) {
 	for _, test := range []struct {
 		answer        http1.Response
@@ -165,7 +166,8 @@
 		client.Commit(nil, []Operation{{DeleteKey: "job/wk-1"}}, func(CommitResult) {})
 		service.requests[0].answer(test.answer, nil)
 		if client.WritesThrottled() != test.throttled || client.MaxOperations() != test.maxOperations {
-			t.Errorf("%d %s: throttled %v, %d operations", test.answer.Status, test.answer.Body, client.WritesThrottled(), client.MaxOperations())
+			t.Errorf("answer %d %s: throttled %v, %d operations, want %v, %d", test.answer.Status, test.answer.Body,
+				client.WritesThrottled(), client.MaxOperations(), test.throttled, test.maxOperations)
 		}
 	}
 }
