--- a/internal/statestore/shard_leases.go
+++ b/internal/statestore/shard_leases.go
@@ -23,7 +23,7 @@
 	// relinquished maps shards to the tokens under which this process must not answer any
 	// more, also if the commit that releases the shard fails or its answer is lost.
 	relinquished map[int]uint64
-	abstainUntil time.Duration // until then this node asks for no shards
+	abstainUntil time.Duration // this node acquires no shards before this time
 }
 
 func (s *shardLeases) isAbstaining() bool { return s.runtime.Now() < s.abstainUntil }
--- a/internal/statestore/verify_test.go
+++ b/internal/statestore/verify_test.go
@@ -11,15 +11,15 @@
 // scriptedCopy is a Verifier that answers each verification with the next of its errors, and
 // with nil when none remain. With hold set it does not answer; the test calls onHold.
 type scriptedCopy struct {
-	name   string
-	errs   []error
-	asked  *[]string     // names of the copies verified, shared by the copies of a test
-	onHold []func(error) // callbacks of unanswered verifications
-	hold   bool
+	name     string
+	errs     []error
+	verified *[]string     // names of the copies verified, shared by the copies of a test
+	onHold   []func(error) // callbacks of unanswered verifications
+	hold     bool
 }
 
 func (c *scriptedCopy) Verify(fn func(error)) {
-	*c.asked = append(*c.asked, c.name)
+	*c.verified = append(*c.verified, c.name)
 	if c.hold {
 		c.onHold = append(c.onHold, fn)
 		return
@@ -41,17 +41,17 @@
 func TestVerifyUntilCurrentRestartsAfterAFailure(t *testing.T) {
 	service, client := newVerifyClient()
 	var terms term.Counter
-	var asked []string
-	records := &scriptedCopy{name: "records", asked: &asked}
-	jobs := &scriptedCopy{name: "jobs", asked: &asked, errs: []error{errors.New("not reached")}}
+	var verified []string
+	records := &scriptedCopy{name: "records", verified: &verified}
+	jobs := &scriptedCopy{name: "jobs", verified: &verified, errs: []error{errors.New("not reached")}}
 	done := 0
 	client.VerifyUntilCurrent(&terms, func() { done++ }, records, jobs)
 	if done != 0 || len(service.timers) != 1 {
 		t.Fatalf("after a failure: done called %d times, %d timers set, want 0 calls and 1 timer", done, len(service.timers))
 	}
 	service.step(false)
-	if want := []string{"records", "jobs", "records", "jobs"}; done != 1 || len(asked) != len(want) {
-		t.Fatalf("after the retry: done called %d times, verified %q, want 1 call and %q", done, asked, want)
+	if want := []string{"records", "jobs", "records", "jobs"}; done != 1 || len(verified) != len(want) {
+		t.Fatalf("after the retry: done called %d times, verified %q, want 1 call and %q", done, verified, want)
 	}
 }
 
@@ -61,8 +61,8 @@
 	t.Run("while a copy is being verified", func(t *testing.T) {
 		_, client := newVerifyClient()
 		var terms term.Counter
-		var asked []string
-		records := &scriptedCopy{name: "records", asked: &asked, hold: true}
+		var verified []string
+		records := &scriptedCopy{name: "records", verified: &verified, hold: true}
 		client.VerifyUntilCurrent(&terms, func() { t.Error("done called after the end of the term") }, records)
 		terms.Advance()
 		records.onHold[0](nil)
@@ -70,13 +70,13 @@
 	t.Run("during the pause after a failure", func(t *testing.T) {
 		service, client := newVerifyClient()
 		var terms term.Counter
-		var asked []string
-		records := &scriptedCopy{name: "records", asked: &asked, errs: []error{errors.New("not reached")}}
+		var verified []string
+		records := &scriptedCopy{name: "records", verified: &verified, errs: []error{errors.New("not reached")}}
 		client.VerifyUntilCurrent(&terms, func() { t.Error("done called after the end of the term") }, records)
 		terms.Advance()
 		service.step(false)
-		if len(asked) != 1 {
-			t.Errorf("verified %d times, want 1", len(asked))
+		if len(verified) != 1 {
+			t.Errorf("verified %d times, want 1", len(verified))
 		}
 	})
 }
