--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -7,20 +7,20 @@
 	"lemonmoor/internal/tuning"
 )
 
-// changeSet holds the tasks that have changed since they were last written to the log.
+// changeSet collects the tasks that have changed since they were last written to the log.
 type changeSet struct {
 	tasks []*taskstate.Task
-	// urgent is set when somebody waits for one of the changes to be durable. It outlives
-	// the term, so that the first changes of the next one may leave at once.
+	// urgent is set when one of the changes is awaited to become durable. It is kept across
+	// terms, so that the first changes of the next term are committed without delay.
 	urgent bool
-	// since is when the first of the changes was made.
-	since time.Duration
+	// firstChangeAt is when the first change of the set was made.
+	firstChangeAt time.Duration
 }
 
-// add takes a changed task in, once.
+// add adds a changed task unless it is already in the set.
 func (c *changeSet) add(task *taskstate.Task, urgent bool, now time.Duration) {
 	if len(c.tasks) == 0 {
-		c.since = now
+		c.firstChangeAt = now
 	}
 	if !task.Log.Dirty {
 		task.Log.Dirty = true
@@ -29,17 +29,17 @@
 	c.urgent = c.urgent || urgent
 }
 
-// keep leaves only the tasks that a commit had no room for.
-func (c *changeSet) keep(rest []*taskstate.Task) {
+// retain replaces the set by the tasks that did not fit into a commit.
+func (c *changeSet) retain(rest []*taskstate.Task) {
 	c.tasks = append([]*taskstate.Task(nil), rest...)
 	c.urgent = c.urgent && len(rest) > 0
 }
 
-// sharingDelay returns how long the changes may still wait for others to share a commit
-// with.
-func (c *changeSet) sharingDelay(now time.Duration) time.Duration {
+// batchingDelay returns how much longer the changes may wait for further ones to share
+// their commit: 0 if one of them is urgent.
+func (c *changeSet) batchingDelay(now time.Duration) time.Duration {
 	if c.urgent {
 		return 0
 	}
-	return max(0, c.since+tuning.MaxCompletionDelay-now)
+	return max(0, c.firstChangeAt+tuning.MaxCompletionDelay-now)
 }
--- a/internal/shard/commit_results.go
+++ b/internal/shard/commit_results.go
@@ -6,7 +6,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// handleResult takes in what is known of a commit of the present term.
+// handleResult processes the outcome of a commit of the current term.
 func (w *logWriter) handleResult(commit *pageCommit, result statestore.CommitResult) {
 	switch result.Outcome {
 	case statestore.OutcomeOK:
@@ -20,7 +20,7 @@
 	}
 }
 
-// handleCommitted takes note that the statuses of a commit are durable.
+// handleCommitted marks the statuses of a successful commit as durable.
 func (w *logWriter) handleCommitted(commit *pageCommit, revision uint64) {
 	w.pacing.inFlight--
 	w.pages.release(commit.pages, revision)
@@ -31,8 +31,8 @@
 	w.flush()
 }
 
-// handleRefused has the tasks of a commit that was surely not carried out written again, a
-// little later; in smaller pages or commits if it was found too large.
+// handleRefused schedules the tasks of a commit that was definitely not executed to be
+// written again after a backoff; in smaller pages or commits if it was too large.
 func (w *logWriter) handleRefused(commit *pageCommit) {
 	w.pacing.inFlight--
 	w.pages.release(commit.pages, 0)
@@ -47,9 +47,9 @@
 	}))
 }
 
-// handleConflict finds out whether the shard is another node's now, or this node's under a
-// newer token. If it is still held under the present one, a page has another revision than
-// the copy says, and a new token is needed.
+// handleConflict refreshes the leases to find out whether another node owns the shard now,
+// or this node under a newer token. If the current token is still valid, the stored revision
+// of a page differs from the local copy, and the token is renewed.
 func (w *logWriter) handleConflict(failedKeys []string) {
 	w.deps.Leases.Refresh(w.terms.Guard(func() {
 		w.deps.Log.Warn("commit conditions failed, renewing the token", "shard", w.shardIndex, "token", w.token, "keys", failedKeys)
@@ -57,24 +57,26 @@
 	}))
 }
 
-// handleUnknownOutcome acts on a commit that may still be carried out, late. Under a new
-// token its condition on the token fails; then the records are read anew.
+// handleUnknownOutcome renews the token after a commit that may still be executed late. Once
+// the token is renewed, the commit's condition on the old one fails, and the records are
+// read again.
 func (w *logWriter) handleUnknownOutcome() {
 	w.deps.Log.Info("commit outcome unknown, renewing the token", "shard", w.shardIndex, "token", w.token)
 	w.renewToken()
 }
 
-// renewToken asks for a new token until there is one, which ends the term. Until then
-// commits stay counted as in flight, and nothing that they hold is launched.
+// renewToken requests a new token, again and again until it is granted, which ends the term.
+// Until then the commits stay counted as in flight, and no placement in them is launched.
 func (w *logWriter) renewToken() {
 	w.deps.Leases.RenewToken(w.shardIndex)
 	w.deps.Runtime.After(tuning.MaxStateBackoff, w.terms.Guard(w.renewToken))
 }
 
-// markDurable takes note that a status of a task is committed.
+// markDurable records that a status of a task was committed by the commit with the given
+// sequence number. It ignores tasks whose record was removed or read again since.
 func (w *logWriter) markDurable(sequence uint64, written writtenStatus) {
 	task := written.task
-	if !w.tasks.holds(task.Group) {
+	if !w.tasks.contains(task.Group) {
 		return
 	}
 	if written.state == taskstate.StatePlaced && task.State == taskstate.StatePlaced && task.Attempt == written.attempt && !task.PlacementDurable {
@@ -82,7 +84,7 @@
 		w.deps.Handler.PlacementDurable(task)
 	}
 	if sequence < task.Log.Commit {
-		return // the answer to a later commit came first; the status in that one is newer
+		return // a later commit, with a newer status, was answered first
 	}
 	task.Log.Commit = sequence
 	w.pages.removeTask(task.Log.Page)
--- a/internal/shard/log_pages.go
+++ b/internal/shard/log_pages.go
@@ -5,27 +5,27 @@
 	"lemonmoor/internal/tuning"
 )
 
-// logPages knows which page of the shard's log holds the newest status of which task, so
-// that a page that holds none any more can be overwritten.
+// logPages tracks which page of the shard's log holds the newest status of each task. A page
+// that no longer holds any newest status can be overwritten.
 type logPages struct {
 	// revisionOf returns the revision of a stored page, 0 if there is none.
 	revisionOf func(page int) uint64
-	pages      []logPage // by number
-	inUse      []int     // the pages in use, in the order in which they were written
+	pages      []logPage // by page number
+	inUse      []int     // numbers of the pages in use, in the order of writing
 }
 
 // logPage is one page of the log.
 type logPage struct {
-	// current counts the tasks whose newest status is on the page, written those that were
-	// on it when it was written; tasks lists the latter.
-	current, written int
-	tasks            []*taskstate.Task
-	inUse            bool
-	beingWritten     bool // a commit of the page is in flight
-	revision         uint64
+	// newestCount is the number of tasks whose newest status is on the page, writtenCount
+	// the number of tasks that were on it when it was written; tasks lists the latter.
+	newestCount, writtenCount int
+	tasks                     []*taskstate.Task
+	inUse                     bool
+	beingWritten              bool // a commit of the page is in flight
+	revision                  uint64
 }
 
-// page returns a page of the log, which grows up to it.
+// page returns the page with a number. It extends the log if the page is beyond its end.
 func (p *logPages) page(number int) *logPage {
 	for number >= len(p.pages) {
 		p.pages = append(p.pages, logPage{revision: p.revisionOf(len(p.pages))})
@@ -33,31 +33,31 @@
 	return &p.pages[number]
 }
 
-// addTask notes that a page holds the newest status of a task. The page -1 stands for
-// none.
+// addTask records that a page holds the newest status of a task. Page -1 means that no page
+// does.
 func (p *logPages) addTask(number int, task *taskstate.Task) {
 	if number < 0 {
 		return
 	}
 	page := p.page(number)
 	if !page.inUse {
-		page.inUse, page.written, page.tasks = true, 0, page.tasks[:0]
+		page.inUse, page.writtenCount, page.tasks = true, 0, page.tasks[:0]
 		p.inUse = append(p.inUse, number)
 	}
-	page.current++
-	page.written++
+	page.newestCount++
+	page.writtenCount++
 	page.tasks = append(page.tasks, task)
 }
 
-// removeTask notes that the status that a page holds of a task is no longer needed.
+// removeTask records that the status of a task on a page is no longer needed.
 func (p *logPages) removeTask(number int) {
 	if number >= 0 {
-		p.pages[number].current--
+		p.pages[number].newestCount--
 	}
 }
 
-// reserve returns pages to write: those that hold no newest status, then new ones. Each
-// stays reserved until it is released.
+// reserve returns the numbers of count pages to write: first pages that hold no newest
+// status, then new ones. Each page stays reserved until release is called for it.
 func (p *logPages) reserve(count int) []int {
 	p.retireSuperseded()
 	var reserved []int
@@ -70,12 +70,12 @@
 	return reserved
 }
 
-// retireSuperseded frees the pages that hold no newest status any more.
+// retireSuperseded frees the pages that no longer hold any newest status.
 func (p *logPages) retireSuperseded() {
 	inUse := p.inUse[:0]
 	for _, number := range p.inUse {
 		page := &p.pages[number]
-		if page.current > 0 {
+		if page.newestCount > 0 {
 			inUse = append(inUse, number)
 			continue
 		}
@@ -86,8 +86,8 @@
 	p.inUse = inUse
 }
 
-// release notes that no commit of the pages is in flight any more. The revision is that of
-// the commit, 0 if it was not carried out.
+// release records that no commit of the pages is in flight any more. revision is that of the
+// commit, 0 if it was not executed.
 func (p *logPages) release(numbers []int, revision uint64) {
 	for _, number := range numbers {
 		page := &p.pages[number]
@@ -99,18 +99,18 @@
 }
 
 // tasksToMove returns the tasks whose newest status is on the oldest page that is at least
-// half superseded: written elsewhere, they leave the page free. It returns none while the
-// log is short.
+// half superseded. Writing them to another page frees this one. It returns nil while the log
+// has fewer than tuning.LogCompactionPages pages in use.
 func (p *logPages) tasksToMove() []*taskstate.Task {
 	if len(p.inUse) < tuning.LogCompactionPages {
 		return nil
 	}
 	for _, number := range p.inUse {
 		page := &p.pages[number]
-		if page.current == 0 || page.current*2 > page.written {
+		if page.newestCount == 0 || page.newestCount*2 > page.writtenCount {
 			continue
 		}
-		tasks := make([]*taskstate.Task, 0, page.current)
+		tasks := make([]*taskstate.Task, 0, page.newestCount)
 		for _, task := range page.tasks {
 			if task.Log.Page == number {
 				tasks = append(tasks, task)
--- a/internal/shard/log_pages_test.go
+++ b/internal/shard/log_pages_test.go
@@ -9,35 +9,35 @@
 	"lemonmoor/internal/tuning"
 )
 
-// pageWrite is a commit of one page that is carried out and not answered yet.
+// pageWrite is a commit of one page that was executed and is not answered yet.
 type pageWrite struct {
 	sequence uint64
 	pages    []int
 	tasks    []*taskstate.Task
 }
 
-// pagesModel is a log of which every status is numbered, beside the code under test.
+// pagesModel models a log in which every status has a number, next to the code under test.
 type pagesModel struct {
-	pages     logPages
-	tasks     []*taskstate.Task
-	sequence  uint64
-	inFlight  []pageWrite
-	content   map[int]map[*taskstate.Task]int // by page: the status numbers that it holds
-	changed   map[*taskstate.Task]int         // the newest status number given
-	committed map[*taskstate.Task]int         // the newest status number committed
+	pages           logPages
+	tasks           []*taskstate.Task
+	sequence        uint64
+	inFlight        []pageWrite
+	statusesByPage  map[int]map[*taskstate.Task]int // by page: the status numbers that it holds
+	newestStatus    map[*taskstate.Task]int         // the newest status number given
+	committedStatus map[*taskstate.Task]int         // the newest status number committed
 }
 
-// TestPageWithNewestStatusIsNeverOverwritten: however commits overlap and whichever is
-// answered first, the page that holds the newest status of a task is not overwritten, and
-// the log stays short.
+// TestPageWithNewestStatusIsNeverOverwritten guards against losing the newest status of a
+// task: its page must not be overwritten, however commits overlap and in whatever order they
+// are answered. The log must also stay short.
 func TestPageWithNewestStatusIsNeverOverwritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := pagesModel{
-			pages:     logPages{revisionOf: func(int) uint64 { return 0 }},
-			tasks:     make([]*taskstate.Task, rapid.IntRange(1, 40).Draw(t, "tasks")),
-			content:   map[int]map[*taskstate.Task]int{},
-			changed:   map[*taskstate.Task]int{},
-			committed: map[*taskstate.Task]int{},
+			pages:           logPages{revisionOf: func(int) uint64 { return 0 }},
+			tasks:           make([]*taskstate.Task, rapid.IntRange(1, 40).Draw(t, "tasks")),
+			statusesByPage:  map[int]map[*taskstate.Task]int{},
+			newestStatus:    map[*taskstate.Task]int{},
+			committedStatus: map[*taskstate.Task]int{},
 		}
 		for i := range model.tasks {
 			model.tasks[i] = &taskstate.Task{Index: i, Log: taskstate.LogPosition{Page: -1}}
@@ -53,8 +53,9 @@
 	})
 }
 
-// TestTasksMoveOffTheOldestSupersededPage: once the log is long, the statuses that are left on
-// an old page are moved, so that it can be overwritten.
+// TestTasksMoveOffTheOldestSupersededPage guards against a log that grows without bound: once
+// it is long, the statuses that remain on an old page are moved, so that the page can be
+// overwritten.
 func TestTasksMoveOffTheOldestSupersededPage(t *testing.T) {
 	pages := logPages{revisionOf: func(int) uint64 { return 0 }}
 	write := func(number int, tasks ...*taskstate.Task) {
@@ -65,26 +66,26 @@
 		}
 	}
 	newTask := func() *taskstate.Task { return &taskstate.Task{Log: taskstate.LogPosition{Page: -1}} }
-	whole, left, moved := []*taskstate.Task{newTask(), newTask()}, newTask(), newTask()
+	whole, remaining, moved := []*taskstate.Task{newTask(), newTask()}, newTask(), newTask()
 	write(0, whole...)
-	write(1, left, moved)
+	write(1, remaining, moved)
 	for number := 2; number < tuning.LogCompactionPages-1; number++ {
 		write(number, newTask())
 	}
 	if got := pages.tasksToMove(); got != nil {
-		t.Errorf("%d tasks are moved while no page is superseded and the log is short", len(got))
+		t.Errorf("short log without superseded pages: %d tasks to move, want none", len(got))
 	}
 	write(tuning.LogCompactionPages-1, moved)
-	if got := pages.tasksToMove(); len(got) != 1 || got[0] != left {
-		t.Fatalf("%d tasks are moved, want the one left on page 1", len(got))
+	if got := pages.tasksToMove(); len(got) != 1 || got[0] != remaining {
+		t.Fatalf("long log: %d tasks to move, want only the one remaining on page 1", len(got))
 	}
-	write(tuning.LogCompactionPages, left)
+	write(tuning.LogCompactionPages, remaining)
 	if reserved := pages.reserve(1); len(reserved) != 1 || reserved[0] != 1 {
-		t.Errorf("pages %v are overwritten, want page 1", reserved)
+		t.Errorf("reserved pages %v, want page 1", reserved)
 	}
 }
 
-// commit writes drawn tasks to a page, at once; the answer comes later.
+// commit writes drawn tasks to a page immediately; answer delivers the answer later.
 func (m *pagesModel) commit(t *rapid.T) {
 	m.sequence++
 	write := pageWrite{sequence: m.sequence}
@@ -94,7 +95,7 @@
 	}
 	for range rapid.IntRange(1, 5).Draw(t, "changed") {
 		task := m.tasks[rapid.IntRange(0, len(m.tasks)-1).Draw(t, "task")]
-		m.changed[task]++
+		m.newestStatus[task]++
 		list = append(list, task)
 	}
 	write.pages = m.pages.reserve(1)
@@ -103,16 +104,16 @@
 		if _, twice := statuses[task]; !twice {
 			write.tasks = append(write.tasks, task)
 		}
-		statuses[task] = m.changed[task]
+		statuses[task] = m.newestStatus[task]
 	}
-	m.content[write.pages[0]] = statuses
+	m.statusesByPage[write.pages[0]] = statuses
 	for _, task := range write.tasks {
-		m.committed[task] = max(m.committed[task], statuses[task])
+		m.committedStatus[task] = max(m.committedStatus[task], statuses[task])
 	}
 	m.inFlight = append(m.inFlight, write)
 }
 
-// answer answers one of the commits in flight.
+// answer delivers the answer to one of the commits in flight.
 func (m *pagesModel) answer(index int) {
 	write := m.inFlight[index]
 	m.inFlight = append(m.inFlight[:index:index], m.inFlight[index+1:]...)
@@ -128,20 +129,20 @@
 	}
 }
 
-// check looks for a task whose newest committed status is on no page, and at the length of
-// the log.
+// check fails the test if the newest committed status of a task is on no page, or if the log
+// is too long.
 func (m *pagesModel) check(t *rapid.T) {
 	t.Helper()
 	for _, task := range m.tasks {
 		newest := 0
-		for _, statuses := range m.content {
+		for _, statuses := range m.statusesByPage {
 			newest = max(newest, statuses[task])
 		}
-		if newest < m.committed[task] {
-			t.Fatalf("task %d: status %d was committed, the log holds %d", task.Index, m.committed[task], newest)
+		if newest < m.committedStatus[task] {
+			t.Fatalf("task %d: committed status %d, newest in the log is %d", task.Index, m.committedStatus[task], newest)
 		}
 	}
 	if len(m.pages.pages) > 2*tuning.LogCompactionPages {
-		t.Fatalf("%d pages for %d tasks", len(m.pages.pages), len(m.tasks))
+		t.Fatalf("log of %d pages for %d tasks, want at most %d pages", len(m.pages.pages), len(m.tasks), 2*tuning.LogCompactionPages)
 	}
 }
--- a/internal/shard/log_writer.go
+++ b/internal/shard/log_writer.go
@@ -9,9 +9,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// logWriter commits changes of tasks to the shard's log. Several commits may be in flight,
-// since the order in which pages are written does not matter: a task's status only moves
-// forward, and a reader takes the furthest one.
+// logWriter commits task changes to the shard's log. Several commits may be in flight at a
+// time, because the order in which pages are written does not matter: a task's status only
+// moves forward, and a reader uses the most advanced one.
 type logWriter struct {
 	deps       *Dependencies
 	shardIndex int
@@ -22,7 +22,7 @@
 	changes        changeSet
 	pages          logPages
 	pacing         commitPacing
-	commitSequence uint64 // grows with every commit, over all terms
+	commitSequence uint64 // incremented with every commit, never reset between terms
 }
 
 // pageCommit is a commit of log pages.
@@ -40,8 +40,8 @@
 	page    int
 }
 
-// endTerm forgets the changes and the log. Answers to commits of the term are dropped by
-// the term counter.
+// endTerm discards the changes and the state of the log. The term counter drops the answers
+// to commits of the ended term.
 func (w *logWriter) endTerm() {
 	w.token = 0
 	w.changes.tasks = nil
@@ -51,27 +51,27 @@
 	}}
 }
 
-// trackLogged takes note of the pages that hold the statuses of a group's tasks.
-func (w *logWriter) trackLogged(group *taskstate.TaskGroup) {
+// trackPages records which pages hold the statuses of a group's tasks.
+func (w *logWriter) trackPages(group *taskstate.TaskGroup) {
 	for _, task := range group.Tasks {
 		w.pages.addTask(task.Log.Page, task)
 	}
 }
 
-// forgetLogged takes note that the logged status of a task no longer matters.
-func (w *logWriter) forgetLogged(task *taskstate.Task) { w.pages.removeTask(task.Log.Page) }
+// untrackPage records that the logged status of a task is no longer needed.
+func (w *logWriter) untrackPage(task *taskstate.Task) { w.pages.removeTask(task.Log.Page) }
 
-// taskChanged takes a changed task in, unless its record is gone.
+// taskChanged adds a task to the changes to write, unless its record was removed.
 func (w *logWriter) taskChanged(task *taskstate.Task, urgent bool) {
-	if w.tasks.holds(task.Group) {
+	if w.tasks.contains(task.Group) {
 		w.changes.add(task, urgent, w.deps.Runtime.Now())
 	}
 }
 
-// flush sends a commit if there are changes and it may be sent now, else it schedules
-// itself.
+// flush sends a commit if there are changes and one may be sent now. If the pipeline delay,
+// the batching delay or the operation budget requires a wait, it schedules itself.
 func (w *logWriter) flush() {
-	if !w.pacing.mayPipeline() || !w.deps.Leases.LeaseValid() || len(w.changes.tasks) == 0 {
+	if !w.pacing.canSendCommit() || !w.deps.Leases.LeaseValid() || len(w.changes.tasks) == 0 {
 		return
 	}
 	now := w.deps.Runtime.Now()
@@ -82,7 +82,7 @@
 	rate := w.operationsPerSecond()
 	w.pacing.refill(now, rate)
 	budget := &w.pacing.budget
-	if wait := w.changes.sharingDelay(now); wait > 0 {
+	if wait := w.changes.batchingDelay(now); wait > 0 {
 		w.scheduleFlush(wait)
 		return
 	}
@@ -93,7 +93,7 @@
 	w.commit(min(w.deps.State.MaxOperations(), int(budget.Tokens()), tuning.MaxCommitBytes/w.pageBytes()))
 }
 
-// scheduleFlush has the changes flushed after a while, once.
+// scheduleFlush schedules a flush after a delay, unless one is scheduled already.
 func (w *logWriter) scheduleFlush(wait time.Duration) {
 	if w.pacing.flushScheduled {
 		return
@@ -105,23 +105,24 @@
 	}))
 }
 
-// operationsPerSecond is the shard's part of what the state service allows.
+// operationsPerSecond returns this shard's share of the state service's write rate.
 func (w *logWriter) operationsPerSecond() float64 {
 	settings := w.deps.Settings
 	return settings.Deployment.State.WriteRPS * tuning.ShardWriteShare * w.deps.State.WriteShare() / float64(settings.ShardCount())
 }
 
-// pageBytes is the most that a page may hold.
+// pageBytes returns the maximum size of a page in bytes.
 func (w *logWriter) pageBytes() int { return min(tuning.MaxPageBytes, w.deps.State.MaxValueBytes()) }
 
-// commit writes changed tasks to at most maxPages pages.
+// commit writes the changed tasks to at most maxPages pages and retains those that did not
+// fit.
 func (w *logWriter) commit(maxPages int) {
 	pages, rest, err := taskstate.PackPages(w.tasksToWrite(), w.pageBytes(), maxPages)
 	if err != nil {
 		w.deps.Log.Error("failed to encode log pages", "shard", w.shardIndex, "err", err)
 		return
 	}
-	w.changes.keep(rest)
+	w.changes.retain(rest)
 	if len(pages) == 0 {
 		return
 	}
@@ -129,8 +130,8 @@
 	var operations []statestore.Operation
 	conditions := []statestore.Condition{{Key: statestore.ShardKey(w.shardIndex), Revision: w.token}}
 	for i, packed := range pages {
-		// The condition on the page's revision makes a commit fail that is carried out
-		// once more, later: it must not bring back what the page held earlier.
+		// Without the condition on the page's revision, a commit that is executed a second
+		// time, later, would restore an earlier content of the page.
 		number := commit.pages[i]
 		key := taskstate.PageKey(w.shardIndex, number)
 		conditions = append(conditions, statestore.Condition{Key: key, Revision: w.pages.page(number).revision})
@@ -142,18 +143,18 @@
 	}
 	w.commitSequence++
 	commit.sequence = w.commitSequence
-	w.pacing.sent(w.deps.Runtime.Now(), len(operations))
+	w.pacing.recordCommit(w.deps.Runtime.Now(), len(operations))
 	w.deps.State.CommitWithTimeout(conditions, operations, w.deps.State.CommitTimeout(),
 		term.GuardValue(w.terms, func(result statestore.CommitResult) { w.handleResult(commit, result) }))
 }
 
-// tasksToWrite returns the changed tasks and, while no other commit is in flight, those
-// whose statuses are to be moved off an old page so that the page can be overwritten and
-// the log does not grow without bound.
+// tasksToWrite returns the changed tasks. While no other commit is in flight, it adds the
+// tasks whose statuses are to be moved off an old page, so that the page can be overwritten
+// and the log does not grow without bound.
 func (w *logWriter) tasksToWrite() []*taskstate.Task {
 	tasks := make([]*taskstate.Task, 0, len(w.changes.tasks))
 	for _, task := range w.changes.tasks {
-		if w.tasks.holds(task.Group) {
+		if w.tasks.contains(task.Group) {
 			tasks = append(tasks, task)
 		}
 	}
@@ -165,7 +166,7 @@
 			continue
 		}
 		task.Log.Dirty = true
-		if w.tasks.holds(task.Group) {
+		if w.tasks.contains(task.Group) {
 			tasks = append(tasks, task)
 		}
 	}
--- a/internal/shard/node_test.go
+++ b/internal/shard/node_test.go
@@ -14,19 +14,19 @@
 	"lemonmoor/internal/userapi"
 )
 
-// testNode is a node that may own shard 0. It counts what its task store tells it.
+// testNode is a node that may own shard 0. It records the calls of its task store.
 type testNode struct {
-	leases *statestore.LeaseManager
-	store  *taskstate.Store
-	tasks  *TaskStore
-	token  uint64
-	terms  int // tokens acquired
+	leases    *statestore.LeaseManager
+	store     *taskstate.Store
+	tasks     *TaskStore
+	token     uint64
+	termCount int // number of tokens acquired
 
 	durable []*taskstate.Task // in the order in which their placements became durable
 	waiting []*taskstate.Task // in the order in which they were announced
 }
 
-// newTestNode returns a node that campaigns for leadership and is then given the shard.
+// newTestNode returns a node that campaigns for leadership and then acquires the shard.
 func newTestNode(service *statetest.Service) *testNode {
 	log := slog.New(slog.DiscardHandler)
 	nodeSettings := &settings.Settings{}
@@ -49,19 +49,19 @@
 	return node
 }
 
-// JobChanged tells the shard of a job.
+// JobChanged forwards a changed job to the task store.
 func (n *testNode) JobChanged(entry *userapi.Entry) { n.tasks.JobChanged(entry) }
 
-// LeadershipAcquired is of no interest here.
+// LeadershipAcquired does nothing.
 func (n *testNode) LeadershipAcquired(uint64) {}
 
-// LeadershipLost is of no interest here.
+// LeadershipLost does nothing.
 func (n *testNode) LeadershipLost() {}
 
 // ShardAcquired begins a term.
 func (n *testNode) ShardAcquired(_ int, token uint64) {
 	n.token = token
-	n.terms++
+	n.termCount++
 	n.tasks.BeginTerm(token)
 }
 
@@ -71,36 +71,36 @@
 	n.tasks.EndTerm()
 }
 
-// TaskWaiting remembers the task.
+// TaskWaiting records the task.
 func (n *testNode) TaskWaiting(task *taskstate.Task) { n.waiting = append(n.waiting, task) }
 
-// PlacementDurable remembers the task.
+// PlacementDurable records the task.
 func (n *testNode) PlacementDurable(task *taskstate.Task) { n.durable = append(n.durable, task) }
 
-// RecordsLoaded is of no interest here.
+// RecordsLoaded does nothing.
 func (n *testNode) RecordsLoaded() {}
 
-// GangDone is of no interest here.
+// GangDone does nothing.
 func (n *testNode) GangDone(*taskstate.Job) {}
 
-// DiscardTask is of no interest here.
+// DiscardTask does nothing.
 func (n *testNode) DiscardTask(*taskstate.Task) {}
 
-// CancelJob is of no interest here.
+// CancelJob does nothing.
 func (n *testNode) CancelJob(*taskstate.Job) {}
 
-// jobID is the job whose tasks the shard has.
+// jobID is the ID of the job whose tasks are dispatched to the shard.
 const jobID = "wk-1"
 
-// newShardOwner returns a state service with one job of so many tasks dispatched to shard 0,
-// and the shard's owner, which has read it.
+// newShardOwner returns a state service with one job of taskCount tasks dispatched to shard 0,
+// and the shard's owner, which has loaded it.
 func newShardOwner(t *testing.T, taskCount int) (*statetest.Service, *testNode) {
 	t.Helper()
-	return newOwnerOf(t, userapi.Record{SubmittedMS: 1, Spec: &jobs.Spec{ID: jobID, Shape: "array", Tasks: taskCount, CPUs: 1}})
+	return newOwnerOfJob(t, userapi.Record{SubmittedMS: 1, Spec: &jobs.Spec{ID: jobID, Shape: "array", Tasks: taskCount, CPUs: 1}})
 }
 
-// newOwnerOf is newShardOwner for a given job.
-func newOwnerOf(t *testing.T, job userapi.Record) (*statetest.Service, *testNode) {
+// newOwnerOfJob is like newShardOwner for a given job.
+func newOwnerOfJob(t *testing.T, job userapi.Record) (*statetest.Service, *testNode) {
 	t.Helper()
 	service := statetest.New()
 	service.Set(t, userapi.KeyPrefix+jobID, job)
@@ -117,12 +117,12 @@
 	node := newTestNode(service)
 	service.Run(5 * time.Second)
 	if !node.tasks.IsLoaded() || node.tasks.Job(jobID) == nil {
-		t.Fatal("the shard's records are not loaded")
+		t.Fatalf("shard 0: records loaded %v, job %s present %v, want both", node.tasks.IsLoaded(), jobID, node.tasks.Job(jobID) != nil)
 	}
 	return service, node
 }
 
-// place places task 0 of the job on a worker and has that committed.
+// place places task 0 of the job on a worker and commits the placement.
 func (n *testNode) place(workerID string) *taskstate.Task {
 	task := n.tasks.Job(jobID).Tasks[0]
 	task.PlaceOn(workerID)
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -5,12 +5,12 @@
 	"lemonmoor/internal/userapi"
 )
 
-// addRecord takes a record into the working copy and returns its tasks, nil if its job is
-// not known or over.
+// addRecord adds a record to the working copy and returns its group of tasks, nil if its job
+// is unknown or finished.
 func (s *TaskStore) addRecord(record *taskstate.Record) *taskstate.TaskGroup {
 	entry := s.deps.Catalog.Get(record.Job)
 	if entry == nil || entry.Spec == nil {
-		return nil // its job is done; the leader removes what is left
+		return nil // not known yet, or done: the leader removes the records of done jobs
 	}
 	job := s.tasks.jobs[record.Job]
 	if job == nil {
@@ -19,11 +19,11 @@
 	}
 	group := taskstate.LoadRecord(job, record)
 	s.tasks.groups[group.Key] = group
-	s.writer.trackLogged(group)
+	s.writer.trackPages(group)
 	return group
 }
 
-// newJob makes the working copy of a job of the catalog, without tasks.
+// newJob returns the working copy of a catalog entry's job, without tasks.
 func (s *TaskStore) newJob(entry *userapi.Entry) *taskstate.Job {
 	job := taskstate.NewJob(entry.Spec, entry.SubmittedMS, s.deps.Catalog.WithinQuota(entry))
 	job.Cancelled = entry.Phase == userapi.PhaseCancelled
@@ -42,7 +42,8 @@
 	return job
 }
 
-// announceWaiting tells the handler of a group's waiting tasks.
+// announceWaiting calls the handler's TaskWaiting for each waiting task of a group; it drops
+// them instead if the job is cancelled.
 func (s *TaskStore) announceWaiting(group *taskstate.TaskGroup) {
 	for _, task := range group.Tasks {
 		if task.State != taskstate.StateWaiting {
@@ -56,9 +57,9 @@
 	}
 }
 
-// RecordAdded takes in tasks that the leader has dispatched to the shard. If the watch of
-// the jobs is behind that of the records, the job is not known yet; JobChanged comes back
-// to the record then.
+// RecordAdded adds the tasks of a record that the leader has dispatched to the shard. If the
+// watch of the jobs lags behind that of the records, the job is not known yet; JobChanged
+// then adds the record later.
 func (s *TaskStore) RecordAdded(record *taskstate.Record) {
 	if !s.loaded || record.Shard != s.shardIndex || s.tasks.groups[record.Key] != nil {
 		return
@@ -68,8 +69,8 @@
 	}
 }
 
-// RecordRemoved forgets a record that the leader has removed: its tasks are done, dropped
-// or returned.
+// RecordRemoved removes a record that the leader has deleted from the working copy. All of
+// its tasks should be done, dropped or returned by then.
 func (s *TaskStore) RecordRemoved(record *taskstate.Record) {
 	group := s.tasks.groups[record.Key]
 	if !s.loaded || group == nil {
@@ -84,14 +85,14 @@
 		if task.State != taskstate.StateDone {
 			task.State = taskstate.StateDropped
 		}
-		s.writer.forgetLogged(task)
+		s.writer.untrackPage(task)
 		s.tasks.removeTask(task)
 	}
 	s.tasks.removeJobIfEmpty(group.Job)
 }
 
-// TaskStatusChanged takes note of a task of another shard: a task of a divided gang that is
-// done means that the whole gang is.
+// TaskStatusChanged processes a status change in another shard: if a task of a divided gang
+// is done, the whole gang is done.
 func (s *TaskStore) TaskStatusChanged(record *taskstate.Record, position int, _ taskstate.TaskStatus) {
 	if !s.loaded || record.Shard == s.shardIndex || record.Statuses[position].State != taskstate.StateDone {
 		return
@@ -102,7 +103,8 @@
 	}
 }
 
-// JobChanged takes note of a cancelled job, and of a new one whose records came first.
+// JobChanged processes the cancellation of a job, and adds the records of a new job that
+// were seen before the job itself.
 func (s *TaskStore) JobChanged(entry *userapi.Entry) {
 	if !s.loaded {
 		return
--- a/internal/shard/records_test.go
+++ b/internal/shard/records_test.go
@@ -11,9 +11,10 @@
 	"lemonmoor/internal/userapi"
 )
 
-// TestNothingBecomesDurableOfARemovedRecord: the answer to a commit comes after the leader has
-// removed the record that its tasks are of.
-func TestNothingBecomesDurableOfARemovedRecord(t *testing.T) {
+// TestLateCommitAnswerForRemovedRecordIsIgnored guards against reporting a placement durable, or
+// retaining its log page, when the commit is answered after the leader has removed the
+// task's record.
+func TestLateCommitAnswerForRemovedRecordIsIgnored(t *testing.T) {
 	service, node := newShardOwner(t, 1)
 	service.Hold = writesLogPage
 	task := node.place("vm-1")
@@ -21,34 +22,36 @@
 	service.Commit(&statetest.Commit{Apply: []statestore.Operation{{DeleteKey: taskstate.RecordKey(0, jobID, 0)}}})
 	service.Run(time.Second)
 	if node.tasks.Job(jobID) != nil || task.State != taskstate.StateDropped {
-		t.Fatalf("the record is not removed: %v", task.State)
+		t.Fatalf("after the removal of the record: job present %v, task is %v, want absent and dropped", node.tasks.Job(jobID) != nil, task.State)
 	}
 	service.Held[0].Answer(committed, nil)
 	if len(node.durable) > 0 || task.PlacementDurable {
-		t.Error("a placement became durable though its record is gone")
+		t.Errorf("removed record: %d placements reported durable, task durable %v, want none", len(node.durable), task.PlacementDurable)
 	}
-	if page := node.tasks.writer.pages.page(0); page.current != 0 || page.inUse {
-		t.Errorf("the page counts as the newest of %d tasks, in use %v, though its record is gone", page.current, page.inUse)
+	if page := node.tasks.writer.pages.page(0); page.newestCount != 0 || page.inUse {
+		t.Errorf("removed record: page 0 has %d newest statuses, in use %v, want 0 and false", page.newestCount, page.inUse)
 	}
 }
 
-// TestWaitingTasksOfACancelledJobAreDropped: they are closed, and never offered for placement.
+// TestWaitingTasksOfACancelledJobAreDropped checks that an owner that loads a cancelled job
+// closes its waiting tasks and never announces them for placement.
 func TestWaitingTasksOfACancelledJobAreDropped(t *testing.T) {
-	_, node := newOwnerOf(t, userapi.Record{
+	_, node := newOwnerOfJob(t, userapi.Record{
 		SubmittedMS: 1, Phase: userapi.PhaseCancelled, CancelledMS: 2, Spec: &jobs.Spec{ID: jobID, Shape: "array", Tasks: 2, CPUs: 1},
 	})
 	for index, task := range node.tasks.Job(jobID).Tasks {
 		if task.State != taskstate.StateDropped {
-			t.Errorf("task %d is %v", index, task.State)
+			t.Errorf("task %d of the cancelled job is %v, want dropped", index, task.State)
 		}
 	}
 	if len(node.waiting) > 0 {
-		t.Errorf("%d tasks were offered for placement", len(node.waiting))
+		t.Errorf("%d tasks of the cancelled job announced for placement, want 0", len(node.waiting))
 	}
 }
 
-// TestGangIsRecalledAsAWholeOrNotAtAll: and only while no attempt of it is under way.
-func TestGangIsRecalledAsAWholeOrNotAtAll(t *testing.T) {
+// TestGangRecallIsAllOrNothing checks that a recall returns all tasks of a gang or none
+// of them, and none if the gang is done or in an attempt.
+func TestGangRecallIsAllOrNothing(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		gang     taskstate.Gang
@@ -61,12 +64,12 @@
 		{"done", taskstate.Gang{Done: true}, 2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, node := newOwnerOf(t, userapi.Record{SubmittedMS: 1, Spec: &jobs.Spec{ID: jobID, Shape: "gang", Tasks: 2, CPUs: 1}})
+			_, node := newOwnerOfJob(t, userapi.Record{SubmittedMS: 1, Spec: &jobs.Spec{ID: jobID, Shape: "gang", Tasks: 2, CPUs: 1}})
 			job := node.tasks.Job(jobID)
 			*job.Gang = test.gang
 			node.tasks.RecallTasks(jobID, test.count)
 			if open := job.OpenTasks(); (open == 0) != test.returned {
-				t.Errorf("%d open tasks", open)
+				t.Errorf("recall of %d tasks left %d open, want all returned: %v", test.count, open, test.returned)
 			}
 		})
 	}
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -1,12 +1,12 @@
-// Package shard holds the tasks of one shard of the machines while this process owns the
-// shard. Its one job is that whatever becomes of a task is durable before anybody acts on
-// it: a placement is committed before its launch is sent, a completion before the worker
-// is told to forget the task.
+// Package shard manages the tasks of one shard of the machines while this process owns the
+// shard. It ensures that each change of a task is durable before it is acted on: a placement
+// is committed before its launch is sent, a completion before the worker is told to forget
+// the task.
 //
-// It owns the working copy of the shard's records and the shard's log in the state
-// service; both are used within the event loop only. It must never commit without the
-// shard lease's fencing token as a condition, overwrite a log page that still holds the
-// newest status of a task, or report a placement durable before the answer to its commit.
+// It owns the working copy of the shard's records and the shard's log in the state service;
+// both are used only within the event loop. It must never commit without the shard lease's
+// fencing token as a condition, overwrite a log page that still holds the newest status of a
+// task, or report a placement durable before its commit is answered.
 package shard
 
 import (
@@ -21,25 +21,25 @@
 	"lemonmoor/internal/userapi"
 )
 
-// TaskHandler acts on what becomes of a shard's tasks.
+// TaskHandler is called on events of a shard's tasks and jobs.
 type TaskHandler interface {
 	// TaskWaiting is called for a task that may be placed on a worker.
 	TaskWaiting(task *taskstate.Task)
-	// PlacementDurable is called when a task's placement is durable, so that it may be
-	// launched.
+	// PlacementDurable is called when a task's placement is durable; the task may be
+	// launched from then on.
 	PlacementDurable(task *taskstate.Task)
-	// RecordsLoaded is called when the records have been read under a new token, before
+	// RecordsLoaded is called when the records have been loaded under a new token, before
 	// TaskWaiting is called for any of their tasks.
 	RecordsLoaded()
-	// GangDone is called when a gang is done, as another shard has found.
+	// GangDone is called when a status from another shard shows that a gang is done.
 	GangDone(job *taskstate.Job)
-	// DiscardTask takes a task off its worker whose record is gone.
+	// DiscardTask removes a task whose record was removed from its worker.
 	DiscardTask(task *taskstate.Task)
-	// CancelJob is called when a job is cancelled that may have tasks on workers.
+	// CancelJob is called when a job that may have tasks on workers is cancelled.
 	CancelJob(job *taskstate.Job)
 }
 
-// Dependencies is what a TaskStore works with.
+// Dependencies are the components that a TaskStore uses.
 type Dependencies struct {
 	Runtime  eventloop.Runtime
 	State    *statestore.Client
@@ -51,8 +51,8 @@
 	Log      *slog.Logger
 }
 
-// TaskStore holds the tasks of one shard. It is empty except during a term: from
-// BeginTerm, with the fencing token of the shard's lease, to EndTerm.
+// TaskStore is the working copy of the tasks of one shard. It is empty except during a term,
+// which lasts from BeginTerm, with the fencing token of the shard's lease, to EndTerm.
 type TaskStore struct {
 	deps       Dependencies
 	shardIndex int
@@ -70,16 +70,17 @@
 	return s
 }
 
-// BeginTerm reads the records for a new token. Earlier owners' commits carry the earlier
-// token as a condition and fail, so that only this process changes the log now.
+// BeginTerm loads the records under a new token. Only this process can change the log from
+// then on: commits of earlier owners fail, because they have an earlier token as a condition.
 func (s *TaskStore) BeginTerm(token uint64) {
 	s.EndTerm()
 	s.writer.token = token
-	// The catalog comes last: it must hold every job that has records.
+	// The catalog is verified last, so that it contains every job that has records.
 	s.deps.State.VerifyUntilCurrent(&s.terms, s.load, s.deps.Records, s.deps.Catalog)
 }
 
-// EndTerm forgets everything: the shard is lost, or is about to be read anew.
+// EndTerm discards all state, when the shard is lost or its records are about to be read
+// again.
 func (s *TaskStore) EndTerm() {
 	s.terms.Advance()
 	s.loaded = false
@@ -87,7 +88,7 @@
 	s.writer.endTerm()
 }
 
-// load builds the working copy from the records, which are current.
+// load builds the working copy from the records, which must be verified as current.
 func (s *TaskStore) load() {
 	s.deps.Records.EachRecord(func(record *taskstate.Record) {
 		if record.Shard == s.shardIndex {
@@ -103,10 +104,10 @@
 	}
 }
 
-// IsLoaded reports whether the records have been read under the present token.
+// IsLoaded reports whether the records have been loaded under the current token.
 func (s *TaskStore) IsLoaded() bool { return s.loaded }
 
-// Job returns a job that has tasks in the shard, nil if there is none of that ID.
+// Job returns the job with an ID, nil if it has no tasks in the shard.
 func (s *TaskStore) Job(id string) *taskstate.Job { return s.tasks.jobs[id] }
 
 // EachJob calls fn for every job with tasks in the shard, in no particular order.
@@ -116,20 +117,20 @@
 	}
 }
 
-// CancellationAge returns how long ago the user of a job can have been told that it is
-// cancelled, at most, and whether it is cancelled at all.
+// CancellationAge reports whether a job is cancelled, and the longest time that can have
+// passed since its user was informed of the cancellation.
 func (s *TaskStore) CancellationAge(jobID string) (age time.Duration, cancelled bool) {
 	return s.deps.Catalog.CancellationAge(jobID, s.deps.Settings.ClockSkew())
 }
 
-// TaskChanged has a task written to the log: soon if the change is urgent, that is if
-// somebody waits for it to be durable.
+// TaskChanged schedules a changed task to be written to the log. An urgent change, one that
+// is awaited to become durable, does not wait for others to share its commit.
 func (s *TaskStore) TaskChanged(task *taskstate.Task, urgent bool) {
 	s.writer.taskChanged(task, urgent)
 }
 
-// Flush commits changed tasks: at once if one of the changes is urgent, else when they have
-// waited for others to share the commit with.
+// Flush commits the changed tasks: immediately if one of the changes is urgent, otherwise
+// after a delay in which further changes can join the commit.
 func (s *TaskStore) Flush() {
 	if s.loaded {
 		s.writer.flush()
--- a/internal/shard/transitions.go
+++ b/internal/shard/transitions.go
@@ -2,16 +2,16 @@
 
 import "lemonmoor/internal/taskstate"
 
-// TaskDone takes note of a completed task. If it was the last open one of its record, the
-// change is urgent: the end of the job may wait for it.
+// TaskDone marks a task as completed. If it was the last open task of its record, the change
+// is urgent, because the end of the job may depend on it.
 func (s *TaskStore) TaskDone(task *taskstate.Task) { s.closeTask(task, taskstate.StateDone) }
 
-// DropTask ends a task of a cancelled job that is on no machine. The leader removes a record
-// only when its owner has closed all of its tasks: removed on the leader's own judgement,
-// a placement committed meanwhile would be lost.
+// DropTask closes a task of a cancelled job that is on no machine. The leader removes a
+// record only once the shard's owner has closed all of its tasks. If the leader decided alone,
+// a placement committed in the meantime would be lost.
 func (s *TaskStore) DropTask(task *taskstate.Task) { s.closeTask(task, taskstate.StateDropped) }
 
-// closeTask gives an open task its final state in this shard.
+// closeTask sets the final state of an open task in this shard.
 func (s *TaskStore) closeTask(task *taskstate.Task, state taskstate.State) {
 	task.State = state
 	task.Group.OpenTasks--
@@ -19,7 +19,7 @@
 }
 
 // RecallTasks returns up to count waiting tasks of a job to the leader. A gang is returned
-// as a whole, and only while it has no attempt under way.
+// as a whole or not at all, and only while it is neither done nor in an attempt.
 func (s *TaskStore) RecallTasks(jobID string, count int) {
 	job := s.tasks.jobs[jobID]
 	if !s.loaded || job == nil || job.Cancelled {
