--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -7,48 +7,49 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Gang is what a shard's owner knows of the present attempt of a job whose tasks run at the
-// same time or not at all. The tasks of an attempt share its number, by which their workers
-// let them find each other.
+// Gang is the state of the current attempt of a job whose tasks run at the same time or not
+// at all, as known to the shard's owner. The tasks of an attempt share its number, which
+// their workers use to let the tasks find each other.
 //
 // An attempt goes through the phases of GangPhase:
 //
 //	idle -> assembling            the first task is placed (Task.PlaceOn)
-//	assembling -> assembling      a task is lost before it waited for the others: replaced
+//	assembling -> assembling      a task is lost before it waited for the others, and replaced
 //	assembling -> start in doubt  a task vanishes (TaskGone): the gang may have started
 //	start in doubt -> assembling  a later heartbeat shows a task waiting (ReportedWaiting)
 //	assembling -> running         a heartbeat shows a task running (ReportedRunning)
-//	any of these -> ended         a task is lost for good, the gang is stopped (EndAttempt)
+//	any of these -> ended         a lost task is not replaceable, or EndAttempt is called
 //	any of these -> idle          the last task is proven gone from its worker (TaskGone)
 //	any -> done                   a task is known to be done
 type Gang struct {
 	// Attempt is the attempt's number; 0 means that no task of the gang can be on a worker.
 	Attempt uint64
-	// Started is set once all tasks have run, as a heartbeat has shown.
+	// Started is set once a heartbeat has shown that all tasks have run.
 	Started bool
-	// AttemptOver is set when the attempt comes to nothing, at AttemptOverSince: nothing of
-	// it is launched any more, and the next attempt waits until each of its tasks is proven
+	// AttemptOver is set when the attempt has ended, at AttemptOverSince: no task of it is
+	// launched any more, and the next attempt begins only after each of its tasks is proven
 	// gone.
 	AttemptOver      bool
 	AttemptOverSince time.Duration
-	// Checkpointing is set when the attempt is over because the gang was told to save its
-	// progress.
+	// Checkpointing is set when the attempt is over because the gang was ordered to save
+	// its progress.
 	Checkpointing bool
-	// StartInDoubtSince is when a task vanished without it being known whether the gang had
-	// started by then, 0 if none did. Only a heartbeat received later that shows a task
-	// waiting proves that the gang had not started.
+	// StartInDoubtSince is when a task vanished while it was unknown whether the gang had
+	// started, 0 if none did. Only a later heartbeat that shows a task waiting proves that
+	// the gang had not started.
 	StartInDoubtSince time.Duration
-	// Done is set once a task is known to be done, since then all are.
+	// Done is set once a task is known to be done, because then all tasks are.
 	Done bool
-	// IncompleteAttempts counts the attempts in a row that never ran.
+	// IncompleteAttempts is the number of consecutive attempts that never ran.
 	IncompleteAttempts int
-	// UncachedPlacements counts the attempt's placements on workers without the image.
+	// UncachedPlacements is the number of the attempt's placements on workers without the
+	// image.
 	UncachedPlacements int
 	// EnqueuedAt is when the gang began to wait for workers.
 	EnqueuedAt time.Duration
 }
 
-// GangPhase is the phase of a gang's present attempt.
+// GangPhase is the phase of a gang's current attempt.
 type GangPhase int
 
 const (
@@ -57,13 +58,13 @@
 	// GangAssembling is the phase in which tasks are placed and launched, and wait on their
 	// workers for the others.
 	GangAssembling
-	// GangStartInDoubt is the phase in which a task is gone and nobody knows whether the
+	// GangStartInDoubt is the phase in which a task is gone and it is unknown whether the
 	// gang had started: nothing is placed or launched.
 	GangStartInDoubt
 	// GangRunning is the phase after the start: no task can be replaced.
 	GangRunning
-	// GangEnded is the phase in which the tasks of an attempt that is over are still to be
-	// proven gone.
+	// GangEnded is the phase in which the attempt is over but not all of its tasks are
+	// proven gone from their workers.
 	GangEnded
 	// GangDone is the final phase.
 	GangDone
@@ -88,7 +89,7 @@
 	return "phase " + strconv.Itoa(int(p))
 }
 
-// Phase returns the phase of the gang's present attempt.
+// Phase returns the phase of the gang's current attempt.
 func (g *Gang) Phase() GangPhase {
 	switch {
 	case g.Done:
@@ -105,15 +106,16 @@
 	return GangIdle
 }
 
-// endAttempt makes the attempt come to nothing, if it has not yet.
+// endAttempt marks the attempt as over, unless it is already.
 func (g *Gang) endAttempt(now time.Duration) {
 	if !g.AttemptOver {
 		g.AttemptOver, g.AttemptOverSince = true, now
 	}
 }
 
-// nextAttempt makes the gang idle after an attempt whose tasks are all gone, and returns how
-// long to pause before the next one: longer the more attempts in a row never ran.
+// nextAttempt resets the gang to idle after an attempt whose tasks are all gone. It returns
+// how long to pause before the next attempt: 0 if the gang had started, otherwise a pause
+// that doubles with each consecutive attempt that never ran, up to tuning.MaxGangPause.
 func (g *Gang) nextAttempt(now time.Duration) (pause time.Duration) {
 	incomplete := 0
 	if !g.Started {
@@ -124,20 +126,20 @@
 	return pause
 }
 
-// maxGangPauseDoublings bounds the shift in nextAttempt; tuning.MaxGangPause is reached
-// earlier.
+// maxGangPauseDoublings bounds the shift in nextAttempt. The pause reaches
+// tuning.MaxGangPause with fewer doublings.
 const maxGangPauseDoublings = 10
 
-// Loss is how a task of a gang came off its worker.
+// Loss is the way in which a task of a gang was lost from its worker.
 type Loss int
 
 const (
-	// LossBeforeWaiting means that the task has never waited for the others, so that the
-	// gang cannot have started.
+	// LossBeforeWaiting means that the task never waited for the others, so that the gang
+	// cannot have started.
 	LossBeforeWaiting Loss = iota
-	// LossVanished means that the task is gone, whatever it did before.
+	// LossVanished means that the task is gone, whatever phase it was in.
 	LossVanished
-	// LossExited means that the task has exited, as the others will.
+	// LossExited means that the task has exited, and that the others will too.
 	LossExited
 )
 
@@ -154,13 +156,13 @@
 	return "loss " + strconv.Itoa(int(l))
 }
 
-// EndAttempt ends the gang's present attempt.
+// EndAttempt ends the gang's current attempt.
 func (j *Job) EndAttempt(now time.Duration) { j.Gang.endAttempt(now) }
 
-// TaskGone takes note that a gang's task is proven gone from its worker.
+// TaskGone updates the gang after one of its tasks is proven gone from its worker.
 func (j *Job) TaskGone(task *Task, loss Loss, now time.Duration) {
 	gang := j.Gang
-	if !j.hasTaskPlaced() {
+	if !j.anyTaskPlaced() {
 		started := gang.Started
 		pause := gang.nextAttempt(now)
 		if !started {
@@ -177,8 +179,8 @@
 	}
 }
 
-// hasTaskPlaced reports whether a task of the job is placed now.
-func (j *Job) hasTaskPlaced() bool {
+// anyTaskPlaced reports whether a task of the job is placed now.
+func (j *Job) anyTaskPlaced() bool {
 	for _, task := range j.Tasks {
 		if task.State == StatePlaced {
 			return true
@@ -187,7 +189,8 @@
 	return false
 }
 
-// ReportedRunning takes note that a task of the gang runs: then all of them have been there.
+// ReportedRunning updates the gang after a heartbeat shows one of its tasks running, which
+// proves that all of its tasks were on their workers.
 func (j *Job) ReportedRunning(now time.Duration) {
 	j.Gang.Started = true
 	if j.Gang.StartInDoubtSince > 0 {
@@ -195,9 +198,9 @@
 	}
 }
 
-// ReportedWaiting takes note that a task of the gang waits for the others, as a heartbeat
-// received now says. If that is later than the loss that is in doubt, the lost task was
-// lost before the start.
+// ReportedWaiting updates the gang after a heartbeat received now shows one of its tasks
+// waiting for the others. If the heartbeat is later than the loss that left the start in
+// doubt, the task was lost before the start.
 func (j *Job) ReportedWaiting(now time.Duration) {
 	gang := j.Gang
 	if gang.StartInDoubtSince == 0 || gang.StartInDoubtSince >= now || gang.AttemptOver {
@@ -212,9 +215,9 @@
 }
 
 // MustHaltAttempt reports whether the tasks of an attempt that is over have to be halted
-// now. Before the start that is at once; afterwards the tasks notice a lost peer by
-// themselves within peerTimeout, and if they were told to save their progress they get the
-// time for that.
+// now. Before the start they are halted immediately. After the start the tasks notice a lost
+// peer themselves within peerTimeout; if they were ordered to save their progress, they also
+// have the job's checkpoint time.
 func (j *Job) MustHaltAttempt(now, peerTimeout time.Duration) bool {
 	gang := j.Gang
 	wait := peerTimeout + tuning.GangLossNoticeMargin
@@ -229,8 +232,8 @@
 	return now-gang.AttemptOverSince >= wait
 }
 
-// RecoverGang works out the gang's state from the records under a new token. now is the time
-// from which heartbeats count.
+// RecoverGang derives the gang's state from the records under a new token. Only heartbeats
+// received after now count.
 func (j *Job) RecoverGang(now time.Duration) {
 	gang := j.Gang
 	*gang = Gang{EnqueuedAt: now, Done: j.PartDoneElsewhere}
@@ -248,7 +251,7 @@
 		case task.State == StatePlaced:
 			gang.recoverPlaced(task, now)
 		case task.State == StateWaiting && task.WireAttempt() == gang.Attempt:
-			gang.endAttempt(now) // lost, and it is not known from which workers
+			gang.endAttempt(now) // lost, and the workers that had it are unknown
 		case task.State == StateWaiting:
 			gang.StartInDoubtSince = now // not all of the placements were committed
 		}
@@ -258,12 +261,12 @@
 	}
 }
 
-// recoverPlaced takes in a task that the records show placed.
+// recoverPlaced updates the gang for a task that is placed according to the records.
 func (g *Gang) recoverPlaced(task *Task, now time.Duration) {
 	g.Started = g.Started || task.Observed.HasRun
 	task.Tried.Workers = []string{task.WorkerID}
 	task.Tried.Incomplete = task.Attempt%tuning.GangAttemptStride > 0
 	if task.WireAttempt() != g.Attempt {
-		g.endAttempt(now) // placed by the first version, which took gangs for arrays
+		g.endAttempt(now) // placed by the first version, which treated gangs as arrays
 	}
 }
--- a/internal/taskstate/gang_phase_test.go
+++ b/internal/taskstate/gang_phase_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestGangPhase: each phase, and which of two conditions decides when both hold.
+// TestGangPhase checks each phase, and which of two conditions has precedence when both apply.
 func TestGangPhase(t *testing.T) {
 	for _, test := range []struct {
 		gang Gang
@@ -19,13 +19,13 @@
 	} {
 		t.Run(test.want.String(), func(t *testing.T) {
 			if got := test.gang.Phase(); got != test.want {
-				t.Errorf("%+v is %v, want %v", test.gang, got, test.want)
+				t.Errorf("phase of %+v is %v, want %v", test.gang, got, test.want)
 			}
 		})
 	}
 }
 
-// TestEnumerationNames: every value has a name of its own for the logs.
+// TestEnumerationNames checks that the names of the enumeration values in logs are distinct.
 func TestEnumerationNames(t *testing.T) {
 	names := map[string]bool{}
 	for state := StateWaiting; state <= StateReturned; state++ {
@@ -38,6 +38,6 @@
 		names[unknown] = true
 	}
 	if len(names) != 5+3+3 {
-		t.Errorf("%d names: %v", len(names), names)
+		t.Errorf("%d distinct names, want %d: %v", len(names), 5+3+3, names)
 	}
 }
--- a/internal/taskstate/gang_placement.go
+++ b/internal/taskstate/gang_placement.go
@@ -2,10 +2,10 @@
 
 import "lemonmoor/internal/tuning"
 
-// WireAttempt returns the task's attempt as its worker knows it. For a gang that is the
-// attempt of the gang; the stored number also counts the replacements of the task within
-// it, so that it grows with each placement. Numbers below the stride are of the first
-// version, which took gangs for arrays.
+// WireAttempt returns the attempt number that the task's worker uses. For a gang that is the
+// gang's attempt; the stored number also counts the replacements of the task within it, so
+// that it grows with each placement. Numbers below tuning.GangAttemptStride were stored by
+// the first version, which treated gangs as arrays.
 func (t *Task) WireAttempt() uint64 {
 	if t.Job.Gang == nil || t.Attempt < tuning.GangAttemptStride {
 		return t.Attempt
@@ -13,7 +13,7 @@
 	return t.Attempt / tuning.GangAttemptStride
 }
 
-// beginAttempt gives a task that is being placed its next attempt.
+// beginAttempt assigns the next attempt number to a task that is being placed.
 func (t *Task) beginAttempt() {
 	gang := t.Job.Gang
 	if gang == nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// nextGangAttempt returns a number that no attempt of the gang has had: the one that the
-// leader has chosen for the parts of a divided gang, or the next.
+// nextGangAttempt returns an attempt number that the gang has not used: the one that the
+// leader has chosen for the parts of a divided gang, or the successor of the last one.
 func (j *Job) nextGangAttempt() uint64 {
 	for _, group := range j.Groups {
 		if group.GangAttempt > 0 && group.OpenTasks > 0 {
@@ -47,16 +47,17 @@
 	return last + 1
 }
 
-// Replaceable reports whether a lost task may be placed once more within the gang's present
-// attempt. It may not if the workers that have had it are not all known: one of them could
-// get it again and take it for the lost one.
+// Replaceable reports whether a lost task may be placed again within the gang's current
+// attempt. It may not if some worker that had the task is unknown: that worker could be
+// assigned the task again and would treat it as the lost one. Nor may it once the attempt's
+// tuning.GangAttemptStride numbers are used up.
 func (t *Task) Replaceable() bool {
 	first := t.Job.Gang.Attempt * tuning.GangAttemptStride
 	return t.Attempt < first || (!t.Tried.Incomplete && t.Attempt+1 < first+tuning.GangAttemptStride)
 }
 
-// IsComplete reports whether the shard has all of the gang's tasks, or all of the part of a
-// divided gang that the leader has given to the shard.
+// IsComplete reports whether the shard has all of the gang's tasks or, of a divided gang, the
+// whole part that the leader has dispatched to the shard.
 func (j *Job) IsComplete() bool {
 	if len(j.Tasks) == j.Spec.Tasks {
 		return true
@@ -75,7 +76,7 @@
 }
 
 // ChosenAttemptOver reports whether the attempt that the leader has chosen for a part of a
-// divided gang is over: then the part goes back to the leader.
+// divided gang is over. The part is then to be returned to the leader.
 func (j *Job) ChosenAttemptOver() bool {
 	gang := j.Gang
 	if gang == nil || gang.Attempt != 0 || gang.Done || j.Cancelled {
@@ -94,8 +95,8 @@
 	return false
 }
 
-// TasksToPlace returns the gang's tasks that are to be placed, all of them at once; none if
-// the gang must not be placed now.
+// TasksToPlace returns the gang's tasks that are to be placed. All of them must be placed
+// together. It returns nil if the gang must not be placed now.
 func (j *Job) TasksToPlace() []*Task {
 	gang := j.Gang
 	if phase := gang.Phase(); phase != GangIdle && phase != GangAssembling {
@@ -121,8 +122,8 @@
 }
 
 // Launchable reports whether a placed task may be launched. A task of a gang may be launched
-// only when the placements of all are durable, so that none is on a worker without it being
-// known where the others go.
+// only when the placements of all its tasks are durable, so that no task is on a worker
+// while it is unknown where the others are to run.
 func (t *Task) Launchable() bool {
 	if !t.PlacementDurable || t.Launch.Sent || t.Job.Cancelled {
 		return false
--- a/internal/taskstate/gang_rules_test.go
+++ b/internal/taskstate/gang_rules_test.go
@@ -7,7 +7,7 @@
 	"lemonmoor/internal/jobs"
 )
 
-// newGang returns a gang of which an owner has read the statuses, at a time of one minute.
+// newGang returns a gang as recovered by an owner from its tasks' statuses at time 1 minute.
 func newGang(statuses ...TaskStatus) *Job {
 	job := &Job{
 		Spec: &jobs.Spec{ID: "wk-1", Shape: "gang", Tasks: len(statuses)}, Gang: &Gang{},
@@ -24,8 +24,8 @@
 	return job
 }
 
-// TestGangTasksAreLaunchedInAnOpenAttemptOnly: nothing is launched of an attempt that comes to
-// nothing, or of one that may have started without a task that is gone.
+// TestGangTasksAreLaunchedInAnOpenAttemptOnly guards against launching tasks of an attempt
+// that is over, or of one that may have started before one of its tasks was lost.
 func TestGangTasksAreLaunchedInAnOpenAttemptOnly(t *testing.T) {
 	for _, test := range []struct {
 		gang Gang
@@ -45,25 +45,25 @@
 			}
 			*job.Gang = test.gang
 			if got := job.Tasks[0].Launchable(); got != test.want {
-				t.Errorf("%+v: launchable %v", test.gang, got)
+				t.Errorf("gang %+v: launchable %v, want %v", test.gang, got, test.want)
 			}
 		})
 	}
 }
 
-// TestTaskWithUnknownWorkersIsNotReplaced: the stored attempt tells that the task had other
-// workers within the gang's attempt. They are not known under a new token, so one of them
-// could get the task again.
+// TestTaskWithUnknownWorkersIsNotReplaced guards against assigning a task to a worker that
+// already had it within the gang's attempt. The stored attempt number shows that there were
+// other workers, but their names are unknown under a new token.
 func TestTaskWithUnknownWorkersIsNotReplaced(t *testing.T) {
 	job := newGang(TaskStatus{State: StatePlaced, Attempt: 1024, WorkerID: "vm-1"}, TaskStatus{State: StatePlaced, Attempt: 1025, WorkerID: "vm-2"})
 	if first, second := job.Tasks[0].Replaceable(), job.Tasks[1].Replaceable(); !first || second {
-		t.Errorf("replaceable: %v and %v", first, second)
+		t.Errorf("first placement replaceable: %v, want true; second placement replaceable: %v, want false", first, second)
 	}
 }
 
-// TestOnlyALaterHeartbeatSettlesADoubtfulStart: a heartbeat received at the time of the loss may
-// be older than the loss.
-func TestOnlyALaterHeartbeatSettlesADoubtfulStart(t *testing.T) {
+// TestOnlyALaterHeartbeatResolvesStartInDoubt guards against treating a gang as not started
+// because of a heartbeat received at the time of a loss: it may have been sent before the loss.
+func TestOnlyALaterHeartbeatResolvesStartInDoubt(t *testing.T) {
 	job := newGang(TaskStatus{}, TaskStatus{})
 	for _, task := range job.Tasks {
 		task.PlaceOn("vm-1")
@@ -72,17 +72,18 @@
 	lost.TakeOffWorker()
 	job.TaskGone(lost, LossVanished, 2*time.Minute)
 	if phase := job.Gang.Phase(); phase != GangStartInDoubt {
-		t.Fatalf("after the loss: %v", phase)
+		t.Fatalf("after the loss: phase %v, want %v", phase, GangStartInDoubt)
 	}
 	if job.ReportedWaiting(2 * time.Minute); job.Gang.Phase() != GangStartInDoubt {
-		t.Errorf("after a heartbeat at the time of the loss: %v", job.Gang.Phase())
+		t.Errorf("after a heartbeat at the time of the loss: phase %v, want %v", job.Gang.Phase(), GangStartInDoubt)
 	}
 	if job.ReportedWaiting(2*time.Minute + 1); job.Gang.Phase() != GangAssembling {
-		t.Errorf("after a later heartbeat: %v", job.Gang.Phase())
+		t.Errorf("after a later heartbeat: phase %v, want %v", job.Gang.Phase(), GangAssembling)
 	}
 }
 
-// TestRecoveredGangPhase: what a new owner makes of a gang's stored statuses.
+// TestRecoveredGangPhase checks the phase that a new owner derives from a gang's stored
+// statuses.
 func TestRecoveredGangPhase(t *testing.T) {
 	placed := TaskStatus{State: StatePlaced, Attempt: 2048, WorkerID: "vm-1"}
 	running := TaskStatus{State: StatePlaced, Attempt: 2048, WorkerID: "vm-1", Running: true}
@@ -103,7 +104,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := newGang(test.first, test.last).Gang.Phase(); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("recovered phase %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/taskstate/gang_test.go
+++ b/internal/taskstate/gang_test.go
@@ -13,23 +13,24 @@
 	"lemonmoor/internal/tuning"
 )
 
-// gangModel drives a gang and checks what must hold of its attempts.
+// gangModel drives a gang and checks the invariants of its attempts.
 type gangModel struct {
 	job    *Job
 	record *Record
-	store  *Store // holds what has been committed
+	store  *Store // the committed state
 	now    time.Duration
 
-	placements map[string]bool // task, attempt and worker, of all placements so far
-	ran        map[uint64]bool // the attempts that have run
-	committed  []TaskStatus    // by task
-	newWorkers int
+	placements        map[string]bool // all placements so far, by task, attempt and worker
+	startedAttempts   map[uint64]bool // attempts that have run
+	committedStatuses []TaskStatus    // by task
+	newWorkerCount    int
 }
 
 // TestGangAttempts drives a gang through placements, losses, starts and new owners that know
-// only what has been committed. The tasks of a gang that are on workers share their attempt;
-// a worker never gets the same task and attempt twice; nothing is replaced once the gang has
-// run; each status supersedes the one before, so that log pages may be read in any order.
+// only the committed state. The gang's tasks on workers must share their attempt; a worker
+// must never be assigned the same task and attempt twice; no task may be replaced once the
+// gang has run; each status must supersede the previous one, so that log pages may be read in
+// any order.
 func TestGangAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newGangModel(t, rapid.IntRange(1, 5).Draw(t, "tasks"))
@@ -51,7 +52,7 @@
 		job:    &Job{Spec: &jobs.Spec{ID: "wk-1", Shape: "gang", Tasks: taskCount}},
 		record: NewRecord(0, "wk-1", 0, indexes, nil, nil),
 		store:  NewStore(nil, nil, slog.New(slog.DiscardHandler)),
-		now:    time.Hour, placements: map[string]bool{}, ran: map[uint64]bool{}, committed: make([]TaskStatus, taskCount),
+		now:    time.Hour, placements: map[string]bool{}, startedAttempts: map[uint64]bool{}, committedStatuses: make([]TaskStatus, taskCount),
 	}
 	value, err := model.record.Encode()
 	if err != nil {
@@ -62,17 +63,17 @@
 	return model
 }
 
-// beginTerm is a new owner, which knows what has been committed.
+// beginTerm replaces the owner by a new one, which knows only the committed state.
 func (m *gangModel) beginTerm() {
 	*m.job = Job{Spec: m.job.Spec, Gang: &Gang{}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 	LoadRecord(m.job, m.store.Get(m.record.Key))
 	m.job.RecoverGang(m.now)
 }
 
-// placedTasks returns the tasks that are on workers, in order.
+// placedTasks returns the tasks that are on workers, by ascending index.
 func (m *gangModel) placedTasks() []*Task {
 	var placed []*Task
-	for i := range m.committed {
+	for i := range m.committedStatuses {
 		if task := m.job.Tasks[i]; task.State == StatePlaced {
 			placed = append(placed, task)
 		}
@@ -80,7 +81,7 @@
 	return placed
 }
 
-// step draws what happens next.
+// step draws and executes the next event.
 func (m *gangModel) step(t *rapid.T) {
 	t.Helper()
 	placed, gang := m.placedTasks(), m.job.Gang
@@ -88,15 +89,15 @@
 	switch {
 	case step <= 1:
 		m.place(t, len(placed))
-	case step == 2 && len(placed) == len(m.committed) && !gang.AttemptOver && gang.StartInDoubtSince == 0:
+	case step == 2 && len(placed) == len(m.committedStatuses) && !gang.AttemptOver && gang.StartInDoubtSince == 0:
 		m.run(t, placed)
 	case step == 3 && len(placed) > 0:
 		loss := LossVanished
-		if !m.ran[gang.Attempt] {
+		if !m.startedAttempts[gang.Attempt] {
 			loss = rapid.SampledFrom([]Loss{LossBeforeWaiting, LossVanished, LossExited}).Draw(t, "loss")
 		}
 		m.lose(t, placed[rapid.IntRange(0, len(placed)-1).Draw(t, "which")], loss)
-	case step == 4 && len(placed) > 0 && gang.StartInDoubtSince > 0 && !m.ran[gang.Attempt]:
+	case step == 4 && len(placed) > 0 && gang.StartInDoubtSince > 0 && !m.startedAttempts[gang.Attempt]:
 		m.job.ReportedWaiting(m.now)
 	case step == 5:
 		m.beginTerm()
@@ -107,22 +108,22 @@
 	}
 }
 
-// place places the tasks that are to be placed; the owner may end in between.
+// place places the tasks that are to be placed. The owner may be replaced in between.
 func (m *gangModel) place(t *rapid.T, placedCount int) {
 	t.Helper()
 	tasks := m.job.TasksToPlace()
-	if len(tasks) > 0 && placedCount == 0 && len(tasks) != len(m.committed) {
-		t.Fatalf("%d of %d tasks are to be placed", len(tasks), len(m.committed))
+	if len(tasks) > 0 && placedCount == 0 && len(tasks) != len(m.committedStatuses) {
+		t.Fatalf("new attempt: %d tasks to place, want all %d", len(tasks), len(m.committedStatuses))
 	}
 	for _, task := range tasks {
-		if m.ran[m.job.Gang.Attempt] {
-			t.Fatal("a task is replaced though the gang has run")
+		if m.startedAttempts[m.job.Gang.Attempt] {
+			t.Fatalf("task %d is to be replaced though the gang has run in attempt %d", task.Index, m.job.Gang.Attempt)
 		}
 		workerID := m.drawWorker(t, task)
 		task.PlaceOn(workerID)
 		key := fmt.Sprint(task.Index, task.WireAttempt(), workerID)
 		if m.placements[key] {
-			t.Fatalf("task, attempt and worker %s once more", key)
+			t.Fatalf("task %d was placed twice on worker %s with attempt %d", task.Index, workerID, task.WireAttempt())
 		}
 		m.placements[key] = true
 		m.commit(t, task)
@@ -134,23 +135,23 @@
 	}
 }
 
-// drawWorker draws a worker that has not had the task within the attempt. Workers are few, so
-// that the same one is chosen again.
+// drawWorker draws a worker that has not had the task within the attempt. There are few
+// workers, so that a worker is often drawn again.
 func (m *gangModel) drawWorker(t *rapid.T, task *Task) string {
 	t.Helper()
 	workerID := fmt.Sprintf("vm-%d", rapid.IntRange(0, 3).Draw(t, "worker"))
 	attempt := m.job.Gang.Attempt
 	if slices.Contains(task.Tried.Workers, workerID) && task.Attempt >= attempt*tuning.GangAttemptStride && attempt > 0 {
-		m.newWorkers++
-		workerID = fmt.Sprintf("vm-new-%d", m.newWorkers)
+		m.newWorkerCount++
+		workerID = fmt.Sprintf("vm-new-%d", m.newWorkerCount)
 	}
 	return workerID
 }
 
-// run starts the gang, which a heartbeat may show.
+// run starts the gang. A heartbeat may report that or not.
 func (m *gangModel) run(t *rapid.T, placed []*Task) {
 	t.Helper()
-	m.ran[m.job.Gang.Attempt] = true
+	m.startedAttempts[m.job.Gang.Attempt] = true
 	if !rapid.Bool().Draw(t, "seen") {
 		return
 	}
@@ -161,7 +162,7 @@
 	}
 }
 
-// lose takes a task off its worker.
+// lose removes a task from its worker.
 func (m *gangModel) lose(t *rapid.T, task *Task, loss Loss) {
 	t.Helper()
 	task.State, task.WorkerID, task.Observed.HasRun = StateWaiting, "", false
@@ -169,32 +170,32 @@
 	m.commit(t, task)
 }
 
-// commit writes a task's status to the log, from where the store takes it in.
+// commit writes a task's status to a log page and applies the page to the store.
 func (m *gangModel) commit(t *rapid.T, task *Task) {
 	t.Helper()
 	status := TaskStatus{State: task.State, Attempt: task.Attempt, WorkerID: task.WorkerID, Running: task.Observed.HasRun}
 	if task.State != StatePlaced {
 		status.WorkerID, status.Running = "", false
 	}
-	previous := m.committed[task.Index]
+	previous := m.committedStatuses[task.Index]
 	if status == previous {
 		return
 	}
 	if !status.supersedes(previous) {
-		t.Fatalf("%+v does not supersede %+v", status, previous)
+		t.Fatalf("task %d: new status %+v does not supersede the committed %+v", task.Index, status, previous)
 	}
-	m.committed[task.Index] = status
+	m.committedStatuses[task.Index] = status
 	pages, _, err := PackPages([]*Task{task}, 4000, 1)
 	if err != nil || len(pages) != 1 {
-		t.Fatal(err)
+		t.Fatalf("packing one task gave %d pages, want 1 (%v)", len(pages), err)
 	}
 	m.store.apply(PageKey(0, 0), pages[0].Value, 2)
 	if got := m.store.Get(m.record.Key).Statuses[task.Index]; got != status {
-		t.Fatalf("committed %+v, read %+v", status, got)
+		t.Fatalf("task %d: the store has status %+v, want the committed %+v", task.Index, got, status)
 	}
 }
 
-// check checks what must hold between the steps.
+// check checks the invariants that must hold after each step.
 func (m *gangModel) check(t *rapid.T) {
 	t.Helper()
 	durable := 0
@@ -205,10 +206,11 @@
 	}
 	for _, task := range m.job.Tasks {
 		if task.State == StatePlaced && task.WireAttempt() != m.job.Gang.Attempt {
-			t.Fatalf("task %d has attempt %d, the gang %d", task.Index, task.WireAttempt(), m.job.Gang.Attempt)
+			t.Fatalf("placed task %d has attempt %d, want the gang's attempt %d", task.Index, task.WireAttempt(), m.job.Gang.Attempt)
 		}
-		if task.Launchable() && (m.job.Gang.AttemptOver || durable < len(m.committed)) {
-			t.Fatal("a task may be launched though not all are placed")
+		if task.Launchable() && (m.job.Gang.AttemptOver || durable < len(m.committedStatuses)) {
+			t.Fatalf("task %d is launchable with attempt over %v and %d of %d placements durable", task.Index,
+				m.job.Gang.AttemptOver, durable, len(m.committedStatuses))
 		}
 	}
 }
--- a/internal/taskstate/job.go
+++ b/internal/taskstate/job.go
@@ -6,21 +6,21 @@
 	"lemonmoor/internal/jobs"
 )
 
-// Job is a job of which a shard has tasks, in the working copy of the shard's owner.
+// Job is a job with tasks in a shard, in the working copy of the shard's owner.
 type Job struct {
 	Spec        *jobs.Spec
 	SubmittedMS int64 // milliseconds since 1970, by the accepting node's clock
 	Rank        jobs.Rank
 	Cancelled   bool
-	// HasPlacedTask is set once a task of the job was placed, under any owner.
+	// HasPlacedTask is set once a task of the job has been placed, by any owner.
 	HasPlacedTask bool
-	// Tasks holds the job's tasks in the shard by index, without those returned to the
-	// leader.
+	// Tasks maps the indexes of the job's tasks in the shard to the tasks, without those
+	// returned to the leader.
 	Tasks map[int]*Task
-	// Groups holds the job's records in the shard by key.
+	// Groups maps the keys of the job's records in the shard to their working copies.
 	Groups map[string]*TaskGroup
-	// ConsecutiveFailures counts failures of tasks in a row. NotBefore is the end of the
-	// pause after them.
+	// ConsecutiveFailures is the number of consecutive task failures. NotBefore is the end
+	// of the pause after them.
 	ConsecutiveFailures int
 	NotBefore           time.Duration
 	// Gang is nil if the job's tasks need not run at the same time.
@@ -29,7 +29,7 @@
 	PartDoneElsewhere bool
 }
 
-// NewJob returns a job without tasks. withinQuota tells whether its team is within its
+// NewJob returns a job without tasks. withinQuota reports whether its team is within its
 // guaranteed quota.
 func NewJob(spec *jobs.Spec, submittedMS int64, withinQuota bool) *Job {
 	return &Job{
@@ -38,7 +38,7 @@
 	}
 }
 
-// OpenTasks counts the job's tasks in the shard that are waiting or placed.
+// OpenTasks returns the number of the job's tasks in the shard that are waiting or placed.
 func (j *Job) OpenTasks() int {
 	open := 0
 	for _, group := range j.Groups {
@@ -47,25 +47,25 @@
 	return open
 }
 
-// JobBefore reports whether one job's rank is before the other's.
+// JobBefore reports whether a's rank is before b's.
 func JobBefore(a, b *Job) bool { return a.Rank.Before(&b.Rank) }
 
 // TaskGroup is the owner's working copy of a record.
 type TaskGroup struct {
 	Job    *Job
-	Key    string // the record's
-	Number int    // the record's
+	Key    string // of the record
+	Number int    // of the record
 	Tasks  []*Task
 	Zones  []string
-	// OpenTasks counts the tasks that are waiting or placed.
+	// OpenTasks is the number of tasks that are waiting or placed.
 	OpenTasks int
 	// GangAttempt and PartSize are those of the Record.
 	GangAttempt uint64
 	PartSize    int
 }
 
-// LoadRecord makes the owner's working copy of a record and adds it to its job. Of every
-// placement in it the launch may have been sent under an earlier token.
+// LoadRecord builds the owner's working copy of a record and adds it to its job. It marks the
+// launch of every placement as sent, because an earlier token's owner may have sent it.
 func LoadRecord(job *Job, record *Record) *TaskGroup {
 	group := &TaskGroup{
 		Job: job, Key: record.Key, Number: record.Number, Zones: record.Zones,
@@ -82,14 +82,14 @@
 		}
 		group.Tasks[position] = task
 		if task.State != StateReturned {
-			job.Tasks[index] = task // a returned task may have come back in a later record
+			job.Tasks[index] = task // a returned task may be in a later record again
 		}
 	}
 	job.Groups[group.Key] = group
 	return group
 }
 
-// load gives a new task the status that is stored of it.
+// load sets the fields of a new task from its stored status.
 func (t *Task) load(status TaskStatus, logPage int) {
 	t.State, t.Attempt, t.WorkerID = status.State, status.Attempt, status.WorkerID
 	t.Observed.HasRun, t.Log.Page = status.Running, logPage
@@ -99,8 +99,8 @@
 	}
 }
 
-// ZoneOf returns the zone fixed for a task of a job, "" for any: with one zone all tasks
-// share it, with several they take turns.
+// ZoneOf returns the zone that a task of a job is bound to, "" for any zone. With one zone
+// all tasks share it; with several, tasks are assigned to them in rotation by index.
 func ZoneOf(zones []string, taskIndex int) string {
 	if len(zones) == 0 {
 		return ""
--- a/internal/taskstate/job_test.go
+++ b/internal/taskstate/job_test.go
@@ -6,9 +6,9 @@
 	"lemonmoor/internal/jobs"
 )
 
-// TestJobOrder: priority, then objectives that can still be met, then quotas; of jobs alike
-// in these the smaller goes first, so that under overload more meet their objectives, and
-// jobs of about the same size go by age.
+// TestJobOrder checks the order of jobs: by priority, then objectives that can still be met,
+// then quotas. Among jobs that are equal in these, smaller ones are first, so that more jobs
+// meet their objectives under overload; jobs of about the same size are ordered by age.
 func TestJobOrder(t *testing.T) {
 	newJob := func(id, urgency string, missedObjectives int, withinQuota bool, taskCount int, submittedMS int64) *Job {
 		job := NewJob(&jobs.Spec{ID: id, Urgency: urgency, Tasks: taskCount, CPUs: 1, EstimateSeconds: 10}, submittedMS, withinQuota)
@@ -22,14 +22,15 @@
 	for i, a := range ordered {
 		for k, b := range ordered {
 			if JobBefore(a, b) != (i < k) {
-				t.Errorf("%s before %s: %v", a.Spec.ID, b.Spec.ID, JobBefore(a, b))
+				t.Errorf("%s before %s: %v, want %v", a.Spec.ID, b.Spec.ID, JobBefore(a, b), i < k)
 			}
 		}
 	}
 }
 
-// TestReturnedTaskDoesNotHideTheOneInALaterRecord: records are read in no particular order, and
-// a task that was returned to the leader may be back in another one.
+// TestReturnedTaskDoesNotHideTheOneInALaterRecord guards against losing a task that was
+// returned to the leader and dispatched again: the records are read in no particular order,
+// so the earlier one may be loaded last.
 func TestReturnedTaskDoesNotHideTheOneInALaterRecord(t *testing.T) {
 	job := NewJob(&jobs.Spec{ID: "wk-1", Tasks: 1}, 0, true)
 	later := LoadRecord(job, NewRecord(0, "wk-1", 1, []int{0}, nil, nil))
@@ -37,9 +38,9 @@
 	returned.Statuses[0].State = StateReturned
 	LoadRecord(job, returned)
 	if job.Tasks[0] != later.Tasks[0] {
-		t.Errorf("the job's task is %v", job.Tasks[0].State)
+		t.Errorf("the job's task is %v, want the one of the later record", job.Tasks[0].State)
 	}
 	if open := job.OpenTasks(); open != 1 {
-		t.Errorf("%d open tasks", open)
+		t.Errorf("%d open tasks, want 1", open)
 	}
 }
--- a/internal/taskstate/keys.go
+++ b/internal/taskstate/keys.go
@@ -14,11 +14,12 @@
 // work/SHARD/JOB/NUMBER and work/SHARD/log/NUMBER.
 const KeyPrefix = "work/"
 
-// logName stands in the key of a log page where that of a record has its job.
+// logName is the second part of a log page's key, where a record's key has the job ID.
 const logName = "log"
 
-// ErrInvalidKey tells that a key below KeyPrefix is neither a record's nor a log page's.
-var ErrInvalidKey = errors.New("neither a record's nor a log page's key")
+// ErrInvalidKey is the error for a key below KeyPrefix that is neither a record's nor a log
+// page's.
+var ErrInvalidKey = errors.New("invalid key of a record or log page")
 
 // RecordKey returns the key of a record.
 func RecordKey(shardIndex int, jobID string, number int) string {
@@ -36,7 +37,7 @@
 	isPage     bool
 }
 
-// parseKey splits the key of a record or log page.
+// parseKey parses the key of a record or log page. Its errors wrap ErrInvalidKey.
 func parseKey(key string) (parsedKey, error) {
 	parts := strings.Split(strings.TrimPrefix(key, KeyPrefix), "/")
 	if len(parts) != 3 || (parts[1] != logName && !jobs.ValidID(parts[1])) {
@@ -53,8 +54,8 @@
 	return parsedKey{shardIndex: shardIndex, jobID: parts[1], number: number}, nil
 }
 
-// ShardOfKey returns the shard that a record or log page belongs to, -1 if the key is of
-// neither.
+// ShardOfKey returns the index of the shard that the record or log page with a key belongs
+// to, -1 if the key is of neither.
 func ShardOfKey(key string) int {
 	parsed, err := parseKey(key)
 	if err != nil {
@@ -63,11 +64,11 @@
 	return parsed.shardIndex
 }
 
-// ShardOf returns the shard, out of so many, that a worker belongs to. It follows from the
-// worker's name alone, so that all nodes, of all versions, agree on it.
+// ShardOf returns the index of the shard, out of shardCount, that a worker belongs to. It
+// depends on the worker's name alone, so that all nodes, of all versions, agree on it.
 func ShardOf(workerID string, shardCount int) int {
-	// Names are counted up, so their numbers spread neighbours evenly; a hash covers
-	// other forms of name.
+	// Worker names end in consecutive numbers, which spread neighbouring workers evenly
+	// over the shards. A hash covers other forms of name.
 	if i := strings.LastIndexByte(workerID, '-'); i >= 0 {
 		if number, err := strconv.ParseUint(workerID[i+1:], 10, 63); err == nil {
 			return int(number % uint64(shardCount))
--- a/internal/taskstate/page_encoding.go
+++ b/internal/taskstate/page_encoding.go
@@ -12,12 +12,13 @@
 	"lemonmoor/internal/jobs"
 )
 
-// A page of a shard's log tells what has become of tasks, of any records of the shard, since
-// the pages before it. One page is one operation of a commit and takes as many tasks as
-// there are to tell of, so that the write rate does not grow with the task rate. A page all
-// of whose statuses are superseded is overwritten.
+// A page of a shard's log contains the statuses of tasks that have changed since the earlier
+// pages, from any records of the shard. Writing a page is one operation of a commit, however
+// many tasks it contains, so that the write rate does not grow with the task rate. A page
+// whose statuses are all superseded is overwritten.
 
-// ErrInvalidPage tells that a stored log page cannot be decoded or contradicts itself.
+// ErrInvalidPage is the error for a stored log page that cannot be decoded or contradicts
+// itself.
 var ErrInvalidPage = errors.New("invalid log page")
 
 // storedPage is the JSON form of a log page.
@@ -25,8 +26,8 @@
 	Entries []pageEntry `json:"e"`
 }
 
-// pageEntry is what a page says of the tasks of one record. Lists of tasks are in the form of
-// rangeList; Placed and Running have one for each worker.
+// pageEntry contains a page's statuses of the tasks of one record. Lists of tasks are in the
+// form of rangeList; Placed and Running have one list for each worker.
 type pageEntry struct {
 	Record   string            `json:"c"` // JOB/NUMBER
 	Placed   map[string]string `json:"p,omitempty"`
@@ -36,25 +37,27 @@
 	Done     string            `json:"d,omitempty"`
 }
 
-// Upper bounds for the size of what is added to a page, in bytes.
+// Upper bounds of the sizes of the elements of a page, in bytes.
 const (
-	// frameBytes is what JSON adds to a page, and to the parts of an entry.
-	frameBytes = 48
-	// workerBytes is what a list for another worker takes besides the worker's name.
-	workerBytes = 8
-	// rangeBytes is what one range takes, twice the usual length of a task and an attempt
-	// allowed for.
+	// entryOverheadBytes is the size of the JSON syntax of a page without its entries, and
+	// of an entry without its record's name and lists.
+	entryOverheadBytes = 48
+	// workerOverheadBytes is the size of a further worker's list without the worker's name
+	// and the ranges.
+	workerOverheadBytes = 8
+	// rangeBytes is the size of one range. It allows for twice the usual length of a task
+	// index and an attempt.
 	rangeBytes = 24
 )
 
-// LogPage is a page to be written: its stored form, and the tasks whose statuses it holds.
+// LogPage is a page to be written: its stored form, and the tasks whose statuses it contains.
 type LogPage struct {
 	Value json.RawMessage
 	Tasks []*Task
 }
 
-// PackPages writes the statuses of tasks on at most maxPages pages of at most maxBytes each.
-// It sorts the tasks in place; rest are those that were left over.
+// PackPages encodes the statuses of tasks into at most maxPages pages of at most maxBytes
+// each. It sorts the tasks in place and returns those that did not fit as rest.
 func PackPages(tasks []*Task, maxBytes, maxPages int) (pages []LogPage, rest []*Task, err error) {
 	slices.SortFunc(tasks, func(a, b *Task) int {
 		if a.Group != b.Group {
@@ -77,9 +80,9 @@
 	return pages, nil, nil
 }
 
-// packPage makes a page of the first tasks, as many as fit.
+// packPage builds a page of the first tasks, as many as fit, and returns their number.
 func packPage(tasks []*Task, maxBytes int) (page storedPage, count int) {
-	size := frameBytes
+	size := entryOverheadBytes
 	for count < len(tasks) && size < maxBytes {
 		packer := newEntryPacker(tasks[count].Group, size)
 		added := packer.addTasks(tasks[count:], maxBytes)
@@ -93,19 +96,19 @@
 	return page, count
 }
 
-// entryPacker gathers what a page says of the tasks of one record.
+// entryPacker builds the entry of a page for the tasks of one record.
 type entryPacker struct {
 	group                   *TaskGroup
 	record                  string                // JOB/NUMBER
-	placed, running         map[string]*rangeList // by worker; nil while there are none
+	placed, running         map[string]*rangeList // by worker; nil while empty
 	waiting, returned, done rangeList
-	size                    int // of the page so far, at most
+	size                    int // upper bound of the page's size so far, in bytes
 }
 
-// newEntryPacker begins an entry on a page that already has so many bytes.
+// newEntryPacker begins an entry on a page that already has size bytes.
 func newEntryPacker(group *TaskGroup, size int) *entryPacker {
 	record := group.Job.Spec.ID + "/" + strconv.Itoa(group.Number)
-	return &entryPacker{group: group, record: record, size: size + frameBytes + len(record)}
+	return &entryPacker{group: group, record: record, size: size + entryOverheadBytes + len(record)}
 }
 
 // addTasks adds the first tasks of the record, as many as fit, and returns their number.
@@ -118,12 +121,12 @@
 	return len(tasks)
 }
 
-// add adds a task if it fits.
+// add adds a task if it fits and reports whether it did.
 func (p *entryPacker) add(task *Task, maxBytes int) bool {
 	list, cost := p.listFor(task)
 	attempt := task.Attempt
 	if task.State == StateDone {
-		attempt = usualAttempt // of a completed task the attempt no longer matters
+		attempt = defaultAttempt // the attempt of a completed task no longer matters
 	}
 	if !list.extends(task.Index, attempt) {
 		cost += rangeBytes
@@ -143,8 +146,9 @@
 	return true
 }
 
-// listFor returns the list that a task belongs to, and how many bytes it takes besides the
-// task's range. The list of a worker that is new to the entry is not part of it yet.
+// listFor returns the list that a task belongs to, and the cost in bytes of adding the task
+// there, without its range. If the worker is new to the entry, the returned list is not part
+// of the entry yet.
 func (p *entryPacker) listFor(task *Task) (list *rangeList, cost int) {
 	switch task.State {
 	case StateWaiting:
@@ -157,15 +161,15 @@
 	}
 	list = p.placed[task.WorkerID]
 	if list == nil {
-		list, cost = &rangeList{}, len(task.WorkerID)+workerBytes
+		list, cost = &rangeList{}, len(task.WorkerID)+workerOverheadBytes
 	}
 	if task.Observed.HasRun {
-		cost += len(task.WorkerID) + workerBytes + rangeBytes
+		cost += len(task.WorkerID) + workerOverheadBytes + rangeBytes
 	}
 	return list, cost
 }
 
-// addRunning adds a placed task to those that have run, if it has.
+// addRunning adds a placed task to the running ones if it has run.
 func (p *entryPacker) addRunning(task *Task) {
 	if !task.Observed.HasRun {
 		return
@@ -179,7 +183,7 @@
 	p.running[task.WorkerID].add(task.Index, task.Attempt)
 }
 
-// entry returns the stored form.
+// entry returns the stored form of the entry.
 func (p *entryPacker) entry() pageEntry {
 	return pageEntry{
 		Record: p.record, Placed: formatRanges(p.placed), Running: formatRanges(p.running),
@@ -187,7 +191,7 @@
 	}
 }
 
-// formatRanges writes a list for each worker.
+// formatRanges returns the stored forms of the lists by worker, nil if there are none.
 func formatRanges(lists map[string]*rangeList) map[string]string {
 	if len(lists) == 0 {
 		return nil
@@ -199,15 +203,15 @@
 	return texts
 }
 
-// loggedStatus is the status that a page holds of one task.
+// loggedStatus is the status of one task on a page.
 type loggedStatus struct {
 	jobID         string
 	number, index int // of the record, and of the task
 	status        TaskStatus
 }
 
-// decodePage returns the statuses that a stored page holds. Of an invalid page it returns
-// none: the error is ErrInvalidPage.
+// decodePage returns the statuses on a stored page. For an invalid page it returns none and
+// an error that wraps ErrInvalidPage.
 func decodePage(value json.RawMessage) ([]loggedStatus, error) {
 	var page storedPage
 	if err := json.Unmarshal(value, &page); err != nil {
@@ -223,20 +227,20 @@
 	return statuses, nil
 }
 
-// decode appends the statuses that an entry holds.
+// decode appends the statuses of an entry to those passed in.
 func (e *pageEntry) decode(statuses []loggedStatus) ([]loggedStatus, error) {
 	jobID, numberText, _ := strings.Cut(e.Record, "/")
 	number, err := strconv.Atoi(numberText)
 	if err != nil || number < 0 || !jobs.ValidID(jobID) {
-		return nil, errors.New("not a record's name")
+		return nil, errors.New("expected JOB/NUMBER")
 	}
 	add := func(list string, status TaskStatus) {
 		if err != nil {
 			return
 		}
-		err = parseRanges(list, jobs.MaxTasks, func(part indexRange) error {
-			status.Attempt = part.attempt
-			for index := part.first; index <= part.last; index++ {
+		err = parseRanges(list, jobs.MaxTasks, func(indexes indexRange) error {
+			status.Attempt = indexes.lastAttempt
+			for index := indexes.first; index <= indexes.last; index++ {
 				statuses = append(statuses, loggedStatus{jobID, number, index, status})
 			}
 			return nil
--- a/internal/taskstate/page_test.go
+++ b/internal/taskstate/page_test.go
@@ -14,22 +14,23 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestInvalidPagesAreRefused: what contradicts itself is never taken in, not in part either.
+// TestInvalidPagesAreRefused guards against applying an invalid or contradictory page, even
+// in part.
 func TestInvalidPagesAreRefused(t *testing.T) {
 	for _, value := range []string{`{`, `{"e":[{"c":"wk-1"}]}`, `{"e":[{"c":"x/0","d":"1"}]}`, `{"e":[{"c":"wk-1/0","d":"0"},{"c":"wk-1/0","w":"2-1"}]}`} {
 		statuses, err := decodePage(json.RawMessage(value))
 		if !errors.Is(err, ErrInvalidPage) {
-			t.Errorf("page %s gave %v", value, err)
+			t.Errorf("decoding page %s: error %v, want ErrInvalidPage", value, err)
 		}
 		if len(statuses) > 0 {
-			t.Errorf("%s was taken in in part", value)
+			t.Errorf("decoding page %s: %d statuses, want none", value, len(statuses))
 		}
 	}
 }
 
-// TestLogPagesRestoreEveryStatus: whatever becomes of the tasks of a shard, a copy that reads
-// the pages in any order, some twice, holds the newest status of each; and no page is larger
-// than allowed.
+// TestLogPagesRestoreEveryStatus checks that a copy that reads the pages of a shard in any
+// order, some of them twice, has the newest status of each task, for any status changes, and
+// that no page is larger than allowed.
 func TestLogPagesRestoreEveryStatus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore(nil, nil, slog.New(slog.DiscardHandler))
@@ -45,8 +46,8 @@
 	})
 }
 
-// TestPagesStayWithinTheirLimit: tasks whose statuses have nothing in common take the most
-// room.
+// TestPagesStayWithinTheirLimit checks the size of pages in the worst case: tasks whose
+// statuses have nothing in common take the most space.
 func TestPagesStayWithinTheirLimit(t *testing.T) {
 	job := &Job{Spec: &jobs.Spec{ID: "wk-1"}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 	indexes := make([]int, 500)
@@ -59,17 +60,17 @@
 	}
 	pages, rest, err := PackPages(tasks, 1000, 1000)
 	if err != nil || len(rest) > 0 {
-		t.Fatalf("%d left over, %v", len(rest), err)
+		t.Fatalf("packing %d tasks: %d left over, want none (%v)", len(tasks), len(rest), err)
 	}
 	for i, page := range pages {
 		if len(page.Value) > 1000 {
-			t.Errorf("page %d has %d bytes", i, len(page.Value))
+			t.Errorf("page %d has %d bytes, want at most 1000", i, len(page.Value))
 		}
 	}
 }
 
-// TestAttemptsOfDoneTasksAreNotStored: completed tasks make one range, whatever their attempts
-// were.
+// TestAttemptsOfDoneTasksAreNotStored checks that completed tasks are stored as one range,
+// whatever their attempts were.
 func TestAttemptsOfDoneTasksAreNotStored(t *testing.T) {
 	job := &Job{Spec: &jobs.Spec{ID: "wk-1"}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 	tasks := LoadRecord(job, NewRecord(0, "wk-1", 0, []int{0, 1, 2}, nil, nil)).Tasks
@@ -85,7 +86,7 @@
 	}
 }
 
-// drawRecords adds some records to a store and returns their tasks.
+// drawRecords adds drawn records to a store and returns their tasks.
 func drawRecords(t *rapid.T, store *Store) []*Task {
 	t.Helper()
 	var tasks []*Task
@@ -105,7 +106,7 @@
 	return tasks
 }
 
-// drawChanges changes some of the tasks and returns these.
+// drawChanges changes drawn tasks and returns them.
 func drawChanges(t *rapid.T, tasks []*Task) []*Task {
 	t.Helper()
 	var changed []*Task
@@ -129,29 +130,29 @@
 	return changed
 }
 
-// packAll writes all tasks on pages and checks that each task is on one, and the pages' size.
+// packAll encodes all tasks into pages. It checks the pages' sizes and that no task is missing.
 func packAll(t *rapid.T, tasks []*Task, maxBytes int) []json.RawMessage {
 	t.Helper()
 	pages, rest, err := PackPages(tasks, maxBytes, 1000)
 	if err != nil || len(rest) > 0 {
-		t.Fatalf("%d left over, %v", len(rest), err)
+		t.Fatalf("packing %d tasks: %d left over, want none (%v)", len(tasks), len(rest), err)
 	}
 	var values []json.RawMessage
 	written := 0
 	for _, page := range pages {
 		written += len(page.Tasks)
 		if len(page.Value) > maxBytes {
-			t.Fatalf("a page of %d bytes, %d are allowed", len(page.Value), maxBytes)
+			t.Fatalf("packed a page of %d bytes, want at most %d", len(page.Value), maxBytes)
 		}
 		values = append(values, page.Value)
 	}
 	if written != len(tasks) {
-		t.Fatalf("%d of %d tasks written", written, len(tasks))
+		t.Fatalf("packed %d tasks, want all %d", written, len(tasks))
 	}
 	return values
 }
 
-// checkStatuses compares what a store says with the tasks.
+// checkStatuses compares the statuses and the progress in a store with the tasks.
 func checkStatuses(t *rapid.T, store *Store, tasks []*Task) {
 	t.Helper()
 	type progress struct{ done, placed int }
@@ -160,7 +161,7 @@
 		record := store.Get(task.Group.Key)
 		status := record.Statuses[record.position(task.Index)]
 		if status.State != task.State || status.WorkerID != task.WorkerID || (task.State != StateDone && status.Attempt != task.Attempt) {
-			t.Fatalf("%s is %+v, the copy says %+v", task.Name(), task, status)
+			t.Fatalf("task %s: the store has status %+v, want that of %+v", task.Name(), status, task)
 		}
 		job := want[record.Job]
 		switch task.State {
@@ -174,12 +175,12 @@
 	}
 	for jobID, job := range want {
 		if done, placed := store.Progress(jobID); done != job.done || placed != job.placed {
-			t.Fatalf("%s: %d done and %d placed, the copy says %d and %d", jobID, job.done, job.placed, done, placed)
+			t.Fatalf("job %s: the store counts %d done and %d placed, want %d and %d", jobID, done, placed, job.done, job.placed)
 		}
 	}
 }
 
-// BenchmarkPackPages shows what it costs to write a page, by the tasks on it.
+// BenchmarkPackPages measures packing tasks into pages, by the number of tasks.
 func BenchmarkPackPages(b *testing.B) {
 	for _, taskCount := range []int{50, 500} {
 		b.Run(fmt.Sprint(taskCount, "tasks"), func(b *testing.B) {
@@ -194,7 +195,7 @@
 			}
 			for b.Loop() {
 				if _, rest, err := PackPages(slices.Clone(tasks), tuning.MaxPageBytes, 12); err != nil || len(rest) > 0 {
-					b.Fatal(len(rest), err)
+					b.Fatalf("packing %d tasks: %d left over, want none (%v)", len(tasks), len(rest), err)
 				}
 			}
 		})
--- a/internal/taskstate/production_test.go
+++ b/internal/taskstate/production_test.go
@@ -13,8 +13,8 @@
 	"lemonmoor/internal/userapi"
 )
 
-// production is what the version in production has stored and sent, recorded
-// from a simulated day of it.
+// production is the data that the version in production has stored and sent, recorded from a
+// simulated day.
 type production struct {
 	Snapshots []struct {
 		Keys map[string]json.RawMessage `json:"keys"`
@@ -34,9 +34,9 @@
 	return recorded
 }
 
-// TestProductionRecords: each record and page of the version in production is read, and
-// written again for arrays it comes out to the byte, so that either version works on what
-// the other has left.
+// TestProductionRecords checks that each record and page of the version in production can be
+// read and, for arrays, is encoded to the same bytes again. Either version must be able to
+// continue with the data that the other has stored.
 func TestProductionRecords(t *testing.T) {
 	records, pages := 0, 0
 	for _, snapshot := range readProduction(t).Snapshots {
@@ -56,19 +56,19 @@
 			records++
 			record := store.Get(key)
 			if record == nil {
-				t.Fatalf("record %s is not read", key)
+				t.Fatalf("record %s is not in the store after applying it", key)
 			}
 			if rewritten, err := record.Encode(); err != nil || !bytes.Equal(rewritten, value) {
-				t.Errorf("%s: was %s, is %s (%v)", key, value, rewritten, err)
+				t.Errorf("record %s encoded again: %s, want %s (%v)", key, rewritten, value, err)
 			}
 		}
 	}
 	if records < 20 || pages < 15 {
-		t.Errorf("%d records and %d pages only", records, pages)
+		t.Errorf("testdata has %d records and %d pages, want at least 20 and 15", records, pages)
 	}
 }
 
-// keysInReadingOrder returns the keys of records, then those of log pages.
+// keysInReadingOrder returns the keys of the records, followed by those of the log pages.
 func keysInReadingOrder(all map[string]json.RawMessage) []string {
 	var keys []string
 	for key := range all {
@@ -88,8 +88,8 @@
 	return keys
 }
 
-// checkRewrittenPage writes a log page anew from what has been read of it and compares the
-// two. Entries of jobs that are over are left out: their specs are gone.
+// checkRewrittenPage decodes a log page, encodes it again and compares the two forms. It
+// leaves out the entries of finished jobs, whose specs no longer exist.
 func checkRewrittenPage(t *testing.T, store *Store, all map[string]json.RawMessage, key parsedKey, value json.RawMessage) {
 	t.Helper()
 	statuses, err := decodePage(value)
@@ -101,7 +101,7 @@
 	for _, logged := range statuses {
 		record := store.Get(RecordKey(key.shardIndex, logged.jobID, logged.number))
 		if record == nil {
-			continue // over
+			continue // finished
 		}
 		if jobs[logged.jobID] == nil {
 			var stored userapi.Record
@@ -135,6 +135,6 @@
 	}
 	pages, rest, err := PackPages(tasks, 10*tuning.MaxPageBytes, 12)
 	if err != nil || len(pages) != 1 || len(rest) > 0 || !bytes.Equal(pages[0].Value, want) {
-		t.Errorf("page %d: was %s, is %v (%v)", key.number, want, pages, err)
+		t.Errorf("page %d encoded again: %v, %d tasks left over, want %s (%v)", key.number, pages, len(rest), want, err)
 	}
 }
--- a/internal/taskstate/ranges.go
+++ b/internal/taskstate/ranges.go
@@ -7,74 +7,74 @@
 	"strings"
 )
 
-// errInvalidRanges tells that a list of ranges cannot be parsed.
+// errInvalidRanges is the error for a list of ranges that cannot be parsed.
 var errInvalidRanges = errors.New("invalid ranges")
 
-// indexRange is a range of tasks with the same last attempt. Both ends belong to it.
+// indexRange is a range of tasks with the same last attempt. Both ends are inclusive.
 type indexRange struct {
 	first, last int
-	attempt     uint64
+	lastAttempt uint64
 }
 
-// usualAttempt is the attempt that the stored form leaves out: most tasks run once.
-const usualAttempt = 1
+// defaultAttempt is the attempt that the stored form omits, because most tasks run once.
+const defaultAttempt = 1
 
-// rangeList joins tasks, added in ascending order, into ranges and writes these like
-// "0-3,7@2": tasks 0 to 3 with the usual attempt, task 7 with attempt 2.
+// rangeList merges tasks, added in ascending order, into ranges. Its stored form is like
+// "0-3,7@2": tasks 0 to 3 with the default attempt, task 7 with attempt 2.
 type rangeList struct {
-	text    []byte     // the ranges before the last one
-	last    indexRange // may still grow
-	hasLast bool
+	text       []byte     // the stored form of the ranges before pending
+	pending    indexRange // the last range, which may still be extended
+	hasPending bool
 }
 
-// extends reports whether a task makes the last range longer.
+// extends reports whether a task would extend the pending range.
 func (l *rangeList) extends(index int, attempt uint64) bool {
-	return l.hasLast && l.last.last+1 == index && l.last.attempt == attempt
+	return l.hasPending && l.pending.last+1 == index && l.pending.lastAttempt == attempt
 }
 
-// add takes in the next task.
+// add adds the next task.
 func (l *rangeList) add(index int, attempt uint64) {
 	if l.extends(index, attempt) {
-		l.last.last = index
+		l.pending.last = index
 		return
 	}
-	l.finishLast()
-	l.last, l.hasLast = indexRange{index, index, attempt}, true
+	l.flushPending()
+	l.pending, l.hasPending = indexRange{index, index, attempt}, true
 }
 
-// finishLast writes the last range.
-func (l *rangeList) finishLast() {
-	if l.hasLast {
-		l.text, l.hasLast = appendRange(l.text, l.last), false
+// flushPending appends the pending range to the stored form.
+func (l *rangeList) flushPending() {
+	if l.hasPending {
+		l.text, l.hasPending = appendRange(l.text, l.pending), false
 	}
 }
 
-// String returns the stored form. No task may be added afterwards that would have made the
-// last range longer.
+// String returns the stored form. A task that would have extended the last range must not be
+// added afterwards.
 func (l *rangeList) String() string {
-	l.finishLast()
+	l.flushPending()
 	return string(l.text)
 }
 
 // appendRange appends a range to the stored form of a list.
-func appendRange(text []byte, part indexRange) []byte {
+func appendRange(text []byte, indexes indexRange) []byte {
 	if len(text) > 0 {
 		text = append(text, ',')
 	}
-	text = strconv.AppendInt(text, int64(part.first), 10)
-	if part.last > part.first {
+	text = strconv.AppendInt(text, int64(indexes.first), 10)
+	if indexes.last > indexes.first {
 		text = append(text, '-')
-		text = strconv.AppendInt(text, int64(part.last), 10)
+		text = strconv.AppendInt(text, int64(indexes.last), 10)
 	}
-	if part.attempt != usualAttempt {
+	if indexes.lastAttempt != defaultAttempt {
 		text = append(text, '@')
-		text = strconv.AppendUint(text, part.attempt, 10)
+		text = strconv.AppendUint(text, indexes.lastAttempt, 10)
 	}
 	return text
 }
 
-// parseRanges calls fn for each range of a list in its stored form. The ranges must ascend
-// and stay below limit. It stops at the first error.
+// parseRanges calls fn for each range of a list in its stored form. The ranges must be
+// ascending and below limit. It stops at the first error.
 func parseRanges(text string, limit int, fn func(indexRange) error) error {
 	if text == "" {
 		return nil
@@ -93,11 +93,11 @@
 	return nil
 }
 
-// parseRange parses one range.
+// parseRange parses the stored form of one range.
 func parseRange(text string) (parsed indexRange, ok bool) {
 	span, attempt, hasAttempt := strings.Cut(text, "@")
 	first, last, isSpan := strings.Cut(span, "-")
-	parsed.attempt = usualAttempt
+	parsed.lastAttempt = defaultAttempt
 	var err error
 	if parsed.first, err = strconv.Atoi(first); err != nil {
 		return parsed, false
@@ -109,7 +109,7 @@
 		}
 	}
 	if hasAttempt {
-		if parsed.attempt, err = strconv.ParseUint(attempt, 10, 64); err != nil {
+		if parsed.lastAttempt, err = strconv.ParseUint(attempt, 10, 64); err != nil {
 			return parsed, false
 		}
 	}
--- a/internal/taskstate/record_encoding.go
+++ b/internal/taskstate/record_encoding.go
@@ -10,12 +10,13 @@
 	"lemonmoor/internal/tuning"
 )
 
-// ErrInvalidRecord tells that a stored record cannot be decoded or contradicts itself.
+// ErrInvalidRecord is the error for a stored record that cannot be decoded or contradicts
+// itself.
 var ErrInvalidRecord = errors.New("invalid record")
 
 // storedRecord is the JSON form of a record. Lists of tasks are in the form of rangeList.
-// Returned, Placed and Attempts are written by the first version of the program only, which
-// kept the tasks' states here; Done is written for gangs too.
+// Returned, Placed and Attempts are written only by the first version of the program, which
+// stored the tasks' states in the record. Done is also written for gangs by later versions.
 type storedRecord struct {
 	Indexes      string                     `json:"i"`
 	LastAttempts string                     `json:"w,omitempty"`
@@ -28,20 +29,20 @@
 	Attempts     map[string]uint64          `json:"a,omitempty"` // by task index
 }
 
-// storedPlacement is where the first version had a task.
+// storedPlacement is the placement of a task as stored by the first version.
 type storedPlacement struct {
 	WorkerID string `json:"h"`
 	Attempt  uint64 `json:"t"`
 }
 
-// Encode returns the stored form of a record that is being dispatched: statuses other than
-// done are not part of it.
+// Encode returns the stored form of a record that is being dispatched. Of the statuses it
+// contains only done.
 func (r *Record) Encode() (json.RawMessage, error) {
 	var indexes, lastAttempts, done rangeList
 	for position, index := range r.TaskIndexes {
-		indexes.add(index, usualAttempt)
+		indexes.add(index, defaultAttempt)
 		if r.Statuses[position].State == StateDone {
-			done.add(index, usualAttempt)
+			done.add(index, defaultAttempt)
 		}
 		if attempt := r.Statuses[position].Attempt; attempt > 0 {
 			lastAttempts.add(index, attempt)
@@ -53,11 +54,11 @@
 	})
 }
 
-// DecodeRecord returns a stored record. Its errors are ErrInvalidKey and ErrInvalidRecord.
+// DecodeRecord decodes a stored record. Its errors wrap ErrInvalidKey or ErrInvalidRecord.
 func DecodeRecord(key string, value json.RawMessage, revision uint64) (*Record, error) {
 	parsed, err := parseKey(key)
 	if err == nil && parsed.isPage {
-		err = fmt.Errorf("%w: %q is a log page's", ErrInvalidKey, key)
+		err = fmt.Errorf("%w: %q is a log page's key, expected a record's", ErrInvalidKey, key)
 	}
 	if err != nil {
 		return nil, err
@@ -80,13 +81,13 @@
 	return record, nil
 }
 
-// decodeIndexes takes in which tasks the record has: at least one.
+// decodeIndexes decodes the task indexes of the record. A record without tasks is an error.
 func (r *Record) decodeIndexes(text string) error {
-	err := parseRanges(text, jobs.MaxTasks, func(part indexRange) error {
-		if len(r.TaskIndexes)+part.last-part.first >= tuning.MaxRecordTasks {
+	err := parseRanges(text, jobs.MaxTasks, func(indexes indexRange) error {
+		if len(r.TaskIndexes)+indexes.last-indexes.first >= tuning.MaxRecordTasks {
 			return fmt.Errorf("more than %d tasks", tuning.MaxRecordTasks)
 		}
-		for index := part.first; index <= part.last; index++ {
+		for index := indexes.first; index <= indexes.last; index++ {
 			r.TaskIndexes = append(r.TaskIndexes, index)
 		}
 		return nil
@@ -97,8 +98,8 @@
 	return err
 }
 
-// decodeStatuses takes in what the record itself says of its tasks; the first version kept
-// all of it there.
+// decodeStatuses decodes the statuses in the record itself. The first version stored all
+// statuses there.
 func (r *Record) decodeStatuses(stored *storedRecord) error {
 	for _, list := range []struct {
 		text   string
@@ -128,12 +129,12 @@
 	return nil
 }
 
-// updateRanges calls update for the status of each listed task, with the attempt that the
-// list gives it.
+// updateRanges calls update for each task of a list in its stored form, with the task's
+// status and its attempt in the list.
 func (r *Record) updateRanges(text string, update func(*TaskStatus, uint64)) error {
-	return parseRanges(text, jobs.MaxTasks, func(part indexRange) error {
-		for index := part.first; index <= part.last; index++ {
-			if err := r.updateTask(index, func(status *TaskStatus) { update(status, part.attempt) }); err != nil {
+	return parseRanges(text, jobs.MaxTasks, func(indexes indexRange) error {
+		for index := indexes.first; index <= indexes.last; index++ {
+			if err := r.updateTask(index, func(status *TaskStatus) { update(status, indexes.lastAttempt) }); err != nil {
 				return err
 			}
 		}
@@ -141,19 +142,20 @@
 	})
 }
 
-// updateNamedTask calls update for the status of the task that a text names.
+// updateNamedTask calls update for the status of the task whose index is given as text.
 func (r *Record) updateNamedTask(text string, update func(*TaskStatus)) error {
 	index, err := strconv.Atoi(text)
 	if err != nil {
-		return fmt.Errorf("no task %q", text)
+		return fmt.Errorf("task %q is not a task index", text)
 	}
 	return r.updateTask(index, update)
 }
 
+// updateTask calls update for the status of a task.
 func (r *Record) updateTask(index int, update func(*TaskStatus)) error {
 	position := r.position(index)
 	if position < 0 {
-		return fmt.Errorf("no task %d", index)
+		return fmt.Errorf("task %d is not in the record", index)
 	}
 	update(&r.Statuses[position])
 	return nil
--- a/internal/taskstate/store.go
+++ b/internal/taskstate/store.go
@@ -9,31 +9,31 @@
 	"lemonmoor/internal/statestore"
 )
 
-// Observer is told of changes to the records and of the status of their tasks, in the order
-// in which the copy takes them in.
+// Observer is called on changes of the records and of their tasks' statuses, in the order in
+// which the store applies them.
 type Observer interface {
-	// RecordAdded tells of a new record.
+	// RecordAdded is called for a new record.
 	RecordAdded(record *Record)
-	// RecordRemoved tells of a record that is no longer there.
+	// RecordRemoved is called for a record that was deleted.
 	RecordRemoved(record *Record)
-	// TaskStatusChanged tells that the status of the task at a position of a record was
-	// another one before.
+	// TaskStatusChanged is called after the status of the task at a position of a record
+	// has changed from the previous one.
 	TaskStatusChanged(record *Record, position int, previous TaskStatus)
 }
 
-// Store is every node's copy of all records and of what the log pages say of their tasks, fed
-// by a watch. It is used within the event loop only.
+// Store is a node's copy of all records and of their tasks' statuses on the log pages. Every
+// node has one, updated by a watch. It is used only within the event loop.
 type Store struct {
 	mirror        *statestore.Mirror
 	observers     []Observer
 	records       map[string]*Record            // by key
-	recordsByJob  map[string]map[string]*Record // by job and key
-	progress      map[string]*jobProgress       // by job
+	recordsByJob  map[string]map[string]*Record // by job ID and key
+	progress      map[string]*jobProgress       // by job ID
 	pageRevisions map[string]uint64             // by key
 	log           *slog.Logger
 }
 
-// jobProgress counts the tasks of a job for its user.
+// jobProgress is the progress of a job in numbers of tasks, as shown to its user.
 type jobProgress struct {
 	done, placed int
 	running      int // placed tasks of a gang that have been seen running
@@ -49,13 +49,13 @@
 	return s
 }
 
-// Observe has an observer told of changes, after those that were registered before it.
+// Observe registers an observer. It is called after the observers registered earlier.
 func (s *Store) Observe(observer Observer) { s.observers = append(s.observers, observer) }
 
-// SetWatchPause sets how long to pause between two watch requests.
+// SetWatchPause sets the function that returns the pause between two watch requests.
 func (s *Store) SetWatchPause(pause func() time.Duration) { s.mirror.SetWatchPause(pause) }
 
-// Start begins to read the records.
+// Start starts reading the records.
 func (s *Store) Start() { s.mirror.Start() }
 
 // Verify calls fn once the store is verified to hold everything that was committed before
@@ -72,8 +72,8 @@
 	}
 }
 
-// JobRecords returns the records of a job by their keys. The map is the store's own and must
-// not be changed.
+// JobRecords returns the records of a job by key. The map belongs to the store and must not
+// be modified.
 func (s *Store) JobRecords(jobID string) map[string]*Record { return s.recordsByJob[jobID] }
 
 // PageRevision returns the revision of a log page, 0 if it was never written.
@@ -81,7 +81,7 @@
 	return s.pageRevisions[PageKey(shardIndex, page)]
 }
 
-// Progress returns how many tasks of a job are done, and how many are placed.
+// Progress returns the numbers of a job's tasks that are done and that are placed.
 func (s *Store) Progress(jobID string) (done, placed int) {
 	if progress := s.progress[jobID]; progress != nil {
 		return progress.done, progress.placed
@@ -89,8 +89,8 @@
 	return 0, 0
 }
 
-// RunningGangTasks returns how many tasks of a gang run: placed ones may still wait for each
-// other.
+// RunningGangTasks returns the number of a gang's tasks that were seen running. Placed tasks
+// may still be waiting for each other.
 func (s *Store) RunningGangTasks(jobID string) int {
 	if progress := s.progress[jobID]; progress != nil {
 		return progress.running
@@ -98,8 +98,9 @@
 	return 0
 }
 
-// reset removes the records that a new listing lacks. A record that is still there is not
-// removed and added again: an owner would lose sight of the tasks on its workers.
+// reset removes the records that are missing from a new listing. It does not remove and add
+// records that are still listed, because an owner would lose track of the tasks on its
+// workers.
 func (s *Store) reset(entries []statestore.KeyValue) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -112,7 +113,7 @@
 	}
 }
 
-// apply takes in a change of a key; the value is nil if the key was deleted.
+// apply applies a change of a key. The value is nil if the key was deleted.
 func (s *Store) apply(key string, value json.RawMessage, revision uint64) {
 	parsed, err := parseKey(key)
 	switch {
@@ -122,7 +123,7 @@
 		s.pageRevisions[key] = revision
 		s.applyPage(parsed.shardIndex, parsed.number, value)
 	case parsed.isPage:
-		// The statuses stay as they are: pages are overwritten, never deleted.
+		// Pages are overwritten and never deleted, so the statuses stay unchanged.
 	case value == nil:
 		s.removeRecord(key)
 	default:
@@ -130,8 +131,8 @@
 	}
 }
 
-// addRecord takes in a new record. Records are written once: one that is known is the same,
-// and its statuses are newer than what the stored form says.
+// addRecord adds a new record. It ignores a known one: records are written only once, and
+// the statuses of a known record are newer than those of its stored form.
 func (s *Store) addRecord(key string, value json.RawMessage, revision uint64) {
 	if s.records[key] != nil {
 		return
@@ -147,14 +148,14 @@
 	}
 	s.recordsByJob[record.Job][key] = record
 	for _, status := range record.Statuses {
-		s.count(record.Job, status, 1)
+		s.updateProgress(record.Job, status, 1)
 	}
 	for _, observer := range s.observers {
 		observer.RecordAdded(record)
 	}
 }
 
-// removeRecord forgets a record that was deleted.
+// removeRecord removes a record that was deleted.
 func (s *Store) removeRecord(key string) {
 	record := s.records[key]
 	if record == nil {
@@ -163,7 +164,7 @@
 	delete(s.records, key)
 	delete(s.recordsByJob[record.Job], key)
 	for _, status := range record.Statuses {
-		s.count(record.Job, status, -1)
+		s.updateProgress(record.Job, status, -1)
 	}
 	if len(s.recordsByJob[record.Job]) == 0 {
 		delete(s.recordsByJob, record.Job)
@@ -174,8 +175,8 @@
 	}
 }
 
-// applyPage takes in what a log page says. Statuses of tasks of removed records mean nothing
-// any more.
+// applyPage applies the statuses on a log page. It ignores those of removed records, which
+// are obsolete.
 func (s *Store) applyPage(shardIndex, page int, value json.RawMessage) {
 	statuses, err := decodePage(value)
 	if err != nil {
@@ -199,24 +200,24 @@
 	}
 }
 
-// applyStatus takes in the status that a log page says that a task has.
+// applyStatus applies the status of a task on a log page. It ignores superseded statuses.
 func (s *Store) applyStatus(record *Record, position int, status TaskStatus, page int) {
 	previous := record.Statuses[position]
 	switch {
 	case status == previous || (status.State == StateDone && previous.State == StateDone):
-		record.LogPages[position] = int32(page) // moved off a page that is to be overwritten
+		record.LogPages[position] = int32(page) // moved from a page that is to be overwritten
 	case status.supersedes(previous):
 		record.Statuses[position], record.LogPages[position] = status, int32(page)
-		s.count(record.Job, previous, -1)
-		s.count(record.Job, status, 1)
+		s.updateProgress(record.Job, previous, -1)
+		s.updateProgress(record.Job, status, 1)
 		for _, observer := range s.observers {
 			observer.TaskStatusChanged(record, position, previous)
 		}
 	}
 }
 
-// count adds a task to a job's progress, or takes it out with a sign of -1.
-func (s *Store) count(jobID string, status TaskStatus, sign int) {
+// updateProgress adds a task to a job's progress with a sign of 1, and removes it with -1.
+func (s *Store) updateProgress(jobID string, status TaskStatus, sign int) {
 	progress := s.progress[jobID]
 	if progress == nil {
 		progress = &jobProgress{}
--- a/internal/taskstate/store_test.go
+++ b/internal/taskstate/store_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// countingObserver counts the records that it is told of.
+// countingObserver counts the calls of its methods.
 type countingObserver struct{ added, removed, changed int }
 
 func (o *countingObserver) RecordAdded(*Record)                        { o.added++ }
 func (o *countingObserver) RecordRemoved(*Record)                      { o.removed++ }
 func (o *countingObserver) TaskStatusChanged(*Record, int, TaskStatus) { o.changed++ }
 
-// TestRelistedRecordKeepsItsStatuses: a record is written once. When the records are listed
-// anew after a gap in the watch, it is the one that is known, with what the log pages have
-// told of its tasks.
+// TestRelistedRecordKeepsItsStatuses guards against resetting the statuses of a known record
+// when the records are listed again after a gap in the watch. Its stored form is older than
+// the statuses from the log pages.
 func TestRelistedRecordKeepsItsStatuses(t *testing.T) {
 	store := NewStore(nil, nil, slog.New(slog.DiscardHandler))
 	observer := &countingObserver{}
@@ -28,6 +28,6 @@
 	store.apply(PageKey(0, 0), []byte(`{"e":[{"c":"wk-1/0","d":"0"}]}`), 2)
 	store.apply(record.Key, value, 1)
 	if done, _ := store.Progress("wk-1"); observer.added != 1 || done != 1 {
-		t.Errorf("told of %d times, %d tasks are done", observer.added, done)
+		t.Errorf("record added %d times with %d tasks done, want once with 1", observer.added, done)
 	}
 }
--- a/internal/taskstate/wire_test.go
+++ b/internal/taskstate/wire_test.go
@@ -8,7 +8,7 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// TestWireKeys: the keys of records and pages of the log.
+// TestWireKeys checks the keys of records and log pages.
 func TestWireKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		KeyPrefix:                    "work/",
@@ -16,27 +16,27 @@
 		PageKey(3, 7):                "work/3/log/7",
 	} {
 		if got != want {
-			t.Errorf("%q instead of %q", got, want)
+			t.Errorf("key %q, want %q", got, want)
 		}
 	}
 	for key, shardIndex := range map[string]int{"work/3/wk-000412/7": 3, "work/4/log/7": 4, "work/layout": -1, "work/x/log/1": -1, "work/1/novel/2": -1} {
 		if got := ShardOfKey(key); got != shardIndex {
-			t.Errorf("%s is of shard %d, not %d", key, got, shardIndex)
+			t.Errorf("key %s: shard %d, want %d", key, got, shardIndex)
 		}
 	}
 }
 
-// TestWireShards: which shard a worker belongs to follows from its name alone, and all
-// versions agree on it.
+// TestWireShards checks the shard of workers, which depends on the worker's name alone and must
+// be the same in all versions.
 func TestWireShards(t *testing.T) {
 	for workerID, shardIndex := range map[string]int{"vm-000000": 0, "vm-000007": 1, "w-a-11": 2, "vm-18446744073709551615": 1, "novel": 0, "": 1} {
 		if got := ShardOf(workerID, 3); got != shardIndex {
-			t.Errorf("%q is in shard %d, not %d", workerID, got, shardIndex)
+			t.Errorf("worker %q: shard %d, want %d", workerID, got, shardIndex)
 		}
 	}
 }
 
-// TestWireAttempt: the stored attempts of a gang's tasks, and what workers are told.
+// TestWireAttempt checks the attempt sent to workers for stored attempts of tasks.
 func TestWireAttempt(t *testing.T) {
 	gang, array := &Job{Gang: &Gang{}}, &Job{}
 	for _, test := range []struct {
@@ -46,15 +46,15 @@
 		{&Task{Job: array, Attempt: 3*1024 + 5}, 3*1024 + 5},
 		{&Task{Job: gang, Attempt: 3*1024 + 5}, 3},
 		{&Task{Job: gang, Attempt: 1024}, 1},
-		{&Task{Job: gang, Attempt: 1023}, 1023}, // of the first version, which took gangs for arrays
+		{&Task{Job: gang, Attempt: 1023}, 1023}, // of the first version, which treated gangs as arrays
 	} {
 		if got := test.task.WireAttempt(); got != test.want {
-			t.Errorf("attempt %d of a job with gang %v is %d to its worker, not %d", test.task.Attempt, test.task.Job.Gang != nil, got, test.want)
+			t.Errorf("stored attempt %d (gang %v): wire attempt %d, want %d", test.task.Attempt, test.task.Job.Gang != nil, got, test.want)
 		}
 	}
 }
 
-// TestWireRecord: the stored form of a record.
+// TestWireRecord checks the stored form of a record.
 func TestWireRecord(t *testing.T) {
 	wiretest.Same(t, `{"i":"0-3,7","w":"1@2","z":["yard-a"],"g":3,"n":4,"d":"2","r":"3","p":{"0":{"h":"vm-1","t":5}},"a":{"7":6}}`, &storedRecord{})
 	wiretest.Written(t, storedRecord{}, `{"i":""}`)
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if rewritten, err := record.Encode(); err != nil || string(rewritten) != text {
-		t.Errorf("written %s (%v)", rewritten, err)
+		t.Errorf("encoded record %s, want %s (%v)", rewritten, text, err)
 	}
 	want := &Record{
 		Key: "work/5/wk-000412/6", Shard: 5, Job: "wk-000412", Number: 6, Revision: 8,
@@ -74,12 +74,11 @@
 		LogPages: []int32{-1, -1, -1, -1, -1},
 	}
 	if !reflect.DeepEqual(record, want) {
-		t.Errorf("read %+v, want %+v", record, want)
+		t.Errorf("decoded record %+v, want %+v", record, want)
 	}
 }
 
-// TestWirePage: the stored form of a page of the log, as tasks are written on it and as
-// it is read.
+// TestWirePage checks the stored form of a log page, both decoded and encoded from tasks.
 func TestWirePage(t *testing.T) {
 	const text = `{"e":[{"c":"wk-000412/6","p":{"vm-1":"0-1","vm-2":"2@3"},"b":{"vm-2":"2@3"},"w":"3@4","r":"4@5","d":"5-6"}]}`
 	wiretest.Same(t, text, &storedPage{})
@@ -93,7 +92,7 @@
 	}
 	for _, logged := range statuses {
 		if logged.jobID != "wk-000412" || logged.number != 6 {
-			t.Errorf("of %s/%d", logged.jobID, logged.number)
+			t.Errorf("task %d: decoded record %s/%d, want wk-000412/6", logged.index, logged.jobID, logged.number)
 		}
 		seenRunning[logged.index] = seenRunning[logged.index] || logged.status.Running
 		logged.status.Running = false
@@ -110,7 +109,7 @@
 	}
 	for task, status := range want {
 		if read[task] != status || seenRunning[task] != (task == 2) {
-			t.Errorf("task %d: read %+v, running %v", task, read[task], seenRunning[task])
+			t.Errorf("task %d: decoded status %+v, running %v, want %+v, running %v", task, read[task], seenRunning[task], status, task == 2)
 		}
 	}
 
@@ -121,6 +120,6 @@
 	}
 	pages, rest, err := PackPages(group.Tasks, 8000, 3)
 	if err != nil || len(rest) > 0 || len(pages) != 1 || string(pages[0].Value) != text {
-		t.Errorf("written %v, %d left (%v)", pages, len(rest), err)
+		t.Errorf("encoded pages %v, %d tasks left over, want one page %s (%v)", pages, len(rest), text, err)
 	}
 }
