--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -35,8 +35,8 @@
 	// its progress.
 	Checkpointing bool
 	// StartInDoubtSince is when a task vanished while it was unknown whether the gang had
-	// started, 0 if none did. Only a later heartbeat that shows a task waiting proves that
-	// the gang had not started.
+	// started, 0 if none did. Only a heartbeat received later that shows a task waiting
+	// proves that the gang had not started.
 	StartInDoubtSince time.Duration
 	// Done is set once a task is known to be done, because then all tasks are.
 	Done bool
--- a/internal/taskstate/task.go
+++ b/internal/taskstate/task.go
@@ -124,8 +124,8 @@
 }
 
 // TriedWorkers lists the workers that have had a gang's task within the current attempt.
-// None of them may be assigned the task again in that attempt, because it would treat the
-// task as the lost one.
+// None of them may be assigned the task again in that attempt, because the task would be
+// mistaken for the lost one.
 type TriedWorkers struct {
 	Workers []string
 	// Incomplete is set when other workers have had the task that are no longer known.
