--- a/internal/shard/changes.go
+++ b/internal/shard/changes.go
@@ -10,8 +10,9 @@
 // changeSet collects the tasks that have changed since they were last written to the log.
 type changeSet struct {
 	tasks []*taskstate.Task
-	// urgent is set when one of the changes is awaited to become durable. It is kept across
-	// terms, so that the first changes of the next term are committed without delay.
+	// urgent is set when somebody waits for one of the changes to become durable. It is
+	// kept across terms, so that the first changes of the next term may be committed
+	// without delay.
 	urgent bool
 	// firstChangeAt is when the first change of the set was made.
 	firstChangeAt time.Duration
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// RecordRemoved removes a record that the leader has deleted from the working copy. All of
+// RecordRemoved removes from the working copy a record that the leader has deleted. All of
 // its tasks should be done, dropped or returned by then.
 func (s *TaskStore) RecordRemoved(record *taskstate.Record) {
 	group := s.tasks.groups[record.Key]
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -33,7 +33,7 @@
 	RecordsLoaded()
 	// GangDone is called when a status from another shard shows that a gang is done.
 	GangDone(job *taskstate.Job)
-	// DiscardTask removes a task whose record was removed from its worker.
+	// DiscardTask removes a task from its worker because the task's record was deleted.
 	DiscardTask(task *taskstate.Task)
 	// CancelJob is called when a job that may have tasks on workers is cancelled.
 	CancelJob(job *taskstate.Job)
@@ -117,14 +117,14 @@
 	}
 }
 
-// CancellationAge reports whether a job is cancelled, and the longest time that can have
-// passed since its user was informed of the cancellation.
+// CancellationAge returns the longest time that can have passed since the user of a job was
+// informed of its cancellation, and whether the job is cancelled at all.
 func (s *TaskStore) CancellationAge(jobID string) (age time.Duration, cancelled bool) {
 	return s.deps.Catalog.CancellationAge(jobID, s.deps.Settings.ClockSkew())
 }
 
-// TaskChanged schedules a changed task to be written to the log. An urgent change, one that
-// is awaited to become durable, does not wait for others to share its commit.
+// TaskChanged schedules a changed task to be written to the log. A change is urgent if
+// somebody waits for it to become durable; it does not wait for others to share its commit.
 func (s *TaskStore) TaskChanged(task *taskstate.Task, urgent bool) {
 	s.writer.taskChanged(task, urgent)
 }
