--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -117,7 +117,7 @@
 		}
 		owner.workers.Tick()
 		owner.rounds.needed = true
-		deaf, reporting := owner.workers.CountDeaf()
+		deaf, reporting := owner.workers.CountUnreachable()
 		total.reporting += reporting
 		total.deaf += deaf
 		n.sendStatus(owner)
--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -16,7 +16,7 @@
 	if worker.Addr == "" {
 		worker.Addr = addr
 	}
-	if worker.Token < r.lease.Token() && !worker.Deaf && !worker.delivery.announcementQueued {
+	if worker.Token < r.lease.Token() && !worker.Unreachable && !worker.delivery.announcementQueued {
 		worker.delivery.announcementQueued = true
 		r.announceQueue = append(r.announceQueue, worker)
 	}
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -30,7 +30,7 @@
 			continue // considered again when the answer is in
 		}
 		delete(r.commandsDue, worker)
-		if !worker.HasReported || worker.Token != r.lease.Token() || worker.LeaseExpired || worker.Deaf {
+		if !worker.HasReported || worker.Token != r.lease.Token() || worker.LeaseExpired || worker.Unreachable {
 			continue
 		}
 		r.sendDirectCommands(worker)
--- a/internal/workers/deaf_workers.go
+++ b/internal/workers/deaf_workers.go
@@ -13,7 +13,7 @@
 // detectDeafness decides whether a worker whose heartbeats arrive hears us too. The
 // heartbeats are no proof of that: taken for alive, a deaf worker swallowed task after task.
 func (r *Registry) detectDeafness(worker *Worker) {
-	if worker.Deaf || !worker.seemsDeaf() {
+	if worker.Unreachable || !worker.seemsDeaf() {
 		return
 	}
 	worker.markDeaf(r.runtime.Now())
@@ -44,7 +44,7 @@
 		return
 	}
 	r.postMessage(worker, body, tuning.CommandTimeout, func(response http1.Response, err error) {
-		if err != nil || r.lease.Token() != token || r.workers[worker.ID] != worker || !worker.Deaf {
+		if err != nil || r.lease.Token() != token || r.workers[worker.ID] != worker || !worker.Unreachable {
 			return
 		}
 		answer, err := ParseHeartbeat(response.Body)
@@ -61,11 +61,11 @@
 
 // CountDeaf tells how many of the workers whose heartbeats arrive are deaf, and how many
 // there are. A node most of whose workers are deaf had better give its shards up.
-func (r *Registry) CountDeaf() (deaf, reporting int) {
+func (r *Registry) CountUnreachable() (deaf, reporting int) {
 	for _, worker := range r.sortedWorkers {
 		if worker.HasReported && !worker.LeaseExpired {
 			reporting++
-			if worker.Deaf {
+			if worker.Unreachable {
 				deaf++
 			}
 		}
--- a/internal/workers/deaf_workers_test.go
+++ b/internal/workers/deaf_workers_test.go
@@ -28,8 +28,8 @@
 		fixture.now += 5 * time.Second
 		fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	}
-	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); !worker.Deaf || fixture.registry.AcceptsTasks(worker) || status != 503 {
-		t.Fatalf("deaf %v, open %v, answered %d", worker.Deaf, fixture.registry.AcceptsTasks(worker), status)
+	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); !worker.Unreachable || fixture.registry.AcceptsTasks(worker) || status != 503 {
+		t.Fatalf("deaf %v, open %v, answered %d", worker.Unreachable, fixture.registry.AcceptsTasks(worker), status)
 	}
 	fixture.now += tuning.DeafProbeInterval
 	fixture.registry.Tick()
@@ -38,8 +38,8 @@
 	}
 	fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
-	if worker.Deaf || !fixture.registry.AcceptsTasks(worker) {
-		t.Errorf("deaf %v, open %v after an answer", worker.Deaf, fixture.registry.AcceptsTasks(worker))
+	if worker.Unreachable || !fixture.registry.AcceptsTasks(worker) {
+		t.Errorf("deaf %v, open %v after an answer", worker.Unreachable, fixture.registry.AcceptsTasks(worker))
 	}
 }
 
@@ -47,7 +47,7 @@
 func TestOnlyThePresentTokenEndsDeafness(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
-	worker.Deaf = true
+	worker.Unreachable = true
 	fixture.now += tuning.DeafProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if fixture.calls[0].fn(http1.Response{Status: 409, Body: raw}, nil); !worker.Deaf {
+	if fixture.calls[0].fn(http1.Response{Status: 409, Body: raw}, nil); !worker.Unreachable {
 		t.Error("counts as hearing")
 	}
 }
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -38,7 +38,7 @@
 		worker.delivery.pendingHalts = r.haltsOfCancelledTasks(heartbeat)
 		r.commandsDue[worker] = true
 	}
-	if worker.Deaf || outlivesCancellation {
+	if worker.Unreachable || outlivesCancellation {
 		// Not answered, so that its lease surely runs from the last answer
 		// that it can have heard, and its tasks are settled by that.
 		return statusNotOwner, NotOwnerBody
--- a/internal/workers/new_token_test.go
+++ b/internal/workers/new_token_test.go
@@ -34,7 +34,7 @@
 	worker := fixture.exchangeHeartbeats(t)
 	worker.markDeaf(fixture.now)
 	fixture.beginTerm()
-	if worker.Deaf {
+	if worker.Unreachable {
 		t.Error("still counts as deaf")
 	}
 	fixture.takeDirectMessage(t)
@@ -46,7 +46,7 @@
 	fixture := newRegistryFixture(tuning.DeafLaunches)
 	worker := fixture.exchangeHeartbeats(t)
 	for i := range tuning.DeafLaunches {
-		if worker.Deaf {
+		if worker.Unreachable {
 			t.Fatalf("deaf after %d launches", i)
 		}
 		fixture.placeTask(i)
@@ -58,7 +58,7 @@
 		fixture.now += time.Second
 		fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	}
-	if !worker.Deaf {
+	if !worker.Unreachable {
 		t.Errorf("not deaf after %d launches", worker.LostLaunches)
 	}
 }
--- a/internal/workers/placements.go
+++ b/internal/workers/placements.go
@@ -13,7 +13,7 @@
 func (r *Registry) AcceptsTasks(worker *Worker) bool {
 	now := r.runtime.Now()
 	suspectAfter := time.Duration(float64(r.settings.HeartbeatInterval()) * tuning.SuspectHeartbeats)
-	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && !r.isDraining(worker) && worker.MachineType != nil && worker.UnknownTasks == 0 &&
+	return worker.HasReported && !worker.LeaseExpired && !worker.Unreachable && !r.isDraining(worker) && worker.MachineType != nil && worker.UnknownTasks == 0 &&
 		worker.Token >= r.lease.Token() && now-worker.LastHeartbeatAt < suspectAfter && now >= worker.RefusesUntil &&
 		worker.delivery.unansweredAt <= worker.LastHeartbeatAt && !r.isZonePartitioned(worker.Zone)
 }
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -196,7 +196,7 @@
 // appendLaunches adds the launches of tasks that wait for the worker's next heartbeat.
 func (c *reconciliation) appendLaunches() {
 	registry := c.registry
-	if !registry.lease.LeaseValid() || registry.isDraining(c.worker) || c.worker.Deaf {
+	if !registry.lease.LeaseValid() || registry.isDraining(c.worker) || c.worker.Unreachable {
 		return
 	}
 	for task := range c.worker.Tasks {
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -214,7 +214,7 @@
 	if worker.HasReported {
 		r.ensureZone(worker.Zone).reportingWorkers++
 	}
-	if worker.Deaf {
+	if worker.Unreachable {
 		r.checkDeafWorker(worker, now)
 	}
 	for task := range worker.Tasks {
@@ -244,6 +244,6 @@
 // machine, since its worker does not take tasks any more, or need not run at all.
 func (r *Registry) cannotLaunch(worker *Worker, task *taskstate.Task, now time.Duration) bool {
 	gang := task.Job.Gang
-	return (gang != nil && (gang.AttemptOver || gang.Done)) || r.isDraining(worker) || worker.Deaf || task.Job.Cancelled ||
+	return (gang != nil && (gang.AttemptOver || gang.Done)) || r.isDraining(worker) || worker.Unreachable || task.Job.Cancelled ||
 		!worker.HasReported || now-worker.LastHeartbeatAt > r.settings.WorkerDeadAfter()/2
 }
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -72,5 +72,5 @@
 // IsCurrent tells whether a worker is heard under the present token, so that what its
 // heartbeats list is so.
 func (r *Registry) IsCurrent(worker *Worker) bool {
-	return worker.HasReported && !worker.LeaseExpired && !worker.Deaf && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
+	return worker.HasReported && !worker.LeaseExpired && !worker.Unreachable && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
 }
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -16,7 +16,7 @@
 	Machine
 	SessionState
 	Load
-	Hearing
+	Reachability
 	Health
 	delivery commandDelivery
 	images   ImageCache
@@ -77,10 +77,10 @@
 
 // Hearing tells whether the answers and commands sent to a worker reach it. That its
 // heartbeats arrive is no proof of it.
-type Hearing struct {
+type Reachability struct {
 	// Deaf: the worker's heartbeats arrive, but our answers don't reach it. It gets no
 	// tasks and no answers until it answers a probe.
-	Deaf bool
+	Unreachable bool
 	// UnacknowledgedHeartbeats counts heartbeats in a row that do not show the token
 	// under which the one before was answered.
 	UnacknowledgedHeartbeats int
@@ -91,15 +91,17 @@
 }
 
 // seemsDeaf tells whether the evidence is enough to take the worker for deaf.
-func (h *Hearing) seemsDeaf() bool {
+func (h *Reachability) seemsDeaf() bool {
 	return h.UnacknowledgedHeartbeats >= tuning.DeafHeartbeats || h.LostLaunches >= tuning.DeafLaunches
 }
 
-func (h *Hearing) markDeaf(now time.Duration) {
-	h.Deaf, h.deafSince, h.probedAt = true, now, now
+func (h *Reachability) markDeaf(now time.Duration) {
+	h.Unreachable, h.deafSince, h.probedAt = true, now, now
 }
 
-func (h *Hearing) markHearing() { h.Deaf, h.UnacknowledgedHeartbeats, h.LostLaunches = false, 0, 0 }
+func (h *Reachability) markHearing() {
+	h.Unreachable, h.UnacknowledgedHeartbeats, h.LostLaunches = false, 0, 0
+}
 
 // Health is what speaks against giving a worker tasks, though it hears.
 type Health struct {
