--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -5,9 +5,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Announce tells a worker of the present token, directly: before it gets tasks again, its
-// next heartbeat need not come first, which may be ten seconds away. The worker sends a
-// heartbeat at once when it learns of a token. Announcements wait in a queue for AfterBatch.
+// Announce queues a direct message with the current token to a worker; AfterBatch sends it.
+// The worker sends a heartbeat as soon as it learns of a token, so that it accepts tasks
+// again without waiting for its next regular heartbeat, which may be ten seconds away.
 func (r *Registry) Announce(id, addr string) {
 	if addr == "" || r.released[id] {
 		return
@@ -22,8 +22,9 @@
 	}
 }
 
-// announceToAll announces a new token. Workers heard of late come first: hundreds that are
-// partitioned or dead, each of which is waited for, must not keep the others waiting.
+// announceToAll announces a new token to all workers, those with a recent heartbeat first:
+// each announcement to a partitioned or dead worker occupies a slot until it times out, and
+// hundreds of them must not delay the others.
 func (r *Registry) announceToAll() {
 	for _, silent := range []bool{false, true} {
 		for _, worker := range r.sortedWorkers {
@@ -34,7 +35,7 @@
 	}
 }
 
-// sendAnnouncements sends the announcements that wait, a few at a time.
+// sendAnnouncements sends queued announcements, at most MaxConcurrentAnnouncements at a time.
 func (r *Registry) sendAnnouncements() {
 	for r.announcementsInFlight < tuning.MaxConcurrentAnnouncements && len(r.announceQueue) > 0 {
 		worker := r.announceQueue[0]
@@ -43,8 +44,8 @@
 		if worker.Token >= token || r.workers[worker.ID] != worker || r.isZonePartitioned(worker.Zone) {
 			continue
 		}
-		// Of a worker that this process has not heard of, the session is a guess;
-		// refused for another one, the message does no harm.
+		// The session of a worker that has not reported to this process is a guess.
+		// If it is wrong, the worker refuses the message, which does no harm.
 		body, ok := r.encodeMessage(worker, CommandMessage{
 			Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{}),
 		})
@@ -55,7 +56,7 @@
 		term := r.currentTerm()
 		r.postMessage(worker, body, tuning.AnnounceTimeout, func(response http1.Response, err error) {
 			if r.currentTerm() != term {
-				return // a new term announces anew
+				return // the new term sends its own announcements
 			}
 			r.announcementsInFlight--
 			if r.workers[worker.ID] == worker && err == nil {
@@ -65,9 +66,9 @@
 	}
 }
 
-// handleAnnouncementAnswer takes in the answer to an announcement, the worker's heartbeat.
-// It proves that the worker hears, and what it lists; like any answer to a command it
-// proves no task gone.
+// handleAnnouncementAnswer processes the answer to an announcement, which is the worker's
+// heartbeat. It proves that the worker is reachable and that the tasks it lists are on its
+// machine. Like any answer to a command, it does not prove any task gone.
 func (r *Registry) handleAnnouncementAnswer(worker *Worker, body []byte, token uint64) {
 	answer, err := ParseHeartbeat(body)
 	if err != nil || answer.WorkerID != worker.ID || answer.Token != token || answer.Session < worker.Session {
--- a/internal/workers/announcements_test.go
+++ b/internal/workers/announcements_test.go
@@ -29,15 +29,15 @@
 		}
 	}
 	fixture.beginTerm()
-	for told := 0; told < all; {
+	for announced := 0; announced < all; {
 		fixture.registry.AfterBatch()
 		if len(fixture.calls) == 0 || len(fixture.calls) > tuning.MaxConcurrentAnnouncements {
-			t.Fatalf("%d machines are told at a time after %d", len(fixture.calls), told)
+			t.Fatalf("%d machines are told at a time after %d", len(fixture.calls), announced)
 		}
-		told += len(fixture.calls)
+		announced += len(fixture.calls)
 		for i, worker := range fixture.registry.announceQueue {
-			if worker.Zone == "b" && told >= all*2/3 {
-				t.Fatalf("%s, heard of late, is number %d in line after %d", worker.ID, i, told)
+			if worker.Zone == "b" && announced >= all*2/3 {
+				t.Fatalf("%s, heard of late, is number %d in line after %d", worker.ID, i, announced)
 			}
 		}
 		calls := fixture.calls
@@ -61,10 +61,10 @@
 			fixture := newRegistryFixture(1)
 			fixture.worker.session = 2
 			worker := fixture.exchangeHeartbeats(t)
-			heard := worker.LastHeartbeatAt
+			lastHeartbeatAt := worker.LastHeartbeatAt
 			fixture.beginTerm()
 			fixture.now += time.Second
-			direct := fixture.takeDirectMessage(t)
+			direct := fixture.sendDirectMessage(t)
 			fixture.deliverDirect(direct)
 			heartbeat := fixture.heartbeat()
 			change(heartbeat)
@@ -73,7 +73,7 @@
 				t.Fatal(err)
 			}
 			direct.fn(http1.Response{Status: 200, Body: raw}, nil)
-			if counts := worker.LastHeartbeatAt > heard; counts != (name == "own and current") {
+			if counts := worker.LastHeartbeatAt > lastHeartbeatAt; counts != (name == "own and current") {
 				t.Errorf("answer %s counts: %v", name, counts)
 			}
 		})
--- a/internal/workers/cancellations.go
+++ b/internal/workers/cancellations.go
@@ -5,20 +5,20 @@
 	"lemonmoor/internal/tuning"
 )
 
-// CancelJob has the tasks of a cancelled job halted at once: with the answer to the next
-// heartbeat the halt would leave seconds later, and a worker whose heartbeats are lost can
-// still be reached.
+// CancelJob halts the tasks of a cancelled job by direct messages. A halt in the answer to
+// the next heartbeat would leave seconds later, and would not reach a worker whose heartbeats
+// are lost.
 func (r *Registry) CancelJob(job *taskstate.Job) {
 	for _, task := range job.Tasks {
 		if task.State == taskstate.StatePlaced {
-			r.commandsDueTo(task)
+			r.markCommandsDue(task)
 		}
 	}
 }
 
-// appendCancellationHalts adds the halts of what a worker may have of cancelled jobs. They
-// are repeated until each task is proven gone, by whichever message there is: a halt names
-// the attempt, so that repeated or late it does no harm.
+// appendCancellationHalts appends halts for the tasks of cancelled jobs that a worker may
+// have. Every message to the worker repeats them until each task is proven gone. A repeated
+// or late halt does no harm, since it names the attempt.
 func (r *Registry) appendCancellationHalts(worker *Worker, commands []Command) []Command {
 	now := r.runtime.Now()
 	for task := range worker.Tasks {
@@ -30,8 +30,8 @@
 	return commands
 }
 
-// haltsOfCancelledTasks returns the halts of the tasks of cancelled jobs that a heartbeat
-// lists, whether the records have them or not.
+// haltsOfCancelledTasks returns halts for the tasks of cancelled jobs that a heartbeat lists,
+// including tasks that are not in the records.
 func (r *Registry) haltsOfCancelledTasks(heartbeat *Heartbeat) []Command {
 	var commands []Command
 	for i := range heartbeat.Tasks {
@@ -47,27 +47,29 @@
 	return commands
 }
 
-// mayOutliveCancellation tells whether a worker may have a task of a job that was cancelled
-// so long ago that an answer could keep it alive past the users' limit: the worker's lease
-// runs on from the heartbeat, and nothing more may reach it. Such a worker is not answered
-// until the task is proven gone, by direct commands if they reach it, by the end of its
-// lease if not.
+// mayOutliveCancellation reports whether a worker may have a task that an answer could keep
+// alive past the users' cancellation limit. The answer would renew the worker's lease as of
+// the heartbeat, and no later message may reach the worker. Such a worker is not answered
+// until the task is proven gone, by direct commands if they reach the worker, otherwise by
+// the expiry of its lease.
 func (r *Registry) mayOutliveCancellation(worker *Worker, heartbeat *Heartbeat) bool {
 	for task := range worker.Tasks {
-		if task.Job.Cancelled && task.Launch.Sent && r.isCancelledLongAgo(task.Job.Spec.ID) {
+		if task.Job.Cancelled && task.Launch.Sent && r.isCancellationOverdue(task.Job.Spec.ID) {
 			return true
 		}
 	}
 	for i := range heartbeat.Tasks {
 		reported := &heartbeat.Tasks[i]
-		if jobID, _, ok := parseTaskName(reported.Name); ok && reported.Phase != PhaseEnded && r.isCancelledLongAgo(jobID) {
+		if jobID, _, ok := parseTaskName(reported.Name); ok && reported.Phase != PhaseEnded && r.isCancellationOverdue(jobID) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Registry) isCancelledLongAgo(jobID string) bool {
+// isCancellationOverdue reports whether a job was cancelled at least MaxKnowledgeAge ago.
+// isCancellationOverdue reports whether a job was cancelled at least MaxKnowledgeAge ago.
+func (r *Registry) isCancellationOverdue(jobID string) bool {
 	age, cancelled := r.tasks.CancellationAge(jobID)
 	return cancelled && age >= r.settings.MaxKnowledgeAge()
 }
--- a/internal/workers/cancellations_test.go
+++ b/internal/workers/cancellations_test.go
@@ -46,7 +46,7 @@
 	fixture.cancelledAt, fixture.job.Cancelled = fixture.now, true
 	fixture.registry.CancelJob(fixture.job)
 	for try := range 3 {
-		direct := fixture.takeDirectMessage(t)
+		direct := fixture.sendDirectMessage(t)
 		var message CommandMessage
 		if err := json.Unmarshal(direct.body, &message); err != nil || !hasVerb(message.Commands, "halt") {
 			t.Fatalf("try %d: told %s", try, direct.body)
@@ -55,7 +55,7 @@
 		fixture.now += tuning.HaltRetryInterval
 		fixture.registry.Tick()
 	}
-	direct := fixture.takeDirectMessage(t)
+	direct := fixture.sendDirectMessage(t)
 	direct.fn(fixture.deliverDirect(direct), nil)
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -11,8 +11,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// AfterBatch sends what has become due in a batch of events: announcements of the token,
-// and direct messages with launches of placements that have become durable, and halts.
+// AfterBatch sends the messages that became due in a batch of events: announcements of the
+// token, and direct messages with halts and with launches of placements that became durable.
 func (r *Registry) AfterBatch() {
 	if !r.tasks.IsLoaded() || !r.lease.LeaseValid() {
 		clear(r.commandsDue)
@@ -27,7 +27,7 @@
 	}
 	for worker := range r.commandsDue {
 		if worker.delivery.inFlight {
-			continue // considered again when the answer is in
+			continue // considered again once the answer has arrived
 		}
 		delete(r.commandsDue, worker)
 		if !worker.HasReported || worker.Token != r.lease.Token() || worker.LeaseExpired || worker.Unreachable {
@@ -37,8 +37,8 @@
 	}
 }
 
-// termID tells one term from another. Answers are compared with it in place of internal/term's
-// guards, which take one more closure for each message.
+// termID identifies a term. Callbacks compare it to detect answers to messages of an earlier
+// term. The guards of internal/term would allocate one more closure for each message.
 type termID struct {
 	beganAt time.Duration
 	token   uint64
@@ -46,7 +46,8 @@
 
 func (r *Registry) currentTerm() termID { return termID{r.termBeganAt, r.lease.Token()} }
 
-// encodeMessage encodes a direct message; not ok, and logged, if it can't be.
+// encodeMessage encodes a direct message as JSON. On failure it logs the error and returns
+// ok false.
 func (r *Registry) encodeMessage(worker *Worker, message CommandMessage) (body []byte, ok bool) {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -61,16 +62,16 @@
 	r.runtime.CallHTTP(worker.Addr, http1.ClientRequest{Method: "POST", Target: "/orders", Body: body}, timeout, fn)
 }
 
-// sendDirectCommands sends a worker the launches and halts that wait for it, if any. Each
-// launch is in this one message only.
+// sendDirectCommands sends a worker its pending launches and halts in one direct message, if
+// there are any. A launch is sent in one message only and never repeated.
 func (r *Registry) sendDirectCommands(worker *Worker) {
 	message := CommandMessage{Token: r.lease.Token(), Session: worker.Session, Commands: []Command{}}
 	launched := r.appendLaunches(worker, &message)
 	r.appendHalts(worker, &message)
-	if len(message.Commands) == 0 && !worker.delivery.probesTasks {
+	if len(message.Commands) == 0 && !worker.delivery.taskProbeDue {
 		return
 	}
-	worker.delivery.probesTasks = false
+	worker.delivery.taskProbeDue = false
 	body, ok := r.encodeMessage(worker, message)
 	if !ok {
 		return
@@ -85,17 +86,17 @@
 	term := r.currentTerm()
 	r.postMessage(worker, body, tuning.CommandTimeout, func(response http1.Response, err error) {
 		if r.currentTerm() != term || r.workers[worker.ID] != worker {
-			return // another term has read the records anew
+			return // the records were reloaded in a later term, or the worker was removed
 		}
 		worker.delivery.inFlight = false
 		r.commandsDue[worker] = true
-		r.handleDirectAnswer(worker, landLaunches(worker, launched, attempts), response, err)
+		r.handleDirectAnswer(worker, clearInFlightLaunches(worker, launched, attempts), response, err)
 	})
 }
 
-// landLaunches notes that launches are not in flight any more, and returns those tasks, in
-// the same list, that still are as they were when the launches left.
-func landLaunches(worker *Worker, launched []*taskstate.Task, attempts []uint64) []*taskstate.Task {
+// clearInFlightLaunches marks launches as no longer in flight. It returns the tasks whose
+// placement has not changed since the launches were sent, reusing the slice launched.
+func clearInFlightLaunches(worker *Worker, launched []*taskstate.Task, attempts []uint64) []*taskstate.Task {
 	unchanged := launched[:0]
 	for i, task := range launched {
 		if worker.Tasks[task] && task.Attempt == attempts[i] && task.Launch.InFlight {
@@ -106,8 +107,7 @@
 	return unchanged
 }
 
-// appendLaunches adds the launches that wait for a worker to a message, and returns their
-// tasks.
+// appendLaunches appends a worker's pending launches to a message and returns their tasks.
 func (r *Registry) appendLaunches(worker *Worker, message *CommandMessage) []*taskstate.Task {
 	if r.isDraining(worker) {
 		return nil
@@ -128,12 +128,13 @@
 	return launched
 }
 
-// appendHalts adds the halts that a worker has not been told, or has to be told again, to a
-// message. Repeated or late, a halt does no harm: it names the attempt.
+// appendHalts appends to a message the halts that have not been sent to the worker yet and
+// those that are due to be repeated. A repeated or late halt does no harm, since it names the
+// attempt.
 func (r *Registry) appendHalts(worker *Worker, message *CommandMessage) {
 	for task := range worker.Tasks {
 		if task.Halt.Decided && task.Observed.Reported && !task.Halt.Sent && len(message.Commands) < tuning.MaxCommandsPerMessage {
-			task.Halt.Sent = true // if this is lost, the answer to the next heartbeat has it
+			task.Halt.Sent = true // if this message is lost, the answer to the next heartbeat repeats it
 			message.Commands = append(message.Commands, haltCommand(task.Name(), task.WireAttempt(), task.Halt.WindDownSeconds))
 		}
 	}
@@ -147,18 +148,18 @@
 	worker.delivery.pendingHalts = nil
 }
 
-// deliveryOutcome is what came of a direct message.
+// deliveryOutcome is the result of sending a direct message.
 type deliveryOutcome int
 
 const (
-	deliveryInDoubt  deliveryOutcome = iota // it may have been carried out, or may yet be
-	deliveryRefused                         // it was surely not carried out, and will not be
-	deliveryExecuted                        // it was carried out; the answer says what came of it
+	deliveryInDoubt  deliveryOutcome = iota // may have been executed, or may still be
+	deliveryRefused                         // was not executed and will not be
+	deliveryExecuted                        // was executed; the answer lists the resulting tasks
 )
 
-// outcomeOf tells what came of a direct message. The answer is the worker's heartbeat, nil
-// if there is none.
-func outcomeOf(worker *Worker, response http1.Response, err error) (deliveryOutcome, *Heartbeat, error) {
+// classifyDelivery returns the outcome of a direct message and the worker's heartbeat from
+// the answer. The heartbeat is nil unless the message was executed.
+func classifyDelivery(worker *Worker, response http1.Response, err error) (deliveryOutcome, *Heartbeat, error) {
 	if errors.Is(err, eventloop.ErrNotSent) {
 		return deliveryRefused, nil, err
 	}
@@ -183,9 +184,10 @@
 	statusRefused  = 409 // for a lower token or another session
 )
 
-// handleDirectAnswer takes in what came of a direct message that carried launches.
+// handleDirectAnswer processes the answer, or the lack of one, to a direct message that
+// carried the launches of the given tasks.
 func (r *Registry) handleDirectAnswer(worker *Worker, launched []*taskstate.Task, response http1.Response, err error) {
-	outcome, answer, err := outcomeOf(worker, response, err)
+	outcome, answer, err := classifyDelivery(worker, response, err)
 	switch outcome {
 	case deliveryRefused:
 		for _, task := range launched {
@@ -204,7 +206,7 @@
 		}
 	}
 	if err != nil || response.Status != statusExecuted {
-		// Not again at once: the answer to the next heartbeat carries the launches.
+		// No immediate retry: the answer to the next heartbeat carries the launches.
 		delete(r.commandsDue, worker)
 	}
 	if errors.Is(err, eventloop.ErrNoAnswer) {
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -10,28 +10,28 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestCommandAnswersOfAnEarlierTokenAreDropped: the records have been read anew since; what an
+// TestCommandAnswersOfAnEarlierTermAreDropped: the records have been read anew since; what an
 // earlier message came to keeps no tasks away and lets no second message leave at a time.
-func TestCommandAnswersOfAnEarlierTokenAreDropped(t *testing.T) {
+func TestCommandAnswersOfAnEarlierTermAreDropped(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
-	late := fixture.takeDirectMessage(t)
+	late := fixture.sendDirectMessage(t)
 	fixture.job.Tasks[0].State, fixture.job.Tasks[0].WorkerID = taskstate.StateWaiting, ""
 	fixture.beginTerm()
 	fixture.calls = nil // the announcement
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.placeTask(1)
-	fixture.takeDirectMessage(t)
+	fixture.sendDirectMessage(t)
 	late.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	if !fixture.registry.AcceptsTasks(worker) || !worker.delivery.inFlight {
 		t.Errorf("accepts tasks: %v, a message is under way: %v", fixture.registry.AcceptsTasks(worker), worker.delivery.inFlight)
 	}
 }
 
-// TestCommandAnswersOfOthersOrOvertakenAreNotRead: an answer of another machine leaves the launch
+// TestCommandAnswersFromOthersOrStaleAreIgnored: an answer of another machine leaves the launch
 // in doubt; one that a newer heartbeat has overtaken, or of another session, is not read.
-func TestCommandAnswersOfOthersOrOvertakenAreNotRead(t *testing.T) {
+func TestCommandAnswersFromOthersOrStaleAreIgnored(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		do    func(*registryFixture, *Heartbeat)
@@ -45,7 +45,7 @@
 			fixture := newRegistryFixture(1)
 			worker := fixture.exchangeHeartbeats(t)
 			task := fixture.placeTask(0)
-			direct := fixture.takeDirectMessage(t)
+			direct := fixture.sendDirectMessage(t)
 			fixture.deliverDirect(direct)
 			answer := fixture.heartbeat()
 			answer.Tasks = append(answer.Tasks, ReportedTask{Name: "wk-1/7", Attempt: 1, Phase: "running"})
@@ -68,13 +68,13 @@
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
-	first := fixture.takeDirectMessage(t)
+	first := fixture.sendDirectMessage(t)
 	fixture.placeTask(1)
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
 		t.Fatal("a second message has left")
 	}
 	first.fn(fixture.deliverDirect(first), nil)
-	fixture.takeDirectMessage(t)
+	fixture.sendDirectMessage(t)
 }
 
 // TestNoCommandsWithoutAValidLease: an owner whose lease is not surely valid launches nothing,
@@ -109,7 +109,7 @@
 		t.Errorf("told %s", body)
 	}
 	fixture.verifiedAt = fixture.now
-	fixture.takeDirectMessage(t)
+	fixture.sendDirectMessage(t)
 }
 
 // TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat: a worker that has left a
--- a/internal/workers/drains.go
+++ b/internal/workers/drains.go
@@ -7,32 +7,33 @@
 	"lemonmoor/internal/tuning"
 )
 
-// OperatorDrain is why a machine is returned that operators have drained.
+// OperatorDrain is the release reason of machines that operators have drained.
 const OperatorDrain = "drained by operators"
 
-// Reasons why a worker gets no more tasks; see also drainReasonDeaf and StopPlacements.
+// Reasons for draining a worker; see also drainReasonUnreachable and StopPlacements.
 const (
 	drainReasonSpotNotice = "spot notice"
 	drainReasonFailures   = "fails its tasks"
 )
 
-// isDraining tells whether a worker is to get no more tasks, for a reason of the daemon's
-// own or by an operators' drain.
+// isDraining reports whether a worker must not get new tasks, either because the daemon
+// drains it or because of an operators' drain.
 func (r *Registry) isDraining(worker *Worker) bool {
 	return worker.DrainReason != "" || r.scheduler.IsClosedByDrain(worker.ID)
 }
 
-// StopPlacements stops new tasks on a worker, for a reason that is logged and reported when
-// its machine is returned.
+// StopPlacements drains a worker, so that it gets no new tasks. The reason is logged, and
+// reported when the machine is returned.
 func (r *Registry) StopPlacements(id, reason string) {
 	if worker := r.workers[id]; worker != nil && worker.drain(reason) {
 		r.log.Info("worker drained", "worker", id, "reason", reason)
 	}
 }
 
-// haltIfMustMove halts a running task that has to go on elsewhere: a replica on a machine
-// that is drained, or a task that can write a checkpoint, in time before the cloud takes
-// its machine. The worker is told at once, and with each answer until the task is gone.
+// haltIfMustMove halts a running task of a drained worker that has to continue elsewhere: a
+// replica of a service at once, and a task with checkpoints early enough to write one before
+// the cloud takes the machine. The halt is sent directly, and repeated in each answer to a
+// heartbeat until the task is gone.
 func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
 	if worker.DrainReason == "" || task.Halt.Decided || !task.Observed.Running || task.Job.Gang != nil {
 		return
@@ -45,9 +46,9 @@
 	}
 }
 
-// HaltTask has a task halted that an operators' drain moves, with the time that it needs
-// for a checkpoint. The worker is told at once, and with each answer until the task is
-// gone.
+// HaltTask halts a task that an operators' drain moves, allowing it the time that its job
+// specifies for a checkpoint. The halt is sent directly, and repeated in each answer to a
+// heartbeat until the task is gone.
 func (r *Registry) HaltTask(task *taskstate.Task) {
 	if worker := r.workers[task.WorkerID]; worker != nil && !task.Halt.Decided {
 		r.haltToMove(worker, task, OperatorDrain)
@@ -60,8 +61,9 @@
 	r.log.Info("moving task", "worker", worker.ID, "task", task.Name(), "reason", reason)
 }
 
-// HaltGang has all tasks of a gang halted that an operators' drain moves, at the same time.
-// A gang that has not started has no progress to save.
+// HaltGang halts all tasks of a gang that an operators' drain moves, at the same time. The
+// tasks write a checkpoint only if the gang has started; before that there is no progress to
+// save.
 func (r *Registry) HaltGang(job *taskstate.Job) {
 	now := r.runtime.Now()
 	r.log.Info("moving gang", "job", job.Spec.ID, "reason", OperatorDrain)
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -18,19 +18,19 @@
 // registryFixture is a registry with one machine: its runtime, lease, task store and worker. The
 // worker keeps the protocol: sessions, leases, tokens, attempts.
 type registryFixture struct {
-	now                 time.Duration
-	token               uint64
-	registry            *Registry
-	job                 *taskstate.Job
-	calls               []sentRequest // direct messages on their way
-	onTaskWaiting       func(*taskstate.Task)
-	turnsHeartbeatsAway bool      // heartbeats are not answered
-	phase               TaskPhase // of the tasks in heartbeats, "" for running
+	now               time.Duration
+	token             uint64
+	registry          *Registry
+	job               *taskstate.Job
+	calls             []sentRequest // direct messages on their way
+	onTaskWaiting     func(*taskstate.Task)
+	rejectsHeartbeats bool      // heartbeats are not answered
+	phase             TaskPhase // of the tasks in heartbeats, "" for running
 	// cancelledAt is when the user was told that the job is cancelled, 0 for never;
 	// verifiedAt is up to when the owner knows of cancellations, if it needs to.
 	cancelledAt, verifiedAt   time.Duration
 	needsVerification         bool
-	noNewToken                bool          // no new token is to be had
+	tokenRenewalFails         bool          // no new token is to be had
 	leaseInvalid              bool          // the lease is not surely valid
 	closedByDrain             bool          // operators' drains keep new tasks off the machine
 	previousOwnerAnswersUntil time.Duration // until then an earlier owner may answer
@@ -61,11 +61,11 @@
 func (f *registryFixture) Token() uint64    { return f.token }
 func (f *registryFixture) LeaseValid() bool { return !f.leaseInvalid }
 func (f *registryFixture) MayAnswer() bool {
-	return !f.turnsHeartbeatsAway && (!f.needsVerification || f.now < f.verifiedAt+f.registry.settings.MaxKnowledgeAge())
+	return !f.rejectsHeartbeats && (!f.needsVerification || f.now < f.verifiedAt+f.registry.settings.MaxKnowledgeAge())
 }
 
 func (f *registryFixture) RenewToken() {
-	if !f.noNewToken {
+	if !f.tokenRenewalFails {
 		f.beginTerm()
 	}
 }
@@ -270,8 +270,8 @@
 	return task
 }
 
-// takeDirectMessage lets a direct message leave, which must be the only one, and returns it.
-func (f *registryFixture) takeDirectMessage(t *testing.T) sentRequest {
+// sendDirectMessage lets a direct message leave, which must be the only one, and returns it.
+func (f *registryFixture) sendDirectMessage(t *testing.T) sentRequest {
 	t.Helper()
 	f.registry.AfterBatch()
 	if len(f.calls) != 1 {
--- a/internal/workers/gangs.go
+++ b/internal/workers/gangs.go
@@ -7,7 +7,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// recoverGang works out what the records of a new term say of a gang.
+// recoverGang derives the state of a gang from the records of a new term.
 func (r *Registry) recoverGang(job *taskstate.Job) {
 	job.RecoverGang(r.termBeganAt)
 	if job.Gang.Done {
@@ -15,35 +15,36 @@
 	}
 }
 
-// gangTaskLost takes note that a task of a gang is off its machine, and asks after the
-// other members if it depends on them whether the attempt is over.
+// gangTaskLost records that a task of a gang is gone from its machine. If it depends on the
+// other members whether the attempt has ended, it probes their workers.
 func (r *Registry) gangTaskLost(task *taskstate.Task, loss taskstate.Loss) {
 	job, now := task.Job, r.runtime.Now()
-	before := *job.Gang
+	previous := *job.Gang
 	job.TaskGone(task, loss, now)
 	gang := job.Gang
 	allGone := gang.Attempt == 0
-	if allGone || (gang.AttemptOver && !before.AttemptOver) {
-		r.log.Debug("gang attempt failed", "job", job.Spec.ID, "attempt", before.Attempt, "task", task.Index,
-			"started", before.Started, "all_gone", allGone, "checkpointing", before.Checkpointing)
+	if allGone || (gang.AttemptOver && !previous.AttemptOver) {
+		r.log.Debug("gang attempt failed", "job", job.Spec.ID, "attempt", previous.Attempt, "task", task.Index,
+			"started", previous.Started, "all_gone", allGone, "checkpointing", previous.Checkpointing)
 	}
-	if gang.StartInDoubtSince != before.StartInDoubtSince && gang.StartInDoubtSince > 0 {
+	if gang.StartInDoubtSince != previous.StartInDoubtSince && gang.StartInDoubtSince > 0 {
 		r.probeGang(job)
 	}
 	r.haltEndedAttempt(job, now)
 }
 
-// probeGang asks the workers of a gang's tasks directly how these are.
+// probeGang queues a direct message to each worker of a gang's tasks; the answer lists the
+// tasks there.
 func (r *Registry) probeGang(job *taskstate.Job) {
 	for _, member := range job.Tasks {
 		if worker := r.workers[member.WorkerID]; member.State == taskstate.StatePlaced && worker != nil {
-			worker.delivery.probesTasks, r.commandsDue[worker] = true, true
+			worker.delivery.taskProbeDue, r.commandsDue[worker] = true, true
 		}
 	}
 }
 
-// gangTaskReported takes in the phase of a task that has not ended. If it is of a gang's
-// present attempt, it tells of the other members too.
+// gangTaskReported processes the reported phase of a task that has not ended. If the task
+// belongs to the current attempt of a gang, the phase shows whether the gang has started.
 func (r *Registry) gangTaskReported(task *taskstate.Task, phase TaskPhase) {
 	job := task.Job
 	if job.Gang == nil || task.WireAttempt() != job.Gang.Attempt {
@@ -59,7 +60,7 @@
 		job.ReportedRunning(now)
 		if !task.Observed.HasRun {
 			task.Observed.HasRun = true
-			r.tasks.TaskChanged(task, false) // for users who ask whether it runs
+			r.tasks.TaskChanged(task, false) // so that users can see that it runs
 		}
 	case PhaseWaiting, PhaseFetching:
 		job.ReportedWaiting(now)
@@ -68,9 +69,9 @@
 	r.haltEndedAttempt(job, now)
 }
 
-// GangDone takes note that a task of a gang is proven done, and with it all are. Those on
-// no machine are done at once, the others when they are proven gone: what they take of
-// their machines is not free before.
+// GangDone records that a task of a gang has completed, which completes the whole gang. Tasks
+// that are on no machine are done at once. The others are done when they are proven gone,
+// since until then they occupy resources of their machines.
 func (r *Registry) GangDone(job *taskstate.Job) {
 	if job.Gang.Done && job.Gang.AttemptOver || job.Cancelled {
 		return
@@ -88,7 +89,8 @@
 	}
 }
 
-// haltEndedAttempt halts what is left of an attempt that is over, when it is time.
+// haltEndedAttempt halts the remaining tasks of an attempt that has ended, once
+// Job.MustHaltAttempt requires it.
 func (r *Registry) haltEndedAttempt(job *taskstate.Job, now time.Duration) {
 	if job.Cancelled || !job.MustHaltAttempt(now, r.settings.GangPeerTimeout()) {
 		return
@@ -102,8 +104,8 @@
 	}
 }
 
-// checkGang looks after a gang once a second: whether a task has to leave its machine
-// before the cloud takes it, and whether an attempt goes nowhere.
+// checkGang checks a gang once a second: whether a task has to leave its machine before the
+// cloud takes it, and whether the current attempt can no longer start.
 func (r *Registry) checkGang(job *taskstate.Job, now time.Duration) {
 	gang := job.Gang
 	if gang.Attempt == 0 || job.Cancelled {
@@ -118,10 +120,10 @@
 	r.haltEndedAttempt(job, now)
 }
 
-// haltGangBeforeTermination stops a gang in good order before the cloud takes one of its
-// machines: all tasks are told to write a checkpoint at the same time, as late as that can
-// be done. Without the time for it, the gang runs on: it may still complete, or pass a
-// checkpoint. A task that waits for the others just leaves the machine.
+// haltGangBeforeTermination halts a gang before the cloud takes one of its machines. All
+// tasks write a checkpoint at the same time, as late as possible. If too little time is left
+// for that, the gang runs on, since it may still complete or write a regular checkpoint. If
+// the gang has not started, only the task on the terminated machine is halted.
 func (r *Registry) haltGangBeforeTermination(job *taskstate.Job, now time.Duration) {
 	for _, task := range job.Tasks {
 		worker := r.workers[task.WorkerID]
@@ -145,15 +147,15 @@
 	}
 }
 
-// latestCheckpointAt is when a task of a job has to begin a checkpoint, at the latest, to
-// finish before the cloud takes its machine.
+// latestCheckpointAt returns the latest time at which a task of a job can begin a checkpoint
+// and finish it before the cloud takes its machine.
 func latestCheckpointAt(worker *Worker, job *taskstate.Job) time.Duration {
 	checkpointDuration := time.Duration(job.Spec.CheckpointSeconds * float64(time.Second))
 	return worker.TerminationAt - checkpointDuration - tuning.SpotNoticeReserve
 }
 
-// checkpointGang ends a gang's attempt: all its tasks are told to write a checkpoint, at
-// the same time.
+// checkpointGang ends a gang's attempt by halting all its tasks at the same time, with the
+// time to write a checkpoint.
 func (r *Registry) checkpointGang(job *taskstate.Job, now time.Duration) {
 	job.EndAttempt(now)
 	job.Gang.Checkpointing = true
--- a/internal/workers/gangs_test.go
+++ b/internal/workers/gangs_test.go
@@ -7,16 +7,16 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestGangCausesCountAsNoFailures: alone and mates_gone say nothing against the machine
+// TestGangEndCausesAreNotFailures: alone and mates_gone say nothing against the machine
 // or the job, however often; a gang that was never complete is tried again after a
 // pause that grows.
-func TestGangCausesCountAsNoFailures(t *testing.T) {
+func TestGangEndCausesAreNotFailures(t *testing.T) {
 	for _, cause := range []EndCause{CauseAlone, CauseMatesGone} {
 		t.Run(string(cause), func(t *testing.T) {
 			fixture := newGangFixture(3)
 			fixture.phase = "fetching"
 			var pause time.Duration
-			for round := range 5 {
+			for attempt := range 5 {
 				worker := fixture.placeAndLaunchAll(t)
 				fixture.reportAll(t, "waiting", "")
 				fixture.reportAll(t, "ended", cause)
@@ -28,8 +28,8 @@
 					t.Fatalf("%s: the attempt is not through", cause)
 				}
 				if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
-					if round > 0 && wait <= pause {
-						t.Errorf("round %d: a pause of %v after one of %v", round, wait, pause)
+					if attempt > 0 && wait <= pause {
+						t.Errorf("round %d: a pause of %v after one of %v", attempt, wait, pause)
 					}
 					pause = wait
 				}
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -2,15 +2,15 @@
 
 import "encoding/json"
 
-// Statuses of the answers to heartbeats: what the worker does follows from them (protocol,
+// Statuses of the answers to heartbeats, which determine what the worker does next (protocol,
 // "Workers -> controller nodes").
 const (
 	statusAnswered = 200 // renews the worker's lease
 	statusNotOwner = 503 // the worker tries the next node
 )
 
-// HandleHeartbeat takes a worker's heartbeat in and returns the HTTP status and the body of
-// its answer. Anything but 200 neither renews the worker's lease nor carries commands.
+// HandleHeartbeat processes a worker's heartbeat and returns the HTTP status and the body of
+// the answer. Only an answer with status 200 renews the worker's lease and carries commands.
 func (r *Registry) HandleHeartbeat(heartbeat *Heartbeat) (status int, body []byte) {
 	token := r.lease.Token()
 	if token == 0 || heartbeat.Token > token || r.released[heartbeat.WorkerID] {
@@ -20,7 +20,7 @@
 	if worker.isStale(heartbeat) {
 		return statusNotOwner, NotOwnerBody
 	}
-	r.noteReporting(worker, heartbeat)
+	r.recordHeartbeat(worker, heartbeat)
 	if heartbeat.Token >= token || heartbeat.Token > worker.Token {
 		worker.UnacknowledgedHeartbeats = 0
 	} else {
@@ -30,25 +30,25 @@
 		return r.answerWithoutRecords(worker, heartbeat)
 	}
 	commands := r.reconcileHeartbeat(worker, heartbeat)
-	r.detectDeafness(worker)
+	r.detectUnreachable(worker)
 	worker.delivery.pendingHalts = nil
 	outlivesCancellation := r.mayOutliveCancellation(worker, heartbeat)
 	if outlivesCancellation {
-		// Directly, also for tasks that the records don't have.
+		// Halt them by a direct message, including tasks that are not in the records.
 		worker.delivery.pendingHalts = r.haltsOfCancelledTasks(heartbeat)
 		r.commandsDue[worker] = true
 	}
 	if worker.Unreachable || outlivesCancellation {
-		// Not answered, so that its lease surely runs from the last answer
-		// that it can have heard, and its tasks are settled by that.
+		// Not answered, so that the worker's lease cannot run from later than the last
+		// answer that it may have received. The expiry of that lease proves its tasks gone.
 		return statusNotOwner, NotOwnerBody
 	}
 	r.renewLease(worker, heartbeat)
 	return encodeAnswer(token, commands)
 }
 
-// noteReporting notes that a worker reports, and what machine it is on.
-func (r *Registry) noteReporting(worker *Worker, heartbeat *Heartbeat) {
+// recordHeartbeat records the arrival of a worker's heartbeat and the machine it describes.
+func (r *Registry) recordHeartbeat(worker *Worker, heartbeat *Heartbeat) {
 	now := r.runtime.Now()
 	worker.LastHeartbeatAt = now
 	r.ensureZone(heartbeat.Zone).lastHeartbeatAt = now
@@ -68,8 +68,8 @@
 	}
 }
 
-// answerWithoutRecords answers while the task records are still being read: the worker's
-// tasks live on, and those of cancelled jobs end.
+// answerWithoutRecords answers a heartbeat while the task records are still being read. The
+// answer renews the worker's lease and halts tasks of cancelled jobs.
 func (r *Registry) answerWithoutRecords(worker *Worker, heartbeat *Heartbeat) (status int, body []byte) {
 	worker.Session, worker.Sequence, worker.Token = heartbeat.Session, heartbeat.Sequence, heartbeat.Token
 	if r.mayOutliveCancellation(worker, heartbeat) {
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -15,15 +15,15 @@
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.worker.session, fixture.worker.sequence = 2, 0
 	fixture.exchangeHeartbeats(t)
-	heard := worker.LastHeartbeatAt
+	lastHeartbeatAt := worker.LastHeartbeatAt
 	fixture.now += time.Second
 	for name, heartbeat := range map[string]*Heartbeat{
 		"sequence": {WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: 2, Sequence: 1, Token: fixture.token},
 		"session":  {WorkerID: "vm-1", Addr: "w:1", MachineType: "g8", Session: 1, Sequence: 99, Token: fixture.token},
 		"copy":     old,
 	} {
-		if status, _ := fixture.registry.HandleHeartbeat(heartbeat); status != 503 || worker.LastHeartbeatAt != heard || worker.Session != 2 || worker.Sequence != 2 {
-			t.Errorf("%s: answered %d, heard %v later, session %d, sequence %d", name, status, worker.LastHeartbeatAt-heard, worker.Session, worker.Sequence)
+		if status, _ := fixture.registry.HandleHeartbeat(heartbeat); status != 503 || worker.LastHeartbeatAt != lastHeartbeatAt || worker.Session != 2 || worker.Sequence != 2 {
+			t.Errorf("%s: answered %d, heard %v later, session %d, sequence %d", name, status, worker.LastHeartbeatAt-lastHeartbeatAt, worker.Session, worker.Sequence)
 		}
 	}
 }
@@ -33,11 +33,11 @@
 func TestHeartbeatOfANewerOwnersWorkerIsRefused(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
-	heard := worker.LastHeartbeatAt
+	lastHeartbeatAt := worker.LastHeartbeatAt
 	fixture.now += time.Second
 	fixture.worker.token = fixture.token + 1
-	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 || worker.LastHeartbeatAt != heard {
-		t.Errorf("answered %d, heard %v later", status, worker.LastHeartbeatAt-heard)
+	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 || worker.LastHeartbeatAt != lastHeartbeatAt {
+		t.Errorf("answered %d, heard %v later", status, worker.LastHeartbeatAt-lastHeartbeatAt)
 	}
 }
 
--- a/internal/workers/image_cache.go
+++ b/internal/workers/image_cache.go
@@ -6,9 +6,10 @@
 	"lemonmoor/internal/jobs"
 )
 
-// ImageCache is the images that a machine has, or is fetching, the least recently used
-// first. Heartbeats do not list them; it follows from the tasks that were started there.
-// A machine that runs out of room for images drops the least recently used ones.
+// ImageCache lists the images that a machine has or is fetching, the least recently used
+// first. Heartbeats do not list images, so the cache is derived from the tasks that were
+// started on the machine. A machine without space for another image drops the least recently
+// used ones.
 type ImageCache []cachedImage
 
 type cachedImage struct {
@@ -16,13 +17,13 @@
 	sizeGB float64
 }
 
-// Contains tells whether the machine has, or is fetching, an image.
+// Contains reports whether the machine has, or is fetching, an image.
 func (c ImageCache) Contains(image string) bool {
 	return slices.ContainsFunc(c, func(entry cachedImage) bool { return entry.name == image })
 }
 
-// Use notes that a task with an image of a size in gigabytes starts on a machine of a type.
-// While the type is nil, not known yet, no image is taken for dropped.
+// Use records that a task with an image of the given size, in gigabytes, starts on a machine
+// of the given type. If the type is not known yet (nil), no image is considered dropped.
 func (c *ImageCache) Use(image string, sizeGB float64, machineType *jobs.MachineType) {
 	if n := len(*c); n > 0 && (*c)[n-1].name == image {
 		return
--- a/internal/workers/lease.go
+++ b/internal/workers/lease.go
@@ -6,28 +6,30 @@
 	"lemonmoor/internal/tuning"
 )
 
-// A worker ends all its tasks when the last of its heartbeats that was answered was sent
-// longer ago than the lease (protocol, "Leases"). The registry counts from later, from when
-// such a heartbeat was received, and adds what the clocks may drift apart and a margin.
+// A worker ends all its tasks when its last answered heartbeat was sent longer ago than the
+// lease (protocol, "Leases"). The registry measures the lease from when it received that
+// heartbeat, which is later, and adds the allowed clock drift and a margin.
 
-// mayRunFrom notes that the lease may have been renewed as late as at.
-func (s *SessionState) mayRunFrom(at time.Duration) { s.LeaseRenewedAt = max(s.LeaseRenewedAt, at) }
+// extendLease records that the lease may have been renewed as late as at.
+func (s *SessionState) extendLease(at time.Duration) { s.LeaseRenewedAt = max(s.LeaseRenewedAt, at) }
 
-// renewLease notes that a heartbeat is answered, so that the worker's lease may run from
-// now. Until the worker shows our token an earlier owner may renew it as well, as late as
-// that one answers at all: a copy of an old heartbeat, kept back until this owner began,
-// moved the time back to now, and tasks were taken for gone that ran on for seconds.
+// renewLease records that a heartbeat is answered, so that the worker's lease may run from
+// now. A heartbeat below the current token never moves the renewal time to earlier: until the
+// worker acknowledges our token, an earlier owner may renew the lease too, until it stops
+// answering. With a time moved back to now by a delayed copy of an old heartbeat, tasks would
+// be considered gone while they run on for seconds.
 func (r *Registry) renewLease(worker *Worker, heartbeat *Heartbeat) {
 	worker.LeaseExpired = false
 	now := r.runtime.Now()
 	if heartbeat.Token >= r.lease.Token() {
 		worker.LeaseRenewedAt = now
 	} else {
-		worker.mayRunFrom(now)
+		worker.extendLease(now)
 	}
 }
 
-// leaseExpiresAt is when all tasks of a worker that stays silent are surely gone.
+// leaseExpiresAt returns the time after which all tasks of a worker are certain to be gone if
+// the worker sends no further heartbeat.
 func (r *Registry) leaseExpiresAt(worker *Worker) time.Duration {
 	lease := r.settings.WorkerLease()
 	return worker.LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000 + tuning.WorkerLeaseMargin
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -8,8 +8,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestTasksOfASilentWorkerWaitOutItsLease: also its drift and a margin.
-func TestTasksOfASilentWorkerWaitOutItsLease(t *testing.T) {
+// TestTasksOfASilentWorkerStayPlacedUntilItsLeaseExpires: also its drift and a margin.
+func TestTasksOfASilentWorkerStayPlacedUntilItsLeaseExpires(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
 	task := fixture.job.Tasks[0]
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestNewOwnerCountsFromTheLastAnswer: also for a machine that this process has known for
+// TestNewOwnerCountsTheLeaseFromThePreviousOwnersLastAnswer: also for a machine that this process has known for
 // long, an earlier owner may answer for a while after the shard has changed hands.
-func TestNewOwnerCountsFromTheLastAnswer(t *testing.T) {
+func TestNewOwnerCountsTheLeaseFromThePreviousOwnersLastAnswer(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.previousOwnerAnswersUntil = fixture.now + 12*time.Second
@@ -43,12 +43,12 @@
 	}
 }
 
-// TestOldCopyDoesNotShortenTheLease: a new owner begins while the earlier one goes on
+// TestOldHeartbeatCopyDoesNotShortenTheLease: a new owner begins while the earlier one goes on
 // answering the worker for a while. A copy of an old heartbeat that reaches the new one first
 // shows an earlier token: it says nothing of how long that may go on. Counted from the
 // copy, the lease had run out by reckoning while the worker ran on, and its tasks were
 // started elsewhere besides.
-func TestOldCopyDoesNotShortenTheLease(t *testing.T) {
+func TestOldHeartbeatCopyDoesNotShortenTheLease(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.previousOwnerAnswersUntil = fixture.now + 12*time.Second
 	task := fixture.job.Tasks[0]
--- a/internal/workers/new_token_test.go
+++ b/internal/workers/new_token_test.go
@@ -9,16 +9,16 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestCancelledTasksAreHaltedUnderATokenNotShown: what is cancelled ends at once also on a
+// TestCancelledTasksAreHaltedBeforeTheTokenIsAcknowledged: what is cancelled ends at once also on a
 // worker that has not shown the new token: the announcement carries the halt, and so does the
 // answer to a heartbeat.
-func TestCancelledTasksAreHaltedUnderATokenNotShown(t *testing.T) {
+func TestCancelledTasksAreHaltedBeforeTheTokenIsAcknowledged(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
 	fixture.cancelledAt, fixture.job.Cancelled = fixture.now, true
 	fixture.beginTerm()
 	var announced CommandMessage
-	if err := json.Unmarshal(fixture.takeDirectMessage(t).body, &announced); err != nil || !hasVerb(announced.Commands, VerbHalt) {
+	if err := json.Unmarshal(fixture.sendDirectMessage(t).body, &announced); err != nil || !hasVerb(announced.Commands, VerbHalt) {
 		t.Errorf("announced with %v, %v", announced.Commands, err)
 	}
 	fixture.now += time.Second
@@ -27,22 +27,22 @@
 	}
 }
 
-// TestNewTermJudgesDeafWorkersAnew: under a new token a worker that was deaf is told of it like
+// TestNewTermResetsUnreachableWorkers: under a new token a worker that was deaf is told of it like
 // the others, and may have heard.
-func TestNewTermJudgesDeafWorkersAnew(t *testing.T) {
+func TestNewTermResetsUnreachableWorkers(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
-	worker.markDeaf(fixture.now)
+	worker.markUnreachable(fixture.now)
 	fixture.beginTerm()
 	if worker.Unreachable {
 		t.Error("still counts as deaf")
 	}
-	fixture.takeDirectMessage(t)
+	fixture.sendDirectMessage(t)
 }
 
-// TestLaunchesThatNeverShowMakeAWorkerDeaf: it acknowledges the token, but launches in a row
+// TestLostLaunchesMakeAWorkerUnreachable: it acknowledges the token, but launches in a row
 // that were sent with our answers never show in its heartbeats.
-func TestLaunchesThatNeverShowMakeAWorkerDeaf(t *testing.T) {
+func TestLostLaunchesMakeAWorkerUnreachable(t *testing.T) {
 	fixture := newRegistryFixture(tuning.DeafLaunches)
 	worker := fixture.exchangeHeartbeats(t)
 	for i := range tuning.DeafLaunches {
--- a/internal/workers/placements.go
+++ b/internal/workers/placements.go
@@ -7,9 +7,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// AcceptsTasks tells whether a worker may be given tasks now. One that has left a command
-// unanswered gets none before its next heartbeat: what is placed on a machine that is
-// partitioned or dead waits there until its lease has expired.
+// AcceptsTasks reports whether new tasks may be placed on a worker now. A worker that left a
+// command unanswered gets none before its next heartbeat, since a task placed on a partitioned
+// or dead machine has to wait there until the worker's lease has expired.
 func (r *Registry) AcceptsTasks(worker *Worker) bool {
 	now := r.runtime.Now()
 	suspectAfter := time.Duration(float64(r.settings.HeartbeatInterval()) * tuning.SuspectHeartbeats)
@@ -18,27 +18,27 @@
 		worker.delivery.unansweredAt <= worker.LastHeartbeatAt && !r.isZonePartitioned(worker.Zone)
 }
 
-// PlaceTask gives a waiting task to a worker and has that recorded. The launch leaves once
-// the placement is durable, see PlacementDurable.
+// PlaceTask places a waiting task on a worker and has the placement recorded. The launch is
+// sent once the placement is durable, see PlacementDurable.
 func (r *Registry) PlaceTask(task *taskstate.Task, worker *Worker) {
 	if gang := task.Job.Gang; gang != nil && !worker.HasImage(task.Job.Spec.Image) {
 		gang.UncachedPlacements++
 	}
 	task.PlaceOn(worker.ID)
 	task.PlacedAt = r.runtime.Now()
-	// Asked for now, so that the verification comes while the placement is committed.
+	// Requests the verification now, so that it completes while the placement is committed.
 	r.lease.CancellationsVerifiedSince(task.PlacedAt)
 	task.Gone.MinToken, task.Gone.Session, task.Gone.AfterSequence = r.lease.Token(), 0, 0
 	r.addTask(worker, task)
 	r.tasks.TaskChanged(task, true)
 }
 
-// PlacementDurable notes that a placement is durable. A gang is launched with the last of
-// its placements, all of it.
+// PlacementDurable is called when a placement has become durable, and makes the launch due.
+// The launches of a gang become due together, when its last placement is durable.
 func (r *Registry) PlacementDurable(task *taskstate.Task) {
 	job := task.Job
 	if job.Gang == nil {
-		r.commandsDueTo(task)
+		r.markCommandsDue(task)
 		return
 	}
 	if !task.Launchable() {
@@ -47,23 +47,24 @@
 	r.log.Debug("gang placed", "job", job.Spec.ID, "attempt", task.WireAttempt(), "count", len(job.Tasks),
 		"uncached", job.Gang.UncachedPlacements, "age_s", r.ageSeconds(job))
 	for _, member := range job.Tasks {
-		r.commandsDueTo(member)
+		r.markCommandsDue(member)
 	}
 }
 
-// commandsDueTo has AfterBatch consider a direct message to the worker of a task.
-func (r *Registry) commandsDueTo(task *taskstate.Task) {
+// markCommandsDue makes AfterBatch consider a direct message to the worker of a task.
+func (r *Registry) markCommandsDue(task *taskstate.Task) {
 	if worker := r.workers[task.WorkerID]; worker != nil {
 		r.commandsDue[worker] = true
 	}
 }
 
-// ageSeconds is how long ago a job was submitted.
+// ageSeconds returns the time since a job was submitted, in seconds.
 func (r *Registry) ageSeconds(job *taskstate.Job) float64 {
 	return float64(r.runtime.WallClock().UnixMilli()-job.SubmittedMS) / 1000
 }
 
-// DiscardTask takes a task that was never launched off its machine; its record is gone.
+// DiscardTask removes a task that was never launched from its machine, after its record has
+// been deleted.
 func (r *Registry) DiscardTask(task *taskstate.Task) {
 	if worker := r.workers[task.WorkerID]; worker != nil {
 		r.removeTask(worker, task)
@@ -91,8 +92,8 @@
 	task.Observed.Running, task.Observed.HasImage = false, false
 }
 
-// endPlacement ends a placement: the task is surely not on its machine. How it was lost
-// only matters for a gang.
+// endPlacement ends the placement of a task that is proven not to be on its machine. The kind
+// of loss only matters for a gang.
 func (r *Registry) endPlacement(worker *Worker, task *taskstate.Task, loss taskstate.Loss) {
 	r.removeTask(worker, task)
 	task.TakeOffWorker()
@@ -111,7 +112,7 @@
 	r.scheduler.TaskWaiting(task)
 }
 
-// endAllPlacements ends all placements on a machine: none of the tasks is there any more.
+// endAllPlacements ends all placements on a machine whose tasks are all proven gone.
 func (r *Registry) endAllPlacements(worker *Worker) {
 	for task := range worker.Tasks {
 		r.endPlacement(worker, task, taskstate.LossVanished)
--- a/internal/workers/placements_test.go
+++ b/internal/workers/placements_test.go
@@ -7,9 +7,9 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestNewOwnerTakesPlacementsAsLaunched: what the records place under an earlier token may be
+// TestNewOwnerTreatsPlacementsAsLaunched: what the records place under an earlier token may be
 // on its machine.
-func TestNewOwnerTakesPlacementsAsLaunched(t *testing.T) {
+func TestNewOwnerTreatsPlacementsAsLaunched(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	task := fixture.job.Tasks[0]
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestNoTasksBeforeTheTokenIsShown: under a new token a machine gets tasks when it has shown
+// TestNoTasksBeforeTheTokenIsAcknowledged: under a new token a machine gets tasks when it has shown
 // that it knows the token.
-func TestNoTasksBeforeTheTokenIsShown(t *testing.T) {
+func TestNoTasksBeforeTheTokenIsAcknowledged(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.beginTerm()
--- a/internal/workers/properties_test.go
+++ b/internal/workers/properties_test.go
@@ -13,23 +13,23 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// drawnExchange is a registry and a worker between which messages are lost, late or
+// randomExchange is a registry and a worker between which messages are lost, late or
 // repeated as drawn.
-type drawnExchange struct {
+type randomExchange struct {
 	*registryFixture
-	t      *rapid.T
-	late   []sentRequest // direct messages that may still be carried out
-	copies []*Heartbeat  // heartbeats that may come once more
+	t       *rapid.T
+	delayed []sentRequest // direct messages that may still be carried out
+	copies  []*Heartbeat  // heartbeats that may come once more
 }
 
 // advance lets one of some times in milliseconds pass.
-func (e *drawnExchange) advance(milliseconds []int) {
+func (e *randomExchange) advance(milliseconds []int) {
 	e.now += time.Duration(rapid.SampledFrom(milliseconds).Draw(e.t, "ms")) * time.Millisecond
 }
 
 // sendHeartbeat has the worker send a heartbeat, whose answer may be lost; itself too if
 // mayBeLost.
-func (e *drawnExchange) sendHeartbeat(mayBeLost bool) {
+func (e *randomExchange) sendHeartbeat(mayBeLost bool) {
 	sentAt, heartbeat := e.now, e.heartbeat()
 	e.copies = append(e.copies, heartbeat)
 	if mayBeLost && rapid.IntRange(0, 9).Draw(e.t, "heartbeat lost") == 0 {
@@ -45,14 +45,14 @@
 }
 
 // repeatHeartbeat has a copy of an earlier heartbeat arrive.
-func (e *drawnExchange) repeatHeartbeat() {
+func (e *randomExchange) repeatHeartbeat() {
 	if len(e.copies) > 0 && e.MayAnswer() {
 		e.registry.HandleHeartbeat(e.copies[rapid.IntRange(0, len(e.copies)-1).Draw(e.t, "copy")])
 	}
 }
 
 // placeTasks places the waiting tasks, durably, and lets direct messages leave.
-func (e *drawnExchange) placeTasks() {
+func (e *randomExchange) placeTasks() {
 	for _, task := range e.job.Tasks {
 		if worker := e.registry.Worker("vm-1"); worker != nil && e.registry.AcceptsTasks(worker) && task.State == taskstate.StateWaiting && !task.Job.Cancelled {
 			e.registry.PlaceTask(task, worker)
@@ -63,9 +63,9 @@
 	e.registry.AfterBatch()
 }
 
-// settleDirectMessage lets the first direct message go: it is carried out or not, answered
+// resolveDirectMessage lets the first direct message go: it is carried out or not, answered
 // or not, now or later.
-func (e *drawnExchange) settleDirectMessage() {
+func (e *randomExchange) resolveDirectMessage() {
 	if len(e.calls) == 0 {
 		return
 	}
@@ -78,37 +78,37 @@
 		e.deliverDirect(direct)
 		direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	case 2:
-		e.late = append(e.late, direct)
+		e.delayed = append(e.delayed, direct)
 		direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	case 3:
 		direct.fn(http1.Response{}, eventloop.ErrNotSent)
 	}
 }
 
-// deliverLate has the first of the late direct messages carried out.
-func (e *drawnExchange) deliverLate() {
-	if len(e.late) > 0 {
-		e.deliverDirect(e.late[0])
-		e.late = e.late[1:]
+// deliverDelayed has the first of the late direct messages carried out.
+func (e *randomExchange) deliverDelayed() {
+	if len(e.delayed) > 0 {
+		e.deliverDirect(e.delayed[0])
+		e.delayed = e.delayed[1:]
 	}
 }
 
 // beginTermFromRecords begins a term in which nothing is known but what the records say.
-func (e *drawnExchange) beginTermFromRecords() {
+func (e *randomExchange) beginTermFromRecords() {
 	for _, task := range e.job.Tasks {
 		task.Launch.InFlight, task.Launch.InDoubt, task.Gone.Session, task.Gone.AfterSequence, task.Observed.Reported = false, false, 0, 0, false
 	}
 	e.beginTerm()
 }
 
-// mustBeGone fails if a task that is taken for gone runs, or if a message on its way can
+// requireGone fails if a task that is taken for gone runs, or if a message on its way can
 // start it.
-func (e *drawnExchange) mustBeGone(task *taskstate.Task) {
+func (e *randomExchange) requireGone(task *taskstate.Task) {
 	e.expireLease()
 	if e.worker.tasks[task.Name()] == task.Attempt {
 		e.t.Fatalf("%s, attempt %d, is taken for gone and runs", task.Name(), task.Attempt)
 	}
-	for _, direct := range append(e.late, e.calls...) {
+	for _, direct := range append(e.delayed, e.calls...) {
 		var message CommandMessage
 		_ = json.Unmarshal(direct.body, &message)
 		if message.Token < e.worker.token || message.Session != e.worker.session {
@@ -123,13 +123,13 @@
 	}
 }
 
-// TestTaskTakenForGoneNeitherRunsNorStarts: whatever is lost, late or repeated between a
+// TestTaskConsideredGoneNeitherRunsNorStarts: whatever is lost, late or repeated between a
 // registry and a worker, a task that the registry takes for gone is not on the machine and
 // no message on its way can start it there.
-func TestTaskTakenForGoneNeitherRunsNorStarts(t *testing.T) {
+func TestTaskConsideredGoneNeitherRunsNorStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		exchange := &drawnExchange{registryFixture: newRegistryFixture(4), t: t}
-		exchange.onTaskWaiting = exchange.mustBeGone
+		exchange := &randomExchange{registryFixture: newRegistryFixture(4), t: t}
+		exchange.onTaskWaiting = exchange.requireGone
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			exchange.advance([]int{1, 500, 5000, 20000})
 			switch rapid.IntRange(0, 8).Draw(t, "step") {
@@ -140,9 +140,9 @@
 			case 4:
 				exchange.placeTasks()
 			case 5:
-				exchange.settleDirectMessage()
+				exchange.resolveDirectMessage()
 			case 6:
-				exchange.deliverLate()
+				exchange.deliverDelayed()
 			case 7:
 				exchange.registry.Tick()
 			case 8:
@@ -153,21 +153,21 @@
 }
 
 // cancel has the user cancel the job, at any node, once something may be on the machine.
-func (e *drawnExchange) cancel() {
-	if e.cancelledAt == 0 && len(e.worker.tasks)+len(e.late)+len(e.calls) > 0 {
+func (e *randomExchange) cancel() {
+	if e.cancelledAt == 0 && len(e.worker.tasks)+len(e.delayed)+len(e.calls) > 0 {
 		e.cancelledAt = e.now
 	}
 }
 
 // verifyCancellations has the owner's knowledge of cancellations verified; perhaps it is
 // another owner then.
-func (e *drawnExchange) verifyCancellations() {
+func (e *randomExchange) verifyCancellations() {
 	e.verifiedAt = e.now
 	if e.cancelledAt > 0 && !e.job.Cancelled {
 		e.job.Cancelled = true
 		e.registry.CancelJob(e.job)
 	}
-	if !e.noNewToken && rapid.IntRange(0, 4).Draw(e.t, "another term") == 0 {
+	if !e.tokenRenewalFails && rapid.IntRange(0, 4).Draw(e.t, "another term") == 0 {
 		e.beginTermFromRecords()
 	}
 }
@@ -178,9 +178,9 @@
 // was told that it is cancelled.
 func TestCancelledTasksEndWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		exchange := &drawnExchange{registryFixture: newRegistryFixture(3), t: t}
+		exchange := &randomExchange{registryFixture: newRegistryFixture(3), t: t}
 		exchange.needsVerification, exchange.verifiedAt = true, exchange.now
-		exchange.noNewToken = rapid.Bool().Draw(t, "no new token")
+		exchange.tokenRenewalFails = rapid.Bool().Draw(t, "no new token")
 		limit := time.Duration(exchange.registry.settings.Deployment.Workers.CancelS * float64(time.Second))
 		check := func(after string) {
 			exchange.expireLease()
@@ -199,9 +199,9 @@
 			case 4:
 				exchange.placeTasks()
 			case 5, 6:
-				exchange.settleDirectMessage()
+				exchange.resolveDirectMessage()
 			case 7:
-				exchange.deliverLate()
+				exchange.deliverDelayed()
 			case 8:
 				exchange.registry.Tick()
 			case 9:
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -9,30 +9,30 @@
 
 // reconciliation compares the tasks that a worker lists with the task records.
 type reconciliation struct {
-	registry   *Registry
-	worker     *Worker
-	heartbeat  *Heartbeat
-	tokenShown bool      // the worker knows the present token
-	commands   []Command // that follow
+	registry          *Registry
+	worker            *Worker
+	heartbeat         *Heartbeat
+	tokenAcknowledged bool      // the heartbeat shows the current token
+	commands          []Command // for the answer
 }
 
-// taskSet is the tasks that the records place on a worker's machine and that it lists. It
-// is no field of reconciliation, since it would be allocated then.
+// taskSet is the set of tasks that the records place on a worker's machine and that the
+// worker lists. As a field of reconciliation it would be allocated on the heap.
 type taskSet map[*taskstate.Task]bool
 
-// reconcileHeartbeat takes in what a heartbeat of the worker's own says of its tasks, and
-// returns the commands for its answer. Only such a heartbeat proves tasks gone and carries
-// launches, see reconcileCommandAnswer.
+// reconcileHeartbeat compares the tasks listed in a regular heartbeat with the records and
+// returns the commands for the answer. Only a regular heartbeat proves tasks gone, and only
+// its answer carries launches; see reconcileCommandAnswer.
 func (r *Registry) reconcileHeartbeat(worker *Worker, heartbeat *Heartbeat) []Command {
 	isLaterSession := heartbeat.Session > worker.Session && worker.HasReported && worker.Session > 0
 	worker.Session, worker.Sequence = heartbeat.Session, heartbeat.Sequence
 	rec := r.beginReconciliation(worker, heartbeat)
 	listed := make(taskSet, len(heartbeat.Tasks))
-	rec.takeListed(listed)
-	rec.takeUnlisted(listed, isLaterSession)
-	if !rec.tokenShown {
-		// The worker has not seen the token yet, so its list decides little; what
-		// is cancelled ends all the same.
+	rec.processListed(listed)
+	rec.processUnlisted(listed, isLaterSession)
+	if !rec.tokenAcknowledged {
+		// The worker has not seen the current token yet, so its list proves little.
+		// Cancelled tasks are halted all the same.
 		return r.haltsOfCancelledTasks(heartbeat)
 	}
 	rec.appendHalts(listed)
@@ -40,13 +40,13 @@
 	return rec.commands[:min(len(rec.commands), tuning.MaxCommandsPerMessage)]
 }
 
-// reconcileCommandAnswer takes in the list of tasks in the answer to a direct message. It
-// proves no task gone, since it may be older than the worker's reading of our last answer
-// to a heartbeat, which may have carried a launch. Nor does it count as the newest
-// heartbeat: one that left before it may arrive after it, and is not a late one.
+// reconcileCommandAnswer processes the list of tasks in the answer to a direct message. The
+// list proves no task gone: the worker may have made it before it read our last answer to a
+// heartbeat, which may have carried a launch. Nor does the answer count as the newest
+// heartbeat: a heartbeat sent before it may arrive after it and must not be dropped as stale.
 func (r *Registry) reconcileCommandAnswer(worker *Worker, answer *Heartbeat) {
 	rec := r.beginReconciliation(worker, answer)
-	rec.takeListed(make(taskSet, len(answer.Tasks)))
+	rec.processListed(make(taskSet, len(answer.Tasks)))
 }
 
 func (r *Registry) beginReconciliation(worker *Worker, heartbeat *Heartbeat) reconciliation {
@@ -59,37 +59,38 @@
 	}
 	return reconciliation{
 		registry: r, worker: worker, heartbeat: heartbeat,
-		tokenShown: heartbeat.Token >= r.lease.Token(),
+		tokenAcknowledged: heartbeat.Token >= r.lease.Token(),
 	}
 }
 
-// takeListed takes in all tasks that the worker lists, and notes them in listed.
-func (c *reconciliation) takeListed(listed taskSet) {
+// processListed processes all tasks that the worker lists. It adds to listed those that the
+// records place on this machine.
+func (c *reconciliation) processListed(listed taskSet) {
 	c.worker.UnknownTasks = 0
 	for i := range c.heartbeat.Tasks {
-		c.takeReported(&c.heartbeat.Tasks[i], listed)
+		c.processReported(&c.heartbeat.Tasks[i], listed)
 	}
 }
 
-// takeReported takes in one task that the worker lists.
-func (c *reconciliation) takeReported(reported *ReportedTask, listed taskSet) {
+// processReported processes one task that the worker lists, see processListed.
+func (c *reconciliation) processReported(reported *ReportedTask, listed taskSet) {
 	registry := c.registry
 	task := registry.findTask(reported.Name)
 	if task == nil || task.State != taskstate.StatePlaced || task.WorkerID != c.worker.ID || task.WireAttempt() != reported.Attempt {
-		c.takeUnrecorded(task, reported)
+		c.processUnrecorded(task, reported)
 		return
 	}
 	listed[task] = true
 	if task.Gone.Session > 0 && !task.Observed.Reported {
-		c.worker.LostLaunches = 0 // it has heard of this one
+		c.worker.LostLaunches = 0 // this launch has reached it
 	}
 	task.Observed.Reported, task.Launch.Sent = true, true
 	if task.Launch.InFlight {
-		return // the answer to the launch is still to come and tells the rest
+		return // the pending answer to the launch reports the phase
 	}
 	task.Launch.InDoubt = false
 	if reported.Phase == PhaseEnded {
-		c.takeEnded(task, reported)
+		c.processEnded(task, reported)
 		return
 	}
 	if reported.Phase.hasImage() && !task.Observed.HasImage {
@@ -102,7 +103,7 @@
 	registry.gangTaskReported(task, reported.Phase)
 }
 
-// findTask finds a task by its name, nil if there is no record of it.
+// findTask returns the task with the given name, or nil if there is no record of it.
 func (r *Registry) findTask(name string) *taskstate.Task {
 	jobID, index, ok := parseTaskName(name)
 	if !ok {
@@ -115,27 +116,28 @@
 	return job.Tasks[index]
 }
 
-// takeUnrecorded takes in a listed task that the records do not have on this machine: an
-// attempt that is over, or never was. task is nil if there is no record of it at all.
-func (c *reconciliation) takeUnrecorded(task *taskstate.Task, reported *ReportedTask) {
+// processUnrecorded processes a listed task that the records do not place on this machine: an
+// attempt that has ended or that was never recorded. task is nil if there is no record of it
+// at all.
+func (c *reconciliation) processUnrecorded(task *taskstate.Task, reported *ReportedTask) {
 	if reported.Phase != PhaseEnded {
 		c.worker.UnknownTasks++
 		c.commands = append(c.commands, haltCommand(reported.Name, reported.Attempt, 0))
 		return
 	}
 	if task != nil && reported.Cause == CauseDone && task.Job.Gang != nil {
-		c.registry.GangDone(task.Job) // late, or of an earlier attempt: it is done all the same
+		c.registry.GangDone(task.Job) // a late report, or an earlier attempt, completes the gang too
 	}
 	if task != nil && task.State == taskstate.StateDone && !task.DoneDurable {
-		return // its end goes into the record before the worker forgets it
+		return // the worker must not forget it before its completion is durable
 	}
-	c.forgetIfTokenShown(reported)
+	c.forgetIfTokenAcknowledged(reported)
 }
 
-// forgetIfTokenShown has the worker drop an ended task from its list, once it knows the
-// token under which that is asked.
-func (c *reconciliation) forgetIfTokenShown(reported *ReportedTask) {
-	if c.tokenShown {
+// forgetIfTokenAcknowledged adds a forget command for an ended task, if the worker has
+// acknowledged the token under which the command is sent.
+func (c *reconciliation) forgetIfTokenAcknowledged(reported *ReportedTask) {
+	if c.tokenAcknowledged {
 		c.forget(reported)
 	}
 }
@@ -144,9 +146,9 @@
 	c.commands = append(c.commands, forgetCommand(reported))
 }
 
-// takeUnlisted looks at the tasks that a heartbeat does not list though the records place
-// them here: whether that proves them gone.
-func (c *reconciliation) takeUnlisted(listed taskSet, isLaterSession bool) {
+// processUnlisted processes the tasks that the records place on this machine and that the
+// heartbeat does not list. It ends the placements of those that this proves gone.
+func (c *reconciliation) processUnlisted(listed taskSet, isLaterSession bool) {
 	registry, worker, heartbeat := c.registry, c.worker, c.heartbeat
 	launchLost := false
 	for task := range worker.Tasks {
@@ -155,13 +157,13 @@
 		}
 		switch {
 		case task.Gone.Session > 0 && heartbeat.Session > task.Gone.Session, isLaterSession && task.Observed.Reported:
-			// The worker killed all of the earlier session.
+			// The worker killed all tasks of the earlier session.
 			registry.endPlacement(worker, task, taskstate.LossVanished)
-		case c.tokenShown && !task.Launch.InDoubt && isNewerThanLaunch(heartbeat, task):
+		case c.tokenAcknowledged && !task.Launch.InDoubt && isNewerThanLaunch(heartbeat, task):
 			launchLost = launchLost || (task.Gone.Session > 0 && !task.Observed.Reported)
 			registry.endPlacement(worker, task, taskstate.LossVanished)
 		case task.Launch.InDoubt:
-			// The launch may still be under way; a new token settles it.
+			// The launch may still arrive; a new token makes it void.
 			registry.log.Info("launch in doubt, renewing the fencing token", "worker", worker.ID, "task", task.Name())
 			registry.lease.RenewToken()
 		}
@@ -171,14 +173,14 @@
 	}
 }
 
-// isNewerThanLaunch tells whether a heartbeat would list a task if its launch had been
-// carried out: it shows the token of the placement, and left after the launch was sent.
+// isNewerThanLaunch reports whether a heartbeat would list a task if its launch had been
+// executed: it shows the token of the placement and was sent after the launch.
 func isNewerThanLaunch(heartbeat *Heartbeat, task *taskstate.Task) bool {
 	return heartbeat.Token >= task.Gone.MinToken &&
 		(task.Gone.Session == 0 || (heartbeat.Session == task.Gone.Session && heartbeat.Sequence > task.Gone.AfterSequence))
 }
 
-// appendHalts adds the halts of listed tasks that are to end.
+// appendHalts appends halts for the listed tasks that are cancelled or have to be halted.
 func (c *reconciliation) appendHalts(listed taskSet) {
 	for task := range c.worker.Tasks {
 		if !listed[task] {
@@ -193,7 +195,8 @@
 	}
 }
 
-// appendLaunches adds the launches of tasks that wait for the worker's next heartbeat.
+// appendLaunches appends the pending launches for the worker, to be sent with the answer to
+// its heartbeat.
 func (c *reconciliation) appendLaunches() {
 	registry := c.registry
 	if !registry.lease.LeaseValid() || registry.isDraining(c.worker) || c.worker.Unreachable {
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -31,10 +31,10 @@
 // proves nothing before.
 func TestUnansweredLaunchStaysInDoubt(t *testing.T) {
 	fixture := newRegistryFixture(1)
-	fixture.noNewToken = true // no new token yet
+	fixture.tokenRenewalFails = true // no new token yet
 	fixture.exchangeHeartbeats(t)
 	task := fixture.placeTask(0)
-	direct := fixture.takeDirectMessage(t)
+	direct := fixture.sendDirectMessage(t)
 	direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -55,7 +55,7 @@
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	task := fixture.placeTask(0)
-	direct := fixture.takeDirectMessage(t)
+	direct := fixture.sendDirectMessage(t)
 	early := fixture.heartbeat()
 	direct.fn(fixture.deliverDirect(direct), nil)
 	if status, _ := fixture.registry.HandleHeartbeat(early); status != 200 || task.State != taskstate.StatePlaced {
@@ -78,7 +78,7 @@
 		t.Fatalf("answered %d: %s", status, body)
 	}
 	fixture.placeTask(1)
-	direct := fixture.takeDirectMessage(t)
+	direct := fixture.sendDirectMessage(t)
 	direct.fn(fixture.deliverDirect(direct), nil) // does not list the first
 	if first.State != taskstate.StatePlaced {
 		t.Fatalf("state %v", first.State)
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -13,54 +13,56 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Lease is what the registry asks of the shard's lease.
+// Lease is the part of the shard's lease that the registry depends on.
 type Lease interface {
-	// Token returns the fencing token under which the shard is owned, 0 if it is not.
+	// Token returns the fencing token under which the shard is owned, or 0 if it is not owned.
 	Token() uint64
-	// LeaseValid tells whether the lease surely holds now.
+	// LeaseValid reports whether the lease is certain to be valid now.
 	LeaseValid() bool
-	// MayAnswer tells whether heartbeats are answered, and so taken in: only while the
-	// knowledge of cancellations is young enough.
+	// MayAnswer reports whether heartbeats are processed and answered, which requires that
+	// the knowledge of cancellations is recent enough.
 	MayAnswer() bool
-	// RenewToken asks for a new token, which makes void what was sent under this one.
+	// RenewToken requests a new token, which invalidates all messages sent under this one.
 	RenewToken()
-	// CancellationsVerifiedSince tells whether it was verified, lately, that no job was
-	// cancelled at or after a moment but those known to be; if not, it asks for that.
+	// CancellationsVerifiedSince reports whether it was recently verified that all
+	// cancellations up to a time at or after since are known. If not, it requests a
+	// verification.
 	CancellationsVerifiedSince(since time.Duration) bool
-	// PreviousOwnerAnswersUntil is when the last earlier owner stops answering, at the
-	// latest.
+	// PreviousOwnerAnswersUntil returns the latest time at which any earlier owner may
+	// still answer heartbeats.
 	PreviousOwnerAnswersUntil() time.Duration
 }
 
-// TaskStore is what the registry asks of the shard's task records.
+// TaskStore is the part of the shard's task records that the registry depends on.
 type TaskStore interface {
-	// IsLoaded tells whether the records have been read in this term.
+	// IsLoaded reports whether the records have been read in this term.
 	IsLoaded() bool
-	// Job finds a job by its ID, nil if no record names it.
+	// Job returns the job with the given ID, or nil if no record names it.
 	Job(id string) *taskstate.Job
-	// CancellationAge is how long ago a job's user can have been told that it is
-	// cancelled, at most, and whether it is.
+	// CancellationAge returns the longest time for which a job's user may have known that
+	// the job is cancelled, and whether it is cancelled.
 	CancellationAge(id string) (time.Duration, bool)
+	// EachJob calls a function for every job with records.
 	EachJob(func(*taskstate.Job))
-	// TaskChanged has a task's new state recorded; urgent: with the next commit.
+	// TaskChanged has a task's new state recorded, with the next commit if urgent.
 	TaskChanged(task *taskstate.Task, urgent bool)
-	// TaskDone has it recorded that a task is done.
+	// TaskDone has the completion of a task recorded.
 	TaskDone(task *taskstate.Task)
-	// DropTask gives up a task of a cancelled job.
+	// DropTask drops a task of a cancelled job.
 	DropTask(task *taskstate.Task)
 }
 
-// Scheduler is what the registry asks of the shard owner that it works for.
+// Scheduler is the part of the shard owner that the registry depends on.
 type Scheduler interface {
-	// TaskWaiting is called for a task that has become free for another machine.
+	// TaskWaiting is called for a task that can be placed on another machine again.
 	TaskWaiting(task *taskstate.Task)
-	// MachineType finds a machine type by its name, nil if it is not known.
+	// MachineType returns the machine type with the given name, or nil if it is not known.
 	MachineType(name string) *jobs.MachineType
-	// IsClosedByDrain tells whether operators' drains keep new tasks off a machine.
+	// IsClosedByDrain reports whether operators' drains keep new tasks off a machine.
 	IsClosedByDrain(workerID string) bool
 }
 
-// Dependencies is what a Registry works with.
+// Dependencies are the collaborators of a Registry.
 type Dependencies struct {
 	Runtime   eventloop.Runtime
 	Lease     Lease
@@ -70,7 +72,7 @@
 	Log       *slog.Logger
 }
 
-// Registry holds the workers of a shard, and what is or may be on each.
+// Registry holds the workers of a shard and the tasks that are or may be on each.
 type Registry struct {
 	runtime   eventloop.Runtime
 	lease     Lease
@@ -79,25 +81,25 @@
 	settings  *settings.Settings
 	log       *slog.Logger
 
-	workers       map[string]*Worker // by their IDs
-	sortedWorkers []*Worker          // in the order of their IDs
-	released      map[string]bool    // IDs of machines that the cloud has taken back
-	zones         map[string]*zoneState
+	workers       map[string]*Worker    // by ID
+	sortedWorkers []*Worker             // by ID, ascending
+	released      map[string]bool       // IDs of machines that the cloud has taken back
+	zones         map[string]*zoneState // by name
 
 	termBeganAt time.Duration
-	// listeningSince is from when heartbeats have been taken in without a break. Silence
-	// before it says nothing of a worker.
+	// listeningSince is the time since which heartbeats have been processed without
+	// interruption. A worker's silence before that time is no evidence against it.
 	listeningSince time.Duration
 
-	// commandsDue are workers for which AfterBatch has a direct message to consider.
+	// commandsDue are the workers to which AfterBatch may have to send a direct message.
 	commandsDue map[*Worker]bool
-	// awaitingVerification are workers with launches for which it is not verified yet
-	// that their jobs are not cancelled; newestAwaitingPlacedAt is the newest of those
-	// placements. See Lease.CancellationsVerifiedSince.
+	// awaitingVerification are the workers with launches that wait until it is verified
+	// that their jobs are not cancelled; newestAwaitingPlacedAt is the time of the newest
+	// of those placements. See Lease.CancellationsVerifiedSince.
 	awaitingVerification   map[*Worker]bool
 	newestAwaitingPlacedAt time.Duration
 
-	announceQueue         []*Worker // to be told of the token, see Announce
+	announceQueue         []*Worker // to which the token has to be announced, see Announce
 	announcementsInFlight int
 }
 
@@ -113,13 +115,13 @@
 	}
 }
 
-// Worker finds a worker by its ID, nil if it is not known.
+// Worker returns the worker with the given ID, or nil if it is not known.
 func (r *Registry) Worker(id string) *Worker { return r.workers[id] }
 
-// Workers returns the workers in the order of their IDs. The list is the registry's own.
+// Workers returns the workers in the order of their IDs. Callers must not modify the slice.
 func (r *Registry) Workers() []*Worker { return r.sortedWorkers }
 
-// ensureWorker finds or makes a worker's entry.
+// ensureWorker returns the entry of a worker, creating it if there is none.
 func (r *Registry) ensureWorker(id string) *Worker {
 	if worker := r.workers[id]; worker != nil {
 		return worker
@@ -131,34 +133,35 @@
 		Load:         Load{Tasks: map[*taskstate.Task]bool{}, IdleSince: now},
 		Health:       Health{FailedJobs: map[string]bool{}},
 	}
-	worker.mayRunFrom(r.lease.PreviousOwnerAnswersUntil())
+	worker.extendLease(r.lease.PreviousOwnerAnswersUntil())
 	r.workers[id] = worker
 	i, _ := slices.BinarySearchFunc(r.sortedWorkers, id, func(worker *Worker, id string) int { return strings.Compare(worker.ID, id) })
 	r.sortedWorkers = slices.Insert(r.sortedWorkers, i, worker)
 	return worker
 }
 
-// BeginTerm starts a term, when the task records have been read under a new token: what
-// they place may be on its machine under an earlier token, and any earlier owner may have
-// answered heartbeats until now plus the answer grace period.
+// BeginTerm starts a term, after the task records have been read under a new token. Tasks
+// that the records place may be on their machines under an earlier token, and any earlier
+// owner may answer heartbeats until the answer grace period from now has passed.
 func (r *Registry) BeginTerm() {
 	r.termBeganAt = r.runtime.Now()
 	r.listeningSince = r.termBeganAt
 	r.forgetTasks()
 	for _, worker := range r.workers {
-		// Between two tokens of its own a process knows what it has answered.
-		worker.mayRunFrom(r.lease.PreviousOwnerAnswersUntil())
+		// A process knows what it answered under an earlier token of its own, so such a
+		// token does not move PreviousOwnerAnswersUntil.
+		worker.extendLease(r.lease.PreviousOwnerAnswersUntil())
 		worker.LeaseExpired, worker.delivery.announcementQueued = false, false
-		worker.markHearing()
+		worker.markReachable()
 	}
 	r.announceQueue, r.announcementsInFlight = nil, 0
 	r.announceToAll()
-	r.tasks.EachJob(r.takeOver)
+	r.tasks.EachJob(r.recoverPlacements)
 }
 
-// takeOver takes in what the records say of a job that an earlier owner, or this one under
-// an earlier token, has placed.
-func (r *Registry) takeOver(job *taskstate.Job) {
+// recoverPlacements adds the recorded placements of a job to its workers. They were made by an
+// earlier owner, or by this one under an earlier token, and count as launched.
+func (r *Registry) recoverPlacements(job *taskstate.Job) {
 	if job.Gang != nil {
 		r.recoverGang(job)
 	}
@@ -173,7 +176,7 @@
 	}
 }
 
-// EndTerm forgets what only holds for a term.
+// EndTerm discards the state that is only valid within a term.
 func (r *Registry) EndTerm() { r.forgetTasks() }
 
 func (r *Registry) forgetTasks() {
@@ -185,16 +188,16 @@
 	clear(r.awaitingVerification)
 }
 
-// Tick looks, once a second, for workers whose lease has expired, for tasks that have to
-// leave their machines and for placements that can no longer be launched.
+// Tick is called once a second. It ends the placements on workers whose lease has expired and
+// those that can no longer be launched, and halts tasks that have to leave their machines.
 func (r *Registry) Tick() {
 	if !r.tasks.IsLoaded() {
 		return
 	}
 	now := r.runtime.Now()
 	if !r.lease.MayAnswer() {
-		// In an outage of the state service that outlasts the answer grace period,
-		// heartbeats are turned away: that is no silence of the workers.
+		// During an outage of the state service that outlasts the answer grace period,
+		// heartbeats are rejected, so workers must not count as silent for that time.
 		r.listeningSince = now
 	}
 	for _, zone := range r.zones {
@@ -215,7 +218,7 @@
 		r.ensureZone(worker.Zone).reportingWorkers++
 	}
 	if worker.Unreachable {
-		r.checkDeafWorker(worker, now)
+		r.checkUnreachableWorker(worker, now)
 	}
 	for task := range worker.Tasks {
 		if task.Launch.Sent {
@@ -231,17 +234,18 @@
 	}
 }
 
-// checkLaunchedTask repeats the halt of a cancelled task, and halts one that has to leave.
+// checkLaunchedTask repeats the halt of a cancelled task, and halts a task that has to leave
+// its machine.
 func (r *Registry) checkLaunchedTask(worker *Worker, task *taskstate.Task, now time.Duration) {
 	if task.Job.Cancelled && now-task.Halt.CancelSentAt >= tuning.HaltRetryInterval {
-		r.Announce(worker.ID, worker.Addr) // if it has not seen the token
+		r.Announce(worker.ID, worker.Addr) // no effect if the worker has shown the current token
 		r.commandsDue[worker] = true
 	}
 	r.haltIfMustMove(worker, task, now)
 }
 
-// cannotLaunch tells whether a task that was never launched is better placed on another
-// machine, since its worker does not take tasks any more, or need not run at all.
+// cannotLaunch reports whether the placement of a task that was never launched should end,
+// because the worker no longer accepts tasks or because the task need not run.
 func (r *Registry) cannotLaunch(worker *Worker, task *taskstate.Task, now time.Duration) bool {
 	gang := task.Job.Gang
 	return (gang != nil && (gang.AttemptOver || gang.Done)) || r.isDraining(worker) || worker.Unreachable || task.Job.Cancelled ||
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -7,18 +7,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Reasons why a machine is to be returned to the cloud. The leader tells the first two
-// from others: machines of a partitioned zone fall silent too. With urgent tasks on it, a
-// machine is worth returning there too: released, they are surely gone, and can run
-// elsewhere before its worker's lease would have expired.
+// Reasons for returning a machine to the cloud. The leader treats the first two differently
+// from the others, since machines in a partitioned zone are silent too. A silent machine with
+// urgent tasks is worth returning even there: its release proves the tasks gone, so that they
+// can run elsewhere before the worker's lease would have expired.
 const (
 	ReleaseSilent       = "silent"
 	ReleaseSilentUrgent = "silent with urgent tasks"
 	releaseTerminated   = "taken by the cloud"
 )
 
-// MachineReleased notes that the cloud has taken a machine back at our request: it and all
-// that was on it are gone.
+// MachineReleased is called when the cloud has taken a machine back at our request. It ends
+// all placements on the machine and removes its worker.
 func (r *Registry) MachineReleased(id string) {
 	r.released[id] = true
 	worker := r.workers[id]
@@ -32,10 +32,11 @@
 	delete(r.awaitingVerification, worker)
 }
 
-// ReleaseReason tells whether, and why, the shard owner wants a machine returned now, "" if
-// not: nothing on it is lost by that, or it is lost already. silent and reporting count the
-// shard's suspect workers and those that have ever reported: if most are silent, the fault
-// is hardly theirs.
+// ReleaseReason returns the reason for which the shard owner wants a machine returned now, or
+// "" if it does not. A machine is returned only if no task on it is lost by that, or if the
+// tasks are lost already. silent is the number of the shard's suspect workers and reporting
+// the number of those that have ever reported. If most of them are silent, the workers are
+// probably not at fault, and none is returned for its silence.
 func (r *Registry) ReleaseReason(worker *Worker, silent, reporting int) string {
 	now := r.runtime.Now()
 	switch {
@@ -51,10 +52,11 @@
 		}
 		return ReleaseSilent
 	case worker.TerminationAt != 0:
-		return "" // the cloud takes it
+		return "" // the cloud will take it back
 	case worker.DrainReason != "":
-		// What a deaf worker lists beside its tasks ends with its lease, if not before.
-		if worker.isEmpty() || (len(worker.Tasks) == 0 && worker.DrainReason == drainReasonDeaf) {
+		// Unrecorded tasks on an unreachable worker end with its lease at the latest, so
+		// they do not delay its return.
+		if worker.isEmpty() || (len(worker.Tasks) == 0 && worker.DrainReason == drainReasonUnreachable) {
 			return worker.DrainReason
 		}
 	case worker.isEmpty() && worker.Token >= r.lease.Token() && r.scheduler.IsClosedByDrain(worker.ID):
@@ -63,14 +65,14 @@
 	return ""
 }
 
-// IsSuspect tells whether a worker has sent no heartbeat for suspiciously long, though we
-// listened.
+// IsSuspect reports whether a worker has sent no heartbeat for longer than WorkerDeadAfter,
+// counted only from when this process processed heartbeats without interruption.
 func (r *Registry) IsSuspect(worker *Worker) bool {
 	return worker.HasReported && r.runtime.Now()-max(worker.LastHeartbeatAt, r.listeningSince) > r.settings.WorkerDeadAfter()
 }
 
-// IsCurrent tells whether a worker is heard under the present token, so that what its
-// heartbeats list is so.
+// IsCurrent reports whether a worker sends heartbeats under the current token, so that their
+// task lists can be relied on.
 func (r *Registry) IsCurrent(worker *Worker) bool {
 	return worker.HasReported && !worker.LeaseExpired && !worker.Unreachable && worker.Token >= r.lease.Token() && !r.IsSuspect(worker)
 }
--- a/internal/workers/release_test.go
+++ b/internal/workers/release_test.go
@@ -57,19 +57,19 @@
 	}
 }
 
-// TestOutageOfTheStateServiceIsNoSilenceOfWorkers guards against a fault of a day with an outage of the
+// TestStateServiceOutageDoesNotMakeWorkersSuspect guards against a fault of a day with an outage of the
 // state service that outlasted the answer grace period: heartbeats were turned away, and at its
 // end the machines counted as silent and were returned with their tasks.
-func TestOutageOfTheStateServiceIsNoSilenceOfWorkers(t *testing.T) {
+func TestStateServiceOutageDoesNotMakeWorkersSuspect(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	worker := fixture.registry.Worker("vm-1")
 	for range 30 {
 		fixture.now += time.Second
-		fixture.turnsHeartbeatsAway = true
+		fixture.rejectsHeartbeats = true
 		fixture.registry.Tick()
 	}
-	fixture.turnsHeartbeatsAway = false
+	fixture.rejectsHeartbeats = false
 	fixture.now += 3 * time.Second
 	fixture.registry.Tick()
 	if fixture.registry.IsSuspect(worker) {
--- a/internal/workers/task_ends.go
+++ b/internal/workers/task_ends.go
@@ -5,18 +5,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// takeEnded takes in a recorded task that has ended.
-func (c *reconciliation) takeEnded(task *taskstate.Task, reported *ReportedTask) {
+// processEnded processes a recorded task that the worker lists as ended.
+func (c *reconciliation) processEnded(task *taskstate.Task, reported *ReportedTask) {
 	registry := c.registry
 	loss := taskstate.LossExited
 	switch reported.Cause {
 	case CauseDone:
-		c.takeCompleted(task, reported)
+		c.processCompleted(task, reported)
 		return
 	case CauseError:
-		// Whether the others of a gang had started shows in their heartbeats.
+		// Whether a gang had started is known from the heartbeats with its other tasks.
 		loss = taskstate.LossVanished
-		registry.noteTaskFailed(c.worker, task)
+		registry.recordTaskFailure(c.worker, task)
 	case CauseFull:
 		loss = taskstate.LossBeforeWaiting
 		c.worker.RefusesUntil = registry.runtime.Now() + tuning.RefusedTaskPause
@@ -26,30 +26,32 @@
 		task.Queue.NotBefore = registry.runtime.Now() + tuning.RefusedTaskPause
 	case CauseHalted:
 		if gang := task.Job.Gang; gang != nil && !gang.AttemptOver && task.Halt.Decided {
-			loss = taskstate.LossVanished // one that waited was told to leave its machine
+			loss = taskstate.LossVanished // a waiting task was halted to leave its machine
 		}
 	case CauseAlone:
-		// Nothing against the machine or the job.
+		// Counts as a failure of neither the machine nor the job.
 	case CauseMatesGone:
-		// Nothing against the machine or the job either; but the gang had started.
+		// Counts as a failure of neither the machine nor the job, but shows that the
+		// gang had started.
 		if task.Job.Gang != nil {
 			task.Job.Gang.Started = true
 		}
 	default:
-		// A cause not known here proves nothing gone. Forgotten by the worker,
-		// the task is off the list, and that does.
-		c.forgetIfTokenShown(reported)
+		// An unknown cause does not prove the task gone. Once the worker has forgotten
+		// the task, a heartbeat that does not list it is the proof.
+		c.forgetIfTokenAcknowledged(reported)
 		return
 	}
 	registry.endPlacement(c.worker, task, loss)
-	c.forgetIfTokenShown(reported)
+	c.forgetIfTokenAcknowledged(reported)
 }
 
-// takeCompleted takes in a recorded task that is done. Where the record has to say so, the
-// worker is told to forget it by a later answer, when that is durable.
-func (c *reconciliation) takeCompleted(task *taskstate.Task, reported *ReportedTask) {
+// processCompleted processes a recorded task that the worker lists as done. If the completion
+// has to be recorded, the forget command is sent with a later answer, once the record is
+// durable.
+func (c *reconciliation) processCompleted(task *taskstate.Task, reported *ReportedTask) {
 	registry := c.registry
-	c.worker.noteSuccess()
+	c.worker.recordSuccess()
 	task.Job.ConsecutiveFailures = 0
 	switch {
 	case task.Job.Gang != nil && !task.Job.Cancelled:
@@ -57,7 +59,7 @@
 		registry.tasks.TaskDone(task)
 		registry.GangDone(task.Job)
 	case task.Job.Spec.IsService():
-		// A replica is never done: it starts anew.
+		// A replica of a service is never done, so it is placed again.
 		registry.endPlacement(c.worker, task, taskstate.LossExited)
 		c.forget(reported)
 	case task.Job.Cancelled:
@@ -71,11 +73,12 @@
 	}
 }
 
-// noteTaskFailed takes note of a failure: workers that fail whatever they start get no more
-// tasks, and jobs that fail everywhere are slowed down.
-func (r *Registry) noteTaskFailed(worker *Worker, task *taskstate.Task) {
+// recordTaskFailure records the failure of a task on a worker. A worker that fails task after
+// task is drained, unless the job is the likely cause. A job whose tasks fail one after the
+// other is paused, for longer with each failure.
+func (r *Registry) recordTaskFailure(worker *Worker, task *taskstate.Task) {
 	job := task.Job
-	worker.noteFailure(job)
+	worker.recordFailure(job)
 	task.Queue.AvoidWorker = worker.ID
 	r.log.Info("task failed", "worker", worker.ID, "task", task.Name(), "count", worker.ConsecutiveFailures)
 	job.ConsecutiveFailures++
@@ -83,7 +86,8 @@
 		doublings := min(job.ConsecutiveFailures-tuning.SlowdownFailures, tuning.MaxFailurePauseDoublings)
 		job.NotBefore = r.runtime.Now() + min(tuning.MinFailurePause<<doublings, tuning.MaxFailurePause)
 	}
-	// With tasks of one job only, the job may be the cause: it is if it fails elsewhere too.
+	// If all failed tasks belong to one job, the job may be the cause. It is considered the
+	// cause if it fails on other workers too.
 	isWorkersFault := len(worker.FailedJobs) > 1 || job.ConsecutiveFailures < 2*worker.ConsecutiveFailures
 	if worker.ConsecutiveFailures >= tuning.FaultyWorkerFailures && isWorkersFault && worker.drain(drainReasonFailures) {
 		r.log.Warn("worker quarantined after failures", "worker", worker.ID, "count", worker.ConsecutiveFailures)
--- a/internal/workers/deaf_workers_test.go
+++ b/internal/workers/unreachable_workers_test.go
@@ -9,10 +9,10 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestDeafWorkerGetsNoTasksUntilItAnswersAProbe: a worker whose heartbeats arrive, but
+// TestUnreachableWorkerGetsNoTasksUntilItAnswersAProbe: a worker whose heartbeats arrive, but
 // which does not hear, gets no tasks after a few heartbeats, and no answers; when it answers
 // a probe it gets both again.
-func TestDeafWorkerGetsNoTasksUntilItAnswersAProbe(t *testing.T) {
+func TestUnreachableWorkerGetsNoTasksUntilItAnswersAProbe(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	sent := fixture.now
 	_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestOnlyThePresentTokenEndsDeafness: an answer under an earlier token is none to us.
-func TestOnlyThePresentTokenEndsDeafness(t *testing.T) {
+// TestProbeAnswerUnderAnEarlierTokenIsIgnored: an answer under an earlier token is none to us.
+func TestProbeAnswerUnderAnEarlierTokenIsIgnored(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	worker.Unreachable = true
--- a/internal/workers/wire.go
+++ b/internal/workers/wire.go
@@ -11,70 +11,70 @@
 	"lemonmoor/internal/jobs"
 )
 
-// NotOwnerBody is the body of the 503 by which a node answers that may not act for the
-// controllers: the worker tries the next node.
+// NotOwnerBody is the body of the 503 answer of a node that may not act for the controllers.
+// The worker then tries the next node.
 var NotOwnerBody = http1.ErrorBody("not the owner of this machine")
 
 // TaskPhase is the phase of a task on its machine (protocol, POST /agent/beat, "task
-// state"). Phases of later versions of the protocol are kept as they come.
+// state"). Unknown phases, from later versions of the protocol, are retained unchanged.
 type TaskPhase string
 
 // The phases of tasks.
 const (
 	PhaseFetching TaskPhase = "fetching" // waits for its image
-	PhaseWaiting  TaskPhase = "waiting"  // of a gang: has its image and waits for the others
+	PhaseWaiting  TaskPhase = "waiting"  // has its image and waits for the other tasks of its gang
 	PhaseRunning  TaskPhase = "running"
-	PhaseSaving   TaskPhase = "saving" // was told to halt and writes a checkpoint
+	PhaseSaving   TaskPhase = "saving" // was halted and writes a checkpoint
 	PhaseEnded    TaskPhase = "ended"  // see EndCause
 )
 
-// hasImage tells whether the phase shows that the task's image is on the machine.
+// hasImage reports whether the phase implies that the task's image is on the machine.
 func (p TaskPhase) hasImage() bool {
 	return p == PhaseRunning || p == PhaseSaving || p == PhaseWaiting
 }
 
-// EndCause is why a task has ended (protocol, POST /agent/beat, "why"). Causes of later
-// versions of the protocol are kept as they come.
+// EndCause is the cause of a task's end (protocol, POST /agent/beat, "why"). Unknown causes,
+// from later versions of the protocol, are retained unchanged.
 type EndCause string
 
-// The causes of ends.
+// The causes of a task's end.
 const (
 	CauseDone      EndCause = "done"       // completed
-	CauseHalted    EndCause = "halted"     // by command
+	CauseHalted    EndCause = "halted"     // halted by command
 	CauseError     EndCause = "error"      // failed
 	CauseFull      EndCause = "full"       // refused: not enough free resources
-	CauseBusy      EndCause = "busy"       // refused: there with another attempt
+	CauseBusy      EndCause = "busy"       // refused: another attempt of the task is on the machine
 	CauseUnknown   EndCause = "unknown"    // refused: the worker finds no such job or task
-	CauseAlone     EndCause = "alone"      // of a gang: the others never came
-	CauseMatesGone EndCause = "mates_gone" // of a gang that ran: another task is gone
+	CauseAlone     EndCause = "alone"      // the other tasks of its gang never arrived
+	CauseMatesGone EndCause = "mates_gone" // another task of its gang, which had started, is gone
 )
 
-// Verb is what a command asks for (protocol, POST /agent/beat, "Response").
+// Verb is the action that a command requests (protocol, POST /agent/beat, "Response").
 type Verb string
 
 // The verbs of commands.
 const (
-	VerbLaunch Verb = "launch" // start a task; no effect if the attempt is known there
-	VerbHalt   Verb = "halt"   // end a task, with a checkpoint if there is time for it
+	VerbLaunch Verb = "launch" // start a task; no effect if the worker already knows the attempt
+	VerbHalt   Verb = "halt"   // end a task, with a checkpoint if the wind-down time allows it
 	VerbForget Verb = "forget" // drop an ended task from the heartbeats
 )
 
-// Heartbeat is what a worker says of its machine, on its own account or in answer to
-// direct commands (protocol, POST /agent/beat).
+// Heartbeat describes a worker's machine and the tasks on it. Workers send it regularly and in
+// answer to direct commands (protocol, POST /agent/beat).
 type Heartbeat struct {
 	WorkerID          string         `json:"host"`
-	Addr              string         `json:"addr"` // host:port where it takes commands
+	Addr              string         `json:"addr"` // host:port at which the worker accepts commands
 	MachineType       string         `json:"build"`
 	Zone              string         `json:"yard"`
 	Spot              bool           `json:"loaners"`
-	Session           uint64         `json:"shift"` // grows when the worker's lease expires
-	Sequence          uint64         `json:"tick"`  // grows with each message of the worker
-	Token             uint64         `json:"baton"` // highest that the worker has seen
+	Session           uint64         `json:"shift"` // increases when the worker's lease expires
+	Sequence          uint64         `json:"tick"`  // increases with each message of the worker
+	Token             uint64         `json:"baton"` // highest token that the worker has seen
 	SpotNoticeSeconds *float64       `json:"warningS"`
-	Tasks             []ReportedTask `json:"pieces"` // all on the machine, ended ones until forgotten
+	Tasks             []ReportedTask `json:"pieces"` // all tasks on the machine; ended ones until forgotten
 }
 
-// ReportedTask is a task in a heartbeat.
+// ReportedTask is a task as listed in a heartbeat.
 type ReportedTask struct {
 	Name            string    `json:"piece"` // JOB/INDEX
 	Attempt         uint64    `json:"try"`
@@ -88,22 +88,24 @@
 	Verb     Verb   `json:"verb"`
 	TaskName string `json:"piece"`
 	Attempt  uint64 `json:"try"`
-	// WindDownSeconds is, for a halt, how long the task may take to write a checkpoint.
+	// WindDownSeconds is the time that a halted task has to write a checkpoint. It is nil
+	// for other verbs.
 	WindDownSeconds *float64 `json:"windDownS,omitempty"`
 }
 
-// CommandMessage is the answer to a heartbeat, and, with a session, a direct message
-// (protocol, POST /orders).
+// CommandMessage is the answer to a heartbeat or, with a session, a direct message to the
+// worker (protocol, POST /orders).
 type CommandMessage struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"shift,omitempty"`
 	Commands []Command `json:"orders"`
 }
 
-// ErrIncompleteHeartbeat says that a heartbeat does not name its worker or its session.
+// ErrIncompleteHeartbeat is returned for a heartbeat without a worker or without a session.
 var ErrIncompleteHeartbeat = errors.New(`report: "host" or "shift" missing`)
 
-// ParseHeartbeat reads a heartbeat. One without a worker or a session is an error.
+// ParseHeartbeat decodes a heartbeat from JSON. A heartbeat without a worker or a session is
+// an ErrIncompleteHeartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil {
@@ -115,7 +117,7 @@
 	return &heartbeat, nil
 }
 
-// parseTaskName divides a task's name, JOB/INDEX; not ok if it is none.
+// parseTaskName splits a task's name, JOB/INDEX. ok is false if the name is invalid.
 func parseTaskName(name string) (job string, index int, ok bool) {
 	job, number, ok := strings.Cut(name, "/")
 	if !ok || !jobs.ValidID(job) {
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -113,7 +113,7 @@
 	fixture.registry.runtime = recorder
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	fixture.now += time.Hour
-	fixture.registry.probeDeafWorker(fixture.registry.Worker("vm-1"), fixture.now)
+	fixture.registry.probeUnreachableWorker(fixture.registry.Worker("vm-1"), fixture.now)
 	if len(recorder.sent) != 1 || recorder.sent[0] != `w:1 POST /orders {"baton":1,"shift":1,"orders":[]}` {
 		t.Errorf("sent %q", recorder.sent)
 	}
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -9,8 +9,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Worker is what the registry knows of one worker and the machine that it runs on.
-// Moments are by the event loop's clock.
+// Worker is the registry's state of one worker and the machine that it runs on. Times are
+// those of the event loop's clock.
 type Worker struct {
 	ID string
 	Machine
@@ -22,98 +22,100 @@
 	images   ImageCache
 }
 
-// Machine is what a worker's heartbeats say of the machine that it runs on.
+// Machine describes the machine that a worker runs on, as reported in its heartbeats.
 type Machine struct {
-	Addr            string // host:port where the worker takes commands
+	Addr            string // host:port at which the worker accepts commands
 	Zone            string
 	Spot            bool
 	MachineTypeName string
 	MachineType     *jobs.MachineType // nil while no type of that name is known
 }
 
-// SessionState is how far the conversation with a worker has come: its session, the
-// fencing token that it has shown, and the lease by which its tasks live.
+// SessionState is the state of the communication with a worker: its session, the highest
+// fencing token that it has shown, and the lease that its tasks depend on.
 type SessionState struct {
 	HasReported     bool          // to this process
 	Session         uint64        // of its newest heartbeat
 	Sequence        uint64        // of its newest heartbeat
-	Token           uint64        // highest that it has shown
-	LastHeartbeatAt time.Duration // when its newest heartbeat came
-	// LeaseRenewedAt is the latest moment from which the worker's lease may run: no
-	// answer that renews it was given to a heartbeat received later. See lease.go.
+	Token           uint64        // highest token that it has shown
+	LastHeartbeatAt time.Duration // when its newest heartbeat arrived
+	// LeaseRenewedAt is the latest time from which the worker's lease may run: no
+	// heartbeat received later was answered so as to renew the lease. See lease.go.
 	LeaseRenewedAt time.Duration
-	LeaseExpired   bool // without a heartbeat; its tasks were taken for gone
+	LeaseExpired   bool // the lease expired without a heartbeat; its tasks are considered gone
 }
 
-// isStale tells whether a heartbeat is no newer than one that was taken in: it was held
-// back on its way, its list of tasks is old, and nobody waits for its answer.
+// isStale reports whether a heartbeat is no newer than one that was processed already. Such a
+// heartbeat was delayed on its way: its task list is outdated, and the worker no longer waits
+// for the answer.
 func (s *SessionState) isStale(heartbeat *Heartbeat) bool {
 	return heartbeat.Session < s.Session ||
 		(heartbeat.Session == s.Session && heartbeat.Sequence <= s.Sequence && s.HasReported)
 }
 
-// Load is what the tasks on a machine take of it, and what is reserved besides.
+// Load describes the tasks on a machine and the resources that they use or that are reserved.
 type Load struct {
 	Tasks map[*taskstate.Task]bool // placed here
-	// FetchingTasks counts those of Tasks that have not got their image yet, as far as
-	// one can tell.
+	// FetchingTasks is the number of Tasks whose image has not been reported to be on the
+	// machine.
 	FetchingTasks int
-	UnknownTasks  int             // tasks that the worker lists and the records don't
+	UnknownTasks  int             // tasks that the worker lists but the records do not place here
 	Used          resource.Vector // by Tasks
-	ServiceCPUs   float64         // processors that replicas of services use
-	Reserved      resource.Vector // for gangs that are expected
-	IdleSince     time.Duration   // when the last of Tasks left, or the worker came
+	ServiceCPUs   float64         // CPUs used by replicas of services
+	Reserved      resource.Vector // for expected gangs
+	IdleSince     time.Duration   // when the last of Tasks was removed, or the worker was added
 }
 
-// forgetTasks forgets the tasks of an earlier term. ServiceCPUs is left: it only steers
-// where placement puts services, and starts anew when the machine runs empty.
+// forgetTasks removes the tasks of an earlier term. ServiceCPUs is not reset: it only
+// influences where placement puts services, and is reset when the machine becomes empty.
 func (l *Load) forgetTasks() {
 	l.Tasks = map[*taskstate.Task]bool{}
 	l.Used, l.UnknownTasks, l.FetchingTasks = resource.Vector{}, 0, 0
 }
 
-// isEmpty tells whether no task is on the machine, as far as records and worker know.
+// isEmpty reports whether there is no task on the machine according to both the records and
+// the worker.
 func (l *Load) isEmpty() bool { return len(l.Tasks) == 0 && l.UnknownTasks == 0 }
 
-// Hearing tells whether the answers and commands sent to a worker reach it. That its
-// heartbeats arrive is no proof of it.
+// Reachability is the evidence on whether answers and commands reach a worker. The arrival of
+// its heartbeats does not prove that.
 type Reachability struct {
-	// Deaf: the worker's heartbeats arrive, but our answers don't reach it. It gets no
-	// tasks and no answers until it answers a probe.
+	// Unreachable means that the worker's heartbeats arrive but our answers do not reach
+	// it. The worker gets no tasks and no answers until it answers a probe.
 	Unreachable bool
-	// UnacknowledgedHeartbeats counts heartbeats in a row that do not show the token
-	// under which the one before was answered.
+	// UnacknowledgedHeartbeats counts consecutive heartbeats that do not show the token
+	// under which the previous one was answered.
 	UnacknowledgedHeartbeats int
-	// LostLaunches counts launches in a row that no heartbeat has ever listed.
-	LostLaunches int
-	deafSince    time.Duration
-	probedAt     time.Duration // when a deaf worker was last asked whether it hears
+	// LostLaunches counts consecutive launches that no heartbeat has listed.
+	LostLaunches     int
+	unreachableSince time.Duration
+	probedAt         time.Duration // when an unreachable worker was last probed
 }
 
-// seemsDeaf tells whether the evidence is enough to take the worker for deaf.
-func (h *Reachability) seemsDeaf() bool {
+// seemsUnreachable reports whether the evidence suffices to consider the worker unreachable.
+func (h *Reachability) seemsUnreachable() bool {
 	return h.UnacknowledgedHeartbeats >= tuning.DeafHeartbeats || h.LostLaunches >= tuning.DeafLaunches
 }
 
-func (h *Reachability) markDeaf(now time.Duration) {
-	h.Unreachable, h.deafSince, h.probedAt = true, now, now
+func (h *Reachability) markUnreachable(now time.Duration) {
+	h.Unreachable, h.unreachableSince, h.probedAt = true, now, now
 }
 
-func (h *Reachability) markHearing() {
+func (h *Reachability) markReachable() {
 	h.Unreachable, h.UnacknowledgedHeartbeats, h.LostLaunches = false, 0, 0
 }
 
-// Health is what speaks against giving a worker tasks, though it hears.
+// Health holds the reasons not to place tasks on a worker that is reachable.
 type Health struct {
-	DrainReason         string          // why it gets no more tasks, "" if it may
-	TerminationAt       time.Duration   // when the cloud takes the spot machine, 0: no notice
-	RefusesUntil        time.Duration   // it gets no tasks before: it said it is full
-	ConsecutiveFailures int             // tasks that failed here since one was done
-	FailedJobs          map[string]bool // jobs of those tasks
+	DrainReason         string          // why it gets no new tasks, "" if it is not drained
+	TerminationAt       time.Duration   // when the cloud takes the spot machine, 0 without a notice
+	RefusesUntil        time.Duration   // it gets no tasks before, since it refused one as full
+	ConsecutiveFailures int             // tasks that failed on it since one last completed
+	FailedJobs          map[string]bool // IDs of the jobs of those tasks
 }
 
-// drain stops new tasks on the worker; the first reason stays. It tells whether this is the
-// first.
+// drain stops new tasks on the worker. It reports whether the worker was not drained before;
+// if it was, the first reason is retained.
 func (h *Health) drain(reason string) bool {
 	if h.DrainReason != "" {
 		return false
@@ -122,29 +124,30 @@
 	return true
 }
 
-func (h *Health) noteFailure(job *taskstate.Job) {
+func (h *Health) recordFailure(job *taskstate.Job) {
 	h.ConsecutiveFailures++
 	h.FailedJobs[job.Spec.ID] = true
 }
 
-func (h *Health) noteSuccess() {
+func (h *Health) recordSuccess() {
 	h.ConsecutiveFailures = 0
 	clear(h.FailedJobs)
 }
 
-// commandDelivery is what is to be told to a worker directly, and what came of it.
+// commandDelivery is the state of the direct messages to a worker.
 type commandDelivery struct {
-	inFlight           bool          // a direct message is under way, and no other may leave
+	inFlight           bool          // a direct message is in flight, and no other may be sent
 	unansweredAt       time.Duration // when a direct message last went unanswered
-	probesTasks        bool          // its tasks are to be asked for, also without a command
+	taskProbeDue       bool          // a direct message is due even without commands, for the task list in its answer
 	announcementQueued bool          // see Registry.announceQueue
-	// pendingHalts go with the next direct message: halts of tasks that the records
-	// don't have, when the heartbeat that lists them must not be answered.
+	// pendingHalts are added to the next direct message. They halt the tasks of cancelled
+	// jobs in a heartbeat that must not be answered, including tasks that are not in the
+	// records.
 	pendingHalts []Command
 }
 
-// Free returns what new tasks may take of the machine: nothing while its type, or what
-// runs there, is not known.
+// Free returns the resources of the machine that are available to new tasks. It is zero while
+// the machine's type is not known or while the worker lists tasks that are not in the records.
 func (w *Worker) Free() resource.Vector {
 	if w.MachineType == nil || w.UnknownTasks > 0 {
 		return resource.Vector{}
@@ -152,7 +155,7 @@
 	return w.MachineType.Resources().Minus(w.Used)
 }
 
-// AddTask notes that a task takes resources of the machine.
+// AddTask adds a task to the machine's load.
 func (w *Worker) AddTask(task *taskstate.Task) {
 	spec := task.Job.Spec
 	w.Tasks[task] = true
@@ -163,7 +166,7 @@
 	w.UseImage(spec.Image, spec.ImageGB)
 }
 
-// RemoveTask notes that a task takes nothing of the machine any more.
+// RemoveTask removes a task from the machine's load.
 func (w *Worker) RemoveTask(task *taskstate.Task) {
 	spec := task.Job.Spec
 	delete(w.Tasks, task)
@@ -171,15 +174,16 @@
 	if spec.IsService() {
 		w.ServiceCPUs -= spec.CPUs
 	}
-	if len(w.Tasks) == 0 { // sums of decimal amounts are not exact
+	if len(w.Tasks) == 0 { // clears rounding errors of the floating-point sums
 		w.Used, w.ServiceCPUs = resource.Vector{}, 0
 	}
 }
 
-// HasImage tells whether the machine has, or is fetching, an image.
+// HasImage reports whether the machine has, or is fetching, an image.
 func (w *Worker) HasImage(image string) bool { return w.images.Contains(image) }
 
-// UseImage notes that a task with an image of a size in gigabytes starts on the machine.
+// UseImage records that a task with an image of the given size, in gigabytes, starts on the
+// machine.
 func (w *Worker) UseImage(image string, sizeGB float64) {
 	w.images.Use(image, sizeGB, w.MachineType)
 }
--- a/internal/workers/zones.go
+++ b/internal/workers/zones.go
@@ -7,14 +7,15 @@
 	"lemonmoor/internal/tuning"
 )
 
-// zoneState is what the registry knows of a zone as a whole. One that is partitioned from
-// this node falls silent at once, long before each of its workers counts as late.
+// zoneState is the registry's state of a zone as a whole. All workers of a zone that is
+// partitioned from this node fall silent at once, which shows long before each of them is
+// silent for long enough to be suspect.
 type zoneState struct {
 	lastHeartbeatAt  time.Duration // of any worker there
-	reportingWorkers int           // that have reported to this process, as of the last Tick
+	reportingWorkers int           // workers that have reported to this process, as of the last Tick
 }
 
-// ensureZone finds or makes a zone's entry.
+// ensureZone returns the entry of a zone, creating it if there is none.
 func (r *Registry) ensureZone(name string) *zoneState {
 	zone := r.zones[name]
 	if zone == nil {
@@ -24,8 +25,8 @@
 	return zone
 }
 
-// ReachableZones lists the zones from which a heartbeat has come of late, in the order of
-// their names.
+// ReachableZones returns the names, sorted, of the zones from which a heartbeat has arrived
+// within the last ZonePartitionAfter.
 func (r *Registry) ReachableZones() []string {
 	var names []string
 	for name, zone := range r.zones {
@@ -37,8 +38,8 @@
 	return names
 }
 
-// isZonePartitioned tells whether a zone seems to be partitioned from this node: it has
-// many workers, and none has sent a heartbeat for a while, though those of others have.
+// isZonePartitioned reports whether a zone seems to be partitioned from this node: it has many
+// workers, none of them has sent a heartbeat for a while, and those of other zones have.
 func (r *Registry) isZonePartitioned(name string) bool {
 	zone := r.zones[name]
 	if zone == nil || !r.settings.IsZonePartitioned(zone.reportingWorkers, r.runtime.Now()-max(zone.lastHeartbeatAt, r.listeningSince)) {
