--- a/internal/workers/announcements_test.go
+++ b/internal/workers/announcements_test.go
@@ -11,9 +11,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestNewTokenIsAnnouncedToLiveWorkersFirst guards against a takeover that waits: of hundreds
-// of workers, those heard of late are told of the new token before any that have been
-// silent, each of which is waited for to no purpose.
+// TestNewTokenIsAnnouncedToLiveWorkersFirst checks that workers with a recent heartbeat are
+// told of a new token before silent ones. Each announcement to a silent worker occupies a slot
+// until it times out, so hundreds of them would delay a takeover.
 func TestNewTokenIsAnnouncedToLiveWorkersFirst(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	const all = 900
@@ -32,12 +32,12 @@
 	for announced := 0; announced < all; {
 		fixture.registry.AfterBatch()
 		if len(fixture.calls) == 0 || len(fixture.calls) > tuning.MaxConcurrentAnnouncements {
-			t.Fatalf("%d machines are told at a time after %d", len(fixture.calls), announced)
+			t.Fatalf("after %d announcements: %d in flight, want 1 to %d", announced, len(fixture.calls), tuning.MaxConcurrentAnnouncements)
 		}
 		announced += len(fixture.calls)
 		for i, worker := range fixture.registry.announceQueue {
 			if worker.Zone == "b" && announced >= all*2/3 {
-				t.Fatalf("%s, heard of late, is number %d in line after %d", worker.ID, i, announced)
+				t.Fatalf("after %d announcements: %s, which reported recently, is still at position %d of the queue", announced, worker.ID, i)
 			}
 		}
 		calls := fixture.calls
@@ -48,14 +48,15 @@
 	}
 }
 
-// TestAnnouncementAnswerMustBeTheWorkersOwnAndCurrent: it counts only if it is the machine's own, of its newest session
-// and under the token announced.
+// TestAnnouncementAnswerMustBeTheWorkersOwnAndCurrent checks that the answer to an
+// announcement counts as a heartbeat only if it comes from the same worker, from its newest
+// session and under the announced token.
 func TestAnnouncementAnswerMustBeTheWorkersOwnAndCurrent(t *testing.T) {
 	for name, change := range map[string]func(*Heartbeat){
 		"own and current":    func(*Heartbeat) {},
 		"of another machine": func(heartbeat *Heartbeat) { heartbeat.WorkerID = "vm-2" },
 		"of another token":   func(heartbeat *Heartbeat) { heartbeat.Token-- },
-		"of a session over":  func(heartbeat *Heartbeat) { heartbeat.Session-- },
+		"of an old session":  func(heartbeat *Heartbeat) { heartbeat.Session-- },
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newRegistryFixture(1)
@@ -74,7 +75,7 @@
 			}
 			direct.fn(http1.Response{Status: 200, Body: raw}, nil)
 			if counts := worker.LastHeartbeatAt > lastHeartbeatAt; counts != (name == "own and current") {
-				t.Errorf("answer %s counts: %v", name, counts)
+				t.Errorf("answer %s: counts as a heartbeat: %v, want %v", name, counts, !counts)
 			}
 		})
 	}
--- a/internal/workers/benchmarks_test.go
+++ b/internal/workers/benchmarks_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkHeartbeat shows the cost of a heartbeat by the tasks on the machine.
+// BenchmarkHeartbeat measures the processing of a heartbeat by the number of listed tasks.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, tasks := range []int{2, 8, 64} {
 		b.Run(fmt.Sprint(tasks, "tasks"), func(b *testing.B) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkTick shows the cost of a tick, by their number.
+// BenchmarkTick measures a tick by the number of machines.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000} {
 		b.Run(fmt.Sprint(n, "machines"), func(b *testing.B) {
--- a/internal/workers/cancellations_test.go
+++ b/internal/workers/cancellations_test.go
@@ -12,8 +12,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestWorkerWithALongCancelledTaskIsNotAnswered: its lease would run on from the answer past
-// the users' limit, whether the records have the task or only the worker's list.
+// TestWorkerWithALongCancelledTaskIsNotAnswered checks that a worker's heartbeat is not
+// answered once the answer would extend its lease, and so a cancelled task, past the users'
+// limit. This holds whether the records have the task or only the worker lists it.
 func TestWorkerWithALongCancelledTaskIsNotAnswered(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		t.Run(fmt.Sprint("recorded ", recorded), func(t *testing.T) {
@@ -27,18 +28,18 @@
 			}
 			fixture.now += fixture.registry.settings.MaxKnowledgeAge() - time.Second
 			if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 {
-				t.Errorf("answered %d in time", status)
+				t.Errorf("recorded %v, within the limit: answered %d, want 200", recorded, status)
 			}
 			fixture.now += time.Second
 			if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 {
-				t.Errorf("on record %v: answered %d though its lease would run past the limit", recorded, status)
+				t.Errorf("recorded %v, lease would run past the limit: answered %d, want 503", recorded, status)
 			}
 		})
 	}
 }
 
-// TestHaltOfACancelledTaskIsRepeated: a direct message to end it may be lost, so it is sent again
-// until the task is proven gone.
+// TestHaltOfACancelledTaskIsRepeated checks that the halt of a cancelled task is sent again
+// until the task is proven gone, since a direct message may be lost.
 func TestHaltOfACancelledTaskIsRepeated(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
@@ -49,7 +50,7 @@
 		direct := fixture.sendDirectMessage(t)
 		var message CommandMessage
 		if err := json.Unmarshal(direct.body, &message); err != nil || !hasVerb(message.Commands, "halt") {
-			t.Fatalf("try %d: told %s", try, direct.body)
+			t.Fatalf("message %d: sent %s, error %v, want a halt", try, direct.body, err)
 		}
 		direct.fn(http1.Response{}, eventloop.ErrNoAnswer)
 		fixture.now += tuning.HaltRetryInterval
@@ -60,6 +61,6 @@
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if task.State != taskstate.StateDropped {
-		t.Errorf("state %v when it has ended", task.State)
+		t.Errorf("after the task ended: state %v, want %v", task.State, taskstate.StateDropped)
 	}
 }
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -10,32 +10,34 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestCommandAnswersOfAnEarlierTermAreDropped: the records have been read anew since; what an
-// earlier message came to keeps no tasks away and lets no second message leave at a time.
+// TestCommandAnswersOfAnEarlierTermAreDropped checks that the outcome of a direct message
+// from an earlier term, whose records have been reloaded since, is ignored. Otherwise it would
+// close the worker to new tasks and allow a second direct message while one is in flight.
 func TestCommandAnswersOfAnEarlierTermAreDropped(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
-	late := fixture.sendDirectMessage(t)
+	delayed := fixture.sendDirectMessage(t)
 	fixture.job.Tasks[0].State, fixture.job.Tasks[0].WorkerID = taskstate.StateWaiting, ""
 	fixture.beginTerm()
 	fixture.calls = nil // the announcement
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.placeTask(1)
 	fixture.sendDirectMessage(t)
-	late.fn(http1.Response{}, eventloop.ErrNoAnswer)
+	delayed.fn(http1.Response{}, eventloop.ErrNoAnswer)
 	if !fixture.registry.AcceptsTasks(worker) || !worker.delivery.inFlight {
-		t.Errorf("accepts tasks: %v, a message is under way: %v", fixture.registry.AcceptsTasks(worker), worker.delivery.inFlight)
+		t.Errorf("after the late outcome: accepts tasks %v, message in flight %v, want true, true", fixture.registry.AcceptsTasks(worker), worker.delivery.inFlight)
 	}
 }
 
-// TestCommandAnswersFromOthersOrStaleAreIgnored: an answer of another machine leaves the launch
-// in doubt; one that a newer heartbeat has overtaken, or of another session, is not read.
+// TestCommandAnswersFromOthersOrStaleAreIgnored checks that the answer of another machine
+// leaves the launch in doubt, and that the task list of an answer from another session, or
+// older than a processed heartbeat, is ignored.
 func TestCommandAnswersFromOthersOrStaleAreIgnored(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		do    func(*registryFixture, *Heartbeat)
-		doubt bool
+		name    string
+		do      func(*registryFixture, *Heartbeat)
+		inDoubt bool
 	}{
 		{"another machine", func(_ *registryFixture, heartbeat *Heartbeat) { heartbeat.WorkerID = "vm-2" }, true},
 		{"another session", func(_ *registryFixture, heartbeat *Heartbeat) { heartbeat.Session = 2 }, false},
@@ -55,15 +57,15 @@
 				t.Fatal(err)
 			}
 			direct.fn(http1.Response{Status: 200, Body: raw}, nil)
-			if worker.UnknownTasks > 0 || task.Launch.InDoubt != test.doubt {
-				t.Errorf("tasks not on record: %d, in doubt: %v", worker.UnknownTasks, task.Launch.InDoubt)
+			if worker.UnknownTasks > 0 || task.Launch.InDoubt != test.inDoubt {
+				t.Errorf("after the answer: %d unknown tasks, want 0; launch in doubt %v, want %v", worker.UnknownTasks, task.Launch.InDoubt, test.inDoubt)
 			}
 		})
 	}
 }
 
-// TestOneDirectMessageAtATime: what is placed while a message is under way to the worker leaves
-// when that is answered.
+// TestOneDirectMessageAtATime checks that the launch of a task placed while a direct message
+// to the worker is in flight is sent only after that message has been answered.
 func TestOneDirectMessageAtATime(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
@@ -71,30 +73,31 @@
 	first := fixture.sendDirectMessage(t)
 	fixture.placeTask(1)
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
-		t.Fatal("a second message has left")
+		t.Fatalf("while a direct message is in flight: %d more sent, want 0", len(fixture.calls))
 	}
 	first.fn(fixture.deliverDirect(first), nil)
 	fixture.sendDirectMessage(t)
 }
 
-// TestNoCommandsWithoutAValidLease: an owner whose lease is not surely valid launches nothing,
-// neither directly nor with an answer.
+// TestNoCommandsWithoutAValidLease checks that an owner whose lease may have expired launches
+// nothing, neither by direct message nor with an answer.
 func TestNoCommandsWithoutAValidLease(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	fixture.placeTask(0)
 	fixture.leaseInvalid = true
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
-		t.Error("a direct message has left")
+		t.Errorf("without a valid lease: %d direct messages sent, want 0", len(fixture.calls))
 	}
 	fixture.now += time.Second
 	if _, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); len(commandsOf(t, body)) > 0 {
-		t.Errorf("told %s", body)
+		t.Errorf("without a valid lease: answered %s, want no commands", body)
 	}
 }
 
-// TestLaunchNeedsCancellationsVerifiedAfterThePlacement: a launch leaves only when it is verified, as of a moment
-// after the placement, that the job is not cancelled; neither directly nor with an answer.
+// TestLaunchNeedsCancellationsVerifiedAfterThePlacement checks that a launch is sent, by direct
+// message or with an answer, only once it is verified as of a time after the placement that
+// the job is not cancelled.
 func TestLaunchNeedsCancellationsVerifiedAfterThePlacement(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
@@ -102,18 +105,18 @@
 	fixture.now += time.Millisecond
 	fixture.placeTask(0)
 	if fixture.registry.AfterBatch(); len(fixture.calls) > 0 {
-		t.Error("a direct message has left")
+		t.Errorf("before the verification: %d direct messages sent, want 0", len(fixture.calls))
 	}
 	fixture.now += time.Second
 	if _, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); len(commandsOf(t, body)) > 0 {
-		t.Errorf("told %s", body)
+		t.Errorf("before the verification: answered %s, want no commands", body)
 	}
 	fixture.verifiedAt = fixture.now
 	fixture.sendDirectMessage(t)
 }
 
-// TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat: a worker that has left a
-// command unanswered gets no more tasks before its next heartbeat.
+// TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat checks that a worker that left a
+// command unanswered gets no new tasks before its next heartbeat.
 func TestUnansweredCommandKeepsTasksAwayUntilTheNextHeartbeat(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -126,19 +129,19 @@
 	fixture.registry.PlacementDurable(task)
 	fixture.registry.AfterBatch()
 	if len(fixture.calls) != 1 || !fixture.registry.AcceptsTasks(worker) {
-		t.Fatalf("%d messages, accepts tasks: %v", len(fixture.calls), fixture.registry.AcceptsTasks(worker))
+		t.Fatalf("after the placement: %d messages, accepts tasks %v, want 1, true", len(fixture.calls), fixture.registry.AcceptsTasks(worker))
 	}
 	fixture.now += 2 * time.Second
 	fixture.calls[0].fn(http1.Response{}, eventloop.ErrNoAnswer)
 	if fixture.registry.AcceptsTasks(worker) {
-		t.Error("it is given more")
+		t.Error("after an unanswered command: the worker accepts tasks, want none until its next heartbeat")
 	}
 	fixture.now += time.Second
-	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // which makes the registry take a new token
-	task.Launch.InDoubt = false                           // which settles it: tasks are read anew
+	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // the launch in doubt makes the registry renew the token
+	task.Launch.InDoubt = false                           // as after reloading the records under the new token
 	fixture.worker.token = fixture.token
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if !fixture.registry.AcceptsTasks(worker) {
-		t.Error("it has reported and gets nothing")
+		t.Error("after its next heartbeat: the worker accepts no tasks")
 	}
 }
--- a/internal/workers/drains_test.go
+++ b/internal/workers/drains_test.go
@@ -8,24 +8,24 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestTasksLeaveDrainedWorkers: replicas leave a worker that is drained, and tasks
-// that can write a checkpoint are halted in time before the cloud takes their machine;
-// others run on.
+// TestTasksLeaveDrainedWorkers checks that replicas of services leave a drained worker, that
+// tasks with checkpoints are halted in time before the cloud takes their machine, and that
+// other tasks run on.
 func TestTasksLeaveDrainedWorkers(t *testing.T) {
 	for name, test := range map[string]struct {
-		shape     jobs.Shape
-		saveEvery float64
-		notice    float64
-		moves     bool
+		shape              jobs.Shape
+		checkpointInterval float64
+		notice             float64
+		halted             bool
 	}{
-		"a replica":                {"daemon", 0, 60, true},
-		"a task without saves":     {"array", 0, 6, false},
-		"a task that saves":        {"array", 30, 6, true},
-		"a task that saves, early": {"array", 30, 60, false},
+		"replica":                             {"daemon", 0, 60, true},
+		"task without checkpoints":            {"array", 0, 6, false},
+		"task with checkpoints":               {"array", 30, 6, true},
+		"task with checkpoints, early notice": {"array", 30, 60, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newRegistryFixture(1)
-			fixture.job.Spec.Shape, fixture.job.Spec.CheckpointIntervalSeconds, fixture.job.Spec.CheckpointSeconds = test.shape, test.saveEvery, 4
+			fixture.job.Spec.Shape, fixture.job.Spec.CheckpointIntervalSeconds, fixture.job.Spec.CheckpointSeconds = test.shape, test.checkpointInterval, 4
 			fixture.worker.token = fixture.token
 			fixture.registry.HandleHeartbeat(fixture.heartbeat())
 			task := fixture.job.Tasks[0]
@@ -41,15 +41,15 @@
 			fixture.registry.Tick()
 			fixture.calls = nil
 			fixture.registry.AfterBatch()
-			if task.Halt.Decided != test.moves || len(fixture.calls) > 0 != test.moves {
-				t.Errorf("halt decided: %v, %d messages", task.Halt.Decided, len(fixture.calls))
+			if task.Halt.Decided != test.halted || len(fixture.calls) > 0 != test.halted {
+				t.Errorf("after a notice of %v s: halt decided %v, %d messages, want %v for both", test.notice, task.Halt.Decided, len(fixture.calls), test.halted)
 				return
 			}
-			if test.moves {
+			if test.halted {
 				fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
 				fixture.registry.HandleHeartbeat(fixture.heartbeat())
 				if task.State != taskstate.StateWaiting {
-					t.Errorf("it is not free for another worker")
+					t.Errorf("after the halt: state %v, want %v", task.State, taskstate.StateWaiting)
 				}
 			}
 		})
--- a/internal/workers/fixture_test.go
+++ b/internal/workers/fixture_test.go
@@ -15,30 +15,31 @@
 	"lemonmoor/internal/tuning"
 )
 
-// registryFixture is a registry with one machine: its runtime, lease, task store and worker. The
-// worker keeps the protocol: sessions, leases, tokens, attempts.
+// registryFixture is a registry with one machine. It implements the registry's dependencies
+// and simulates a worker that follows the protocol: sessions, leases, tokens and attempts.
 type registryFixture struct {
 	now               time.Duration
 	token             uint64
 	registry          *Registry
 	job               *taskstate.Job
-	calls             []sentRequest // direct messages on their way
+	calls             []sentRequest // direct messages in flight
 	onTaskWaiting     func(*taskstate.Task)
 	rejectsHeartbeats bool      // heartbeats are not answered
 	phase             TaskPhase // of the tasks in heartbeats, "" for running
 	// cancelledAt is when the user was told that the job is cancelled, 0 for never;
-	// verifiedAt is up to when the owner knows of cancellations, if it needs to.
+	// verifiedAt is the time up to which the owner knows all cancellations, used if
+	// needsVerification is set.
 	cancelledAt, verifiedAt   time.Duration
 	needsVerification         bool
-	tokenRenewalFails         bool          // no new token is to be had
-	leaseInvalid              bool          // the lease is not surely valid
+	tokenRenewalFails         bool          // RenewToken has no effect
+	leaseInvalid              bool          // the lease may have expired
 	closedByDrain             bool          // operators' drains keep new tasks off the machine
-	previousOwnerAnswersUntil time.Duration // until then an earlier owner may answer
+	previousOwnerAnswersUntil time.Duration // latest time at which an earlier owner may answer
 	worker                    struct {
 		session, sequence, token uint64
 		leaseRenewedAt           time.Duration
 		tasks                    map[string]uint64 // attempts of running tasks
-		everLaunched             map[string]bool   // task@attempt, ever launched in this session
+		everLaunched             map[string]bool   // task@attempt of all launches in this session
 	}
 }
 
@@ -127,7 +128,7 @@
 	return fixture
 }
 
-// expireLease ends the worker's session when its lease has run out.
+// expireLease ends the worker's session if its lease has expired.
 func (f *registryFixture) expireLease() {
 	if worker := &f.worker; f.now-worker.leaseRenewedAt > f.registry.settings.WorkerLease() {
 		worker.session++
@@ -152,7 +153,7 @@
 	return heartbeat
 }
 
-// executeCommands carries commands out.
+// executeCommands executes commands on the worker.
 func (f *registryFixture) executeCommands(token uint64, commands []Command) {
 	worker := &f.worker
 	worker.token = token
@@ -163,7 +164,7 @@
 				worker.everLaunched[key] = true
 				worker.tasks[command.TaskName] = command.Attempt
 			}
-		case VerbForget: // only ended tasks, which this worker does not keep
+		case VerbForget: // applies to ended tasks, which this worker does not list
 		case VerbHalt:
 			if worker.tasks[command.TaskName] == command.Attempt {
 				delete(worker.tasks, command.TaskName)
@@ -172,7 +173,7 @@
 	}
 }
 
-// receiveAnswer takes the answer to a heartbeat that was sent at a time.
+// receiveAnswer delivers to the worker the answer to a heartbeat that was sent at sentAt.
 func (f *registryFixture) receiveAnswer(body []byte, session uint64, sentAt time.Duration) {
 	f.expireLease()
 	var message CommandMessage
@@ -183,7 +184,7 @@
 	f.executeCommands(message.Token, message.Commands)
 }
 
-// deliverDirect carries a direct message out, perhaps late.
+// deliverDirect delivers a direct message, possibly late, to the worker and returns the answer.
 func (f *registryFixture) deliverDirect(direct sentRequest) http1.Response {
 	f.expireLease()
 	var message CommandMessage
@@ -196,13 +197,13 @@
 	return http1.Response{Status: 200, Body: raw}
 }
 
-// placeAndLaunchAll places all tasks of the job on the machine and lets the worker
-// launch them.
+// placeAndLaunchAll places all tasks of the job on the machine and delivers the launches to the
+// worker.
 func (f *registryFixture) placeAndLaunchAll(t *testing.T) *Worker {
 	t.Helper()
 	status, body := f.registry.HandleHeartbeat(f.heartbeat())
 	if status != 200 {
-		t.Fatal(status)
+		t.Fatalf("first heartbeat: answered %d, want 200", status)
 	}
 	f.receiveAnswer(body, f.worker.session, f.now)
 	f.now += time.Second
@@ -217,7 +218,7 @@
 		f.registry.PlacementDurable(task)
 		if n++; f.job.Gang != nil && n < len(f.job.Tasks) {
 			if f.registry.AfterBatch(); len(f.calls) > 0 {
-				t.Fatal("launched before the last placement was durable")
+				t.Fatalf("with %d of %d placements durable: %d direct messages sent, want 0", n, len(f.job.Tasks), len(f.calls))
 			}
 		}
 	}
@@ -230,7 +231,8 @@
 	return worker
 }
 
-// reportAll reports all tasks in a phase, and returns the commands of the answer.
+// reportAll sends a heartbeat that lists all tasks in the given phase, and returns the commands
+// of the answer.
 func (f *registryFixture) reportAll(t *testing.T, phase TaskPhase, cause EndCause) []Command {
 	t.Helper()
 	f.now += time.Second
@@ -241,12 +243,13 @@
 	status, body := f.registry.HandleHeartbeat(heartbeat)
 	var message CommandMessage
 	if status != 200 || json.Unmarshal(body, &message) != nil {
-		t.Fatal(status, string(body))
+		t.Fatalf("heartbeat with phase %q: answered %d %s, want 200 and commands", phase, status, body)
 	}
 	return message.Commands
 }
 
-// exchangeHeartbeats has the worker send a heartbeat and hear the answer, and then show the token.
+// exchangeHeartbeats has the worker send two heartbeats and receive the answers. The second one
+// shows the token of the first answer.
 func (f *registryFixture) exchangeHeartbeats(t *testing.T) *Worker {
 	t.Helper()
 	for range 2 {
@@ -254,14 +257,14 @@
 		sentAt, heartbeat := f.now, f.heartbeat()
 		status, body := f.registry.HandleHeartbeat(heartbeat)
 		if status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("heartbeat: answered %d, want 200", status)
 		}
 		f.receiveAnswer(body, heartbeat.Session, sentAt)
 	}
 	return f.registry.Worker("vm-1")
 }
 
-// placeTask gives a task to the machine; the placement is durable at once.
+// placeTask places a task on the machine and makes the placement durable at once.
 func (f *registryFixture) placeTask(index int) *taskstate.Task {
 	task := f.job.Tasks[index]
 	f.registry.PlaceTask(task, f.registry.Worker("vm-1"))
@@ -270,19 +273,20 @@
 	return task
 }
 
-// sendDirectMessage lets a direct message leave, which must be the only one, and returns it.
+// sendDirectMessage has the registry send its due direct messages, requires that there is
+// exactly one, and returns it.
 func (f *registryFixture) sendDirectMessage(t *testing.T) sentRequest {
 	t.Helper()
 	f.registry.AfterBatch()
 	if len(f.calls) != 1 {
-		t.Fatalf("%d direct messages", len(f.calls))
+		t.Fatalf("%d direct messages sent, want 1", len(f.calls))
 	}
 	direct := f.calls[0]
 	f.calls = nil
 	return direct
 }
 
-// commandsOf reads the commands of an answer to a heartbeat.
+// commandsOf decodes the commands of an answer to a heartbeat.
 func commandsOf(t *testing.T, body []byte) []Command {
 	t.Helper()
 	var message CommandMessage
--- a/internal/workers/gangs_test.go
+++ b/internal/workers/gangs_test.go
@@ -7,9 +7,9 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestGangEndCausesAreNotFailures: alone and mates_gone say nothing against the machine
-// or the job, however often; a gang that was never complete is tried again after a
-// pause that grows.
+// TestGangEndCausesAreNotFailures checks that the causes alone and mates_gone never count as
+// failures of the machine or the job, even if repeated, and that a gang that was never complete
+// is retried after increasing pauses.
 func TestGangEndCausesAreNotFailures(t *testing.T) {
 	for _, cause := range []EndCause{CauseAlone, CauseMatesGone} {
 		t.Run(string(cause), func(t *testing.T) {
@@ -22,14 +22,14 @@
 				fixture.reportAll(t, "ended", cause)
 				clear(fixture.worker.tasks)
 				if worker.DrainReason != "" || worker.ConsecutiveFailures > 0 || fixture.job.ConsecutiveFailures > 0 {
-					t.Fatalf("%s counts as a fault: %+v", cause, worker)
+					t.Fatalf("cause %s counts as a failure: job failures %d, worker %+v", cause, fixture.job.ConsecutiveFailures, worker)
 				}
 				if fixture.job.Gang.Attempt != 0 || len(worker.Tasks) != 0 {
-					t.Fatalf("%s: the attempt is not through", cause)
+					t.Fatalf("cause %s: attempt %d with %d tasks on the machine, want no attempt and no tasks", cause, fixture.job.Gang.Attempt, len(worker.Tasks))
 				}
 				if wait := fixture.job.NotBefore - fixture.now; cause == "alone" {
 					if attempt > 0 && wait <= pause {
-						t.Errorf("round %d: a pause of %v after one of %v", attempt, wait, pause)
+						t.Errorf("attempt %d: pause of %v, want longer than the previous %v", attempt, wait, pause)
 					}
 					pause = wait
 				}
@@ -39,8 +39,9 @@
 	}
 }
 
-// TestOneTaskDoneMeansTheGangIsDone: one task of a gang proven done means that all are; those not
-// heard of occupy their places until they are proven gone, and nothing is launched.
+// TestOneTaskDoneMeansTheGangIsDone checks that the completion of one task of a gang completes
+// the gang, that the other tasks occupy the machine until they are proven gone, and that none
+// of them is launched again.
 func TestOneTaskDoneMeansTheGangIsDone(t *testing.T) {
 	fixture := newGangFixture(3)
 	worker := fixture.placeAndLaunchAll(t)
@@ -57,7 +58,7 @@
 	}
 	fixture.registry.HandleHeartbeat(heartbeat)
 	if !fixture.job.Gang.Done || len(worker.Tasks) != 2 {
-		t.Fatalf("done %v, %d tasks on the machine", fixture.job.Gang.Done, len(worker.Tasks))
+		t.Fatalf("after one task completed: gang done %v, %d tasks on the machine, want true, 2", fixture.job.Gang.Done, len(worker.Tasks))
 	}
 	waiting := 0
 	fixture.onTaskWaiting = func(*taskstate.Task) { waiting++ }
@@ -65,10 +66,10 @@
 	fixture.registry.Tick() // the machine stays silent
 	for _, task := range fixture.job.Tasks {
 		if task.State != taskstate.StateDone {
-			t.Errorf("task %d is in state %d", task.Index, task.State)
+			t.Errorf("after the worker's lease expired: task %d in state %v, want %v", task.Index, task.State, taskstate.StateDone)
 		}
 	}
 	if waiting > 0 || len(fixture.job.TasksToPlace()) > 0 {
-		t.Error("something of it would be launched again")
+		t.Errorf("after the gang completed: %d tasks became waiting, %d to place, want 0, 0", waiting, len(fixture.job.TasksToPlace()))
 	}
 }
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -7,8 +7,9 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestLateHeartbeatsAreDropped: one of the same session and an earlier sequence, or of an
-// earlier session, is not answered and is no sign of life.
+// TestLateHeartbeatsAreDropped checks that a heartbeat of an earlier session, or of the same
+// session with a sequence number that is no higher, is not answered and does not count as
+// activity of the worker.
 func TestLateHeartbeatsAreDropped(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	old := fixture.heartbeat()
@@ -23,13 +24,13 @@
 		"copy":     old,
 	} {
 		if status, _ := fixture.registry.HandleHeartbeat(heartbeat); status != 503 || worker.LastHeartbeatAt != lastHeartbeatAt || worker.Session != 2 || worker.Sequence != 2 {
-			t.Errorf("%s: answered %d, heard %v later, session %d, sequence %d", name, status, worker.LastHeartbeatAt-lastHeartbeatAt, worker.Session, worker.Sequence)
+			t.Errorf("late heartbeat (%s): answered %d, last heartbeat moved by %v, session %d, sequence %d, want 503, 0, 2, 2", name, status, worker.LastHeartbeatAt-lastHeartbeatAt, worker.Session, worker.Sequence)
 		}
 	}
 }
 
-// TestHeartbeatOfANewerOwnersWorkerIsRefused: a worker that has seen a newer token has
-// another owner.
+// TestHeartbeatOfANewerOwnersWorkerIsRefused checks that a heartbeat with a newer token than
+// the registry's is refused, since the worker then has another owner.
 func TestHeartbeatOfANewerOwnersWorkerIsRefused(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
@@ -37,23 +38,24 @@
 	fixture.now += time.Second
 	fixture.worker.token = fixture.token + 1
 	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 || worker.LastHeartbeatAt != lastHeartbeatAt {
-		t.Errorf("answered %d, heard %v later", status, worker.LastHeartbeatAt-lastHeartbeatAt)
+		t.Errorf("heartbeat with a newer token: answered %d, last heartbeat moved by %v, want 503, 0", status, worker.LastHeartbeatAt-lastHeartbeatAt)
 	}
 }
 
-// TestHeartbeatOfAReleasedMachineIsRefused: a heartbeat that was under way when the cloud took the
-// machine back brings it back for nobody.
+// TestHeartbeatOfAReleasedMachineIsRefused checks that a heartbeat that was in flight when the
+// cloud took the machine back does not add its worker to the registry again.
 func TestHeartbeatOfAReleasedMachineIsRefused(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	fixture.registry.MachineReleased("vm-1")
 	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 503 || fixture.registry.Worker("vm-1") != nil {
-		t.Errorf("answered %d, known %v", status, fixture.registry.Worker("vm-1") != nil)
+		t.Errorf("heartbeat of a released machine: answered %d, worker known %v, want 503, false", status, fixture.registry.Worker("vm-1") != nil)
 	}
 }
 
-// TestLateCopyOfAHeartbeatChangesNothing: a late copy of a heartbeat opens no worker for a
-// new owner, proves no task gone, and never moves the lease's end to earlier.
+// TestLateCopyOfAHeartbeatChangesNothing checks that a late copy of a heartbeat does not make
+// a worker accept tasks of a new owner, proves no task gone, and never moves the end of the
+// worker's lease to earlier.
 func TestLateCopyOfAHeartbeatChangesNothing(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	old := fixture.heartbeat()
@@ -70,6 +72,7 @@
 	fixture.now += time.Minute / 2
 	fixture.registry.HandleHeartbeat(old)
 	if task.State != taskstate.StatePlaced || fixture.registry.AcceptsTasks(worker) || fixture.registry.leaseExpiresAt(worker) < end {
-		t.Errorf("task %v, open %v, lease ends %v, before %v", task.State, fixture.registry.AcceptsTasks(worker), fixture.registry.leaseExpiresAt(worker), end)
+		t.Errorf("after a late copy: task state %v, accepts tasks %v, lease expires at %v, want %v, false, at least %v",
+			task.State, fixture.registry.AcceptsTasks(worker), fixture.registry.leaseExpiresAt(worker), taskstate.StatePlaced, end)
 	}
 }
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -8,7 +8,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestTasksOfASilentWorkerStayPlacedUntilItsLeaseExpires: also its drift and a margin.
+// TestTasksOfASilentWorkerStayPlacedUntilItsLeaseExpires checks that the tasks of a silent
+// worker count as gone only after its lease, the allowed clock drift and the margin.
 func TestTasksOfASilentWorkerStayPlacedUntilItsLeaseExpires(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
@@ -17,37 +18,38 @@
 	fixture.now = fixture.registry.Worker("vm-1").LeaseRenewedAt + lease + lease*tuning.DriftPerMille/1000
 	fixture.registry.Tick()
 	if task.State != taskstate.StatePlaced {
-		t.Fatal("called gone while its worker's clock may not have ended the lease")
+		t.Fatalf("after the lease and the drift: state %v, want %v", task.State, taskstate.StatePlaced)
 	}
 	fixture.now += tuning.WorkerLeaseMargin
 	fixture.registry.Tick()
 	if task.State != taskstate.StatePlaced {
-		t.Fatal("called gone within the drift and the margin")
+		t.Fatalf("at the end of the margin: state %v, want %v", task.State, taskstate.StatePlaced)
 	}
 	fixture.now += time.Millisecond
 	fixture.registry.Tick()
 	if task.State != taskstate.StateWaiting {
-		t.Error("never called gone")
+		t.Errorf("after the lease, the drift and the margin: state %v, want %v", task.State, taskstate.StateWaiting)
 	}
 }
 
-// TestNewOwnerCountsTheLeaseFromThePreviousOwnersLastAnswer: also for a machine that this process has known for
-// long, an earlier owner may answer for a while after the shard has changed hands.
+// TestNewOwnerCountsTheLeaseFromThePreviousOwnersLastAnswer checks that a new owner assumes the
+// lease of a worker that it already knows to run from the latest time at which the previous
+// owner may answer, which is after the change of ownership.
 func TestNewOwnerCountsTheLeaseFromThePreviousOwnersLastAnswer(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.previousOwnerAnswersUntil = fixture.now + 12*time.Second
 	fixture.beginTerm()
 	if want := fixture.previousOwnerAnswersUntil + fixture.registry.settings.WorkerLease(); fixture.registry.leaseExpiresAt(worker) < want {
-		t.Errorf("its lease is taken to end %v early", want-fixture.registry.leaseExpiresAt(worker))
+		t.Errorf("lease expires at %v, want at least %v", fixture.registry.leaseExpiresAt(worker), want)
 	}
 }
 
-// TestOldHeartbeatCopyDoesNotShortenTheLease: a new owner begins while the earlier one goes on
-// answering the worker for a while. A copy of an old heartbeat that reaches the new one first
-// shows an earlier token: it says nothing of how long that may go on. Counted from the
-// copy, the lease had run out by reckoning while the worker ran on, and its tasks were
-// started elsewhere besides.
+// TestOldHeartbeatCopyDoesNotShortenTheLease checks that a copy of an old heartbeat, which
+// shows an earlier token, does not move the end of the lease to earlier. The previous owner may
+// go on answering the worker for a while after a takeover. If the new owner measured the lease
+// from the copy, the lease would expire for it while the worker runs on, and the tasks would
+// run twice.
 func TestOldHeartbeatCopyDoesNotShortenTheLease(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.previousOwnerAnswersUntil = fixture.now + 12*time.Second
@@ -60,18 +62,18 @@
 	fixture.onTaskWaiting = func(*taskstate.Task) { goneAt = fixture.now }
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(copied)
-	last := fixture.previousOwnerAnswersUntil + fixture.registry.settings.WorkerLease() // the worker may run until then
-	for ; fixture.now < last+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
+	leaseEnd := fixture.previousOwnerAnswersUntil + fixture.registry.settings.WorkerLease() // the worker may run until then
+	for ; fixture.now < leaseEnd+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
 		fixture.registry.Tick()
 	}
-	if goneAt < last {
-		t.Errorf("called gone %v before the worker's lease may end", last-goneAt)
+	if goneAt < leaseEnd {
+		t.Errorf("task considered gone at %v, want not before the latest end of the worker's lease, %v", goneAt, leaseEnd)
 	}
 }
 
-// TestAnsweredHeartbeatBelowTheTokenExtendsTheLease: a worker that has not seen the
-// owner's token yet renews its lease by each answer all the same. Counted from an
-// earlier moment, its tasks were called gone while they ran on.
+// TestAnsweredHeartbeatBelowTheTokenExtendsTheLease checks that an answer extends the lease of
+// a worker that has not seen the owner's token yet. If the owner measured the lease from an
+// earlier time, it would consider tasks gone while they run on.
 func TestAnsweredHeartbeatBelowTheTokenExtendsTheLease(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
@@ -82,15 +84,15 @@
 	fixture.beginTerm()
 	fixture.now += 20 * time.Second
 	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 {
-		t.Fatalf("answered %d", status)
+		t.Fatalf("heartbeat below the token: answered %d, want 200", status)
 	}
-	last := fixture.now + fixture.registry.settings.WorkerLease() // the worker may run until then
+	leaseEnd := fixture.now + fixture.registry.settings.WorkerLease() // the worker may run until then
 	goneAt := time.Duration(0)
 	fixture.onTaskWaiting = func(*taskstate.Task) { goneAt = fixture.now }
-	for ; fixture.now < last+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
+	for ; fixture.now < leaseEnd+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
 		fixture.registry.Tick()
 	}
-	if goneAt < last {
-		t.Errorf("called gone %v before the worker's lease may end", last-goneAt)
+	if goneAt < leaseEnd {
+		t.Errorf("task considered gone at %v, want not before the end of the worker's lease, %v", goneAt, leaseEnd)
 	}
 }
--- a/internal/workers/new_token_test.go
+++ b/internal/workers/new_token_test.go
@@ -9,9 +9,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestCancelledTasksAreHaltedBeforeTheTokenIsAcknowledged: what is cancelled ends at once also on a
-// worker that has not shown the new token: the announcement carries the halt, and so does the
-// answer to a heartbeat.
+// TestCancelledTasksAreHaltedBeforeTheTokenIsAcknowledged checks that cancelled tasks are halted
+// at once on a worker that has not acknowledged the new token: both the announcement and the
+// answer to a heartbeat carry the halt.
 func TestCancelledTasksAreHaltedBeforeTheTokenIsAcknowledged(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
@@ -19,58 +19,59 @@
 	fixture.beginTerm()
 	var announced CommandMessage
 	if err := json.Unmarshal(fixture.sendDirectMessage(t).body, &announced); err != nil || !hasVerb(announced.Commands, VerbHalt) {
-		t.Errorf("announced with %v, %v", announced.Commands, err)
+		t.Errorf("announcement carries %v, error %v, want a halt", announced.Commands, err)
 	}
 	fixture.now += time.Second
 	if _, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); !hasVerb(commandsOf(t, body), VerbHalt) {
-		t.Errorf("answered %s", body)
+		t.Errorf("heartbeat answered with %s, want a halt", body)
 	}
 }
 
-// TestNewTermResetsUnreachableWorkers: under a new token a worker that was deaf is told of it like
-// the others, and may have heard.
+// TestNewTermResetsUnreachableWorkers checks that a new term no longer counts a worker as
+// unreachable and announces the token to it, as to the others.
 func TestNewTermResetsUnreachableWorkers(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	worker.markUnreachable(fixture.now)
 	fixture.beginTerm()
 	if worker.Unreachable {
-		t.Error("still counts as deaf")
+		t.Error("after the new term began: the worker still counts as unreachable")
 	}
 	fixture.sendDirectMessage(t)
 }
 
-// TestLostLaunchesMakeAWorkerUnreachable: it acknowledges the token, but launches in a row
-// that were sent with our answers never show in its heartbeats.
+// TestLostLaunchesMakeAWorkerUnreachable checks that a worker that acknowledges the token still
+// counts as unreachable after DeafLaunches consecutive launches, sent with answers to its
+// heartbeats, that no heartbeat has listed.
 func TestLostLaunchesMakeAWorkerUnreachable(t *testing.T) {
 	fixture := newRegistryFixture(tuning.DeafLaunches)
 	worker := fixture.exchangeHeartbeats(t)
 	for i := range tuning.DeafLaunches {
 		if worker.Unreachable {
-			t.Fatalf("deaf after %d launches", i)
+			t.Fatalf("unreachable after %d lost launches, want after %d", i, tuning.DeafLaunches)
 		}
 		fixture.placeTask(i)
 		fixture.now += time.Second
 		_, body := fixture.registry.HandleHeartbeat(fixture.heartbeat())
 		if !hasVerb(commandsOf(t, body), VerbLaunch) {
-			t.Fatalf("answered %s", body)
+			t.Fatalf("heartbeat answered with %s, want a launch", body)
 		}
 		fixture.now += time.Second
 		fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	}
 	if !worker.Unreachable {
-		t.Errorf("not deaf after %d launches", worker.LostLaunches)
+		t.Errorf("after %d lost launches: the worker counts as reachable", worker.LostLaunches)
 	}
 }
 
-// TestDoneGangLeavesNoTaskWaiting: with one task of a gang done all are, also those that are
-// on no machine.
+// TestDoneGangLeavesNoTaskWaiting checks that the completion of a gang also completes its tasks
+// that are on no machine.
 func TestDoneGangLeavesNoTaskWaiting(t *testing.T) {
 	fixture := newGangFixture(2)
 	fixture.registry.GangDone(fixture.job)
 	for _, task := range fixture.job.Tasks {
 		if task.State != taskstate.StateDone {
-			t.Errorf("task %d is %v", task.Index, task.State)
+			t.Errorf("after the gang completed: task %d in state %v, want %v", task.Index, task.State, taskstate.StateDone)
 		}
 	}
 }
--- a/internal/workers/placements_test.go
+++ b/internal/workers/placements_test.go
@@ -7,8 +7,8 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestNewOwnerTreatsPlacementsAsLaunched: what the records place under an earlier token may be
-// on its machine.
+// TestNewOwnerTreatsPlacementsAsLaunched checks that a new owner does not launch tasks that the
+// records place under an earlier token, since they may be on their machines already.
 func TestNewOwnerTreatsPlacementsAsLaunched(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
@@ -17,12 +17,12 @@
 	fixture.beginTerm()
 	worker := fixture.registry.Worker("vm-1")
 	if !worker.Tasks[task] || task.Launchable() {
-		t.Errorf("on its machine %v, may be launched once more: %v", worker.Tasks[task], task.Launchable())
+		t.Errorf("after the takeover: task placed on the worker %v, launchable %v, want true, false", worker.Tasks[task], task.Launchable())
 	}
 }
 
-// TestNoTasksBeforeTheTokenIsAcknowledged: under a new token a machine gets tasks when it has shown
-// that it knows the token.
+// TestNoTasksBeforeTheTokenIsAcknowledged checks that under a new token a worker accepts tasks
+// only after it has acknowledged the token.
 func TestNoTasksBeforeTheTokenIsAcknowledged(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
@@ -30,9 +30,9 @@
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if fixture.registry.AcceptsTasks(worker) {
-		t.Error("gets tasks under a token that it has not seen")
+		t.Error("before the worker acknowledged the token: it accepts tasks")
 	}
 	if fixture.exchangeHeartbeats(t); !fixture.registry.AcceptsTasks(worker) {
-		t.Error("gets none when it has")
+		t.Error("after the worker acknowledged the token: it accepts no tasks")
 	}
 }
--- a/internal/workers/properties_test.go
+++ b/internal/workers/properties_test.go
@@ -13,22 +13,22 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// randomExchange is a registry and a worker between which messages are lost, late or
-// repeated as drawn.
+// randomExchange is a registry and a worker that exchange messages, which are lost, delayed or
+// repeated at random.
 type randomExchange struct {
 	*registryFixture
 	t       *rapid.T
-	delayed []sentRequest // direct messages that may still be carried out
-	copies  []*Heartbeat  // heartbeats that may come once more
+	delayed []sentRequest // direct messages that may still be executed
+	copies  []*Heartbeat  // heartbeats that may arrive again
 }
 
-// advance lets one of some times in milliseconds pass.
+// advance moves the clock forward by one of the given durations, drawn at random.
 func (e *randomExchange) advance(milliseconds []int) {
 	e.now += time.Duration(rapid.SampledFrom(milliseconds).Draw(e.t, "ms")) * time.Millisecond
 }
 
-// sendHeartbeat has the worker send a heartbeat, whose answer may be lost; itself too if
-// mayBeLost.
+// sendHeartbeat has the worker send a heartbeat. The answer may be lost, and if mayBeLost the
+// heartbeat itself.
 func (e *randomExchange) sendHeartbeat(mayBeLost bool) {
 	sentAt, heartbeat := e.now, e.heartbeat()
 	e.copies = append(e.copies, heartbeat)
@@ -44,14 +44,15 @@
 	}
 }
 
-// repeatHeartbeat has a copy of an earlier heartbeat arrive.
+// repeatHeartbeat delivers a copy of an earlier heartbeat.
 func (e *randomExchange) repeatHeartbeat() {
 	if len(e.copies) > 0 && e.MayAnswer() {
 		e.registry.HandleHeartbeat(e.copies[rapid.IntRange(0, len(e.copies)-1).Draw(e.t, "copy")])
 	}
 }
 
-// placeTasks places the waiting tasks, durably, and lets direct messages leave.
+// placeTasks places the waiting tasks, makes the placements durable and has the registry send
+// its direct messages.
 func (e *randomExchange) placeTasks() {
 	for _, task := range e.job.Tasks {
 		if worker := e.registry.Worker("vm-1"); worker != nil && e.registry.AcceptsTasks(worker) && task.State == taskstate.StateWaiting && !task.Job.Cancelled {
@@ -63,8 +64,8 @@
 	e.registry.AfterBatch()
 }
 
-// resolveDirectMessage lets the first direct message go: it is carried out or not, answered
-// or not, now or later.
+// resolveDirectMessage draws the outcome of the first direct message in flight: answered,
+// executed without an answer, delayed, or not sent.
 func (e *randomExchange) resolveDirectMessage() {
 	if len(e.calls) == 0 {
 		return
@@ -85,7 +86,7 @@
 	}
 }
 
-// deliverDelayed has the first of the late direct messages carried out.
+// deliverDelayed delivers the first of the delayed direct messages.
 func (e *randomExchange) deliverDelayed() {
 	if len(e.delayed) > 0 {
 		e.deliverDirect(e.delayed[0])
@@ -93,7 +94,7 @@
 	}
 }
 
-// beginTermFromRecords begins a term in which nothing is known but what the records say.
+// beginTermFromRecords begins a term of an owner that knows only what is in the records.
 func (e *randomExchange) beginTermFromRecords() {
 	for _, task := range e.job.Tasks {
 		task.Launch.InFlight, task.Launch.InDoubt, task.Gone.Session, task.Gone.AfterSequence, task.Observed.Reported = false, false, 0, 0, false
@@ -101,12 +102,12 @@
 	e.beginTerm()
 }
 
-// requireGone fails if a task that is taken for gone runs, or if a message on its way can
-// start it.
+// requireGone fails if a task that the registry considers gone is running, or if a message in
+// flight can start it.
 func (e *randomExchange) requireGone(task *taskstate.Task) {
 	e.expireLease()
 	if e.worker.tasks[task.Name()] == task.Attempt {
-		e.t.Fatalf("%s, attempt %d, is taken for gone and runs", task.Name(), task.Attempt)
+		e.t.Fatalf("task %s, attempt %d, is considered gone but is running", task.Name(), task.Attempt)
 	}
 	for _, direct := range append(e.delayed, e.calls...) {
 		var message CommandMessage
@@ -117,15 +118,15 @@
 		for _, command := range message.Commands {
 			key := fmt.Sprint(command.TaskName, "@", command.Attempt)
 			if command.Verb == VerbLaunch && command.TaskName == task.Name() && command.Attempt == task.Attempt && !e.worker.everLaunched[key] {
-				e.t.Fatalf("%s, attempt %d, is taken for gone and may start", task.Name(), task.Attempt)
+				e.t.Fatalf("task %s, attempt %d, is considered gone but a message in flight can start it", task.Name(), task.Attempt)
 			}
 		}
 	}
 }
 
-// TestTaskConsideredGoneNeitherRunsNorStarts: whatever is lost, late or repeated between a
-// registry and a worker, a task that the registry takes for gone is not on the machine and
-// no message on its way can start it there.
+// TestTaskConsideredGoneNeitherRunsNorStarts checks that a task that the registry considers gone
+// is not on the machine and that no message in flight can start it there, whichever messages
+// between the registry and the worker are lost, delayed or repeated.
 func TestTaskConsideredGoneNeitherRunsNorStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exchange := &randomExchange{registryFixture: newRegistryFixture(4), t: t}
@@ -152,15 +153,16 @@
 	})
 }
 
-// cancel has the user cancel the job, at any node, once something may be on the machine.
+// cancel has the user cancel the job, through any node, once a task may be on the machine. The
+// registry does not know of it before verifyCancellations.
 func (e *randomExchange) cancel() {
 	if e.cancelledAt == 0 && len(e.worker.tasks)+len(e.delayed)+len(e.calls) > 0 {
 		e.cancelledAt = e.now
 	}
 }
 
-// verifyCancellations has the owner's knowledge of cancellations verified; perhaps it is
-// another owner then.
+// verifyCancellations updates the owner's knowledge of cancellations. At random, a new term
+// begins, as under another owner.
 func (e *randomExchange) verifyCancellations() {
 	e.verifiedAt = e.now
 	if e.cancelledAt > 0 && !e.job.Cancelled {
@@ -172,10 +174,10 @@
 	}
 }
 
-// TestCancelledTasksEndWithinTheLimit: whatever is lost, late or repeated, and however long
-// the owner goes without a verification or another one takes over, no task of a job is on
-// its machine, nor can a message on its way start it, longer than cancel_s after its user
-// was told that it is cancelled.
+// TestCancelledTasksEndWithinTheLimit checks that no task of a job is on its machine, nor
+// started there by a message in flight, more than cancel_s after the user was told that the job
+// is cancelled. This holds whichever messages are lost, delayed or repeated, however long the
+// owner goes without a verification, and if another owner takes over.
 func TestCancelledTasksEndWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exchange := &randomExchange{registryFixture: newRegistryFixture(3), t: t}
@@ -185,7 +187,7 @@
 		check := func(after string) {
 			exchange.expireLease()
 			if exchange.cancelledAt > 0 && exchange.now > exchange.cancelledAt+limit && len(exchange.worker.tasks) > 0 {
-				t.Fatalf("after %s: %v is on the machine for %v", after, exchange.worker.tasks, exchange.now-exchange.cancelledAt)
+				t.Fatalf("after %s: tasks %v are on the machine %v after the cancellation, want at most %v", after, exchange.worker.tasks, exchange.now-exchange.cancelledAt, limit)
 			}
 		}
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -9,26 +9,26 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestCompletedTaskIsForgottenWhenDurable: the worker keeps a completed task until its
-// completion is in the records.
+// TestCompletedTaskIsForgottenWhenDurable checks that a worker is not told to forget a completed
+// task before the completion is durable in the records.
 func TestCompletedTaskIsForgottenWhenDurable(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.placeAndLaunchAll(t)
 	task := fixture.job.Tasks[0]
 	for range 2 {
 		if commands := fixture.reportAll(t, "ended", "done"); hasVerb(commands, "forget") {
-			t.Fatalf("told %v before the completion is durable", commands)
+			t.Fatalf("before the completion is durable: commands %v, want no forget", commands)
 		}
 	}
 	task.DoneDurable = true
 	if commands := fixture.reportAll(t, "ended", "done"); task.State != taskstate.StateDone || !hasVerb(commands, "forget") {
-		t.Errorf("state %v, told %v when it is", task.State, commands)
+		t.Errorf("after the completion is durable: state %v, commands %v, want %v and a forget", task.State, commands, taskstate.StateDone)
 	}
 }
 
-// TestUnansweredLaunchStaysInDoubt: a launch without an answer may be carried out at any
-// time until the worker has seen a higher token. A heartbeat that does not list the task
-// proves nothing before.
+// TestUnansweredLaunchStaysInDoubt checks that a heartbeat that does not list a task does not
+// prove it gone while its launch is unanswered. The launch may be executed at any time until
+// the worker has seen a higher token.
 func TestUnansweredLaunchStaysInDoubt(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.tokenRenewalFails = true // no new token yet
@@ -39,18 +39,18 @@
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if task.State != taskstate.StatePlaced || !task.Launch.InDoubt {
-		t.Fatalf("state %v, in doubt %v", task.State, task.Launch.InDoubt)
+		t.Fatalf("before the launch is executed: state %v, in doubt %v, want %v, true", task.State, task.Launch.InDoubt, taskstate.StatePlaced)
 	}
 	fixture.deliverDirect(direct) // late
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if task.State != taskstate.StatePlaced || !task.Observed.Reported {
-		t.Errorf("state %v, seen %v when it runs", task.State, task.Observed.Reported)
+		t.Errorf("after the launch was executed: state %v, reported %v, want %v, true", task.State, task.Observed.Reported, taskstate.StatePlaced)
 	}
 }
 
-// TestHeartbeatOlderThanTheLaunchProvesNothing: one that left before the launch was
-// carried out, and arrives after the answer, does not list the task.
+// TestHeartbeatOlderThanTheLaunchProvesNothing checks that a heartbeat sent before the launch
+// was executed, and received after the answer to the launch, does not prove the task gone.
 func TestHeartbeatOlderThanTheLaunchProvesNothing(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
@@ -59,12 +59,13 @@
 	early := fixture.heartbeat()
 	direct.fn(fixture.deliverDirect(direct), nil)
 	if status, _ := fixture.registry.HandleHeartbeat(early); status != 200 || task.State != taskstate.StatePlaced {
-		t.Errorf("answered %d, state %v", status, task.State)
+		t.Errorf("heartbeat older than the launch: answered %d, state %v, want 200, %v", status, task.State, taskstate.StatePlaced)
 	}
 }
 
-// TestCommandAnswerProvesNoTaskGone: the answer to a command may be newer than a heartbeat and
-// yet older than the worker's reading of our reply to it, which carried a launch.
+// TestCommandAnswerProvesNoTaskGone checks that the answer to a direct message does not prove a
+// task gone. The worker may make it after a heartbeat but before it reads our answer to that
+// heartbeat, which carries the launch of the task.
 func TestCommandAnswerProvesNoTaskGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	fixture.exchangeHeartbeats(t)
@@ -75,22 +76,22 @@
 	sent, heartbeat := fixture.now, fixture.heartbeat()
 	status, body := fixture.registry.HandleHeartbeat(heartbeat)
 	if status != 200 || !hasVerb(commandsOf(t, body), "launch") {
-		t.Fatalf("answered %d: %s", status, body)
+		t.Fatalf("heartbeat answered %d %s, want 200 and a launch", status, body)
 	}
 	fixture.placeTask(1)
 	direct := fixture.sendDirectMessage(t)
-	direct.fn(fixture.deliverDirect(direct), nil) // does not list the first
+	direct.fn(fixture.deliverDirect(direct), nil) // the answer does not list the first task
 	if first.State != taskstate.StatePlaced {
-		t.Fatalf("state %v", first.State)
+		t.Fatalf("after an answer without the task: state %v, want %v", first.State, taskstate.StatePlaced)
 	}
 	fixture.receiveAnswer(body, heartbeat.Session, sent)
 	if len(fixture.worker.tasks) != 2 {
-		t.Errorf("%d tasks run", len(fixture.worker.tasks))
+		t.Errorf("after both launches: %d tasks running, want 2", len(fixture.worker.tasks))
 	}
 }
 
-// TestReportedTaskOfAnotherAttemptIsHalted: another attempt than the one on record is ended, and
-// keeps the machine from other work until it is.
+// TestReportedTaskOfAnotherAttemptIsHalted checks that a task reported with another attempt than
+// the recorded one is halted, and that the worker accepts no tasks until it has ended.
 func TestReportedTaskOfAnotherAttemptIsHalted(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
@@ -103,28 +104,28 @@
 	want := haltCommand(task.Name(), 1, 0)
 	commands := commandsOf(t, body)
 	if task.Observed.Reported || len(commands) != 1 || commands[0].Verb != want.Verb || commands[0].Attempt != 1 {
-		t.Errorf("seen %v, told %+v", task.Observed.Reported, commands)
+		t.Errorf("another attempt listed: recorded attempt reported %v, commands %+v, want false and %+v", task.Observed.Reported, commands, want)
 	}
 	if fixture.registry.AcceptsTasks(worker) {
-		t.Error("gets tasks beside one that is not on record")
+		t.Error("while it runs an unrecorded attempt: the worker accepts tasks")
 	}
 }
 
-// TestUnknownPhasesAndCausesProveNothingGone: a phase or a cause that this
-// version does not know never proves a task gone, nor does it keep the task for ever: one
-// with an unknown cause is forgotten, and gone when it is off the list.
+// TestUnknownPhasesAndCausesProveNothingGone checks that a phase or a cause that this version
+// does not know never proves a task gone, and does not block it for ever either: a task with an
+// unknown cause is forgotten by the worker, and is gone once it is no longer listed.
 func TestUnknownPhasesAndCausesProveNothingGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	worker := fixture.placeAndLaunchAll(t)
 	if fixture.reportAll(t, "pondering", ""); len(worker.Tasks) != 2 {
-		t.Errorf("%d of 2 tasks occupy the machine in an unknown phase", len(worker.Tasks))
+		t.Errorf("unknown phase: %d tasks on the machine, want 2", len(worker.Tasks))
 	}
 	commands := fixture.reportAll(t, "ended", "moonshine")
 	if len(worker.Tasks) != 2 || len(commands) != 2 || commands[0].Verb != "forget" {
-		t.Errorf("%d tasks, commands %+v", len(worker.Tasks), commands)
+		t.Errorf("unknown cause: %d tasks on the machine, commands %+v, want 2 tasks and 2 forgets", len(worker.Tasks), commands)
 	}
 	clear(fixture.worker.tasks)
 	if fixture.reportAll(t, "", ""); len(worker.Tasks) != 0 {
-		t.Error("off the list, they still occupy the machine")
+		t.Errorf("no longer listed: %d tasks on the machine, want 0", len(worker.Tasks))
 	}
 }
--- a/internal/workers/unreachable_workers_test.go
+++ b/internal/workers/unreachable_workers_test.go
@@ -9,9 +9,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestUnreachableWorkerGetsNoTasksUntilItAnswersAProbe: a worker whose heartbeats arrive, but
-// which does not hear, gets no tasks after a few heartbeats, and no answers; when it answers
-// a probe it gets both again.
+// TestUnreachableWorkerGetsNoTasksUntilItAnswersAProbe checks that a worker whose heartbeats
+// arrive but which receives no answers gets neither tasks nor answers after a few heartbeats,
+// and that it gets both again once it has answered a probe.
 func TestUnreachableWorkerGetsNoTasksUntilItAnswersAProbe(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	sent := fixture.now
@@ -20,7 +20,7 @@
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	worker := fixture.registry.Worker("vm-1")
 	if !fixture.registry.AcceptsTasks(worker) {
-		t.Fatal("a machine that hears is closed")
+		t.Fatal("a reachable worker accepts no tasks")
 	}
 	fixture.beginTerm()
 	fixture.calls = nil
@@ -29,21 +29,22 @@
 		fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	}
 	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); !worker.Unreachable || fixture.registry.AcceptsTasks(worker) || status != 503 {
-		t.Fatalf("deaf %v, open %v, answered %d", worker.Unreachable, fixture.registry.AcceptsTasks(worker), status)
+		t.Fatalf("after heartbeats without the token: unreachable %v, accepts tasks %v, answered %d, want true, false, 503", worker.Unreachable, fixture.registry.AcceptsTasks(worker), status)
 	}
 	fixture.now += tuning.DeafProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
-		t.Fatalf("%d probes", len(fixture.calls))
+		t.Fatalf("after the probe interval: %d probes sent, want 1", len(fixture.calls))
 	}
 	fixture.calls[0].fn(fixture.deliverDirect(fixture.calls[0]), nil)
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if worker.Unreachable || !fixture.registry.AcceptsTasks(worker) {
-		t.Errorf("deaf %v, open %v after an answer", worker.Unreachable, fixture.registry.AcceptsTasks(worker))
+		t.Errorf("after the probe was answered: unreachable %v, accepts tasks %v, want false, true", worker.Unreachable, fixture.registry.AcceptsTasks(worker))
 	}
 }
 
-// TestProbeAnswerUnderAnEarlierTokenIsIgnored: an answer under an earlier token is none to us.
+// TestProbeAnswerUnderAnEarlierTokenIsIgnored checks that an answer to a probe that shows an
+// earlier token does not make an unreachable worker reachable again.
 func TestProbeAnswerUnderAnEarlierTokenIsIgnored(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
@@ -51,7 +52,7 @@
 	fixture.now += tuning.DeafProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
-		t.Fatalf("%d probes", len(fixture.calls))
+		t.Fatalf("after the probe interval: %d probes sent, want 1", len(fixture.calls))
 	}
 	heartbeat := fixture.heartbeat()
 	heartbeat.Token = fixture.token - 1
@@ -60,6 +61,6 @@
 		t.Fatal(err)
 	}
 	if fixture.calls[0].fn(http1.Response{Status: 409, Body: raw}, nil); !worker.Unreachable {
-		t.Error("counts as hearing")
+		t.Error("after an answer under an earlier token: the worker counts as reachable")
 	}
 }
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -9,7 +9,7 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// recordingFixture is a registryFixture that records what is sent, and where to.
+// recordingFixture is a registryFixture that records the direct messages and their addresses.
 type recordingFixture struct {
 	*registryFixture
 	sent []string
@@ -20,7 +20,7 @@
 	f.registryFixture.CallHTTP(addr, request, timeout, fn)
 }
 
-// TestWireAnnouncement: how a machine is told directly who its owner is.
+// TestWireAnnouncement pins the direct message that announces the token of a new owner.
 func TestWireAnnouncement(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.token = 9
@@ -29,11 +29,11 @@
 	fixture.registry.Announce("vm-7", "10.0.0.7:7")
 	fixture.registry.AfterBatch()
 	if len(recorder.sent) != 1 || recorder.sent[0] != `10.0.0.7:7 POST /orders {"baton":9,"shift":1,"orders":[]}` {
-		t.Errorf("sent %q", recorder.sent)
+		t.Errorf("announcement: sent %q", recorder.sent)
 	}
 }
 
-// TestWireHeartbeat: what a worker says of its machine.
+// TestWireHeartbeat pins the encoding of a heartbeat and the refusal of incomplete ones.
 func TestWireHeartbeat(t *testing.T) {
 	const text = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
 		`"pieces":[{"piece":"wk-000001/2","try":7,"phase":"ended","cause":"done","stored":true},{"piece":"wk-000001/3","try":8,"phase":"running"}]}`
@@ -45,12 +45,13 @@
 	wiretest.Written(t, parsed, text)
 	for _, incomplete := range []string{`{"shift":3}`, `{"host":"vm-1"}`, `{"host":"vm-1","shift":0}`} {
 		if _, err := ParseHeartbeat([]byte(incomplete)); err == nil || err.Error() != `report: "host" or "shift" missing` {
-			t.Errorf("%s: %v", incomplete, err)
+			t.Errorf("ParseHeartbeat(%s): error %v, want %v", incomplete, err, ErrIncompleteHeartbeat)
 		}
 	}
 }
 
-// TestWireCommands: what a worker is answered and ordered.
+// TestWireCommands pins the encoding of commands and of the answer of a node that is not the
+// owner.
 func TestWireCommands(t *testing.T) {
 	wiretest.Same(t, `{"baton":1,"shift":2,"orders":[{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5},`+
 		`{"verb":"launch","piece":"wk-000001/3","try":5},{"verb":"forget","piece":"wk-000001/4","try":6}]}`, &CommandMessage{})
@@ -59,24 +60,24 @@
 	wiretest.Written(t, haltCommand("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
 	wiretest.Written(t, forgetCommand(&ReportedTask{Name: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
 	if string(NotOwnerBody) != `{"error":"not the owner of this machine"}` {
-		t.Errorf("%s", NotOwnerBody)
+		t.Errorf("NotOwnerBody is %s", NotOwnerBody)
 	}
 }
 
-// TestWireTaskNames: the form of tasks' names.
+// TestWireTaskNames pins the format of task names.
 func TestWireTaskNames(t *testing.T) {
 	job, index, ok := parseTaskName("wk-000412/7")
 	if !ok || job != "wk-000412" || index != 7 {
-		t.Error(job, index, ok)
+		t.Errorf("parseTaskName(wk-000412/7): got %q, %d, %v, want wk-000412, 7, true", job, index, ok)
 	}
 	for _, name := range []string{"wk-000412", "wk-000412/", "wk-000412/-1", "wk-000412/100000", "job-1/2", "wk-1/2/3"} {
 		if _, _, ok := parseTaskName(name); ok {
-			t.Errorf("%s is taken for a task", name)
+			t.Errorf("parseTaskName(%q) succeeded, want a refusal", name)
 		}
 	}
 }
 
-// TestWireDirectLaunch: launches in a direct message, and in the answer to a heartbeat.
+// TestWireDirectLaunch pins launches in a direct message and in the answer to a heartbeat.
 func TestWireDirectLaunch(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	recorder := &recordingFixture{registryFixture: fixture}
@@ -90,7 +91,7 @@
 	fixture.registry.PlacementDurable(task)
 	fixture.registry.AfterBatch()
 	if want := `w:1 POST /orders {"baton":1,"shift":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}`; len(recorder.sent) != 1 || recorder.sent[0] != want {
-		t.Errorf("sent %q", recorder.sent)
+		t.Errorf("direct launch: sent %q, want %q", recorder.sent, want)
 	}
 
 	fixture = newRegistryFixture(1)
@@ -102,11 +103,11 @@
 	task.PlacementDurable = true
 	fixture.registry.PlacementDurable(task)
 	if status, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 || string(body) != `{"baton":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}` {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("launch in an answer: got %d %s", status, body)
 	}
 }
 
-// TestWireProbe: how a machine that does not hear is asked whether it hears again.
+// TestWireProbe pins the direct message that probes an unreachable worker.
 func TestWireProbe(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	recorder := &recordingFixture{registryFixture: fixture}
@@ -115,11 +116,11 @@
 	fixture.now += time.Hour
 	fixture.registry.probeUnreachableWorker(fixture.registry.Worker("vm-1"), fixture.now)
 	if len(recorder.sent) != 1 || recorder.sent[0] != `w:1 POST /orders {"baton":1,"shift":1,"orders":[]}` {
-		t.Errorf("sent %q", recorder.sent)
+		t.Errorf("probe: sent %q", recorder.sent)
 	}
 }
 
-// TestWirePhases: the words for the phases of tasks on their machines.
+// TestWirePhases pins the names of task phases and what each of them shows.
 func TestWirePhases(t *testing.T) {
 	for phase, want := range map[TaskPhase]struct{ runs, hasImage bool }{
 		"running": {true, true}, "saving": {false, true}, "waiting": {false, true}, "fetching": {false, false}, "novel": {false, false},
@@ -129,17 +130,18 @@
 			fixture.phase = "fetching"
 			fixture.placeAndLaunchAll(t)
 			if commands := fixture.reportAll(t, phase, ""); len(commands) > 0 {
-				t.Errorf("%s: answered by %+v", phase, commands)
+				t.Errorf("phase %s: answered with commands %+v, want none", phase, commands)
 			}
 			if task := fixture.job.Tasks[0]; task.Observed.Running != want.runs || task.Observed.HasImage != want.hasImage {
-				t.Errorf("%s: running %v, image there %v", phase, task.Observed.Running, task.Observed.HasImage)
+				t.Errorf("phase %s: running %v, has image %v, want %v, %v", phase, task.Observed.Running, task.Observed.HasImage, want.runs, want.hasImage)
 			}
 		})
 	}
 }
 
-// TestWireGangPhases: which phases of a task show that its gang has started, and which
-// that it waits for others.
+// TestWireGangPhases pins which phases of a task show that its gang has started, and which show
+// that the task waits for the others. It also pins which causes of a task's end show that the
+// gang had started.
 func TestWireGangPhases(t *testing.T) {
 	for phase, want := range map[TaskPhase]struct{ started, waits bool }{
 		"running": {started: true}, "saving": {started: true}, "waiting": {waits: true}, "fetching": {waits: true}, "novel": {},
@@ -148,10 +150,10 @@
 			fixture := newGangFixture(2)
 			fixture.phase = "novel"
 			fixture.placeAndLaunchAll(t)
-			fixture.job.Gang.StartInDoubtSince = fixture.now // something is lost, before the next heartbeat
+			fixture.job.Gang.StartInDoubtSince = fixture.now // as if a task had been lost before the next heartbeat
 			fixture.reportAll(t, phase, "")
 			if started, waits := fixture.job.Gang.Started, fixture.job.Gang.StartInDoubtSince == 0 && !fixture.job.Gang.AttemptOver; started != want.started || waits != want.waits {
-				t.Errorf("%s: started %v, waits %v", phase, started, waits)
+				t.Errorf("phase %s: started %v, waits %v, want %v, %v", phase, started, waits, want.started, want.waits)
 			}
 		})
 	}
@@ -165,13 +167,13 @@
 			heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = "ended", cause
 			fixture.registry.HandleHeartbeat(heartbeat)
 			if fixture.job.Gang.Started != started {
-				t.Errorf("%s: started %v", cause, !started)
+				t.Errorf("cause %s: started %v, want %v", cause, !started, started)
 			}
 		})
 	}
 }
 
-// TestWireCauses: the words for the causes of tasks' ends, by what follows from each.
+// TestWireCauses pins the names of the causes of a task's end and the effects of each.
 func TestWireCauses(t *testing.T) {
 	const forgotten = `[{"verb":"forget","piece":"wk-1/0","try":1}]`
 	for cause, want := range map[EndCause]struct {
@@ -198,14 +200,15 @@
 			task := fixture.job.Tasks[0]
 			if done := task.State == taskstate.StateDone; gone != want.gone || done != want.done || (machine.ConsecutiveFailures > 0) != want.failed ||
 				(machine.RefusesUntil > 0) != want.full || (task.Queue.NotBefore > 0) != want.delay {
-				t.Errorf("%s: gone %v, done %v, failed %d, refused %v, not before %v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.Queue.NotBefore)
+				t.Errorf("cause %s: gone %v, done %v, failures %d, refuses until %v, not before %v, want %+v", cause, gone, done, machine.ConsecutiveFailures, machine.RefusesUntil, task.Queue.NotBefore, want)
 			}
 		})
 	}
 }
 
-// TestWireUnrecorded: tasks that are not in the records are halted while they run and
-// forgotten when they have ended; of a gang, one that is done makes all done.
+// TestWireUnrecorded pins the commands for tasks that are not in the records: they are halted
+// while they run and forgotten once they have ended. An unrecorded attempt that is done
+// completes its gang.
 func TestWireUnrecorded(t *testing.T) {
 	for phase, want := range map[TaskPhase]string{
 		"ended":   `{"baton":1,"orders":[{"verb":"forget","piece":"wk-1/0","try":9}]}`,
@@ -218,7 +221,7 @@
 			heartbeat := fixture.heartbeat()
 			heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
 			if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
-				t.Errorf("%s: %d %s", phase, status, body)
+				t.Errorf("phase %s: answered %d %s, want 200 %s", phase, status, body, want)
 			}
 		})
 	}
@@ -230,14 +233,14 @@
 			heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: "ended", Cause: cause}}
 			fixture.registry.HandleHeartbeat(heartbeat)
 			if fixture.job.Gang.Done != done {
-				t.Errorf("%s: done %v", cause, !done)
+				t.Errorf("cause %s: gang done %v, want %v", cause, !done, done)
 			}
 		})
 	}
 }
 
-// TestWireCancelledUnacknowledged: a worker that has not seen the token yet is told to
-// halt what is cancelled, but not what has ended.
+// TestWireCancelledUnacknowledged pins the answer to a worker that has not seen the token yet:
+// it halts cancelled tasks that run, but not those that have ended.
 func TestWireCancelledUnacknowledged(t *testing.T) {
 	for phase, want := range map[TaskPhase]string{
 		"running": `{"baton":2,"orders":[{"verb":"halt","piece":"wk-1/0","try":1,"windDownS":0}]}`,
@@ -251,14 +254,14 @@
 			heartbeat := fixture.heartbeat()
 			heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = phase, "novel"
 			if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != 200 || string(body) != want {
-				t.Errorf("%s: %d %s", phase, status, body)
+				t.Errorf("phase %s: answered %d %s, want 200 %s", phase, status, body, want)
 			}
 		})
 	}
 }
 
-// TestWireCancelledLongAgo: a machine that runs a task of a job cancelled long ago is not
-// answered; one where it has ended is.
+// TestWireCancelledLongAgo pins the status for a worker that lists a task of a job cancelled
+// longer ago than MaxKnowledgeAge: 503 while the task runs, 200 once it has ended.
 func TestWireCancelledLongAgo(t *testing.T) {
 	for phase, want := range map[TaskPhase]int{"running": 503, "ended": 200} {
 		t.Run(string(phase), func(t *testing.T) {
@@ -268,7 +271,7 @@
 			heartbeat := fixture.heartbeat()
 			heartbeat.Tasks = []ReportedTask{{Name: "wk-1/0", Attempt: 9, Phase: phase, Cause: "halted"}}
 			if status, body := fixture.registry.HandleHeartbeat(heartbeat); status != want {
-				t.Errorf("%s: %d %s", phase, status, body)
+				t.Errorf("phase %s: answered %d %s, want status %d", phase, status, body, want)
 			}
 		})
 	}
--- a/internal/workers/zones_test.go
+++ b/internal/workers/zones_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestPartitionedZoneGetsNoTasks: a zone from which no heartbeat comes while others
-// send some is taken for partitioned before its workers are late one by one. What was
-// placed there meanwhile waited for the end of their leases.
+// TestPartitionedZoneGetsNoTasks checks that a zone without heartbeats, while other zones send
+// some, counts as partitioned before each of its workers counts as silent. Tasks placed there
+// in the meantime would have to wait until the workers' leases expire.
 func TestPartitionedZoneGetsNoTasks(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	sendHeartbeats := func(zone string, tick int) {
@@ -23,21 +23,21 @@
 	sendHeartbeats("a", 1)
 	sendHeartbeats("b", 1)
 	if !accepts("a") || !accepts("b") {
-		t.Fatal("machines that have just reported are not open")
+		t.Fatalf("after heartbeats from both zones: zone a accepts tasks %v, zone b %v, want true, true", accepts("a"), accepts("b"))
 	}
 	fixture.now += 6 * time.Second
 	if !accepts("a") {
-		t.Error("with no zone heard it is not this zone that is partitioned")
+		t.Error("without heartbeats from any zone: zone a accepts no tasks, though no single zone is partitioned")
 	}
 	sendHeartbeats("b", 2)
 	if accepts("a") || !accepts("b") {
-		t.Errorf("partitioned zone open: %v, the other: %v", accepts("a"), accepts("b"))
+		t.Errorf("with heartbeats from zone b only: zone a accepts tasks %v, zone b %v, want false, true", accepts("a"), accepts("b"))
 	}
 	if reachable := fixture.registry.ReachableZones(); len(reachable) != 1 || reachable[0] != "b" {
-		t.Errorf("heard from %v", reachable)
+		t.Errorf("reachable zones %v, want [b]", reachable)
 	}
 	sendHeartbeats("a", 2)
 	if !accepts("a") {
-		t.Error("the zone is back and gets no tasks")
+		t.Error("after zone a sent heartbeats again: it accepts no tasks")
 	}
 }
