--- a/internal/workers/cancellations.go
+++ b/internal/workers/cancellations.go
@@ -17,8 +17,8 @@
 }
 
 // appendCancellationHalts appends halts for the tasks of cancelled jobs that a worker may
-// have. Every message to the worker repeats them until each task is proven gone. A repeated
-// or late halt does no harm, since it names the attempt.
+// have. They are repeated, with any kind of message to the worker, until each task is proven
+// gone. A repeated or late halt does no harm, since it names the attempt.
 func (r *Registry) appendCancellationHalts(worker *Worker, commands []Command) []Command {
 	now := r.runtime.Now()
 	for task := range worker.Tasks {
@@ -47,11 +47,11 @@
 	return commands
 }
 
-// mayOutliveCancellation reports whether a worker may have a task that an answer could keep
-// alive past the users' cancellation limit. The answer would renew the worker's lease as of
-// the heartbeat, and no later message may reach the worker. Such a worker is not answered
-// until the task is proven gone, by direct commands if they reach the worker, otherwise by
-// the expiry of its lease.
+// mayOutliveCancellation reports whether a worker may have a task of a job cancelled so long
+// ago that an answer could keep the task alive past the users' limit. The answer would renew
+// the worker's lease as of the heartbeat, and it may be that no later message reaches the
+// worker. Such a worker is not answered until the task is proven gone, by direct commands if
+// they reach the worker, otherwise by the expiry of its lease.
 func (r *Registry) mayOutliveCancellation(worker *Worker, heartbeat *Heartbeat) bool {
 	for task := range worker.Tasks {
 		if task.Job.Cancelled && task.Launch.Sent && r.isCancellationOverdue(task.Job.Spec.ID) {
--- a/internal/workers/gangs.go
+++ b/internal/workers/gangs.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// checkGang checks a gang once a second: whether a task has to leave its machine before the
-// cloud takes it, and whether the current attempt can no longer start.
+// checkGang is called once a second. It halts tasks that have to leave their machines before
+// the cloud takes them, and ends an attempt whose start has been in doubt for too long.
 func (r *Registry) checkGang(job *taskstate.Job, now time.Duration) {
 	gang := job.Gang
 	if gang.Attempt == 0 || job.Cancelled {
--- a/internal/workers/task_ends.go
+++ b/internal/workers/task_ends.go
@@ -75,7 +75,7 @@
 
 // recordTaskFailure records the failure of a task on a worker. A worker that fails task after
 // task is drained, unless the job is the likely cause. A job whose tasks fail one after the
-// other is paused, for longer with each failure.
+// other is paused, for longer with each failure, up to MaxFailurePause.
 func (r *Registry) recordTaskFailure(worker *Worker, task *taskstate.Task) {
 	job := task.Job
 	worker.recordFailure(job)
