--- a/internal/workers/placements_test.go
+++ b/internal/workers/placements_test.go
@@ -7,9 +7,9 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// TestNewOwnerTakesPlacementsAsLaunched: what the records place under an earlier token may be
-// on its machine.
-func TestNewOwnerTakesPlacementsAsLaunched(t *testing.T) {
+// TestNewOwnerTreatsPlacementsAsLaunched checks that a new owner does not launch tasks that the
+// records place under an earlier token, since they may be on their machines already.
+func TestNewOwnerTreatsPlacementsAsLaunched(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
 	task := fixture.job.Tasks[0]
@@ -17,22 +17,22 @@
 	fixture.beginTerm()
 	worker := fixture.registry.Worker("vm-1")
 	if !worker.Tasks[task] || task.Launchable() {
-		t.Errorf("on its machine %v, may be launched once more: %v", worker.Tasks[task], task.Launchable())
+		t.Errorf("after the takeover: task placed on the worker %v, launchable %v, want true, false", worker.Tasks[task], task.Launchable())
 	}
 }
 
-// TestNoTasksBeforeTheTokenIsShown: under a new token a machine gets tasks when it has shown
-// that it knows the token.
-func TestNoTasksBeforeTheTokenIsShown(t *testing.T) {
+// TestNoTasksBeforeTheTokenIsAcknowledged checks that under a new token a worker accepts tasks
+// only after it has acknowledged the token.
+func TestNoTasksBeforeTheTokenIsAcknowledged(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	fixture.beginTerm()
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if fixture.registry.AcceptsTasks(worker) {
-		t.Error("gets tasks under a token that it has not seen")
+		t.Error("before the worker acknowledged the token: it accepts tasks")
 	}
 	if fixture.exchangeHeartbeats(t); !fixture.registry.AcceptsTasks(worker) {
-		t.Error("gets none when it has")
+		t.Error("after the worker acknowledged the token: it accepts no tasks")
 	}
 }
