--- a/internal/controller/drain_cluster.go
+++ b/internal/controller/drain_cluster.go
@@ -8,14 +8,14 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// drainCluster is the cluster as the drains' coordinator sees it: the leader's view of
-// machines and tasks, and the catalog's of jobs. It implements drain.Cluster.
+// drainCluster implements drain.Cluster for the drain coordinator. Machines and tasks come
+// from the leader's and the fleet's state, jobs from the catalog.
 type drainCluster struct {
 	node    *Node
 	records *drain.Records
 }
 
-// IsKnown reports whether all machines and all tasks are known.
+// IsKnown reports whether all tasks are loaded and all machines are listed.
 func (c *drainCluster) IsKnown() bool { return c.node.leader.IsLoaded() && c.node.fleet.IsListed() }
 
 func drainMachineInfo(info fleet.MachineInfo) drain.MachineInfo {
@@ -33,19 +33,19 @@
 	})
 }
 
-// Machine finds a machine by its name.
+// Machine returns a machine by its ID.
 func (c *drainCluster) Machine(id string) (info drain.MachineInfo, isKnown bool) {
 	machine, isKnown := c.node.fleet.Machine(id)
 	return drainMachineInfo(machine), isKnown
 }
 
-// IsGone reports whether a machine does not exist any more.
+// IsGone reports whether a machine no longer exists.
 func (c *drainCluster) IsGone(id string) bool { return c.node.fleet.IsGone(id) }
 
-// CPUsPlacedOn returns the processors of the tasks placed on a machine.
+// CPUsPlacedOn returns the number of CPUs requested by the tasks placed on a machine.
 func (c *drainCluster) CPUsPlacedOn(id string) float64 { return c.node.leader.CPUsPlacedOn(id) }
 
-// Job finds a job; isOpen is false if it is over or not known.
+// Job returns a job by its ID; isOpen is false if the job has ended or is unknown.
 func (c *drainCluster) Job(id string) (spec *jobs.Spec, isOpen bool) {
 	entry := c.node.catalog.Get(id)
 	if entry == nil || entry.Phase != "" || entry.Spec == nil {
@@ -54,24 +54,24 @@
 	return entry.Spec, true
 }
 
-// TaskStatus returns what the records say of a task.
+// TaskStatus returns the recorded status of a task.
 func (c *drainCluster) TaskStatus(job string, index int) (status taskstate.TaskStatus, isKnown bool) {
 	return c.node.leader.TaskStatus(job, index)
 }
 
-// PlacedReplicas returns how many tasks of a job are placed.
+// PlacedReplicas returns the number of placed tasks of a job.
 func (c *drainCluster) PlacedReplicas(job string) int {
 	_, placed := c.node.taskStates.Progress(job)
 	return placed
 }
 
-// EachPlacement calls visit for all tasks that are placed.
+// EachPlacement calls visit for each placed task.
 func (c *drainCluster) EachPlacement(visit func(*jobs.Spec, taskstate.TaskStatus)) {
 	c.node.leader.EachPlacement(visit)
 }
 
-// EachInterrupted calls visit for each task that has run and that no shard holds now,
-// without the tasks that drains were granted: those count as disturbed by the drain.
+// EachInterrupted calls visit for each task that has run and is now assigned to no shard.
+// Tasks granted to drains are left out: those count as disturbed by the drain.
 func (c *drainCluster) EachInterrupted(visit func(spec *jobs.Spec, tasks int)) {
 	c.node.leader.EachReturnedTask(func(spec *jobs.Spec, index int) {
 		if !c.records.IsGranted(spec.ID, index, spec.IsGang()) {
@@ -80,28 +80,30 @@
 	})
 }
 
-// CapacityFor returns for how many tasks of a job the open machines have room, in a zone
-// or, if it is "", in all.
+// CapacityFor returns how many tasks of a job fit on the open machines of a zone, or of all
+// zones if zone is "".
 func (c *drainCluster) CapacityFor(spec *jobs.Spec, zone string) int {
 	return c.node.leader.CapacityFor(spec, zone)
 }
 
-// HasUrgentWaiting reports whether tasks of a higher priority wait for room.
+// HasUrgentWaiting reports whether tasks of a priority above the given one wait for capacity.
 func (c *drainCluster) HasUrgentWaiting(priority jobs.Priority) bool {
 	return c.node.fleet.HasWaitingWork(priority)
 }
 
-// RentMachine asks for a machine like another one. Repeated under the same name it rents
-// nothing more; the machine's name is known after a while.
+// RentMachine requests a machine of the same type, zone and spot property as another one. It is
+// idempotent: a repeated call with the same name rents no further machine. isKnown is false
+// until the ID of the rented machine is known.
 func (c *drainCluster) RentMachine(name string, like drain.MachineInfo) (machineID string, isKnown bool) {
 	return c.node.fleet.RentNamed(name, fleet.MachineKind{MachineType: like.Type, Zone: like.Zone, Spot: like.Spot})
 }
 
-// KeepIdle has these machines kept while they are idle, and no others any more.
+// KeepIdle excludes exactly these machines from the release of idle machines; it replaces the
+// set of the previous call.
 func (c *drainCluster) KeepIdle(machines map[string]bool) { c.node.fleet.KeepIdle(machines) }
 
-// ShardKey returns the key of a shard's lease.
+// ShardKey returns the state service key of a shard's lease.
 func (c *drainCluster) ShardKey(shardIndex int) string { return statestore.ShardKey(shardIndex) }
 
-// ShardCount returns into how many shards the machines are divided.
+// ShardCount returns the number of shards that the machines are divided into.
 func (c *drainCluster) ShardCount() int { return c.node.settings.ShardCount() }
--- a/internal/controller/drain_requests.go
+++ b/internal/controller/drain_requests.go
@@ -7,8 +7,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// handleOperatorRequest serves an operator's request on drains: here if this node leads,
-// else through the leader.
+// handleOperatorRequest handles an operator's drain request on the leader. Any other node
+// forwards it to the leader.
 func (n *Node) handleOperatorRequest(body []byte, answer peerAnswer) {
 	var request drain.Request
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -33,8 +33,8 @@
 	n.forwardOperatorRequest(request, endpoint, answer)
 }
 
-// forwardOperatorRequest passes an operator's request on to the leader, once: a request
-// that was forwarded is not forwarded again.
+// forwardOperatorRequest forwards an operator's request to the leader. The request is marked
+// as forwarded, and a forwarded request is not forwarded again.
 func (n *Node) forwardOperatorRequest(request drain.Request, endpoint string, answer peerAnswer) {
 	request.Forwarded = true
 	body, err := json.Marshal(request)
@@ -51,7 +51,8 @@
 	})
 }
 
-// answerUnavailable tells an operator to ask again later.
+// answerUnavailable answers an operator that the request cannot be served now and when to
+// retry it.
 func (n *Node) answerUnavailable(reason string, answer peerAnswer) {
 	answerJSON(drain.Response{
 		Status: drain.StatusUnavailable, Node: n.settings.Node, Reason: reason, RetryMS: tuning.OperatorRetryDelay.Milliseconds(),
--- a/internal/controller/http_routes.go
+++ b/internal/controller/http_routes.go
@@ -8,14 +8,15 @@
 	"lemonmoor/internal/http1"
 )
 
-// Paths that a node serves itself; userapi serves those of users.
+// Paths that this package serves. The user API's paths are served by package userapi.
 const (
 	workerHeartbeatPath = "/agent/beat"
 	healthPath          = "/up"
 	userPathPrefix      = "/work"
 )
 
-// Handle serves one HTTP request, on the loop. respond is called once, now or later.
+// Handle handles one HTTP request on the event loop. respond is called exactly once, before or
+// after Handle returns.
 func (n *Node) Handle(request *http1.Request, respond http1.ResponseWriter) {
 	switch {
 	case request.Path == workerHeartbeatPath:
@@ -47,14 +48,14 @@
 	respond(http.StatusMethodNotAllowed, http1.ErrorBody("method not allowed"), 0)
 }
 
-// isHealthy tells whether this node is a place for users: it knows the jobs and the machine
-// types, and no peer is better off.
+// isHealthy reports whether the load balancer should send users to this node: it has loaded the
+// jobs and the machine types, and no peer is better able to serve users.
 func (n *Node) isHealthy() bool {
 	return n.catalog.Ready() && n.fleet.MachineTypes() != nil && n.membership.mayServeUsers()
 }
 
-// RequestLane ranks a request: workers' heartbeats and health checks first, users' requests
-// last.
+// RequestLane returns the event loop lane of a request. Workers' heartbeats and health checks
+// are served first, users' requests last.
 func RequestLane(request *http1.Request) eventloop.Lane {
 	if strings.HasPrefix(request.Path, userPathPrefix) {
 		return eventloop.UserLane
--- a/internal/controller/layout.go
+++ b/internal/controller/layout.go
@@ -7,25 +7,25 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// layoutKey holds what must stay as it is while there are jobs: into how many shards the
-// machines are divided. Records name shards, and machines belong to shards by their names;
-// read under another number, tasks on machines would look lost while they run.
+// layoutKey is the key of the number of shards that the machines are divided into. The number
+// must not change while there are jobs: records name shards, and a machine's shard is derived
+// from its name, so with another number running tasks would look lost.
 const layoutKey = "layout"
 
-// layout is the value of layoutKey.
+// layout is the value stored under layoutKey.
 type layout struct {
 	ShardCount int `json:"blocks"`
 }
 
-// layoutReader finds the number of shards that holds for the deployment: the stored one,
-// else the one that follows from the stored records or from the settings, which it stores.
+// layoutReader determines the number of shards of the deployment: the stored number, or else
+// one derived from the stored records or the settings, which it then stores.
 type layoutReader struct {
 	platform
 	done        func(shardCount int) // called once
 	errorLogged bool
 }
 
-// read reads the stored layout, and again after a pause until that has succeeded.
+// read reads the stored layout and retries with backoff until it succeeds.
 func (r *layoutReader) read(attempt int) {
 	r.stateClient.List(layoutKey, func(listing statestore.ListResult) {
 		if listing.Outcome != statestore.OutcomeOK {
@@ -46,8 +46,8 @@
 	r.runtime.After(r.stateClient.Backoff(attempt), func() { r.read(attempt + 1) })
 }
 
-// useStored ends with the stored layout. While that is malformed the node waits: to guess
-// the number of shards could lose sight of running tasks.
+// useStored completes the reader with the stored layout. If it is malformed, the node retries
+// until it is corrected: under a guessed number of shards, running tasks could look lost.
 func (r *layoutReader) useStored(value []byte, attempt int) {
 	var stored layout
 	err := json.Unmarshal(value, &stored)
@@ -56,14 +56,14 @@
 		return
 	}
 	if !r.errorLogged {
-		r.errorLogged = true // once, not with each attempt
+		r.errorLogged = true // logged once, not with each attempt
 		r.log.Error("stored layout is malformed, the node waits until it is corrected", "key", layoutKey, "value", string(value), "err", err)
 	}
 	r.retry(attempt)
 }
 
-// derive finds and stores the layout of a deployment that has stored none: a new one, or
-// one with records of a version that stored none.
+// derive determines and stores the layout of a deployment without a stored one: a new
+// deployment, or one whose records were written by a version that stored no layout.
 func (r *layoutReader) derive(attempt int) {
 	r.stateClient.List(taskstate.KeyPrefix, func(listing statestore.ListResult) {
 		if listing.Outcome != statestore.OutcomeOK {
@@ -81,8 +81,8 @@
 	})
 }
 
-// store writes a layout if there is none. The node that is first decides; the others read
-// what it has written.
+// store commits a layout on condition that none is stored. The first node to commit decides;
+// on a conflict the others retry and read its layout.
 func (r *layoutReader) store(derived layout, attempt int) {
 	value, err := json.Marshal(derived)
 	if err != nil {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -10,17 +10,17 @@
 	"lemonmoor/internal/tuning"
 )
 
-// membership knows the other controllers, and by asking them whether an outage of the
-// state service is this node's alone (node-only) or everybody's (service-wide).
+// membership holds the endpoints of the other controllers. It asks them whether an outage of
+// the state service affects only this node (node-only) or them as well (service-wide).
 type membership struct {
 	runtime     eventloop.Runtime
 	stateClient *statestore.Client
 	endpoints   map[string]string // of the other controllers, by node
 
-	// When a peer last said that the state service does not answer it either, 0 for never.
+	// When a peer last reported that the state service does not answer it either, 0 if never.
 	serviceWideOutageAt time.Duration
-	// When a peer last said that the state service answers it, while it does not answer
-	// this node; 0 for never, or if it answers this node again.
+	// When a peer last reported that the state service answers it while it does not answer
+	// this node; 0 if never, or if it answers this node again.
 	nodeOnlyOutageAt time.Duration
 }
 
@@ -32,25 +32,26 @@
 	return &membership{runtime: runtime, stateClient: client, endpoints: endpoints}
 }
 
-// endpoint is where another controller takes messages, "" if the node is not known or is
-// this one.
+// endpoint returns the address at which another controller receives messages, "" if the node
+// is unknown or is this one.
 func (m *membership) endpoint(node string) string { return m.endpoints[node] }
 
-// askAll sends an empty message to each peer. receive is called once for each, with
-// eventloop.ErrNotSent or ErrNoAnswer for one that did not answer.
+// askAll sends an empty message to each peer. receive is called once per peer, with
+// eventloop.ErrNotSent or eventloop.ErrNoAnswer if the peer did not answer.
 func (m *membership) askAll(path string, receive func(body []byte, err error)) {
 	for _, endpoint := range m.endpoints {
 		m.runtime.CallPeer(endpoint, path, []byte("{}"), tuning.PeerRequestTimeout, receive)
 	}
 }
 
-// stateServiceAnswers tells whether the state service has answered this node lately.
+// stateServiceAnswers reports whether the state service has answered this node within
+// tuning.UnhealthyAfter.
 func (m *membership) stateServiceAnswers() bool {
 	return m.stateClient.HasResponded && m.runtime.Now()-m.stateClient.LastResponseAt < tuning.UnhealthyAfter
 }
 
-// compareStateHealth asks the peers, while the state service is silent, whether it is so
-// for them: only a node that is refused alone sends its users elsewhere.
+// compareStateHealth asks the peers, while the state service does not answer this node, whether
+// it answers them: only a node that alone gets no answers sends its users to other nodes.
 func (m *membership) compareStateHealth() {
 	if m.stateServiceAnswers() {
 		m.nodeOnlyOutageAt = 0
@@ -65,17 +66,18 @@
 			m.serviceWideOutageAt = m.runtime.Now()
 			return
 		}
-		// What a peer said once must not count for ever: at the beginning of an outage
-		// one node's last answer is older than another's.
+		// A peer's reply counts only for a limited time: the nodes got their last answers at
+		// different times, so at the beginning of a service-wide outage a peer may still
+		// report that it is answered.
 		if !m.stateServiceAnswers() {
 			m.nodeOnlyOutageAt = m.runtime.Now()
 		}
 	})
 }
 
-// mayServeUsers tells whether this node is as good a place for users as its peers. In an
-// outage that the peers share it is: it answers 503 at once, and serves again as soon as
-// the state service does.
+// mayServeUsers reports whether this node can serve users as well as its peers can. In a
+// service-wide outage it can: it answers 503 without delay, and serves users again as soon as
+// the state service answers.
 func (m *membership) mayServeUsers() bool {
 	now := m.runtime.Now()
 	isNodeOnly := m.nodeOnlyOutageAt > 0 && now-m.nodeOnlyOutageAt < tuning.PeerHealthMaxAge
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -13,8 +13,9 @@
 	"lemonmoor/internal/workers"
 )
 
-// shardOwner is what a node keeps for a shard, and acts with while it owns it. It is the
-// lease and the scheduler that the shard's worker registry works with.
+// shardOwner holds a node's components for one shard, which are active while the node owns the
+// shard. It implements workers.Lease and workers.Scheduler for the shard's worker registry,
+// shard.TaskHandler for its task store and placement.Policy for its planner.
 type shardOwner struct {
 	node          *Node
 	shardIndex    int
@@ -22,7 +23,7 @@
 	tasks         *shard.TaskStore
 	workers       *workers.Registry
 	planner       *placement.Planner
-	drainExecutor *drain.Executor // nil if drains are off
+	drainExecutor *drain.Executor // nil if drains are disabled
 	rounds        roundSchedule
 	statuses      statusSender
 }
@@ -30,7 +31,7 @@
 // roundSchedule paces the placement rounds.
 type roundSchedule struct {
 	needed    bool // something has changed since the last round
-	scheduled bool // a round waits for the interval after the last one
+	scheduled bool // the next round waits for the end of the interval after the last one
 	lastAt    time.Duration
 }
 
@@ -48,52 +49,52 @@
 	return owner
 }
 
-// Token is the fencing token under which the shard is owned, 0 while it is not.
+// Token returns the fencing token under which the shard is owned, 0 while it is not owned.
 func (s *shardOwner) Token() uint64 { return s.token }
 
-// LeaseValid tells whether the shard's lease surely holds now.
+// LeaseValid reports whether the shard's lease is certain to be valid now.
 func (s *shardOwner) LeaseValid() bool { return s.token != 0 && s.node.leases.LeaseValid() }
 
-// MayAnswer tells whether workers' heartbeats may be answered.
+// MayAnswer reports whether workers' heartbeats may be answered.
 func (s *shardOwner) MayAnswer() bool { return s.node.mayAnswer(s) }
 
-// CancellationsVerifiedSince tells whether a job that is not known to be cancelled is
-// verified not to have been at or after a moment, by a recent check; if not, one is asked
-// for.
+// CancellationsVerifiedSince reports whether a recent verification has shown that, up to since
+// or later, no jobs were cancelled but those known to be. If not, it requests a verification.
 func (s *shardOwner) CancellationsVerifiedSince(since time.Duration) bool {
 	return s.node.cancellationsVerifiedSince(since)
 }
 
-// PreviousOwnerAnswersUntil is when the last earlier owner stops answering workers, at the
-// latest.
+// PreviousOwnerAnswersUntil returns the time after which no earlier owner answers workers.
 func (s *shardOwner) PreviousOwnerAnswersUntil() time.Duration {
 	return s.node.leases.PreviousOwnerAnswersUntil(s.shardIndex)
 }
 
-// RenewToken asks for a new fencing token.
+// RenewToken requests a new fencing token.
 func (s *shardOwner) RenewToken() { s.node.leases.RenewToken(s.shardIndex) }
 
-// MachineType finds a machine type by its name, nil if it is not known.
+// MachineType returns a machine type by its name, nil if it is unknown.
 func (s *shardOwner) MachineType(name string) *jobs.MachineType {
 	return s.node.fleet.MachineType(name)
 }
 
-// IsClosedByDrain tells whether operators' drains keep new tasks off a machine.
+// IsClosedByDrain reports whether an operator's drain excludes a machine from new tasks.
 func (s *shardOwner) IsClosedByDrain(workerID string) bool {
 	return s.node.drains != nil && s.node.drains.records.IsClosed(workerID)
 }
 
-// UpdateRank brings a job's rank up to a time of day in milliseconds and tells whether it
-// changed.
+// UpdateRank updates a job's rank to a time of day, in milliseconds since the epoch, and reports
+// whether the rank changed.
 func (s *shardOwner) UpdateRank(job *taskstate.Job, wallMS int64) bool {
 	return job.Rank.Update(job.Spec, s.node.settings, wallMS, job.OpenTasks())
 }
 
-// StartsPromptly tells whether gangs of a class should find capacity at once.
+// StartsPromptly reports whether gangs of a class should find capacity without waiting for a
+// machine to be rented.
 func (s *shardOwner) StartsPromptly(class string) bool { return s.node.settings.StartsPromptly(class) }
 
-// TaskWaiting has a task placed that is on no machine. A part of a divided gang whose
-// attempt is over goes back to the leader instead, which divides the gang anew.
+// TaskWaiting queues a task that is on no machine for placement. If the task belongs to a part
+// of a divided gang whose attempt has ended, the part is returned to the leader instead, which
+// divides the gang again.
 func (s *shardOwner) TaskWaiting(task *taskstate.Task) {
 	if task.Job.Gang != nil && task.Job.ChosenAttemptOver() {
 		s.tasks.RecallTasks(task.Job.Spec.ID, len(task.Job.Tasks))
@@ -103,22 +104,22 @@
 	s.rounds.needed = true
 }
 
-// PlacementDurable has a task launched whose placement is durable.
+// PlacementDurable launches a task whose placement has been committed.
 func (s *shardOwner) PlacementDurable(task *taskstate.Task) { s.workers.PlacementDurable(task) }
 
-// RecordsLoaded begins the workers' term when the records have been read.
+// RecordsLoaded begins the worker registry's term when the task records have been read.
 func (s *shardOwner) RecordsLoaded() { s.workers.BeginTerm() }
 
-// GangDone ends a gang that is done, as another shard has found.
+// GangDone ends the tasks of a gang that another shard has found to be done.
 func (s *shardOwner) GangDone(job *taskstate.Job) { s.workers.GangDone(job) }
 
-// DiscardTask takes a task off its worker whose record is gone.
+// DiscardTask removes a task from its worker, because the task's record has been deleted.
 func (s *shardOwner) DiscardTask(task *taskstate.Task) { s.workers.DiscardTask(task) }
 
 // CancelJob ends the tasks of a cancelled job.
 func (s *shardOwner) CancelJob(job *taskstate.Job) { s.workers.CancelJob(job) }
 
-// beginTerm starts to act under a new fencing token.
+// beginTerm starts a term of ownership under a new fencing token.
 func (s *shardOwner) beginTerm(token uint64) {
 	s.token, s.statuses.fullNeeded = token, true
 	s.planner.Reset()
@@ -129,7 +130,7 @@
 	s.tasks.BeginTerm(token)
 }
 
-// endTerm stops acting for the shard.
+// endTerm ends the term of ownership.
 func (s *shardOwner) endTerm() {
 	s.token = 0
 	s.tasks.EndTerm()
@@ -137,15 +138,16 @@
 	s.workers.EndTerm()
 }
 
-// handleHeartbeat takes in a worker's heartbeat and returns the HTTP status and the body of
-// the answer.
+// handleHeartbeat processes a worker's heartbeat and returns the HTTP status and the body of the
+// answer.
 func (s *shardOwner) handleHeartbeat(heartbeat *workers.Heartbeat) (status int, reply []byte) {
 	status, reply = s.workers.HandleHeartbeat(heartbeat)
 	s.rounds.needed = true
 	return status, reply
 }
 
-// afterBatch takes the decisions that a batch of commands has made necessary.
+// afterBatch runs the placement round and the commits that became due in a batch of event loop
+// commands.
 func (s *shardOwner) afterBatch() {
 	if s.token == 0 || !s.tasks.IsLoaded() {
 		return
@@ -157,7 +159,8 @@
 	s.workers.AfterBatch()
 }
 
-// runOrScheduleRound runs a placement round, or waits for the interval after the last one.
+// runOrScheduleRound runs a placement round, or delays it until roundInterval has passed since
+// the last one.
 func (s *shardOwner) runOrScheduleRound() {
 	now := s.node.runtime.Now()
 	if wait := s.rounds.lastAt + s.roundInterval() - now; wait > 0 && s.rounds.lastAt > 0 {
@@ -169,8 +172,8 @@
 	s.planner.RunRound(s.workers.Workers(), now, s.node.runtime.WallClock())
 }
 
-// roundInterval is the time between two placement rounds: a round of many machines takes
-// longer.
+// roundInterval returns the minimum time between two placement rounds. It grows with the number
+// of machines, since a round over more machines takes longer.
 func (s *shardOwner) roundInterval() time.Duration {
 	return tuning.MinRoundInterval + time.Duration(len(s.workers.Workers()))*tuning.RoundIntervalPerMachine
 }
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -8,17 +8,17 @@
 	"lemonmoor/internal/workers"
 )
 
-// statusSender keeps what the leader has been told of a shard, so that a status message
-// names only the machines of which something has changed.
+// statusSender records the status of a shard that was last sent to the leader, so that a status
+// message lists only the machines whose status has changed.
 type statusSender struct {
 	sequence   uint64
 	lastSent   map[string]fleet.MachineStatus // by machine
-	fullNeeded bool                           // a message may not have arrived
-	inFlight   bool                           // a message to another node is not answered yet
+	fullNeeded bool                           // a message may have been lost: send all machines
+	inFlight   bool                           // a message to another node awaits its answer
 }
 
-// sendStatus sends a shard's status to the leader, if it is known and has answered the
-// message before.
+// sendStatus sends a shard's status to the leader. It sends nothing if the leader is unknown or
+// has not yet answered the previous message.
 func (n *Node) sendStatus(owner *shardOwner) {
 	if !owner.tasks.IsLoaded() || owner.statuses.inFlight {
 		return
@@ -46,7 +46,7 @@
 			err = json.Unmarshal(answer, &reply)
 		}
 		if err != nil {
-			n.log.Debug("shard status not taken by the leader", "shard", owner.shardIndex, "err", err)
+			n.log.Debug("failed to send the shard status to the leader", "shard", owner.shardIndex, "err", err)
 			return
 		}
 		if owner.token == token {
@@ -55,8 +55,8 @@
 	})
 }
 
-// receiveStatus takes a shard's status and answers with what the leader has for its owner;
-// only the leader does. A message of a node that does not own the shard is passed over.
+// receiveStatus processes a shard's status on the leader and returns the leader's instructions
+// to the shard owner. It ignores a message of a node that does not own the shard.
 func (n *Node) receiveStatus(message *statusMessage) fleet.StatusReply {
 	if message.ShardStatus == nil || message.Shard < 0 || message.Shard >= len(n.shardOwners) || n.leases.ShardOwner(message.Shard) != message.Node {
 		return fleet.StatusReply{}
@@ -70,8 +70,8 @@
 	return reply
 }
 
-// nextStatus is the shard's next status message: of all machines if an earlier message may
-// not have arrived, else of those of which something has changed.
+// nextStatus returns the shard's next status message. It lists all machines if an earlier
+// message may not have arrived, otherwise only those whose status has changed.
 func (s *shardOwner) nextStatus() *statusMessage {
 	s.statuses.sequence++
 	status := &fleet.ShardStatus{
@@ -82,7 +82,7 @@
 		clear(s.statuses.lastSent)
 	}
 	status.Hosts = s.changedMachines()
-	s.statuses.fullNeeded = true // until the answer is in
+	s.statuses.fullNeeded = true // until the answer arrives
 	message := &statusMessage{ShardStatus: status}
 	if s.drainExecutor != nil {
 		message.Drains = s.drainExecutor.Report()
@@ -90,8 +90,8 @@
 	return message
 }
 
-// changedMachines is the status of the machines of which something has changed since it was
-// last sent, and notes it as sent.
+// changedMachines returns the status of the machines whose status has changed since it was last
+// sent, and records it as sent.
 func (s *shardOwner) changedMachines() []fleet.MachineStatus {
 	var changed []fleet.MachineStatus
 	now := s.node.runtime.Now()
@@ -110,7 +110,7 @@
 	return changed
 }
 
-// countWorkers counts the workers that may be dead and those that have reported.
+// countWorkers returns the number of workers that may be dead and of those that have reported.
 func (s *shardOwner) countWorkers() (suspects, reporting int) {
 	for _, worker := range s.workers.Workers() {
 		if worker.HasReported {
@@ -123,8 +123,8 @@
 	return suspects, reporting
 }
 
-// machineStatus is what the leader is told of a machine, without the time for which it is
-// idle, which would change with each message.
+// machineStatus returns the status of a machine as sent to the leader. The idle time is left
+// out, because it would change with each message.
 func (s *shardOwner) machineStatus(worker *workers.Worker, suspects, reporting int) fleet.MachineStatus {
 	return fleet.MachineStatus{
 		ID: worker.ID, Addr: worker.Addr, MachineType: worker.MachineTypeName, Zone: worker.Zone, Spot: worker.Spot,
@@ -134,7 +134,7 @@
 	}
 }
 
-// applyStatusReply carries out the leader's answer to a status message.
+// applyStatusReply carries out the instructions in the leader's answer to a status message.
 func (s *shardOwner) applyStatusReply(reply *fleet.StatusReply) {
 	s.statuses.fullNeeded = reply.Full
 	for _, id := range reply.Released {
