--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -4,19 +4,19 @@
 	"lemonmoor/internal/drain"
 )
 
-// drainParts is what a node keeps for stepwise drains.
-type drainParts struct {
+// drainComponents holds a node's components for stepwise drains.
+type drainComponents struct {
 	records     *drain.Records
 	coordinator *drain.Coordinator
 }
 
-// newDrainParts makes the parts for drains and gives each shard owner its executor; nil if
-// drains are off.
-func (n *Node) newDrainParts() *drainParts {
+// newDrainComponents creates the drain components and the drain executor of each shard owner.
+// It returns nil if drains are disabled.
+func (n *Node) newDrainComponents() *drainComponents {
 	if n.settings.Operator.Drains == nil {
 		return nil
 	}
-	records := drain.NewRecords(n.runtime, n.stateClient, n.log, n.haltGranted)
+	records := drain.NewRecords(n.runtime, n.stateClient, n.log, n.haltGrantedTasks)
 	coordinator := drain.NewCoordinator(drain.Dependencies{
 		Runtime: n.runtime, State: n.stateClient, Lease: n.leases, Records: records, Cluster: &drainCluster{n, records},
 		Settings: n.settings, Tracer: n.openDrainTracer(), Log: n.log,
@@ -26,11 +26,11 @@
 			return owner.token != 0 && owner.tasks.IsLoaded() && owner.LeaseValid()
 		})
 	}
-	return &drainParts{records, coordinator}
+	return &drainComponents{records, coordinator}
 }
 
-// openDrainTracer opens the file that drains are traced to, nil if none is set or it cannot
-// be opened.
+// openDrainTracer opens the trace file of drains. It returns nil if none is configured or it
+// cannot be opened.
 func (n *Node) openDrainTracer() *drain.Tracer {
 	path := n.settings.Operator.Drains.TraceFile
 	if path == "" {
@@ -43,18 +43,18 @@
 	return tracer
 }
 
-// haltGranted has the shard owners of this node carry out what drains are granted.
-func (n *Node) haltGranted() {
+// haltGrantedTasks makes the shard owners of this node halt the tasks granted to drains.
+func (n *Node) haltGrantedTasks() {
 	for _, owner := range n.shardOwners {
 		owner.drainExecutor.HaltGranted()
 	}
 }
 
-// tickDrains is what happens for the drains once every tuning.StatusInterval.
+// tickDrains advances the drains. It runs once every tuning.StatusInterval.
 func (n *Node) tickDrains() {
 	if n.drains == nil {
 		return
 	}
-	n.haltGranted()
+	n.haltGrantedTasks()
 	n.drains.coordinator.Tick()
 }
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -11,28 +11,28 @@
 	"lemonmoor/internal/workers"
 )
 
-// redirectReply sends a worker to the node that owns its machine's shard; empty if that is
-// not known, or is this node, which may not answer now (PROTOCOL, status 421).
+// redirectReply redirects a worker to the node that owns its machine's shard. Upstream is empty
+// if the owner is unknown, or if it is this node but may not answer now (PROTOCOL, status 421).
 type redirectReply struct {
 	Upstream string `json:"upstream,omitempty"`
 }
 
-// redirection is a worker that was sent to the owner of its shard.
+// redirection records that a worker was redirected to the owner of its shard.
 type redirection struct {
-	lastHeartbeatAt time.Duration // of its last heartbeat to this node
+	lastHeartbeatAt time.Duration // the worker's last heartbeat to this node
 	redirectedAt    time.Duration
 }
 
-// redirections holds the workers that this node has redirected lately, by worker ID. One
-// that is soon back could not reach its shard's owner.
+// redirections holds the workers that this node has redirected recently, by worker ID. A
+// worker that returns within tuning.RelayWithin could not reach its shard's owner.
 type redirections map[string]redirection
 
-// shouldRelay notes a heartbeat and tells whether it is to be relayed to the shard's owner
-// rather than redirected: the worker was redirected lately and is back. After
-// tuning.RelayPeriod it is redirected again, since the owner may be reachable anew.
+// shouldRelay reports whether a heartbeat is to be relayed to the shard's owner because its
+// worker was redirected recently and has returned; if so, it records the heartbeat. After
+// tuning.RelayPeriod the worker is redirected again, since the owner may be reachable by then.
 func (r redirections) shouldRelay(workerID string, now time.Duration) bool {
-	previous, isBack := r[workerID]
-	if !isBack || now-previous.lastHeartbeatAt > tuning.RelayWithin || now-previous.redirectedAt > tuning.RelayPeriod {
+	previous, wasRedirected := r[workerID]
+	if !wasRedirected || now-previous.lastHeartbeatAt > tuning.RelayWithin || now-previous.redirectedAt > tuning.RelayPeriod {
 		return false
 	}
 	previous.lastHeartbeatAt = now
@@ -40,13 +40,13 @@
 	return true
 }
 
-// add notes that a worker is redirected.
+// add records that a worker is redirected.
 func (r redirections) add(workerID string, now time.Duration) {
 	r[workerID] = redirection{lastHeartbeatAt: now, redirectedAt: now}
 }
 
-// forgetOld forgets the workers that have not come back.
-func (r redirections) forgetOld(now time.Duration) {
+// removeExpired removes the workers that have not returned within tuning.RelayWithin.
+func (r redirections) removeExpired(now time.Duration) {
 	for workerID, previous := range r {
 		if now-previous.lastHeartbeatAt > tuning.RelayWithin {
 			delete(r, workerID)
@@ -54,15 +54,15 @@
 	}
 }
 
-// handleHeartbeat serves POST /agent/beat: it answers for the shards that this node owns,
-// and sends workers of other shards to the owner, or passes their heartbeats on.
+// handleHeartbeat handles POST /agent/beat. It answers workers of the shards that this node
+// owns. Workers of other shards are redirected to the owner, or their heartbeats are relayed.
 func (n *Node) handleHeartbeat(body []byte, respond http1.ResponseWriter) {
 	heartbeat, err := workers.ParseHeartbeat(body)
 	if err != nil {
 		respond(http.StatusBadRequest, http1.ErrorBody(err.Error()), 0)
 		return
 	}
-	n.ownership.heartbeatReceived()
+	n.ownership.recordDirectHeartbeat()
 	owner := n.shardOwners[taskstate.ShardOf(heartbeat.WorkerID, len(n.shardOwners))]
 	if n.mayAnswer(owner) {
 		status, reply := owner.handleHeartbeat(heartbeat)
@@ -70,7 +70,7 @@
 		return
 	}
 	if owner.token != 0 {
-		n.keepVerified() // at once: a lease may be valid again
+		n.verifyCopiesIfStale() // now, not with the next tick: the lease may be valid again
 	}
 	ownerNode, now := n.leases.ShardOwner(owner.shardIndex), n.runtime.Now()
 	endpoint := n.membership.endpoint(ownerNode)
@@ -82,8 +82,8 @@
 	n.redirectWorker(ownerNode, respond)
 }
 
-// relayHeartbeat passes a heartbeat on to the shard's owner, whose answer counts whichever
-// node gives it to the worker.
+// relayHeartbeat relays a heartbeat to the shard's owner and the owner's answer to the worker.
+// The answer is as valid as one that the worker gets from the owner itself.
 func (n *Node) relayHeartbeat(shardIndex int, endpoint string, body []byte, respond http1.ResponseWriter) {
 	n.runtime.CallPeer(endpoint, heartbeatPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
 		if err != nil {
@@ -94,7 +94,7 @@
 	})
 }
 
-// redirectWorker sends a worker to the node that owns its machine's shard.
+// redirectWorker redirects a worker to the node that owns its machine's shard.
 func (n *Node) redirectWorker(ownerNode string, respond http1.ResponseWriter) {
 	var reply redirectReply
 	if ownerNode != n.settings.Node {
--- a/internal/controller/heartbeat_routing_test.go
+++ b/internal/controller/heartbeat_routing_test.go
@@ -43,11 +43,11 @@
 	known := redirections{}
 	known.add("vm-1", 0)
 	known.add("vm-2", time.Second)
-	known.forgetOld(tuning.RelayWithin)
+	known.removeExpired(tuning.RelayWithin)
 	if len(known) != 2 {
 		t.Error("forgotten too early")
 	}
-	known.forgetOld(tuning.RelayWithin + time.Second)
+	known.removeExpired(tuning.RelayWithin + time.Second)
 	if _, kept := known["vm-2"]; !kept || len(known) != 1 {
 		t.Errorf("kept: %v", known)
 	}
--- a/internal/controller/knowledge.go
+++ b/internal/controller/knowledge.go
@@ -6,11 +6,12 @@
 	"lemonmoor/internal/tuning"
 )
 
-// mayAnswer tells whether this node may answer heartbeats of a shard's workers: while its
-// lease is valid, and for the answer grace period after, which every takeover waits out; and
-// only on knowledge of cancellations that is recent enough. The lease alone is not enough:
-// after an outage it has its full time again, while the catalog still lacks what other nodes
-// have confirmed to users. See docs/design.md, "What a cancellation binds".
+// mayAnswer reports whether this node may answer heartbeats of a shard's workers. It may while
+// its lease is valid and for the answer grace period after that, which every takeover waits
+// for, and only if its knowledge of cancellations is younger than Settings.MaxKnowledgeAge. The
+// lease alone is not enough: after an outage it is renewed for its full duration while the
+// catalog still lacks cancellations that other nodes have confirmed to users. See
+// docs/design.md, "What a cancellation binds".
 func (n *Node) mayAnswer(owner *shardOwner) bool {
 	now := n.runtime.Now()
 	verifiedAt, known := n.catalog.VerifiedAt()
@@ -18,9 +19,9 @@
 		known && now < verifiedAt+n.settings.MaxKnowledgeAge()
 }
 
-// cancellationsVerifiedSince tells whether the catalog has been verified to hold all
-// cancellations up to a moment, no longer ago than tuning.MaxLaunchKnowledgeAge; if not, a
-// verification is asked for.
+// cancellationsVerifiedSince reports whether the catalog is verified to hold all cancellations
+// up to since or later, by a verification that is at most tuning.MaxLaunchKnowledgeAge old. If
+// not, it requests a verification.
 func (n *Node) cancellationsVerifiedSince(since time.Duration) bool {
 	now := n.runtime.Now()
 	verifiedAt, known := n.catalog.VerifiedAt()
@@ -31,9 +32,9 @@
 	return false
 }
 
-// keepVerified keeps verified what a shard owner's answers rest on: the catalog's
-// cancellations and the leases.
-func (n *Node) keepVerified() {
+// verifyCopiesIfStale requests a verification of the catalog's cancellations and of the leases
+// where the last one is too old. A shard owner's answers to workers depend on both.
+func (n *Node) verifyCopiesIfStale() {
 	n.catalog.VerifyIfOlder(tuning.KnowledgeVerifyInterval)
 	n.leases.VerifyIfStale()
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -1,14 +1,14 @@
-// Package controller puts the program's parts together into one controller node: it wires
-// them, routes what reaches the node (workers' heartbeats, users' requests, messages of
-// other controllers) to the part that serves it, and decides from the heartbeats whether
-// the node may keep the shards that it owns.
+// Package controller assembles a controller node. It wires the components of the other
+// packages, routes incoming messages (workers' heartbeats, users' requests, messages of other
+// controllers) to the component that handles them, and decides from the heartbeats whether the
+// node may keep the shards that it owns.
 //
-// It owns what a node knows of its peers and of the ways by which workers reach it
-// (membership, ownershipMonitor, redirections), and for each shard the pieces of its owner
+// The package's own state is the node's view of its peers and of the connections to its workers
+// (membership, ownershipMonitor, redirections), and for each shard the components of its owner
 // (shardOwner). Jobs, records, machines and leases belong to the packages that it wires.
 //
-// All of it runs on the event loop. Nothing here may block, start a goroutine, or answer a
-// worker without a lease and recent knowledge of cancellations (Node.mayAnswer).
+// All code runs on the event loop. It must not block, start a goroutine, or answer a worker
+// without a lease and recent knowledge of cancellations (Node.mayAnswer).
 package controller
 
 import (
@@ -24,7 +24,7 @@
 	"lemonmoor/internal/userapi"
 )
 
-// platform is what all parts of a node work with.
+// platform holds the dependencies that all components of a node share.
 type platform struct {
 	runtime     eventloop.Runtime
 	settings    *settings.Settings
@@ -32,7 +32,7 @@
 	stateClient *statestore.Client
 }
 
-// Node is one controller.
+// Node is a controller node.
 type Node struct {
 	platform
 	identity     identity
@@ -41,27 +41,29 @@
 	redirections redirections
 	peerHandlers map[string]peerHandler // by path
 
-	// Made anew when the stored layout has another number of shards than the settings.
+	// Created by build, and again if the stored layout differs from the settings in the number
+	// of shards.
 	leases      *statestore.LeaseManager
 	catalog     *userapi.Catalog
 	taskStates  *taskstate.Store
 	userAPI     *userapi.API
 	leader      *leader.Leader
 	fleet       *fleet.Fleet
-	shardOwners []*shardOwner // by shard index
-	drains      *drainParts   // nil if drains are off
+	shardOwners []*shardOwner    // by shard index
+	drains      *drainComponents // nil if drains are disabled
 }
 
-// Start begins the node's work, once it is known how the machines are divided into shards.
+// Start reads the stored number of shards, and then starts the node.
 func (n *Node) Start() {
 	reader := &layoutReader{platform: n.platform, done: n.startWithLayout}
 	reader.read(0)
 }
 
-// startWithLayout starts the node for the number of shards that holds for the deployment.
+// startWithLayout starts the node with the deployment's number of shards. If that differs from
+// the settings, the components are built again.
 func (n *Node) startWithLayout(shardCount int) {
 	if shardCount != n.settings.ShardCount() {
-		n.log.Warn("stored number of shards differs from the settings, the stored one holds",
+		n.log.Warn("stored number of shards differs from the settings, using the stored number",
 			"count", shardCount, "settings_count", n.settings.ShardCount())
 		n.settings.SetShardCount(shardCount)
 		n.build()
@@ -80,7 +82,7 @@
 	n.tick()
 }
 
-// ownsShard tells whether this node owns any shard.
+// ownsShard reports whether this node owns any shard.
 func (n *Node) ownsShard() bool {
 	for _, owner := range n.shardOwners {
 		if owner.token != 0 {
@@ -90,42 +92,43 @@
 	return false
 }
 
-// relinquishShards gives up all shards that this node owns.
+// relinquishShards relinquishes all shards that this node owns.
 func (n *Node) relinquishShards() { n.leases.RelinquishShards() }
 
-// tick is what happens once every tuning.StatusInterval.
+// tick runs the node's periodic work, once every tuning.StatusInterval.
 func (n *Node) tick() {
 	n.runtime.After(tuning.StatusInterval, n.tick)
-	hearing := n.tickShardOwners()
+	reachability := n.tickShardOwners()
 	if n.ownsShard() {
-		n.keepVerified()
+		n.verifyCopiesIfStale()
 	}
-	n.ownership.check(hearing)
+	n.ownership.check(reachability)
 	n.tickDrains()
 	n.leader.RequestRound()
 	n.membership.compareStateHealth()
-	n.redirections.forgetOld(n.runtime.Now())
+	n.redirections.removeExpired(n.runtime.Now())
 }
 
-// tickShardOwners has the shard owners check their workers and send their status, and
-// returns how many of the workers receive this node's answers.
-func (n *Node) tickShardOwners() hearingCount {
-	var total hearingCount
+// tickShardOwners makes the shard owners check their workers and send their status. It counts
+// the reporting workers and those of them that this node's answers do not reach.
+func (n *Node) tickShardOwners() workerReachability {
+	var total workerReachability
 	for _, owner := range n.shardOwners {
 		if owner.token == 0 {
 			continue
 		}
 		owner.workers.Tick()
 		owner.rounds.needed = true
-		deaf, reporting := owner.workers.CountDeaf()
+		unreachable, reporting := owner.workers.CountDeaf()
 		total.reporting += reporting
-		total.deaf += deaf
+		total.unreachable += unreachable
 		n.sendStatus(owner)
 	}
 	return total
 }
 
-// AfterBatch takes the decisions that a batch of commands has made necessary.
+// AfterBatch runs the scheduling decisions and commits that became due in a batch of event loop
+// commands.
 func (n *Node) AfterBatch() {
 	n.leader.AfterBatch()
 	for _, owner := range n.shardOwners {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -9,116 +9,122 @@
 	"lemonmoor/internal/tuning"
 )
 
-// heldShards is what an ownershipMonitor asks of the node.
-type heldShards interface {
+// shardHolder is the node as seen by an ownershipMonitor.
+type shardHolder interface {
 	ownsShard() bool
 	relinquishShards()
 }
 
-// hearingCount counts the workers of a node's shards: those that report, and those of them
-// that are deaf, that is whose heartbeats arrive while the node's answers do not reach them.
-type hearingCount struct {
-	reporting int
-	deaf      int
+// workerReachability counts workers of the shards that a node owns.
+type workerReachability struct {
+	reporting   int // their heartbeats arrive
+	unreachable int // reporting workers that the node's answers do not reach
 }
 
-// ownershipMonitor decides from the heartbeats that reach this node whether it may keep its
-// shards. A node that workers cannot reach, or whose answers do not reach them, relinquishes
-// them; one whose machines have all died keeps them.
+// ownershipMonitor decides from the heartbeats that reach this node whether it keeps its
+// shards. The node relinquishes them if workers cannot reach it or its answers do not reach
+// the workers. It keeps them if all of its machines have died.
 type ownershipMonitor struct {
 	runtime    eventloop.Runtime
 	settings   *settings.Settings
 	membership *membership
-	shards     heldShards
+	shards     shardHolder
 
-	// When the last heartbeat of any worker of any shard came, directly or relayed, or
-	// when the wait for one began anew.
+	// When the last heartbeat of any worker of any shard arrived, directly or relayed, or
+	// when the wait for one was restarted.
 	lastHeartbeatAt time.Duration
-	// When a worker itself last came to this node, 0 if none has.
+	// When a worker last sent a heartbeat directly to this node, 0 if none has.
 	lastWorkerContactAt time.Duration
-	askingPeers         bool
-	// How many times in a row the shards were relinquished without a heartbeat.
-	unsuccessfulTerms int
+	peerQueryInFlight   bool
+	// How often the shards have been relinquished since the last heartbeat.
+	relinquishmentsSinceHeartbeat int
 }
 
-// shardAcquired gives the workers of a new shard time to come here.
+// shardAcquired restarts the wait for heartbeats, so that the workers of a newly acquired shard
+// have time to reach this node.
 func (m *ownershipMonitor) shardAcquired() { m.lastHeartbeatAt = m.runtime.Now() }
 
-// heartbeatReceived notes a heartbeat that a worker sent to this node.
-func (m *ownershipMonitor) heartbeatReceived() {
+// recordDirectHeartbeat records a heartbeat that a worker sent to this node itself.
+func (m *ownershipMonitor) recordDirectHeartbeat() {
 	m.lastWorkerContactAt = m.runtime.Now()
-	m.heartbeatRelayed()
+	m.recordHeartbeat()
 }
 
-// heartbeatRelayed notes a heartbeat that a peer passed on. A worker whose heartbeats are
-// relayed reaches this node too: not to count it made owners relinquish their shards after
-// a restart, when all workers still reported through another node.
-func (m *ownershipMonitor) heartbeatRelayed() {
-	m.lastHeartbeatAt, m.unsuccessfulTerms = m.runtime.Now(), 0
+// recordHeartbeat records a heartbeat that arrived directly or was relayed by a peer. Relayed
+// heartbeats count because their worker reaches this node too. If they did not count, owners
+// would relinquish their shards after a restart, when all workers still report through another
+// node.
+func (m *ownershipMonitor) recordHeartbeat() {
+	m.lastHeartbeatAt, m.relinquishmentsSinceHeartbeat = m.runtime.Now(), 0
 }
 
-// workerSilence is how long ago a worker came to this node, in milliseconds.
+// workerSilence returns the time since a worker last sent a heartbeat directly to this node, in
+// milliseconds.
 func (m *ownershipMonitor) workerSilence() workerSilenceReply {
 	if m.lastWorkerContactAt == 0 {
-		return neverHeard
+		return noWorkerContact
 	}
 	return workerSilenceReply((m.runtime.Now() - m.lastWorkerContactAt).Milliseconds())
 }
 
-// check relinquishes the shards if most workers are deaf, and asks the peers if no
-// heartbeat has come for too long.
-func (m *ownershipMonitor) check(workers hearingCount) {
+// check relinquishes the shards if this node's answers do not reach more than half of the
+// reporting workers. It asks the peers for heartbeats if none has arrived here within the
+// silence limit, which doubles with each relinquishment since the last heartbeat, up to
+// tuning.MaxSilenceDoublings times.
+func (m *ownershipMonitor) check(workers workerReachability) {
 	if workers.reporting == 0 {
 		return
 	}
-	if workers.deaf > workers.reporting-workers.deaf {
+	if workers.unreachable > workers.reporting-workers.unreachable {
 		m.relinquish()
 		return
 	}
-	silenceLimit := m.settings.OwnerSilenceLimit(workers.reporting) << min(m.unsuccessfulTerms, tuning.MaxSilenceDoublings)
+	silenceLimit := m.settings.OwnerSilenceLimit(workers.reporting) << min(m.relinquishmentsSinceHeartbeat, tuning.MaxSilenceDoublings)
 	if m.runtime.Now()-m.lastHeartbeatAt > silenceLimit {
 		m.askPeersForHeartbeats()
 	}
 }
 
-// relinquish gives the shards up: it is this node that is cut off, not every machine that
-// has died. If they have all died nevertheless, the next owner hears none either: the
-// longer a shard goes round, the longer it is kept.
+// relinquish relinquishes the shards on the assumption that this node is partitioned, and not
+// that all machines have died. If they have died, the next owner receives no heartbeats either
+// and the shards move from node to node; each relinquishment without a heartbeat in between
+// makes a node keep them longer the next time.
 func (m *ownershipMonitor) relinquish() {
 	m.shards.relinquishShards()
 	m.lastHeartbeatAt = m.runtime.Now()
-	m.unsuccessfulTerms++
+	m.relinquishmentsSinceHeartbeat++
 }
 
-// askPeersForHeartbeats is what follows when no heartbeat comes for any shard: the peers
-// are asked whether workers come to them, as workers do that do not reach their owner. If
-// none does, the machines are dead, and to relinquish the shards would only begin the wait
-// for the ends of the machines' leases anew: a lone machine's tasks were lost for minutes
-// while its shard went round. A peer that does not answer may be one that workers reach.
+// askPeersForHeartbeats asks the peers whether workers send heartbeats to them, as workers do
+// that cannot reach their owner. It is called when no heartbeat arrives for any shard. If no
+// worker reaches a peer either, the machines are dead and the shards are kept: relinquishing
+// them would only restart the wait for the machines' leases to end, and the tasks of a single
+// dead machine would stay lost for minutes while its shard moves from node to node. A peer that
+// does not answer counts as one that workers may reach.
 func (m *ownershipMonitor) askPeersForHeartbeats() {
-	if m.askingPeers {
+	if m.peerQueryInFlight {
 		return
 	}
 	pending := len(m.membership.endpoints)
 	if pending == 0 {
 		return
 	}
-	m.askingPeers = true
-	silentSince, peerHears := m.lastHeartbeatAt, false
+	m.peerQueryInFlight = true
+	silentSince, mayReachPeer := m.lastHeartbeatAt, false
 	m.membership.askAll(workerSilencePath, func(body []byte, err error) {
-		if err != nil || m.peerMayHear(body, silentSince) {
-			peerHears = true
+		if err != nil || m.peerMayReceiveHeartbeats(body, silentSince) {
+			mayReachPeer = true
 		}
 		if pending--; pending == 0 {
-			m.askingPeers = false
-			m.peersAnswered(silentSince, peerHears)
+			m.peerQueryInFlight = false
+			m.peersAnswered(silentSince, mayReachPeer)
 		}
 	})
 }
 
-// peerMayHear tells from a peer's answer whether a worker may have come to it since a
-// moment: also if the answer does not say.
-func (m *ownershipMonitor) peerMayHear(body []byte, since time.Duration) bool {
+// peerMayReceiveHeartbeats reports whether, by a peer's answer, a worker may have sent it a
+// heartbeat after since. It returns true for a malformed answer.
+func (m *ownershipMonitor) peerMayReceiveHeartbeats(body []byte, since time.Duration) bool {
 	var silence workerSilenceReply
 	if json.Unmarshal(body, &silence) != nil {
 		return true
@@ -126,14 +132,15 @@
 	return silence.duration() < m.runtime.Now()-since
 }
 
-// peersAnswered decides after a silence, unless a heartbeat has come meanwhile.
-func (m *ownershipMonitor) peersAnswered(silentSince time.Duration, peerHears bool) {
+// peersAnswered relinquishes the shards if a worker may have reached a peer, unless a heartbeat
+// has arrived at this node in the meantime.
+func (m *ownershipMonitor) peersAnswered(silentSince time.Duration, mayReachPeer bool) {
 	if !m.shards.ownsShard() || m.lastHeartbeatAt != silentSince {
 		return
 	}
-	if peerHears {
+	if mayReachPeer {
 		m.relinquish()
 		return
 	}
-	m.lastHeartbeatAt = m.runtime.Now() // the peers are asked again after as long a silence
+	m.lastHeartbeatAt = m.runtime.Now() // the peers are asked again after another silence limit
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -77,7 +77,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			monitor, shards, runtime := newTestMonitor(2)
-			workers := hearingCount{reporting: 4}
+			workers := workerReachability{reporting: 4}
 			limit := monitor.settings.OwnerSilenceLimit(workers.reporting)
 			runtime.now += limit
 			monitor.check(workers)
@@ -91,10 +91,10 @@
 				t.Fatalf("%d messages to two peers", len(runtime.pending))
 			}
 			runtime.answer(test.answers[:]...)
-			if shards.relinquished != test.relinquished || monitor.unsuccessfulTerms != test.relinquished {
+			if shards.relinquished != test.relinquished || monitor.relinquishmentsSinceHeartbeat != test.relinquished {
 				t.Errorf("relinquished %d times, not %d", shards.relinquished, test.relinquished)
 			}
-			if monitor.lastHeartbeatAt != runtime.now || monitor.askingPeers {
+			if monitor.lastHeartbeatAt != runtime.now || monitor.peerQueryInFlight {
 				t.Error("the silence does not begin anew")
 			}
 		})
@@ -106,9 +106,9 @@
 func TestHeartbeatDuringTheQuestionKeepsTheShards(t *testing.T) {
 	monitor, shards, runtime := newTestMonitor(1)
 	runtime.now += monitor.settings.OwnerSilenceLimit(1) + 1
-	monitor.check(hearingCount{reporting: 1})
+	monitor.check(workerReachability{reporting: 1})
 	runtime.now++
-	monitor.heartbeatRelayed()
+	monitor.recordHeartbeat()
 	runtime.answer("5")
 	if shards.relinquished != 0 {
 		t.Error("relinquished though a heartbeat has come")
@@ -119,12 +119,12 @@
 // relinquished at once.
 func TestDeafWorkersCostTheShards(t *testing.T) {
 	for _, test := range []struct {
-		workers      hearingCount
+		workers      workerReachability
 		relinquished int
 	}{
-		{hearingCount{reporting: 0, deaf: 0}, 0},
-		{hearingCount{reporting: 4, deaf: 2}, 0},
-		{hearingCount{reporting: 4, deaf: 3}, 1},
+		{workerReachability{reporting: 0, unreachable: 0}, 0},
+		{workerReachability{reporting: 4, unreachable: 2}, 0},
+		{workerReachability{reporting: 4, unreachable: 3}, 1},
 	} {
 		monitor, shards, _ := newTestMonitor(1)
 		monitor.check(test.workers)
@@ -138,7 +138,7 @@
 // resets it.
 func TestSilenceLimitDoublesWithEachUnsuccessfulTerm(t *testing.T) {
 	monitor, _, runtime := newTestMonitor(1)
-	workers := hearingCount{reporting: 4}
+	workers := workerReachability{reporting: 4}
 	for term := range tuning.MaxSilenceDoublings + 2 {
 		runtime.now = monitor.lastHeartbeatAt + monitor.settings.OwnerSilenceLimit(4)<<min(term, tuning.MaxSilenceDoublings)
 		monitor.check(workers)
@@ -152,8 +152,8 @@
 		}
 		runtime.answer("5")
 	}
-	monitor.heartbeatReceived()
-	if monitor.unsuccessfulTerms != 0 {
+	monitor.recordDirectHeartbeat()
+	if monitor.relinquishmentsSinceHeartbeat != 0 {
 		t.Error("a heartbeat does not reset the limit")
 	}
 	runtime.now++
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -12,48 +12,49 @@
 	"lemonmoor/internal/workers"
 )
 
-// Paths of the messages between controllers. Their names are those of earlier versions,
-// with which this one talks during a rollout.
+// Paths of the messages between controllers. They must not change: during a rollout nodes of
+// earlier versions use them too.
 const (
-	// statusPath takes a statusMessage at the leader and answers a fleet.StatusReply.
+	// statusPath receives a statusMessage on the leader and answers with a fleet.StatusReply.
 	statusPath = "/digest"
-	// heartbeatPath takes a worker's heartbeat that a peer relays to the shard owner, which
-	// the worker cannot reach itself, and answers what the worker is answered.
+	// heartbeatPath receives a worker's heartbeat that a peer relays to the shard owner because
+	// the worker cannot reach it, and answers with the reply to the worker.
 	heartbeatPath = "/beat"
-	// stateHealthPath answers a stateHealthReply.
+	// stateHealthPath answers with a stateHealthReply.
 	stateHealthPath = "/state"
-	// workerSilencePath answers a workerSilenceReply.
+	// workerSilencePath answers with a workerSilenceReply.
 	workerSilencePath = "/heard"
 )
 
-// statusMessage is a shard owner's status message to the leader. Versions that know no
-// drains pass over what is reported of them.
+// statusMessage is a shard owner's status message to the leader. Versions without drains ignore
+// the field Drains.
 type statusMessage struct {
 	*fleet.ShardStatus
 	Drains *drain.ShardReport `json:"drains,omitempty"`
 }
 
-// stateHealthReply tells whether the state service has answered the node lately.
+// stateHealthReply reports whether the state service has answered the node within
+// tuning.UnhealthyAfter.
 type stateHealthReply bool
 
-// workerSilenceReply is how long ago a worker last came to the node itself, in milliseconds.
+// workerSilenceReply is the time since a worker last sent a heartbeat directly to the node, in
+// milliseconds.
 type workerSilenceReply int64
 
-// neverHeard is the answer of a node to which no worker has come: the longest time in
-// milliseconds that a time.Duration can hold.
-const neverHeard = workerSilenceReply(math.MaxInt64 / int64(time.Millisecond))
+// noWorkerContact is the reply of a node that no worker has sent a heartbeat to: the longest
+// time in milliseconds that a time.Duration can hold.
+const noWorkerContact = workerSilenceReply(math.MaxInt64 / int64(time.Millisecond))
 
 func (r workerSilenceReply) duration() time.Duration { return time.Duration(r) * time.Millisecond }
 
-// peerHandler serves a message of another controller. It calls answer once; ok false
-// refuses the message.
+// peerHandler handles a message of another controller and calls answer exactly once.
 type peerHandler func(body []byte, answer peerAnswer)
 
-// peerAnswer takes the answer to a message.
+// peerAnswer receives the answer to a message. ok false refuses the message.
 type peerAnswer = func(body []byte, ok bool)
 
-// routePeerMessages is the table of the messages that a node takes.
-func (n *Node) routePeerMessages() map[string]peerHandler {
+// newPeerHandlers returns the handlers of the messages that a node receives, by path.
+func (n *Node) newPeerHandlers() map[string]peerHandler {
 	return map[string]peerHandler{
 		statusPath:    n.handleStatusMessage,
 		heartbeatPath: n.handleRelayedHeartbeat,
@@ -67,9 +68,9 @@
 	}
 }
 
-// HandlePeer serves a message of another controller, on the loop. answer is called once,
-// now or later; ok false refuses the message: it is malformed, not for this node, or not
-// known to this version.
+// HandlePeer handles a message of another controller on the event loop. answer is called exactly
+// once, before or after HandlePeer returns. ok is false if the message is refused: it is
+// malformed, is not for this node, or has a path unknown to this version.
 func (n *Node) HandlePeer(path string, body []byte, answer func(body []byte, ok bool)) {
 	handle, known := n.peerHandlers[path]
 	if !known {
@@ -79,13 +80,14 @@
 	handle(body, answer)
 }
 
-// answerJSON answers a message by a value.
+// answerJSON answers a message with a value encoded as JSON.
 func answerJSON(reply any, answer peerAnswer) {
 	body, err := json.Marshal(reply)
 	answer(body, err == nil)
 }
 
-// handleStatusMessage serves a shard owner's status message, if this node leads.
+// handleStatusMessage handles a shard owner's status message. It refuses the message if this node
+// is not the leader.
 func (n *Node) handleStatusMessage(body []byte, answer peerAnswer) {
 	var message statusMessage
 	if err := json.Unmarshal(body, &message); err != nil || n.leases.LeaderToken() == 0 {
@@ -95,7 +97,7 @@
 	answerJSON(n.receiveStatus(&message), answer)
 }
 
-// handleRelayedHeartbeat serves a worker's heartbeat that a peer passes on.
+// handleRelayedHeartbeat handles a worker's heartbeat that a peer has relayed.
 func (n *Node) handleRelayedHeartbeat(body []byte, answer peerAnswer) {
 	heartbeat, err := workers.ParseHeartbeat(body)
 	if err != nil {
@@ -107,7 +109,7 @@
 		answer(nil, false)
 		return
 	}
-	n.ownership.heartbeatRelayed()
+	n.ownership.recordHeartbeat()
 	status, reply := owner.handleHeartbeat(heartbeat)
 	answer(reply, status == http.StatusOK)
 }
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -14,14 +14,14 @@
 	"lemonmoor/internal/userapi"
 )
 
-// identity tells a node apart from others, and from earlier processes of the same name.
+// identity distinguishes a node from others, and from earlier processes under the same name.
 type identity struct {
-	nonce uint64 // differs for every process
-	rank  int    // among the nodes, by name; staggers their elections
+	nonce uint64 // unique per process
+	rank  int    // position among the nodes sorted by name; staggers their elections
 }
 
-// New wires a node for the number of shards by the settings. nonce differs for every
-// process.
+// New creates a node and wires its components for the number of shards in the settings. nonce
+// must be unique per process.
 func New(runtime eventloop.Runtime, settings *settings.Settings, nonce uint64, log *slog.Logger) *Node {
 	client := statestore.New(runtime, settings.External.State, log)
 	client.FreshnessCheckInterval = settings.FreshnessCheckInterval()
@@ -35,12 +35,12 @@
 		redirections: redirections{},
 	}
 	node.ownership = &ownershipMonitor{runtime: runtime, settings: settings, membership: node.membership, shards: node}
-	node.peerHandlers = node.routePeerMessages()
+	node.peerHandlers = node.newPeerHandlers()
 	node.build()
 	return node
 }
 
-// rankOf is the number of nodes whose names come before this one's.
+// rankOf returns the number of nodes whose names sort before this node's.
 func rankOf(settings *settings.Settings) int {
 	rank := 0
 	for _, seed := range settings.Seeds {
@@ -51,7 +51,7 @@
 	return rank
 }
 
-// build makes the parts for the number of shards by the settings and connects them.
+// build creates and connects the components that depend on the number of shards in the settings.
 func (n *Node) build() {
 	n.leases = statestore.NewLeaseManager(n.runtime, n.stateClient, n.log, statestore.LeaseConfig{
 		Node: n.settings.Node, Nonce: n.identity.nonce, Rank: n.identity.rank, ShardCount: n.settings.ShardCount(),
@@ -74,15 +74,16 @@
 	for shardIndex := range n.settings.ShardCount() {
 		n.shardOwners = append(n.shardOwners, newShardOwner(n, shardIndex))
 	}
-	n.drains = n.newDrainParts()
+	n.drains = n.newDrainComponents()
 
 	n.connectRecords()
 }
 
-// leaseObserver begins and ends the terms of a node's parts with its leases.
+// leaseObserver begins and ends the terms of a node's components as its leases are acquired and
+// lost.
 type leaseObserver struct{ node *Node }
 
-// LeadershipAcquired begins the leader's parts under a new fencing token.
+// LeadershipAcquired begins the terms of the leader's components under a new fencing token.
 func (o leaseObserver) LeadershipAcquired(token uint64) {
 	o.node.leader.BeginTerm(token)
 	o.node.fleet.BeginTerm()
@@ -91,7 +92,7 @@
 	}
 }
 
-// LeadershipLost ends the leader's parts.
+// LeadershipLost ends the terms of the leader's components.
 func (o leaseObserver) LeadershipLost() {
 	o.node.leader.EndTerm()
 	o.node.fleet.EndTerm()
@@ -100,19 +101,19 @@
 	}
 }
 
-// ShardAcquired begins a shard's owner under a new fencing token.
+// ShardAcquired begins a shard owner's term under a new fencing token.
 func (o leaseObserver) ShardAcquired(shardIndex int, token uint64) {
 	o.node.ownership.shardAcquired()
 	o.node.shardOwners[shardIndex].beginTerm(token)
 }
 
-// ShardLost ends a shard's owner.
+// ShardLost ends a shard owner's term.
 func (o leaseObserver) ShardLost(shardIndex int) { o.node.shardOwners[shardIndex].endTerm() }
 
-// jobObserver tells a node's parts of jobs.
+// jobObserver notifies a node's components of changed jobs.
 type jobObserver struct{ node *Node }
 
-// JobChanged tells the leader and the shard owners of a job.
+// JobChanged notifies the leader and the shard owners of a changed job.
 func (o jobObserver) JobChanged(entry *userapi.Entry) {
 	o.node.leader.JobChanged(entry)
 	for _, owner := range o.node.shardOwners {
@@ -120,7 +121,8 @@
 	}
 }
 
-// connectRecords tells the leader and the shard owners of records.
+// connectRecords registers the leader and the shard owners as observers of the task records, and
+// sets the watch pause of the copies of records and jobs.
 func (n *Node) connectRecords() {
 	n.taskStates.Observe(n.leader)
 	for _, owner := range n.shardOwners {
@@ -130,8 +132,8 @@
 	n.catalog.SetWatchPause(n.watchPause)
 }
 
-// watchPause is how long the copies of jobs and records wait between two watches. A node
-// that neither leads nor owns a shard only answers users from them.
+// watchPause returns the pause of the copies of jobs and records between two watches. It is
+// longer on a node that neither leads nor owns a shard, which only answers users from them.
 func (n *Node) watchPause() time.Duration {
 	if n.leases.LeaderToken() != 0 || n.ownsShard() {
 		return n.settings.WatchPause()
