--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -1,7 +1,7 @@
-// Package jobs is the vocabulary that all packages share: what a job asks for, which
-// machines can give it, and in which order jobs are served.
+// Package jobs defines the job types shared by all packages: what resources a job requests,
+// which machine types can run it, and in which order jobs are scheduled.
 //
-// It holds no state. The names that users and the cloud send are mapped here, once: in the
-// tags of Spec and MachineType and by Parse. It must never change a job after its
-// submission was accepted, since Spec is also the stored form.
+// The package is stateless. It is the only place that maps the field names used by users and
+// by the cloud, in the struct tags of Spec and MachineType and in Parse. It must never change
+// a job after its submission was accepted, because Spec is also the stored form.
 package jobs
--- a/internal/jobs/machine_type.go
+++ b/internal/jobs/machine_type.go
@@ -9,21 +9,21 @@
 	"lemonmoor/internal/settings"
 )
 
-// MachineType is what the cloud tells of a kind of machine. Prices are per hour.
+// MachineType describes a machine type offered by the cloud. Prices are per hour.
 type MachineType struct {
 	Name             string   `json:"label"`
 	CPUs             float64  `json:"cpus"`
 	GPUs             float64  `json:"cards"`
 	MemoryGB         float64  `json:"memoryGb"`
-	CacheGB          float64  `json:"cacheGb"` // for images
-	ImageGBPerSecond float64  `json:"pullGbPerS"`
+	CacheGB          float64  `json:"cacheGb"`    // size of the image cache
+	ImageGBPerSecond float64  `json:"pullGbPerS"` // image download rate
 	Price            float64  `json:"price"`
 	SpotPrice        float64  `json:"spotPrice"`
-	BootSeconds      float64  `json:"startupS"` // nominal
+	BootSeconds      float64  `json:"startupS"` // nominal boot time
 	Zones            []string `json:"yards"`
 }
 
-// Resources returns what an empty machine of the type offers.
+// Resources returns the capacity of an empty machine of the type.
 func (m *MachineType) Resources() resource.Vector {
 	return resource.Vector{CPUs: m.CPUs, GPUs: m.GPUs, MemoryGB: m.MemoryGB}
 }
@@ -35,15 +35,15 @@
 		spec.CPUs <= m.CPUs && spec.GPUs <= m.GPUs && spec.MemoryGB <= m.MemoryGB
 }
 
-// The reasons for which a job can never run.
+// Errors returned by Feasible for jobs that can never run.
 var (
 	ErrUnknownTeam   = errors.New("unknown team")
 	ErrNoMachineType = errors.New("a task fits no allowed machine type")
 	ErrAboveQuota    = errors.New("needs more than the team's limit")
 )
 
-// Feasible returns ErrUnknownTeam, ErrNoMachineType or ErrAboveQuota if the job can never
-// run. The texts go to users.
+// Feasible returns an error that wraps ErrUnknownTeam, ErrNoMachineType or ErrAboveQuota if
+// the job can never run, and nil otherwise. The error texts are sent to users.
 func Feasible(spec *Spec, types []MachineType, teams []settings.Team) error {
 	i := slices.IndexFunc(teams, func(team settings.Team) bool { return team.Name == spec.Team })
 	if i < 0 {
@@ -56,7 +56,7 @@
 	if spec.IsService() || spec.IsGang() {
 		tasksAtOnce = float64(spec.Tasks)
 	}
-	// A limit of 0 means that none may be used: "The value 0 means none" (PROTOCOL).
+	// A limit of 0 forbids any use of the resource: "The value 0 means none" (PROTOCOL).
 	needed := spec.Resources().Times(tasksAtOnce)
 	if needed.CPUs > teams[i].CPUsMax+resource.Epsilon || needed.GPUs > teams[i].GPUsMax+resource.Epsilon {
 		return ErrAboveQuota
--- a/internal/jobs/rank.go
+++ b/internal/jobs/rank.go
@@ -6,29 +6,33 @@
 	"lemonmoor/internal/settings"
 )
 
-// Rank decides which of several jobs is served first. The leader and the owners of shards
-// order jobs by it.
+// Rank is the sort key for the order in which jobs are scheduled. The leader and the shard
+// owners both order jobs by it.
 type Rank struct {
 	Priority Priority
-	// MissedObjectives counts the service-level objectives that the job cannot meet any
-	// more. Under overload a queue in order of age alone makes every job late.
+	// MissedObjectives is the number of service-level objectives that the job can no longer
+	// meet; jobs with fewer go first. Under overload, ordering by age alone makes every job
+	// late.
 	MissedObjectives int
-	WithinQuota      bool // it fits its team's guaranteed quota
-	// RemainingWork is the work that is left of the job, see Spec.WorkSize. A job of which
-	// one task is left, lost with its machine, goes before jobs that have just begun: ranked
-	// by all of its work, it waited behind them for a minute after its deadline.
+	WithinQuota      bool // the job fits its team's guaranteed quota
+	// RemainingWork is the WorkSize of the job's unfinished tasks; jobs with less go first.
+	// It does not count finished tasks, so that a job whose last task was lost with its
+	// machine goes before jobs that have just begun. Ranked by its total work, such a job
+	// waits behind them, for example for a minute past its deadline.
 	RemainingWork int
-	SubmittedMS   int64 // milliseconds since the epoch, by the accepting node's clock
+	SubmittedMS   int64 // milliseconds since the Unix epoch, by the accepting node's clock
 	ID            string
 }
 
-// NewRank returns the rank of a job of which nothing is done, submitted at a time of day.
+// NewRank returns the rank of a job with no finished tasks. submittedMS is its submission time
+// in milliseconds since the Unix epoch.
 func NewRank(spec *Spec, submittedMS int64, withinQuota bool) Rank {
 	return Rank{Priority: spec.Priority(), WithinQuota: withinQuota, RemainingWork: spec.WorkSize(spec.Tasks), SubmittedMS: submittedMS, ID: spec.ID}
 }
 
-// Update brings the rank to a time of day in milliseconds since the epoch, with a number of
-// tasks left, and reports whether it has changed.
+// Update recomputes MissedObjectives and RemainingWork for the current time wallMS, in
+// milliseconds since the Unix epoch, and the number of unfinished tasks. It reports whether
+// either has changed.
 func (r *Rank) Update(spec *Spec, nodeSettings *settings.Settings, wallMS int64, tasksLeft int) bool {
 	missedObjectives := spec.MissedObjectives(nodeSettings, float64(wallMS-r.SubmittedMS)/1000)
 	remainingWork := spec.WorkSize(tasksLeft)
@@ -37,7 +41,7 @@
 	return hasChanged
 }
 
-// Before reports whether a job goes before another.
+// Before reports whether the job is scheduled before the other.
 func (r *Rank) Before(other *Rank) bool {
 	if r.Priority != other.Priority {
 		return r.Priority > other.Priority
--- a/internal/jobs/rank_test.go
+++ b/internal/jobs/rank_test.go
@@ -6,9 +6,10 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestNearlyFinishedJobGoesFirstUnlessItIsLate: a job of which one task is left goes before
-// a smaller one that has just begun, unless it has missed an objective which the other can
-// still meet. Ranked by all of its work, its lost task waited for a minute and more.
+// TestNearlyFinishedJobGoesFirstUnlessItIsLate checks that a job with one unfinished task goes
+// before a smaller job that has just begun, unless it has missed an objective that the other
+// can still meet. If jobs are ranked by their total work, the last task of a large job, lost
+// with its machine, waits for a minute or more.
 func TestNearlyFinishedJobGoesFirstUnlessItIsLate(t *testing.T) {
 	nodeSettings := &settings.Settings{}
 	nodeSettings.Deployment.Objectives = []settings.Objective{{Kind: "deadline", Class: "batch", Share: 0.9, Times: 1}}
@@ -19,17 +20,17 @@
 	large, small := job("wk-1", 100), job("wk-2", 20)
 	largeRank, smallRank := NewRank(large, 0, true), NewRank(small, 1000, true)
 	if largeRank.Before(&smallRank) || !smallRank.Before(&largeRank) {
-		t.Fatal("the larger job goes first")
+		t.Fatal("of two new jobs the larger one goes first, want the smaller one")
 	}
 	if !largeRank.Update(large, nodeSettings, 30_000, 1) || smallRank.Update(small, nodeSettings, 30_000, 20) {
-		t.Fatal("the rank changes with the work left, and with nothing else here")
+		t.Fatal("want Update to report a change only for the job whose remaining work changed")
 	}
 	if !largeRank.Before(&smallRank) || smallRank.Before(&largeRank) {
-		t.Error("one task that is left waits behind twenty")
+		t.Error("the job with one unfinished task goes after the job with twenty, want before")
 	}
-	largeRank.Update(large, nodeSettings, 40_500, 1) // it had to start its last task by 40 s
+	largeRank.Update(large, nodeSettings, 40_500, 1) // past 40 s, the latest start of its last task
 	smallRank.Update(small, nodeSettings, 40_500, 20)
 	if largeRank.Before(&smallRank) {
-		t.Error("a job that is late goes before one that can be in time")
+		t.Error("a job past its deadline goes before one that can still meet its deadline, want after")
 	}
 }
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -10,7 +10,7 @@
 	"lemonmoor/internal/settings"
 )
 
-// Priority orders jobs; the higher goes first.
+// Priority orders jobs; a higher priority is scheduled first.
 type Priority int
 
 // The priorities, lowest first.
@@ -21,7 +21,7 @@
 	PriorityCritical
 )
 
-// priorityNames are the values of the field "urgency" of a submission.
+// priorityNames maps priorities to the values of the submission field "urgency".
 var priorityNames = [...]string{
 	PriorityLow:      "low",
 	PriorityStandard: "standard",
@@ -29,7 +29,7 @@
 	PriorityCritical: "critical",
 }
 
-// String returns the priority's name in submissions.
+// String returns the priority's name as used in submissions.
 func (p Priority) String() string {
 	if p < PriorityLow || p > PriorityCritical {
 		return "priority " + strconv.Itoa(int(p))
@@ -37,7 +37,8 @@
 	return priorityNames[p]
 }
 
-// parsePriority is the inverse of Priority.String; isKnown is false for any other text.
+// parsePriority is the inverse of Priority.String. isKnown is false, and the priority
+// PriorityLow, for any other text.
 func parsePriority(name string) (priority Priority, isKnown bool) {
 	for i := range priorityNames {
 		if priorityNames[i] == name {
@@ -47,21 +48,21 @@
 	return PriorityLow, false
 }
 
-// Shape is how the tasks of a job belong together.
+// Shape is the way in which the tasks of a job run relative to each other.
 type Shape string
 
-// The shapes, by their names in submissions.
+// The shapes, under their names in submissions.
 const (
-	ShapeArray  Shape = "array"  // the tasks run independently, each once
-	ShapeDaemon Shape = "daemon" // a service: the tasks are replicas that run until the job is cancelled
+	ShapeArray  Shape = "array"  // tasks run independently, each to completion once
+	ShapeDaemon Shape = "daemon" // service: tasks are replicas that run until the job is cancelled
 	ShapeGang   Shape = "gang"   // all tasks run at the same time or none does
 )
 
-// isKnown reports whether a job may have the shape.
+// isKnown reports whether the shape is one of the defined ones.
 func (s Shape) isKnown() bool { return s == ShapeArray || s == ShapeDaemon || s == ShapeGang }
 
-// Spec is a job as its user submitted it (PROTOCOL, section on submissions). It is stored
-// in this form. Amounts of resources are those of one task.
+// Spec is a job as submitted by its user (PROTOCOL, section on submissions), and also the
+// stored form of the job. Resource amounts are per task.
 type Spec struct {
 	ID                        string   `json:"id"`
 	Class                     string   `json:"lane"`
@@ -74,38 +75,39 @@
 	MemoryGB                  float64  `json:"memoryGb"`
 	Image                     string   `json:"kit"`
 	ImageGB                   float64  `json:"pullGb"`
-	MachineTypes              []string `json:"builds,omitempty"`    // allowed ones, nil for all
-	Zone                      string   `json:"yard,omitempty"`      // the only one allowed, "" for all
-	SameZone                  bool     `json:"samePlace,omitempty"` // all tasks in the same zone
+	MachineTypes              []string `json:"builds,omitempty"`    // allowed machine types, nil for all
+	Zone                      string   `json:"yard,omitempty"`      // the only allowed zone, "" for all
+	SameZone                  bool     `json:"samePlace,omitempty"` // all tasks must run in the same zone
 	Spread                    bool     `json:"spread,omitempty"`    // at most half of the tasks, rounded up, in one zone
 	Spot                      bool     `json:"loaners,omitempty"`   // may run on spot machines
-	EstimateSeconds           float64  `json:"expectS"`             // run time of a task, without the image; 0 of services
-	CheckpointIntervalSeconds float64  `json:"snapshotS,omitempty"` // 0: tasks never save their progress
-	CheckpointSeconds         float64  `json:"flushS,omitempty"`    // that a task needs to save when it is halted
-	DeadlineSeconds           *float64 `json:"dueS,omitempty"`      // after the submission
+	EstimateSeconds           float64  `json:"expectS"`             // run time of a task without the image download; 0 for services
+	CheckpointIntervalSeconds float64  `json:"snapshotS,omitempty"` // 0: tasks never write checkpoints
+	CheckpointSeconds         float64  `json:"flushS,omitempty"`    // time a halted task needs to write a checkpoint
+	DeadlineSeconds           *float64 `json:"dueS,omitempty"`      // counted from the submission, nil for none
 }
 
-// MaxTasks is the largest number of tasks of a job (PROTOCOL).
+// MaxTasks is the maximum number of tasks in a job (PROTOCOL).
 const MaxTasks = 100000
 
 var idPattern = regexp.MustCompile(`^wk-[0-9]{1,18}$`)
 
-// ValidID reports whether a string has the form of a job's ID.
+// ValidID reports whether id has the form of a job ID, for example wk-000412.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Priority returns the job's priority; PriorityLow if its name is not known.
+// Priority returns the job's priority, or PriorityLow if Urgency is not a known name.
 func (s *Spec) Priority() Priority {
 	priority, _ := parsePriority(s.Urgency)
 	return priority
 }
 
-// Resources returns what each task of the job takes of its machine.
+// Resources returns the resources that each task of the job uses on its machine.
 func (s *Spec) Resources() resource.Vector {
 	return resource.Vector{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB}
 }
 
-// WorkSize returns the work of a number of the job's tasks, as the number of bits of its
-// processor seconds: jobs whose work differs by less than a factor of two are alike.
+// WorkSize returns the logarithmic size of the work of the given number of the job's tasks:
+// the bit length of their total CPU seconds, with a task counted as at least one second.
+// Logarithmic, so that jobs whose work differs by less than a factor of two rank alike.
 func (s *Spec) WorkSize(tasks int) int {
 	return bits.Len64(uint64(float64(tasks) * s.CPUs * max(s.EstimateSeconds, 1)))
 }
@@ -116,8 +118,8 @@
 // IsGang reports whether all tasks run at the same time or none does.
 func (s *Spec) IsGang() bool { return s.Shape == ShapeGang }
 
-// KeepKnownMachineTypes leaves those of the allowed machine types that exist, in the order
-// of their names.
+// KeepKnownMachineTypes removes from MachineTypes the names that are not in types, and sorts
+// and deduplicates the rest.
 func (s *Spec) KeepKnownMachineTypes(types []MachineType) {
 	if s.MachineTypes == nil {
 		return
@@ -129,17 +131,17 @@
 	s.MachineTypes = slices.Compact(s.MachineTypes)
 }
 
-// WithoutStartFields returns the job without what only matters for a start.
+// WithoutStartFields returns a copy of the job without the fields that are only needed to
+// start tasks: class, image and machine types.
 func (s *Spec) WithoutStartFields() *Spec {
 	reduced := *s
 	reduced.Class, reduced.Image, reduced.MachineTypes = "", "", nil
 	return &reduced
 }
 
-// MissedObjectives counts the service-level objectives for the job that its tasks cannot
-// meet any more if they start now, at an age of so many seconds. Of jobs that are alike
-// otherwise, those that miss the least go first: under overload a queue in order of age
-// alone makes every job late.
+// MissedObjectives returns the number of the job's service-level objectives that its tasks
+// miss if they start now, ageSeconds after the submission. Of otherwise equal jobs, those
+// that miss the fewest go first: under overload, ordering by age alone makes every job late.
 func (s *Spec) MissedObjectives(nodeSettings *settings.Settings, ageSeconds float64) int {
 	missed := 0
 	nodeSettings.EachObjectiveDeadline(s.Class, s.EstimateSeconds, s.DeadlineSeconds, func(deadlineSeconds float64) {
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -8,14 +8,14 @@
 	"reflect"
 )
 
-// Limits of what a submission may hold.
+// Upper bounds for the values in a submission.
 const (
-	maxNameBytes = 200  // of the names of class, team and image
-	maxAmount    = 1e12 // of a resource, gigabytes or seconds
+	maxNameBytes = 200  // length of the class, team and image names
+	maxAmount    = 1e12 // amount of a resource, gigabytes or seconds
 )
 
-// submission is a job as users send it, with every field optional, to tell missing from
-// zero.
+// submission is the JSON body of a submission. Every field is a pointer, to distinguish a
+// missing field from a zero value.
 type submission struct {
 	ID                        *string   `json:"id"`
 	Class                     *string   `json:"lane"`
@@ -39,7 +39,7 @@
 	DeadlineSeconds           *float64  `json:"dueS"`
 }
 
-// FieldError says which field of a submission is wrong. Its text goes to users.
+// FieldError reports an invalid field of a submission. Its text is sent to users.
 type FieldError struct {
 	Field  string // name on the wire, "" for the submission as a whole
 	Reason string
@@ -48,14 +48,14 @@
 // Error names the field and the reason in one line.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %q: %s", e.Field, e.Reason) }
 
-// submissionTypeName stands in error texts where a type has its name, if something else
-// than an object is submitted. It is the name that the type had when the first versions
-// answered users so, and is kept since users may match the text.
+// submissionTypeName is the type name in the error text for a submission that is not a JSON
+// object. It is fixed, independent of the Go type's name, because users may match the text:
+// the first versions of lemonmoor answered with this name.
 const submissionTypeName = "jobs.wire"
 
-// Parse reads a submission. Fields that may be null may also be missing, unknown fields are
-// ignored. It returns a *FieldError if a field has no value that it may have, and another
-// error if the body is not JSON.
+// Parse decodes and validates a submission. Nullable fields may also be missing; unknown
+// fields are ignored. It returns a *FieldError if a field is missing or invalid, and another
+// error if the body is not valid JSON.
 func Parse(body []byte) (*Spec, error) {
 	var submitted submission
 	if err := json.Unmarshal(body, &submitted); err != nil {
@@ -77,7 +77,8 @@
 	return spec, nil
 }
 
-// describeDecodeError says in terms of the wire why a body cannot be read.
+// describeDecodeError converts a JSON decoding error into an error that names the field as
+// users send it.
 func describeDecodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
@@ -90,8 +91,8 @@
 	return &FieldError{typeError.Field, fmt.Sprintf("want %s, not %s", wanted, typeError.Value)}
 }
 
-// spec maps a submission without missing fields to the job. Fields that may be null are
-// refused if they are empty.
+// spec converts a submission without missing fields to a Spec. Nullable fields are rejected
+// if they are empty.
 func (s *submission) spec() (*Spec, error) {
 	spec := &Spec{
 		ID: *s.ID, Class: *s.Class, Team: *s.Team, Shape: Shape(*s.Shape), Urgency: *s.Urgency,
@@ -115,7 +116,7 @@
 	return spec, nil
 }
 
-// missingField names a field that a submission lacks, "" if it has all.
+// missingField returns the name of the first required field that is missing, "" if none is.
 func (s *submission) missingField() string {
 	for _, field := range []struct {
 		name      string
@@ -146,7 +147,7 @@
 	return ""
 }
 
-// checkNames checks the fields that hold names.
+// checkNames validates the ID, the enumerated fields and the lengths of the names.
 func (s *Spec) checkNames() error {
 	if !ValidID(s.ID) {
 		return &FieldError{"id", "not of the form wk-000412"}
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// checkAmounts checks the fields that hold amounts.
+// checkAmounts validates the ranges of the numeric fields.
 func (s *Spec) checkAmounts() error {
 	if s.Tasks < 1 || s.Tasks > MaxTasks {
 		return &FieldError{"pieces", fmt.Sprintf("outside 1 to %d", MaxTasks)}
--- a/internal/jobs/wire_test.go
+++ b/internal/jobs/wire_test.go
@@ -8,12 +8,13 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// fullSubmission is a job as users send it, with every field set.
+// fullSubmission is a submission as users send it, with every field set.
 const fullSubmission = `{"id":"wk-000412","lane":"batch","crew":"red","shape":"gang","urgency":"urgent","pieces":7,"cpus":1.5,` +
 	`"cards":2,"memoryGb":3.5,"kit":"image-1","pullGb":4.5,"builds":["g8","g16"],"yard":"yard-b","samePlace":true,"spread":true,` +
 	`"loaners":true,"expectS":60.5,"snapshotS":30.5,"flushS":2.5,"dueS":600.5}`
 
-// TestWireSubmission: every field of a submission is read, and stored under the same name.
+// TestWireSubmission checks that every field of a submission is decoded and stored under the
+// same name.
 func TestWireSubmission(t *testing.T) {
 	wiretest.Same(t, fullSubmission, &Spec{})
 	parsed, err := Parse([]byte(fullSubmission))
@@ -23,7 +24,7 @@
 	wiretest.Written(t, parsed, fullSubmission)
 }
 
-// TestWireSubmissionNulls: what may be null is left out of what is stored.
+// TestWireSubmissionNulls checks that null fields are omitted from the stored form.
 func TestWireSubmissionNulls(t *testing.T) {
 	parsed, err := Parse([]byte(`{"id":"wk-1","lane":"l","crew":"c","shape":"array","urgency":"low","pieces":1,"cpus":1,"cards":0,` +
 		`"memoryGb":1,"kit":"k","pullGb":0,"builds":null,"yard":null,"samePlace":false,"spread":false,"loaners":false,"expectS":1,` +
@@ -35,8 +36,8 @@
 		`"memoryGb":1,"kit":"k","pullGb":0,"expectS":1}`)
 }
 
-// TestWireMissingFields: a submission without one of the fields that it must have is
-// refused by the field's name on the wire.
+// TestWireMissingFields checks that a submission without a required field is rejected with an
+// error that has the field's name on the wire, and that nullable fields may be missing.
 func TestWireMissingFields(t *testing.T) {
 	for _, name := range []string{
 		"id", "lane", "crew", "shape", "urgency", "pieces", "cpus", "cards", "memoryGb", "kit", "pullGb",
@@ -44,49 +45,50 @@
 	} {
 		without := strings.Replace(fullSubmission, `"`+name+`":`, `"novel":`, 1)
 		if _, err := Parse([]byte(without)); err == nil || err.Error() != `field "`+name+`": missing` {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("submission without %s: got error %v, want a missing field", name, err)
 		}
 	}
 	for _, name := range []string{"builds", "yard", "dueS"} {
 		if _, err := Parse([]byte(strings.Replace(fullSubmission, `"`+name+`":`, `"novel":`, 1))); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("submission without nullable field %s: %v", name, err)
 		}
 	}
 }
 
-// TestWireWords: the values of the fields that hold words.
-func TestWireWords(t *testing.T) {
+// TestWireEnumValues checks which values the fields "shape" and "urgency" accept and how they
+// are interpreted.
+func TestWireEnumValues(t *testing.T) {
 	for _, shape := range []string{"array", "daemon", "gang", "flock"} {
 		spec, err := Parse([]byte(strings.Replace(fullSubmission, `"gang"`, `"`+shape+`"`, 1)))
 		if (err == nil) != (shape != "flock") {
-			t.Errorf("shape %s: %v", shape, err)
+			t.Errorf("shape %s: got error %v, want one only for flock", shape, err)
 		}
 		if err == nil && (spec.IsService() != (shape == "daemon") || spec.IsGang() != (shape == "gang")) {
-			t.Errorf("shape %s is taken for another", shape)
+			t.Errorf("shape %s: IsService = %v, IsGang = %v, want them to match the shape", shape, spec.IsService(), spec.IsGang())
 		}
 	}
-	before := Priority(-1)
+	previous := Priority(-1)
 	for _, urgency := range []string{"low", "standard", "urgent", "critical"} {
 		spec, err := Parse([]byte(strings.Replace(fullSubmission, `"urgent"`, `"`+urgency+`"`, 1)))
-		if err != nil || spec.Priority() <= before {
-			t.Fatalf("urgency %s: %v", urgency, err)
+		if err != nil || spec.Priority() <= previous {
+			t.Fatalf("urgency %s: error %v, or priority not above %v", urgency, err, previous)
 		}
-		before = spec.Priority()
+		previous = spec.Priority()
 	}
 	if _, err := Parse([]byte(strings.Replace(fullSubmission, `"urgent"`, `"novel"`, 1))); err == nil {
-		t.Error("an unknown urgency is taken")
+		t.Error("unknown urgency accepted, want an error")
 	}
 }
 
-// TestWireMachineType: every field of a machine type, as the cloud tells it.
+// TestWireMachineType checks every field of a machine type as the cloud sends it.
 func TestWireMachineType(t *testing.T) {
 	wiretest.Same(t, `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,`+
 		`"startupS":45,"yards":["yard-a","yard-b"]}`, &MachineType{})
 }
 
-// TestWireNonObject: users are told by this text, to the letter, that a submission is not
-// an object. The type that it names had this name in the first versions; it is a constant
-// now, so that renaming the type can't change what users get.
+// TestWireNonObject pins the exact error texts that users receive for a body that is not an
+// object or has a field of the wrong type. The texts contain a type name: jobs.wire, from the
+// first versions, is a constant, so that renaming the Go type does not change the text.
 func TestWireNonObject(t *testing.T) {
 	for body, want := range map[string]string{
 		`[]`:                   `field "": want jobs.wire, not array`,
@@ -103,12 +105,12 @@
 		`{"builds":["g8",{}]}`: `field "builds": want string, not object`,
 	} {
 		if _, err := Parse([]byte(body)); err == nil || err.Error() != want {
-			t.Errorf("%s: %v, not %s", body, err, want)
+			t.Errorf("Parse(%s): got error %v, want %s", body, err, want)
 		}
 	}
 }
 
-// TestWireRefusedValues: the texts by which users are told what is wrong with a field.
+// TestWireRefusedValues pins the error texts that users receive for invalid field values.
 func TestWireRefusedValues(t *testing.T) {
 	long := strings.Repeat("x", 201)
 	for _, test := range []struct{ old, new, want string }{
@@ -132,12 +134,12 @@
 		{`"yard":"yard-b"`, `"yard":""`, `field "yard": empty`},
 	} {
 		if _, err := Parse([]byte(strings.Replace(fullSubmission, test.old, test.new, 1))); err == nil || err.Error() != test.want {
-			t.Errorf("%s: %v, not %s", test.new, err, test.want)
+			t.Errorf("submission with %s: got error %v, want %s", test.new, err, test.want)
 		}
 	}
 }
 
-// TestWireInfeasible: the texts by which users are told that a job can never run.
+// TestWireInfeasible pins the error texts that users receive for a job that can never run.
 func TestWireInfeasible(t *testing.T) {
 	types := []MachineType{{Name: "g8", CPUs: 8, GPUs: 2, MemoryGB: 32, Zones: []string{"yard-b"}}}
 	teams := []settings.Team{{Name: "red", CPUsMax: 10.5, GPUsMax: 14}}
@@ -161,7 +163,7 @@
 			got = err.Error()
 		}
 		if got != test.want {
-			t.Errorf("%s: %q, not %q", test.new, got, test.want)
+			t.Errorf("submission with %s: got error %q, want %q", test.new, got, test.want)
 		}
 	}
 }
