--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -90,7 +90,7 @@
 }
 
 // Below returns the processors taken by tasks of a lower priority.
-func (l *MachineLoad) Below(priority jobs.Priority) float64 {
+func (l *MachineLoad) CPUsBelow(priority jobs.Priority) float64 {
 	sum := 0.0
 	for _, cpus := range l.CPUsByPriority[:priority] {
 		sum += cpus
@@ -127,7 +127,7 @@
 		up -= b.cpus
 		sum += b.cpus * max(0, seconds-b.readySeconds-fetchSeconds-demand.Spec.EstimateSeconds)
 	}
-	below := c.used.Below(demand.Spec.Priority())
+	below := c.used.CPUsBelow(demand.Spec.Priority())
 	busy := c.used.CPUs - below
 	return sum + max(0, up-below)*seconds - busy*min(seconds, demand.Spec.EstimateSeconds/2)
 }
@@ -139,12 +139,12 @@
 // a boot that is not counted on any more.
 func (c *kindCapacity) occupied(demand *Demand, machineType *jobs.MachineType) float64 {
 	if !demand.Spec.IsService() {
-		return c.used.Below(demand.Spec.Priority())
+		return c.used.CPUsBelow(demand.Spec.Priority())
 	}
 	if demand.WaitedSeconds < tuning.RentBacklogShare*machineType.BootSeconds {
 		return c.used.ServiceCPUs
 	}
-	return c.used.ServiceCPUs + c.used.Below(demand.Spec.Priority())
+	return c.used.ServiceCPUs + c.used.CPUsBelow(demand.Spec.Priority())
 }
 
 // fleetCapacity is the machines by kind.
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -69,7 +69,7 @@
 
 // NoteStalledDispatch tells that there is room for work which the state service's limits keep
 // from being dispatched.
-func (f *Fleet) NoteStalledDispatch() { f.demand.stalledAt = f.runtime.Now() }
+func (f *Fleet) RecordStalledDispatch() { f.demand.stalledAt = f.runtime.Now() }
 
 // SetDemand tells for which tasks there is no room, and of which job most runs that could as
 // well run on spot machines, nil if there is none. The fleet keeps the list.
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -27,7 +27,7 @@
 		batch.job.team.countPlanned(batch.job.spec, -float64(len(batch.tasks)))
 	}
 	if most := l.maxRecordsPerCommit(); len(batches) > most {
-		l.fleet.NoteStalledDispatch()
+		l.fleet.RecordStalledDispatch()
 		for _, batch := range batches[most:] {
 			batch.putBack()
 		}
@@ -79,7 +79,7 @@
 	case statestore.OutcomeOK:
 		// The watch brings the records in.
 	case statestore.OutcomeRefused:
-		c.leader.fleet.NoteStalledDispatch()
+		c.leader.fleet.RecordStalledDispatch()
 		// Where writes are scarce, a large commit finds none left again and again while
 		// small ones of others pass: half of it next. Not so if an earlier attempt may yet
 		// be carried out, whole.
