--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -7,24 +7,24 @@
 	"lemonmoor/internal/tuning"
 )
 
-// AvailableMachine is a machine that takes tasks or is about to.
+// AvailableMachine is a machine that accepts tasks, or will once it has booted.
 type AvailableMachine struct {
 	MachineKind
-	ID          string // "" of a machine whose rental is under way
+	ID          string // "" for a machine whose rental is in flight
 	Shard       int
 	MachineType *jobs.MachineType
 	Booting     bool
-	ReadyIn     time.Duration // how long it should still boot
+	ReadyIn     time.Duration // expected remaining boot time
 }
 
-// CouldRun reports whether the machine, if it were empty, may run a task of the job, in a zone
-// or, if that is "", in any.
+// CouldRun reports whether the machine, if it were empty, could run a task of the job in the
+// given zone; "" stands for any zone.
 func (m *AvailableMachine) CouldRun(spec *jobs.Spec, zone string) bool {
 	return m.MachineType.CanRun(spec) && (spec.Zone == "" || spec.Zone == m.Zone) && (zone == "" || zone == m.Zone) && (spec.Spot || !m.Spot)
 }
 
-// EachAvailable calls fn for the machines that take tasks or are about to. What fn is given is
-// only valid during the call.
+// EachAvailable calls fn for each machine that accepts tasks, or will once it has booted. The
+// argument of fn is valid only during the call.
 func (f *Fleet) EachAvailable(fn func(*AvailableMachine)) {
 	var available AvailableMachine
 	for _, m := range f.machines.byID {
@@ -38,8 +38,8 @@
 		}
 		fn(&available)
 	}
-	// Machines whose rental is under way: their names, and so their shards, will be spread
-	// evenly.
+	// Machines whose rental is in flight have no IDs yet. The IDs determine the shards and
+	// will be spread evenly over them.
 	for _, request := range f.rentals.inFlight {
 		machineType := f.MachineType(request.MachineType)
 		for i := 0; machineType != nil && i < request.Number; i++ {
@@ -52,7 +52,7 @@
 	}
 }
 
-// isAvailable reports whether a machine takes tasks or is about to.
+// isAvailable reports whether a machine accepts tasks, or will once it has booted.
 func (f *Fleet) isAvailable(m *machine) bool {
 	if m.release.requested || m.listing.failed || m.drainReason != "" {
 		return false
@@ -63,33 +63,34 @@
 	return !f.isOverdue(m) && !f.isPartitioned(m.kind.Zone)
 }
 
-// emptyMachine returns a machine of a kind with nothing on it.
+// emptyMachine returns a machine of a kind without tasks. Its MachineType is nil if the type is
+// not known.
 func (f *Fleet) emptyMachine(kind MachineKind) *AvailableMachine {
 	return &AvailableMachine{MachineKind: kind, MachineType: f.MachineType(kind.MachineType)}
 }
 
-// tasksOn returns how many tasks of a job an empty machine holds.
+// tasksOn returns the number of tasks of a job that fit on an empty machine of a type.
 func tasksOn(machineType *jobs.MachineType, spec *jobs.Spec) int {
 	return spec.Resources().CountIn(machineType.Resources())
 }
 
-// LoadSource tells what the tasks placed on machines take.
+// LoadSource reports the load of the tasks placed on machines.
 type LoadSource interface {
 	MachineLoad(machineID string) MachineLoad
 }
 
-// MachineLoad is what the tasks placed on a machine take, in processors.
+// MachineLoad is the number of processors allocated to the tasks placed on a machine.
 type MachineLoad struct {
-	CPUs float64 // of all tasks
-	// MovableCPUs is of tasks that could run on any spot machine.
+	CPUs float64 // all tasks
+	// MovableCPUs is the part of tasks that could run on any spot machine.
 	MovableCPUs float64
-	// ServiceCPUs is of replicas of services, which do not come free.
+	// ServiceCPUs is the part of replicas of services, which do not end by themselves.
 	ServiceCPUs float64
-	// CPUsByPriority divides CPUs among the priorities of the tasks.
+	// CPUsByPriority is CPUs by the priority of the tasks.
 	CPUsByPriority [jobs.PriorityCritical + 1]float64
 }
 
-// Below returns the processors taken by tasks of a lower priority.
+// CPUsBelow returns the processors allocated to tasks of a priority lower than the given one.
 func (l *MachineLoad) CPUsBelow(priority jobs.Priority) float64 {
 	sum := 0.0
 	for _, cpus := range l.CPUsByPriority[:priority] {
@@ -98,17 +99,17 @@
 	return sum
 }
 
-// kindCapacity is the machines of a kind, up or booting.
+// kindCapacity is the capacity and load of the machines of one kind, up or booting.
 type kindCapacity struct {
-	cpus    float64     // of all of them
-	used    MachineLoad // what their tasks take
+	cpus    float64     // processors of all machines, including those that boot
+	used    MachineLoad // sum of the loads
 	booting []bootingCPUs
 }
 
-// bootingCPUs is processors that come up after a while.
+// bootingCPUs is a number of processors that will be up in readySeconds.
 type bootingCPUs struct{ cpus, readySeconds float64 }
 
-// add counts a machine, or several that boot together.
+// add adds the processors of one machine, or of several that boot together.
 func (c *kindCapacity) add(cpus float64, booting bool, readyIn time.Duration) {
 	c.cpus += cpus
 	if booting {
@@ -116,10 +117,11 @@
 	}
 }
 
-// workWithin returns what the machines can do of a demand's work within so many seconds, in
-// seconds of a processor. What runs there of its priority and above takes half of a task on
-// the average until it ends; machines that boot fetch its image, and have their first tasks
-// already.
+// workWithin returns the work that the machines can do for a demand within a number of seconds,
+// in processor seconds; it may be negative. Running tasks of its priority and above are assumed
+// to occupy their processors for half of the demand's estimated run time on average. Machines
+// that boot must also fetch the image, and are assumed to be occupied with their first tasks
+// for one estimated run time.
 func (c *kindCapacity) workWithin(demand *Demand, fetchSeconds, seconds float64) float64 {
 	up := c.cpus
 	sum := 0.0
@@ -132,11 +134,12 @@
 	return sum + max(0, up-below)*seconds - busy*min(seconds, demand.Spec.EstimateSeconds/2)
 }
 
-// occupied returns the processors that do not come free for a demand: those that run work of
-// lower priority, which end at a pace of their own, and replicas of services. Counted as free,
-// the latter kept any machine from being rented for a replica that found all of them full of
-// others. Lower tasks do make room for a replica, one by one; only when it has waited for half
-// a boot that is not counted on any more.
+// occupied returns the processors that a demand cannot count on. For a job that is no service
+// they are those of tasks of lower priority, which end independently of the demand. For a
+// service they are those of replicas, which do not end by themselves: if they were counted as
+// free, no machine would be rented for a replica when all machines are full of other replicas.
+// Tasks of lower priority make room for a replica one by one, so their processors count as
+// occupied for it only once it has waited for tuning.RentBacklogShare of a boot.
 func (c *kindCapacity) occupied(demand *Demand, machineType *jobs.MachineType) float64 {
 	if !demand.Spec.IsService() {
 		return c.used.CPUsBelow(demand.Spec.Priority())
@@ -147,22 +150,22 @@
 	return c.used.ServiceCPUs + c.used.CPUsBelow(demand.Spec.Priority())
 }
 
-// fleetCapacity is the machines by kind.
+// fleetCapacity is the capacity of the machines by kind.
 type fleetCapacity map[MachineKind]*kindCapacity
 
-// of returns the entry of a kind, made when it is first asked for.
-func (c fleetCapacity) of(kind MachineKind) *kindCapacity {
+// entry returns the capacity of a kind, and creates it if there is none.
+func (c fleetCapacity) entry(kind MachineKind) *kindCapacity {
 	if c[kind] == nil {
 		c[kind] = &kindCapacity{}
 	}
 	return c[kind]
 }
 
-// sumCapacity sums up the available machines by kind.
+// sumCapacity returns the capacity and load of the available machines by kind.
 func (f *Fleet) sumCapacity() fleetCapacity {
 	sums := fleetCapacity{}
 	f.EachAvailable(func(machine *AvailableMachine) {
-		sum := sums.of(machine.MachineKind)
+		sum := sums.entry(machine.MachineKind)
 		sum.add(machine.MachineType.CPUs, machine.Booting, machine.ReadyIn)
 		load := f.loads.MachineLoad(machine.ID)
 		sum.used.CPUs += load.CPUs
@@ -175,9 +178,10 @@
 }
 
 // usableCPUs returns the processors that a demand can count on: those of the machines that
-// could run it, without what does not come free for it. Lower work on other machines does not
-// count: taken off all the same, it left less than nothing for services that may use ordinary
-// machines only, and a hundred of these were rented for a single replica.
+// could run it, less the occupied ones. Occupied processors are subtracted for each kind of
+// machine separately. If lower-priority work on machines that the demand cannot use were
+// subtracted too, the sum would be negative for services that may use ordinary machines only,
+// and a hundred of these would be rented for a single replica.
 func (f *Fleet) usableCPUs(demand *Demand, capacity fleetCapacity) float64 {
 	sum := 0.0
 	for kind, c := range capacity {
@@ -188,8 +192,8 @@
 	return sum
 }
 
-// workWithin returns the work of a demand's priority that can be done until it has waited for
-// so many seconds, on the machines that could run it, up or booting.
+// workWithin returns the work of a demand's priority, in processor seconds, that the machines
+// that could run the demand, up or booting, can do until it has waited for a number of seconds.
 func (f *Fleet) workWithin(demand *Demand, capacity fleetCapacity, seconds float64) float64 {
 	sum := 0.0
 	for kind, c := range capacity {
@@ -203,8 +207,8 @@
 	return sum
 }
 
-// readySeconds returns how many seconds it takes until a new machine of a type can run a
-// demand: its boot and the fetch of the image.
+// readySeconds returns the time until a new machine of a type can run a demand, in seconds: the
+// boot and the fetch of the image.
 func readySeconds(demand *Demand, machineType *jobs.MachineType) float64 {
 	if machineType.ImageGBPerSecond > 0 {
 		return machineType.BootSeconds + demand.Spec.ImageGB/machineType.ImageGBPerSecond
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestEmptyListOfMachineTypesIsAnError(t *testing.T) {
+func TestEmptyMachineTypeListIsAnError(t *testing.T) {
 	runtime, cloud := newCloudClient()
 	var got error
 	for body, want := range map[string]error{`{"builds":[]}`: errNoMachineTypes, `{"builds":[{"label":"g8"}]}`: nil} {
@@ -73,7 +73,7 @@
 
 // TestCallsStayWithinTheBudget: at four calls a second the leader uses nine tenths of them, and
 // saves up a second and a half's worth.
-func TestCallsStayWithinTheBudget(t *testing.T) {
+func TestCallsStayWithinBudget(t *testing.T) {
 	runtime, cloud := newCloudClient()
 	spend := func() (calls int) {
 		for cloud.spendCall() {
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -11,39 +11,42 @@
 	"lemonmoor/internal/tuning"
 )
 
-// exchangeState is what the exchange of expensive machines remembers of movable work: work
-// that could as well run on spot machines. Amounts are processors.
+// exchangeState is the state of the exchange of expensive machines between rounds. It concerns
+// movable work, which could run on spot machines as well. Amounts are processors.
 type exchangeState struct {
-	peakCPUs        float64 // the most movable work of late
+	peakCPUs        float64 // maximum of the movable work, with exponential decay
 	peakUpdatedAt   time.Duration
-	leastCPUs       [2]float64 // the least of it, in this window and the one before
+	minCPUs         [2]float64 // minimum of the movable work in this window and in the previous one
 	windowBeganAt   time.Duration
-	worthwhileSince time.Duration // since when spot machines would be cheaper, 0: they would not
+	worthwhileSince time.Duration // since when an exchange has been worthwhile, 0 if it is not
 }
 
 func (s *exchangeState) reset() {
-	s.worthwhileSince, s.peakCPUs, s.leastCPUs = 0, 0, [2]float64{}
+	s.worthwhileSince, s.peakCPUs, s.minCPUs = 0, 0, [2]float64{}
 }
 
-// updateSteady takes the movable work of now in, and returns the least that there was of late.
-// Work comes in waves: what is drained must leave room for the most there was, and what is
-// rented is for what there was all the time.
+// updateSteady records the current movable work, and returns its minimum over this window and
+// the previous one. The amount of work varies in waves: machines are drained only as far as the
+// remaining ones have room for the maximum, and spot machines are rented only for the minimum.
 func (s *exchangeState) updateSteady(movableCPUs float64, now time.Duration) float64 {
 	s.peakCPUs = max(movableCPUs, s.peakCPUs*math.Exp2(-float64(now-s.peakUpdatedAt)/float64(tuning.ExchangePeakHalfLife)))
 	s.peakUpdatedAt = now
 	if now-s.windowBeganAt >= tuning.ExchangeWindow {
-		s.windowBeganAt, s.leastCPUs[1], s.leastCPUs[0] = now, s.leastCPUs[0], movableCPUs
+		s.windowBeganAt, s.minCPUs[1], s.minCPUs[0] = now, s.minCPUs[0], movableCPUs
 	}
-	s.leastCPUs[0] = min(s.leastCPUs[0], movableCPUs)
-	return min(s.leastCPUs[0], s.leastCPUs[1])
+	s.minCPUs[0] = min(s.minCPUs[0], movableCPUs)
+	return min(s.minCPUs[0], s.minCPUs[1])
 }
 
-// exchangeExpensive sees to it that work which may run on spot machines runs there. Ordinary
-// ones, several times as expensive, are rented for a burst, or are up at the start, and while
-// anything waits they are always busy, so that they never went back. While nothing waits, spot
-// machines are rented for what runs on expensive ones; when they have the room, those get no
-// more tasks and are released as they run empty. What stays is what other work needs, and room
-// besides for more of it.
+// exchangeExpensive moves work that may run on spot machines from ordinary machines, which are
+// several times as expensive, to spot machines. Ordinary machines are rented for a burst or are
+// up at the start. They are busy as long as any work waits, so without the exchange they would
+// never become idle and be released.
+//
+// While nothing waits, spot machines are rented for the work on expensive machines. Once the
+// spot machines have room for it, the expensive ones are assigned no more tasks and are
+// released when they are empty. The machines that other work needs are retained, with a reserve
+// for growth of that work.
 func (f *Fleet) exchangeExpensive() {
 	spec := f.demand.movableJob
 	if spec == nil {
@@ -51,7 +54,7 @@
 		return
 	}
 	kind, cost := f.cheapestSpot(spec)
-	cpusEach := 0.0 // that tasks of the job use on such a machine
+	cpusEach := 0.0 // processors that tasks of the job can use on one such machine
 	if machineType := f.MachineType(kind.MachineType); machineType != nil {
 		cpusEach = float64(tasksOn(machineType, spec)) * spec.CPUs
 	}
@@ -60,7 +63,7 @@
 		f.exchange.worthwhileSince = 0
 		return
 	}
-	// A burst that is soon over is not worth it.
+	// A short burst is not worth an exchange.
 	now := f.runtime.Now()
 	if f.exchange.worthwhileSince == 0 {
 		f.exchange.worthwhileSince = now
@@ -71,8 +74,8 @@
 	f.rent(kind, min(tuning.MaxRentalMachines, int(needed/cpusEach)))
 }
 
-// cheapestSpot returns the kind of the cheapest spot machines that can be had, by what a task
-// costs there.
+// cheapestSpot returns the rentable kind of spot machine with the lowest price per task of a
+// job, and that price; +Inf if there is none.
 func (f *Fleet) cheapestSpot(spec *jobs.Spec) (cheapest MachineKind, cost float64) {
 	cost = math.Inf(1)
 	for kind, machineType := range f.rentableKinds() {
@@ -90,22 +93,22 @@
 // expensiveMachine is an ordinary machine whose work could run on spot machines.
 type expensiveMachine struct {
 	machine   *machine
-	taskPrice float64 // of a task there
+	taskPrice float64 // machine price per task of the job
 }
 
-// movableSurvey is what matters for the exchange. Amounts are processors.
+// movableSurvey is the input of the exchange in one round. Amounts are processors.
 type movableSurvey struct {
-	expensive       []expensiveMachine // the most expensive first
-	spotCPUs        float64            // of spot machines that are up
-	bootingSpotCPUs float64            // of spot machines that boot
-	ordinaryCPUs    float64            // of ordinary machines that are up
-	boundCPUs       float64            // of work on ordinary machines that must be there
-	movableCPUs     float64            // of work that could be anywhere, also of what waits
+	expensive       []expensiveMachine // highest price per task first
+	spotCPUs        float64            // usable by the job on spot machines that are up
+	bootingSpotCPUs float64            // usable by the job on spot machines that boot
+	ordinaryCPUs    float64            // of all ordinary machines that are up
+	unmovableCPUs   float64            // used on ordinary machines by work that cannot run elsewhere
+	movableCPUs     float64            // used or waited for by work that could run on spot machines
 	workWaits       bool               // work waits for room
 }
 
-// surveyMovable sums up all machines and demand; spotCost is that of a task on the cheapest spot
-// machines.
+// surveyMovable surveys all available machines and the demand. spotCost is the price per task of
+// the job on the cheapest spot machines.
 func (f *Fleet) surveyMovable(spec *jobs.Spec, spotCost float64) *movableSurvey {
 	survey := &movableSurvey{}
 	f.EachAvailable(func(available *AvailableMachine) { f.surveyMachine(survey, available, spec, spotCost) })
@@ -123,6 +126,7 @@
 	return survey
 }
 
+// surveyMachine adds one machine to a survey.
 func (f *Fleet) surveyMachine(survey *movableSurvey, available *AvailableMachine, spec *jobs.Spec, spotCost float64) {
 	tasks := tasksOn(available.MachineType, spec)
 	usableCPUs := float64(tasks) * spec.CPUs
@@ -133,46 +137,47 @@
 		return
 	}
 	load := f.loads.MachineLoad(available.ID)
-	boundCPUs := load.CPUs - load.MovableCPUs
+	unmovableCPUs := load.CPUs - load.MovableCPUs
 	survey.movableCPUs += load.MovableCPUs
 	if available.Spot {
 		survey.spotCPUs += usableCPUs
 		return
 	}
 	survey.ordinaryCPUs += available.MachineType.CPUs
-	survey.boundCPUs += boundCPUs
+	survey.unmovableCPUs += unmovableCPUs
 	taskPrice := available.MachineType.Price / float64(max(tasks, 1))
-	if tasks > 0 && boundCPUs < resource.Epsilon && taskPrice > tuning.MinExchangePriceRatio*spotCost {
+	if tasks > 0 && unmovableCPUs < resource.Epsilon && taskPrice > tuning.MinExchangePriceRatio*spotCost {
 		survey.expensive = append(survey.expensive, expensiveMachine{f.machines.byID[available.ID], taskPrice})
 	}
 }
 
-// spotCPUsNeeded drains the expensive machines that can be done without, and returns for how
-// many processors spot machines should be rented so that others can be. Not worthwhile: for
-// less than one, or nothing may be exchanged now. cpusEach is what the work uses of a spot
-// machine, 0 if none can be had.
+// spotCPUsNeeded drains the expensive machines that are not needed, and returns the number of
+// processors of spot machines to rent so that further ones can be drained. An exchange is not
+// worthwhile if fewer than cpusEach are needed, or if machines must not be exchanged now.
+// cpusEach is the number of processors that the job can use on one spot machine, 0 if none can
+// be rented.
 func (f *Fleet) spotCPUsNeeded(survey *movableSurvey, cpusEach float64) (cpus float64, worthwhile bool) {
 	now := f.runtime.Now()
 	steady := f.exchange.updateSteady(survey.movableCPUs, now)
 	if cpusEach == 0 || steady < max(tuning.MinSteadyWorkShare*f.exchange.peakCPUs, tuning.MinExchangeSpotMachines*cpusEach) {
-		return 0, false // it comes and goes: machines booted for it would come too late
+		return 0, false // the work fluctuates: machines booted for it would be up too late
 	}
 	if survey.workWaits || f.demand.wasStalled(now) || now-f.term.beganAt < tuning.ExchangeDelay {
-		return 0, false // every machine is needed as it is
+		return 0, false // every machine is needed
 	}
 	cpus = min(f.drainExpensive(survey), steady-survey.spotCPUs-survey.bootingSpotCPUs)
 	return cpus, cpus >= cpusEach
 }
 
-// drainExpensive drains the expensive machines that can be done without, and returns the
-// processors of those in whose place spot machines would have to be rented.
+// drainExpensive drains the expensive machines that are not needed, and returns the processors
+// of those that spot machines would have to replace first.
 func (f *Fleet) drainExpensive(survey *movableSurvey) (neededCPUs float64) {
-	reserved := survey.boundCPUs * (1 + tuning.ExchangeReserveShare)
+	reserved := survey.unmovableCPUs * (1 + tuning.ExchangeReserveShare)
 	for _, expensive := range survey.expensive {
 		m := expensive.machine
 		cpus := f.MachineType(m.kind.MachineType).CPUs
 		switch {
-		case m.release.requested || m.drainReason != "" || f.machines.keptIdle[m.id] || survey.ordinaryCPUs-cpus < reserved:
+		case m.release.requested || m.drainReason != "" || f.machines.retainedIdle[m.id] || survey.ordinaryCPUs-cpus < reserved:
 		case survey.spotCPUs+survey.ordinaryCPUs-cpus >= f.exchange.peakCPUs+reserved:
 			survey.ordinaryCPUs -= cpus
 			m.drainReason = drainExpensive
--- a/internal/fleet/exchange_test.go
+++ b/internal/fleet/exchange_test.go
@@ -45,8 +45,8 @@
 
 // machineLoad returns a machine's share of the work. Half of it is bound where some is.
 func (e *exchangeTest) machineLoad(machineID string) MachineLoad {
-	taking := e.fleet.countMachinesThat(func(m *machine) bool { return m.drainReason == "" })
-	cpus := 0.7 * 32 * float64(e.machines) / float64(taking) * e.load(e.runtime.now-time.Hour)
+	accepting := e.fleet.countMachinesThat(func(m *machine) bool { return m.drainReason == "" })
+	cpus := 0.7 * 32 * float64(e.machines) / float64(accepting) * e.load(e.runtime.now-time.Hour)
 	if e.fleet.machines.byID[machineID].address == "bound" {
 		return MachineLoad{CPUs: cpus, MovableCPUs: cpus / 2}
 	}
@@ -59,7 +59,7 @@
 	job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 20}
 	for range seconds {
 		e.runtime.now += time.Second
-		e.fleet.hearOwner()
+		e.fleet.setOwnerFresh()
 		e.fleet.SetDemand(nil, job)
 		e.fleet.exchangeExpensive()
 		for i, call := range e.runtime.calls {
@@ -78,16 +78,16 @@
 }
 
 // steady is work that is there all the time.
-func steady(time.Duration) float64 { return 1 }
+func steadyLoad(time.Duration) float64 { return 1 }
 
 // waves is work that comes and goes within the time of a boot.
-func waves(at time.Duration) float64 { return float64(int(at/(12*time.Second)) % 2) }
+func burstyLoad(at time.Duration) float64 { return float64(int(at/(12*time.Second)) % 2) }
 
 // TestSteadyWorkMovesToSpotMachines: work that may run on spot machines and is there all the
 // time moves to them. Ordinary ones are drained when there is room for the most of late, never
 // those that other work needs.
 func TestSteadyWorkMovesToSpotMachines(t *testing.T) {
-	test := newExchangeTest(60, 10, steady)
+	test := newExchangeTest(60, 10, steadyLoad)
 	test.run(t, 90)
 	spot, drained := 0, 0
 	for _, m := range test.fleet.machines.byID {
@@ -108,11 +108,11 @@
 
 // TestNothingIsExchangedForWavesOrFewMachines: work that comes and goes rents nothing, and with
 // few machines nothing is exchanged at all.
-func TestNothingIsExchangedForWavesOrFewMachines(t *testing.T) {
+func TestBurstyWorkAndSmallFleetsAreNotExchanged(t *testing.T) {
 	for name, test := range map[string]struct {
 		machines int
 		load     func(time.Duration) float64
-	}{"waves": {60, waves}, "few": {15, steady}} {
+	}{"waves": {60, burstyLoad}, "few": {15, steadyLoad}} {
 		t.Run(name, func(t *testing.T) {
 			exchange := newExchangeTest(test.machines, 0, test.load)
 			exchange.run(t, 90)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet rents machines for the work that waits, and releases those that are idle,
-// broken or about to be taken.
+// Package fleet rents machines for waiting work and releases machines that are idle, broken or
+// about to be reclaimed by the cloud.
 //
-// It owns the leader's view of the machines for the length of a term: which there are, by the
-// cloud's list, by rentals and by the shard owners' status messages, and what is on its way.
-// None of it is durable; a new leader reads the list and hears the owners anew.
+// For the length of a term it owns the leader's view of the machines: those that exist,
+// according to the cloud's machine list, the rentals and the status messages of the shard
+// owners, and the rentals and releases in flight. None of it is durable; a new leader rebuilds
+// it from the list and the owners' next status messages.
 //
-// It must never release a machine that may have tasks on it, unless its owner wants that or it
-// has been silent for too long, use a rental's name for another request, or make more calls to
-// the cloud than its share of the budget.
+// Invariants: a machine that may run tasks is released only if its owner requests it or it has
+// been silent for too long; the name of a rental is never reused for another request; calls to
+// the cloud stay within the leader's share of the cloud's request budget.
 package fleet
 
 import (
@@ -21,18 +22,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Leases tells what this process holds.
+// Leases reports the leases that this process holds.
 type Leases interface {
-	// LeaderToken returns the fencing token of the leadership, 0 when it is not held.
+	// LeaderToken returns the fencing token of the leader lease, 0 if it is not held.
 	LeaderToken() uint64
-	// LeaseValid reports whether what is held is surely held now.
+	// LeaseValid reports whether the leases held are certain not to have expired.
 	LeaseValid() bool
 }
 
-// Dependencies are what a fleet works with.
+// Dependencies are the collaborators and settings of a Fleet.
 type Dependencies struct {
 	Runtime  eventloop.Runtime
-	Address  string // of the cloud
+	Address  string // address of the cloud's interface
 	Leases   Leases
 	Loads    LoadSource
 	Settings *settings.Settings
@@ -59,12 +60,12 @@
 	exchange exchangeState
 }
 
-// termState is what is known of the term itself.
+// termState is the state of the current term.
 type termState struct {
 	counter     term.Counter
 	beganAt     time.Duration
-	actingSince time.Duration // since when the lease has been valid, without a gap
-	listed      bool          // the machine list has been read in this term
+	actingSince time.Duration // start of the period in which the lease has been valid without a gap
+	listed      bool          // whether the machine list has been read in this term
 }
 
 // New returns a fleet without any machines.
@@ -80,7 +81,8 @@
 	}
 }
 
-// BeginTerm starts a term: this process leads.
+// BeginTerm resets the fleet at the start of a term in which this process leads, and starts
+// reading the machine list and running rounds.
 func (f *Fleet) BeginTerm() {
 	f.term.counter.Advance()
 	f.term.beganAt = f.runtime.Now()
@@ -97,15 +99,16 @@
 	f.runRound()
 }
 
-// EndTerm ends a term: answers to its requests are dropped.
+// EndTerm ends a term. Answers to its outstanding requests are dropped.
 func (f *Fleet) EndTerm() { f.term.counter.Advance() }
 
-// shardIndex returns the shard to which a machine belongs by its ID.
+// shardIndex returns the index of the shard to which a machine ID is mapped.
 func (f *Fleet) shardIndex(machineID string) int {
 	return taskstate.ShardOf(machineID, len(f.shards))
 }
 
-// runRound decides what to release and what to rent, now and in every round from then on.
+// runRound releases and rents machines, and schedules the next round. While the lease is not
+// valid it does neither.
 func (f *Fleet) runRound() {
 	f.runtime.After(tuning.FleetRoundInterval, f.term.counter.Guard(f.runRound))
 	if !f.leases.LeaseValid() {
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -114,7 +114,7 @@
 }
 
 // hearOwner has the owner of the only shard just heard.
-func (f *Fleet) hearOwner() {
+func (f *Fleet) setOwnerFresh() {
 	f.shards[0].owner = ownerStatus{token: 1, seq: 1, heardAt: f.runtime.Now(), known: true}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // pauseSpot has no spot machines to be had.
-func (f *Fleet) pauseSpot() { f.pauseKind(MachineKind{"g8", "a", true}, time.Hour) }
+func (f *Fleet) pauseSpotRentals() { f.pauseKind(MachineKind{"g8", "a", true}, time.Hour) }
 
 // countAvailable counts the machines that take tasks or are about to.
 func (f *Fleet) countAvailable() (number int) {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -6,13 +6,13 @@
 	"lemonmoor/internal/workers"
 )
 
-// MachineKind is a kind of machine that can be rented.
+// MachineKind is a kind of machine that can be rented: a type in a zone, spot or ordinary.
 type MachineKind struct {
 	MachineType, Zone string
 	Spot              bool
 }
 
-// Before orders kinds by type, then zone, spot machines first.
+// Before reports whether k sorts before other: by type, then by zone, spot machines first.
 func (k MachineKind) Before(other MachineKind) bool {
 	if k.MachineType != other.MachineType {
 		return k.MachineType < other.MachineType
@@ -32,37 +32,38 @@
 	rentedAt time.Duration
 	listing  machineListing
 	release  machineRelease
-	// drainReason is why its shard owner is asked to keep tasks off it, "" if it is not.
+	// drainReason is the reason for which the shard owner is asked to assign no more tasks to
+	// the machine, "" if it is not asked to.
 	drainReason string
-	// reported: its worker has reported to a shard owner, and status is the newest that an
-	// owner has told.
-	reported  bool
+	// reported is whether its worker has sent a heartbeat to a shard owner.
+	reported bool
+	// status is the latest one received from a shard owner.
 	status    MachineStatus
 	idleSince time.Duration
 }
 
-// machineListing is what the cloud's machine list says of a machine.
+// machineListing is the state of a machine according to the cloud's machine list.
 type machineListing struct {
 	listed       bool // it has been in a list
-	booting      bool // by the newest list
+	booting      bool // according to the latest list
 	failed       bool
-	runningSince time.Duration // since when lists have called it running, 0: they do not
-	missedLists  int           // lists in a row without it, after it was listed
+	runningSince time.Duration // start of the period in which lists show it running, 0 if they do not
+	missedLists  int           // consecutive lists without it, after it was listed
 }
 
-// machineRelease says that a machine is to be returned to the cloud.
+// machineRelease is the state of the return of a machine to the cloud.
 type machineRelease struct {
 	requested bool
-	inFlight  bool // the cloud has been asked
+	inFlight  bool // a release request has been sent and not been answered yet
 	reason    string
 }
 
-// newMachine returns a machine of which nothing else is known yet.
+// newMachine returns a machine that has neither been listed nor reported.
 func newMachine(id string, shard int, kind MachineKind, rentedAt time.Duration) *machine {
 	return &machine{id: id, shard: shard, kind: kind, rentedAt: rentedAt}
 }
 
-// observe takes in what the list says of the machine.
+// observe updates the machine from an entry of the machine list.
 func (m *machine) observe(listed *listedMachine, now time.Duration) {
 	m.address = listed.Address
 	m.listing.listed, m.listing.missedLists = true, 0
@@ -74,7 +75,7 @@
 	}
 }
 
-// isSilent reports whether its owner wants the machine released because it is silent.
+// isSilent reports whether the shard owner requests the machine's release because it is silent.
 func (m *machine) isSilent() bool {
 	return m.status.ReleaseReason == workers.ReleaseSilent || m.status.ReleaseReason == workers.ReleaseSilentUrgent
 }
@@ -84,34 +85,35 @@
 	return !m.release.requested && !m.listing.failed && (m.reported || m.listing.runningSince > 0)
 }
 
-// hasFreshStatus reports whether the owner's status of a machine is new enough. Status
-// messages come every second, whatever the workers' heartbeat interval.
+// hasFreshStatus reports whether a machine has reported and its shard owner's last status
+// message is recent enough. Status messages are sent every second, whatever the workers'
+// heartbeat interval.
 func (f *Fleet) hasFreshStatus(m *machine) bool {
 	return m.reported && f.shards[m.shard].owner.isFresh(f.runtime.Now())
 }
 
-// isIdle reports whether a machine takes tasks and has none.
+// isIdle reports whether a machine accepts tasks and has none.
 func (f *Fleet) isIdle(m *machine) bool {
 	return m.drainReason == "" && f.hasFreshStatus(m) && m.status.AcceptsTasks && !m.status.Busy
 }
 
-// isOverdue reports whether a machine that the lists call running has not reported to its
-// owner, which has been there for long enough. One that died before its first heartbeat, or
-// while the controllers were down, counted as booting for ever, and nothing was rented in its
-// place.
+// isOverdue reports whether a machine that lists show running has not reported to its shard
+// owner, although the owner has been responding for long enough. Without this rule a machine
+// that died before its first heartbeat, or while the controllers were down, would count as
+// booting forever, and nothing would be rented in its place.
 func (f *Fleet) isOverdue(m *machine) bool {
 	now, owner := f.runtime.Now(), &f.shards[m.shard].owner
 	return !m.reported && m.listing.runningSince > 0 && owner.isFresh(now) &&
 		now-max(owner.respondingSince, m.listing.runningSince, f.term.actingSince) > f.settings.WorkerDeadAfter()
 }
 
-// idleFor returns for how long a machine counts as idle. An outage, in which nothing could be
-// dispatched, does not count.
+// idleFor returns the time for which a machine counts as idle. Time before the end of an
+// outage, in which nothing could be dispatched, is not counted.
 func (f *Fleet) idleFor(m *machine) time.Duration {
 	return f.runtime.Now() - max(m.idleSince, f.term.actingSince)
 }
 
-// requestRelease has a machine returned to the cloud.
+// requestRelease marks a machine to be returned to the cloud. Only the first reason is recorded.
 func (f *Fleet) requestRelease(m *machine, reason string) {
 	if m.release.requested {
 		return
--- a/internal/fleet/machine_list.go
+++ b/internal/fleet/machine_list.go
@@ -7,34 +7,35 @@
 	"lemonmoor/internal/tuning"
 )
 
-// listing is one reading of the machine list, page by page.
+// listing is one read of the whole machine list, page by page.
 type listing struct {
 	askedAt time.Duration
-	seen    map[string]bool // by machine ID
+	seen    map[string]bool // machine IDs of the pages read so far
 }
 
-// readList reads the machine list, again and again.
+// readList reads the machine list, and reads it again at intervals.
 func (f *Fleet) readList() {
 	f.readListPage(&listing{f.runtime.Now(), map[string]bool{}}, "")
 }
 
-// readListAfter reads the list once more after a while.
+// readListAfter reads the machine list again after a pause.
 func (f *Fleet) readListAfter(pause time.Duration) {
 	f.runtime.After(pause, f.term.counter.Guard(f.readList))
 }
 
-// readListPage reads the page that begins after a machine.
+// readListPage reads the page that begins after a machine ID, "" for the first. It retries
+// while the cloud's request budget is used up.
 func (f *Fleet) readListPage(list *listing, after string) {
 	if !f.cloud.spendCall() {
 		f.runtime.After(tuning.MachineListRetryDelay, f.term.counter.Guard(func() { f.readListPage(list, after) }))
 		return
 	}
 	f.cloud.readListPage(after, term.GuardResult(&f.term.counter, func(page machineListPage, err error) {
-		f.takeListPage(list, page, err)
+		f.handleListPage(list, page, err)
 	}))
 }
 
-func (f *Fleet) takeListPage(list *listing, page machineListPage, err error) {
+func (f *Fleet) handleListPage(list *listing, page machineListPage, err error) {
 	if err != nil {
 		f.log.Debug("machine list not read", "err", err)
 		f.readListAfter(tuning.MachineListInterval / 2)
@@ -48,15 +49,16 @@
 		f.readListPage(list, page.Machines[len(page.Machines)-1].ID)
 		return
 	}
-	f.releaseVanished(list.seen)
+	f.releaseUnlisted(list.seen)
 	f.term.listed = true
 	f.readListAfter(tuning.MachineListInterval)
 }
 
-// observeListed takes a machine in from a list that was asked for at a moment.
+// observeListed creates or updates a machine from an entry of a list that was requested at
+// askedAt.
 func (f *Fleet) observeListed(listed *listedMachine, askedAt time.Duration) {
 	if f.machines.isReleased(listed.ID) {
-		return // the list lags
+		return // the list lags behind the release
 	}
 	machine := f.machines.byID[listed.ID]
 	if machine == nil {
@@ -71,9 +73,10 @@
 	}
 }
 
-// releaseVanished releases machines that the list no longer has: released before, or taken by
-// the cloud. The release is the proof that all on them is gone; a list alone can be old.
-func (f *Fleet) releaseVanished(seen map[string]bool) {
+// releaseUnlisted releases machines that are missing from several consecutive lists: they were
+// released before, or reclaimed by the cloud. A list can be stale, so only the confirmed release
+// proves that the tasks on them are gone.
+func (f *Fleet) releaseUnlisted(seen map[string]bool) {
 	for id, machine := range f.machines.byID {
 		if seen[id] || !machine.listing.listed {
 			continue
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -10,11 +10,11 @@
 	"lemonmoor/internal/tuning"
 )
 
-// machineTypes are the types of machines that can be rented, with their prices. Nil while
-// unknown.
+// machineTypes are the types of machines that can be rented, with their prices. It is nil
+// until they have been read.
 type machineTypes []jobs.MachineType
 
-// find returns the type with a name, nil if there is none.
+// find returns the type with the given name, nil if there is none.
 func (t machineTypes) find(name string) *jobs.MachineType {
 	for i := range t {
 		if t[i].Name == name {
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// update takes the newest types in. Prices move; the machines' properties stay, and other
-// packages hold on to the slices.
+// update adds or replaces the types of the latest answer. Known types are replaced in place:
+// their prices change, but not the machines' properties, and other packages retain the slices.
 func (t *machineTypes) update(newest []jobs.MachineType) {
 	for _, machineType := range newest {
 		if known := t.find(machineType.Name); known != nil {
@@ -36,13 +36,14 @@
 	}
 }
 
-// Start reads the machine types and keeps their prices current.
+// Start begins to read the machine types, and reads them again at intervals to keep the prices
+// current.
 func (f *Fleet) Start() { f.readMachineTypes(0) }
 
-// MachineTypes returns the machine types, nil while unknown.
+// MachineTypes returns the machine types, nil until they have been read.
 func (f *Fleet) MachineTypes() []jobs.MachineType { return f.types }
 
-// MachineType returns the machine type with a name, nil if there is none.
+// MachineType returns the machine type with the given name, nil if there is none.
 func (f *Fleet) MachineType(name string) *jobs.MachineType { return f.types.find(name) }
 
 func (f *Fleet) readMachineTypes(attempt int) {
@@ -58,8 +59,9 @@
 	})
 }
 
-// rentableKinds yields the kinds of machines that can be had now, as far as is known, spot
-// machines before ordinary ones of the same type and zone.
+// rentableKinds yields the kinds of machines that can currently be rented as far as is known,
+// spot machines before ordinary ones of the same type and zone. Kinds whose rental is paused
+// and partitioned zones are left out.
 func (f *Fleet) rentableKinds() iter.Seq2[MachineKind, *jobs.MachineType] {
 	return func(yield func(MachineKind, *jobs.MachineType) bool) {
 		for i := range f.types {
@@ -79,7 +81,8 @@
 	}
 }
 
-// IsRentable reports whether machines for a job can be had in a zone now, as far as is known.
+// IsRentable reports whether machines that could run a job can currently be rented in a zone,
+// as far as is known.
 func (f *Fleet) IsRentable(spec *jobs.Spec, zone string) bool {
 	for kind := range f.rentableKinds() {
 		if kind.Zone == zone && f.emptyMachine(kind).CouldRun(spec, zone) {
@@ -89,12 +92,13 @@
 	return false
 }
 
-// bootTime returns how long a machine of a type should take to boot.
+// bootTime returns the nominal boot time of a machine type.
 func bootTime(machineType *jobs.MachineType) time.Duration {
 	return time.Duration(machineType.BootSeconds * float64(time.Second))
 }
 
-// ChooseZones fixes zones for a job whose tasks must or must not share one.
+// ChooseZones chooses the zones for a job whose tasks must or must not share one: one zone if
+// they must, otherwise up to two.
 func (f *Fleet) ChooseZones(spec *jobs.Spec) []string {
 	zones := f.CandidateZones(spec)
 	if spec.SameZone {
@@ -103,9 +107,10 @@
 	return zones[:min(2, len(zones))]
 }
 
-// CandidateZones lists the zones where a job may run, those with the most processors first.
+// CandidateZones returns the zones where a job may run, those with the most available
+// processors first.
 func (f *Fleet) CandidateZones(spec *jobs.Spec) []string {
-	const perType = 0.001 // any zone counts a little, one with machines more
+	const perType = 0.001 // weight of a zone without machines; each processor weighs 1
 	weight := map[string]float64{}
 	for i := range f.types {
 		machineType := &f.types[i]
--- a/internal/fleet/queries.go
+++ b/internal/fleet/queries.go
@@ -7,19 +7,19 @@
 	"lemonmoor/internal/tuning"
 )
 
-// MachineInfo is a machine as operators' tools see it.
+// MachineInfo describes a machine to operators' tools.
 type MachineInfo struct {
 	MachineKind
 	ID, Addr     string
 	Shard        int
-	HasReported  bool // its worker sends heartbeats to its owner
-	AcceptsTasks bool // it takes tasks
+	HasReported  bool // its worker sends heartbeats to its shard owner
+	AcceptsTasks bool
 }
 
 // IsListed reports whether the machine list has been read in this term.
 func (f *Fleet) IsListed() bool { return f.term.listed }
 
-// EachMachine calls fn for all machines, in the order of their IDs.
+// EachMachine calls fn for each machine, in the order of their IDs.
 func (f *Fleet) EachMachine(fn func(MachineInfo)) {
 	list := make([]*machine, 0, len(f.machines.byID))
 	for _, m := range f.machines.byID {
@@ -31,7 +31,7 @@
 	}
 }
 
-// Machine returns a machine; false if it is not known.
+// Machine returns the machine with the given ID, and whether it is known.
 func (f *Fleet) Machine(id string) (MachineInfo, bool) {
 	m := f.machines.byID[id]
 	if m == nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// IsGone reports whether a machine does not exist any more: it was released, or is in no list
-// and no owner's message although both had time to show it.
+// IsGone reports whether a machine no longer exists: it was released, or no machine list and no
+// status message of a shard owner contains it although enough of the term has passed for both.
 func (f *Fleet) IsGone(id string) bool {
 	if f.machines.isReleased(id) {
 		return true
@@ -58,6 +58,6 @@
 		f.runtime.Now()-f.term.beganAt > tuning.BootTimeoutSlack+2*f.settings.ListLag()
 }
 
-// KeepIdle has machines kept although they are idle; those of the call before are not any
-// more.
-func (f *Fleet) KeepIdle(machineIDs map[string]bool) { f.machines.keptIdle = machineIDs }
+// KeepIdle sets the machines that are not released when idle. They replace those of the
+// previous call.
+func (f *Fleet) KeepIdle(machineIDs map[string]bool) { f.machines.retainedIdle = machineIDs }
--- a/internal/fleet/releases.go
+++ b/internal/fleet/releases.go
@@ -17,7 +17,7 @@
 // released.
 func (f *Fleet) evaluateMachines() {
 	machines, idle := f.countMachines()
-	f.notePartitions()
+	f.recordPartitions()
 	maxIdle := max(tuning.MinIdleMachines, int(tuning.IdleMachineShare*float64(machines)))
 	for _, machine := range f.machines.byID {
 		switch {
@@ -25,7 +25,7 @@
 		case !machine.reported:
 			f.evaluateUnreported(machine)
 		default:
-			if machine.isSilent() && !f.isSpared(machine) {
+			if machine.isSilent() && !f.isRetained(machine) {
 				f.requestRelease(machine, machine.status.ReleaseReason)
 			}
 			if f.isDispensable(machine, idle > maxIdle) {
@@ -59,7 +59,7 @@
 // nothing could be dispatched, says nothing of what is needed: most machines were released
 // just when it was over.
 func (f *Fleet) isDispensable(m *machine, manyIdle bool) bool {
-	if !f.isIdle(m) || f.idleFor(m) <= f.idleTimeout(m, manyIdle) || f.machines.keptIdle[m.id] {
+	if !f.isIdle(m) || f.idleFor(m) <= f.idleTimeout(m, manyIdle) || f.machines.retainedIdle[m.id] {
 		return false
 	}
 	now := f.runtime.Now()
@@ -108,7 +108,7 @@
 	}
 	limit := time.Duration(bootSeconds*tuning.BootTimeoutFactor*float64(time.Second)) + tuning.BootTimeoutSlack
 	switch {
-	case f.isOverdue(machine) && !f.isSpared(machine):
+	case f.isOverdue(machine) && !f.isRetained(machine):
 		f.requestRelease(machine, "does not report")
 	case machine.listing.booting && now-machine.rentedAt > limit && now-f.term.beganAt > tuning.BootTimeoutSlack:
 		f.requestRelease(machine, "never booted")
@@ -131,7 +131,7 @@
 	finish := term.GuardValue(&f.term.counter, func(released bool) { f.finishRelease(ids, released) })
 	f.cloud.release(ids, func(err error) {
 		if err == nil {
-			f.noteReleased(ids) // whoever leads now: the machines are gone
+			f.recordReleased(ids) // whoever leads now: the machines are gone
 		}
 		finish(err == nil)
 	})
@@ -153,7 +153,7 @@
 }
 
 // noteReleased notes that machines are gone, with all on them.
-func (f *Fleet) noteReleased(ids []string) {
+func (f *Fleet) recordReleased(ids []string) {
 	for _, id := range ids {
 		f.machines.releasedAt[id] = f.runtime.Now()
 		shard := &f.shards[f.shardIndex(id)]
--- a/internal/fleet/releases_test.go
+++ b/internal/fleet/releases_test.go
@@ -56,7 +56,7 @@
 
 // TestMachineThatNoListHadIsReleased a machine that the cloud took before any list had it
 // counted as one that boots, and work waited for it for ever.
-func TestMachineThatNoListHadIsReleased(t *testing.T) {
+func TestNeverListedMachineIsReleased(t *testing.T) {
 	config := &settings.Settings{}
 	config.Deployment.Cloud.ListLagS = 10
 	runtime, fleet := newSmallFleet(config)
@@ -77,7 +77,7 @@
 // TestIdleTimeInAnOutageDoesNotCount in a long outage of the state service nothing could be
 // dispatched, all machines became idle, and when it was over they were released at once, two
 // thousand of them.
-func TestIdleTimeInAnOutageDoesNotCount(t *testing.T) {
+func TestIdleTimeDuringOutageIsNotCounted(t *testing.T) {
 	runtime := &manualRuntime{now: time.Hour}
 	config := &settings.Settings{}
 	config.Deployment.Workers.ReportS = 10
@@ -90,7 +90,7 @@
 	for i := range 40 {
 		message.Hosts = append(message.Hosts, MachineStatus{ID: fmt.Sprint("vm-", i), MachineType: "g8", HasReported: true, AcceptsTasks: true})
 	}
-	second := func() {
+	advance := func() {
 		runtime.now += time.Second
 		for i := range message.Hosts {
 			message.Hosts[i].IdleMS += 1000
@@ -100,20 +100,20 @@
 		fleet.runRound()
 	}
 	isDrained := func(m *machine) bool { return m.drainReason != "" }
-	second()
+	advance()
 	lease.expired = true
 	for range 60 {
-		second()
+		advance()
 	}
 	lease.expired = false
 	for range 8 {
-		second()
+		advance()
 	}
 	if n := fleet.countMachinesThat(isDrained); n > 0 {
 		t.Errorf("%d machines are drained right after the outage", n)
 	}
 	for range int(tuning.MachineIdleTimeout / time.Second) {
-		second()
+		advance()
 	}
 	if fleet.countMachinesThat(isDrained) == 0 {
 		t.Error("machines that stay idle are kept for ever")
--- a/internal/fleet/rental_plan.go
+++ b/internal/fleet/rental_plan.go
@@ -12,12 +12,12 @@
 // rentalPlan is the machines that a round rents: first all that is needed, then the calls. A
 // call for each demand was small, and calls are few.
 type rentalPlan struct {
-	fleet    *Fleet
-	capacity fleetCapacity // the machines that there are or will be
-	order    []MachineKind // of the calls
-	numbers  map[MachineKind]int
+	fleet           *Fleet
+	capacity        fleetCapacity // the machines that there are or will be
+	requestOrder    []MachineKind // of the calls
+	plannedMachines map[MachineKind]int
 	// forGangs are the machines planned for gangs in this round.
-	forGangs []plannedMachine
+	gangMachines []plannedMachine
 }
 
 // plannedMachine is a machine that is planned for a gang, with what the gang leaves of it.
@@ -33,14 +33,14 @@
 	if f.types == nil || f.runtime.Now()-f.term.beganAt < tuning.StatusInterval*2 {
 		return
 	}
-	plan := &rentalPlan{fleet: f, capacity: f.sumCapacity(), numbers: map[MachineKind]int{}}
+	plan := &rentalPlan{fleet: f, capacity: f.sumCapacity(), plannedMachines: map[MachineKind]int{}}
 	plan.planAll(f.demand.list)
-	for _, kind := range plan.order {
-		for left := plan.numbers[kind]; left > 0; left -= tuning.MaxRentalMachines {
+	for _, kind := range plan.requestOrder {
+		for remaining := plan.plannedMachines[kind]; remaining > 0; remaining -= tuning.MaxRentalMachines {
 			if !f.cloud.spendCall() {
 				return
 			}
-			f.rent(kind, min(left, tuning.MaxRentalMachines))
+			f.rent(kind, min(remaining, tuning.MaxRentalMachines))
 		}
 	}
 }
@@ -52,31 +52,31 @@
 		demand := &demands[i]
 		heldByQuota[demand.Spec.Team] += demand.workSeconds(demand.HeldByQuota)
 	}
-	before := 0.0 // processor seconds of the work of the demands so far
+	queuedBefore := 0.0 // processor seconds of the work of the demands so far
 	for i := range demands {
 		demand := &demands[i]
 		if demand.Spec.IsGang() && demand.Tasks > 0 {
 			p.planGang(demand)
 			continue
 		}
-		before += demand.workSeconds(demand.Tasks)
-		p.planTasks(demand, before+heldByQuota[demand.Spec.Team], demands[i:])
+		queuedBefore += demand.workSeconds(demand.Tasks)
+		p.planTasks(demand, queuedBefore+heldByQuota[demand.Spec.Team], demands[i:])
 	}
 }
 
 // add plans so many machines of a kind.
 func (p *rentalPlan) add(kind MachineKind, number int) {
-	if p.numbers[kind] == 0 {
-		p.order = append(p.order, kind)
+	if p.plannedMachines[kind] == 0 {
+		p.requestOrder = append(p.requestOrder, kind)
 	}
 	machineType := p.fleet.MachineType(kind.MachineType)
-	p.capacity.of(kind).add(float64(number)*machineType.CPUs, true, bootTime(machineType))
-	p.numbers[kind] += number
+	p.capacity.entry(kind).add(float64(number)*machineType.CPUs, true, bootTime(machineType))
+	p.plannedMachines[kind] += number
 }
 
 // planTasks plans machines for a demand behind so many processor seconds of work, its own
 // included; from are the demands from this one on.
-func (p *rentalPlan) planTasks(demand *Demand, queued float64, from []Demand) {
+func (p *rentalPlan) planTasks(demand *Demand, queued float64, demands []Demand) {
 	for demand.Tasks > 0 {
 		usable := p.fleet.usableCPUs(demand, p.capacity)
 		kind, waitSeconds, found := p.cheapestKind(demand, queued, usable)
@@ -85,7 +85,7 @@
 		}
 		machineType := p.fleet.MachineType(kind.MachineType)
 		number := int(math.Ceil((queued/waitSeconds - usable) / machineType.CPUs))
-		number = min(number, p.machinesFilled(kind, from), tuning.MaxPlannedRentals-p.numbers[kind])
+		number = min(number, p.machinesNeeded(kind, demands), tuning.MaxPlannedRentals-p.plannedMachines[kind])
 		p.add(kind, max(1, number))
 	}
 }
@@ -96,7 +96,7 @@
 func (p *rentalPlan) cheapestKind(demand *Demand, queued, usable float64) (cheapest MachineKind, waitSeconds float64, found bool) {
 	lowestCost := math.Inf(1)
 	for kind, machineType := range p.fleet.rentableKinds() {
-		if p.numbers[kind] >= tuning.MaxPlannedRentals || !p.fleet.emptyMachine(kind).CouldRun(demand.Spec, demand.Zone) {
+		if p.plannedMachines[kind] >= tuning.MaxPlannedRentals || !p.fleet.emptyMachine(kind).CouldRun(demand.Spec, demand.Zone) {
 			continue
 		}
 		price, wait := machineType.Price, maxQueueSeconds(demand, machineType, tuning.MissedObjectiveQueueTime)
@@ -130,7 +130,7 @@
 }
 
 // machinesFilled returns how many machines of a kind the tasks of demands fill.
-func (p *rentalPlan) machinesFilled(kind MachineKind, demands []Demand) int {
+func (p *rentalPlan) machinesNeeded(kind MachineKind, demands []Demand) int {
 	empty := p.fleet.emptyMachine(kind)
 	cpus := 0.0
 	for i := range demands {
@@ -143,23 +143,23 @@
 
 // maxQueueSeconds returns how many seconds a queue may take before a machine of a type is
 // worth its boot for a demand; most bounds the wait of one that has no objective left.
-func maxQueueSeconds(demand *Demand, machineType *jobs.MachineType, most time.Duration) float64 {
+func maxQueueSeconds(demand *Demand, machineType *jobs.MachineType, maxWait time.Duration) float64 {
 	ready := readySeconds(demand, machineType)
-	return max(tuning.RentBacklogShare*machineType.BootSeconds, tuning.QueueTimeShare*(demand.objectiveWait(ready, most.Seconds())-ready))
+	return max(tuning.RentBacklogShare*machineType.BootSeconds, tuning.QueueTimeShare*(demand.objectiveWait(ready, maxWait.Seconds())-ready))
 }
 
 // planGang plans machines that hold all tasks of a gang, unless machines that are planned
 // already have the room: a gang cannot wait for room to come free bit by bit.
 func (p *rentalPlan) planGang(demand *Demand) {
-	if p.shareForGangs(demand) {
+	if p.shareGangMachines(demand) {
 		return
 	}
 	kind, number := p.cheapestForGang(demand)
-	left := demand.Tasks
+	unassigned := demand.Tasks
 	for range number {
 		machine := plannedMachine{kind, p.fleet.MachineType(kind.MachineType).Resources()}
-		left -= machine.take(demand.Spec, left)
-		p.forGangs = append(p.forGangs, machine)
+		unassigned -= machine.reserve(demand.Spec, unassigned)
+		p.gangMachines = append(p.gangMachines, machine)
 	}
 	if number > 0 {
 		p.add(kind, number)
@@ -167,7 +167,7 @@
 }
 
 // take gives up to limit tasks room on the machine, and returns how many.
-func (m *plannedMachine) take(spec *jobs.Spec, limit int) int {
+func (m *plannedMachine) reserve(spec *jobs.Spec, limit int) int {
 	task := spec.Resources()
 	tasks := min(limit, task.CountIn(m.available))
 	m.available = m.available.Minus(task.Times(float64(tasks)))
@@ -176,20 +176,20 @@
 
 // shareForGangs gives a gang room on machines that are planned for others, if there is enough
 // for all of it.
-func (p *rentalPlan) shareForGangs(demand *Demand) bool {
-	left := demand.Tasks
-	tasks := make([]int, len(p.forGangs)) // on each of the machines
-	for i, machine := range p.forGangs {
-		if left > 0 && p.fleet.emptyMachine(machine.kind).CouldRun(demand.Spec, demand.Zone) {
-			tasks[i] = min(left, demand.Spec.Resources().CountIn(machine.available))
-			left -= tasks[i]
+func (p *rentalPlan) shareGangMachines(demand *Demand) bool {
+	unassigned := demand.Tasks
+	tasks := make([]int, len(p.gangMachines)) // on each of the machines
+	for i, machine := range p.gangMachines {
+		if unassigned > 0 && p.fleet.emptyMachine(machine.kind).CouldRun(demand.Spec, demand.Zone) {
+			tasks[i] = min(unassigned, demand.Spec.Resources().CountIn(machine.available))
+			unassigned -= tasks[i]
 		}
 	}
-	if left > 0 {
+	if unassigned > 0 {
 		return false
 	}
 	for i, count := range tasks {
-		p.forGangs[i].take(demand.Spec, count)
+		p.gangMachines[i].reserve(demand.Spec, count)
 	}
 	return true
 }
@@ -209,7 +209,7 @@
 		if needed > 1 {
 			needed *= len(p.fleet.shards)
 		}
-		if p.numbers[kind]+needed > tuning.MaxPlannedRentals {
+		if p.plannedMachines[kind]+needed > tuning.MaxPlannedRentals {
 			continue
 		}
 		price := machineType.Price
--- a/internal/fleet/rental_test.go
+++ b/internal/fleet/rental_test.go
@@ -29,13 +29,13 @@
 		fleet.EachAvailable(func(r *AvailableMachine) { availableCPUs += r.MachineType.CPUs })
 		waiting := max(0, 800-int(availableCPUs/16))
 		fleet.SetDemand([]Demand{{Spec: job, Tasks: waiting / 2, ObjectiveSlackSeconds: []float64{100}}, {Spec: job, Tasks: waiting - waiting/2, ObjectiveSlackSeconds: []float64{100}}}, nil)
-		first := len(runtime.calls)
+		callsBefore := len(runtime.calls)
 		fleet.rentForDemand()
 		// The cloud allows four a second and bursts of two seconds' worth.
 		if n := len(runtime.calls); n > 8+4*second {
 			t.Fatalf("%d calls in %d seconds", n, second)
 		}
-		for i := first; i < len(runtime.calls); i++ {
+		for i := callsBefore; i < len(runtime.calls); i++ {
 			var request rentalRequest
 			if err := json.Unmarshal(runtime.calls[i].Body, &request); err != nil || request.Number < 1 || request.Number > 50 {
 				t.Fatalf("asked for %+v, %v", request, err)
@@ -75,13 +75,13 @@
 // TestSmallJobIsNotBehindQueuedLargeOne: a small job that goes before a large one is not
 // taken to wait behind it because tasks of the large one are queued already; ordinary
 // machines were rented for it though its objective leaves it enough time.
-func TestSmallJobIsNotBehindQueuedLargeOne(t *testing.T) {
+func TestSmallJobDoesNotWaitBehindQueuedLargeJob(t *testing.T) {
 	runtime, fleet := newRentingFleet()
-	fleet.hearOwner()
+	fleet.setOwnerFresh()
 	for i := range 10 {
 		fleet.addBusyMachine(fmt.Sprintf("vm-%06d", i), false)
 	}
-	fleet.pauseSpot()
+	fleet.pauseSpotRentals()
 	large := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 100, Urgency: "standard"}
 	small := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 5, Urgency: "standard"}
 	fleet.SetDemand([]Demand{{Spec: large, Tasks: 75, Rank: 1, ObjectiveSlackSeconds: []float64{300}}, {Spec: small, Tasks: 2, Rank: 0, ObjectiveSlackSeconds: []float64{60}}}, nil)
@@ -109,9 +109,9 @@
 // machine at the most, whatever work of lower priority runs on machines that it may
 // not use. A hundred were rented for one on a calm day of a large fleet, since all
 // lower work was taken off the few machines that it may use.
-func TestLowerWorkOnUnusableMachinesDoesNotCount(t *testing.T) {
+func TestLowerPriorityWorkOnUnusableMachinesIsNotCounted(t *testing.T) {
 	runtime, fleet := newRentingFleet()
-	fleet.hearOwner()
+	fleet.setOwnerFresh()
 	for i := range 200 {
 		fleet.addBusyMachine(fmt.Sprintf("vm-%06d", i), i >= 20)
 	}
@@ -145,8 +145,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runtime, fleet := newRentingFleet()
-			fleet.pauseSpot()
-			fleet.hearOwner()
+			fleet.pauseSpotRentals()
+			fleet.setOwnerFresh()
 			for i := range 20 { // half of them boot, for 10 s more
 				added := fleet.addBusyMachine(fmt.Sprintf("vm-%06d", i), true)
 				added.rentedAt = runtime.now - 20*time.Second
@@ -168,7 +168,7 @@
 // of other replicas gets a machine of its own at once; one that lower tasks keep out, when
 // they have done so for half a boot. It got none for ever: its queue was a second of one
 // processor.
-func TestReplicaGetsAMachineWhenAllAreFullOfReplicas(t *testing.T) {
+func TestMachineIsRentedForReplicaWhenAllAreFullOfReplicas(t *testing.T) {
 	standard := &jobs.Spec{Urgency: "standard"}
 	for name, test := range map[string]struct {
 		services, lower, waited float64
@@ -179,7 +179,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runtime, fleet := newRentingFleet()
-			fleet.hearOwner()
+			fleet.setOwnerFresh()
 			for i := range 10 {
 				fleet.addBusyMachine(fmt.Sprintf("vm-%06d", i), false)
 			}
--- a/internal/fleet/rentals.go
+++ b/internal/fleet/rentals.go
@@ -66,7 +66,7 @@
 		var refused *statusError
 		switch {
 		case err == nil:
-			f.takeRented(request, machineIDs)
+			f.recordRented(request, machineIDs)
 		case errors.Is(err, errNoCapacity):
 			f.pauseKind(request.kind(), tuning.NoCapacityPause)
 			f.log.Debug("no capacity for rental", "machine_type", request.MachineType, "zone", request.Zone, "spot", request.Spot)
@@ -85,7 +85,7 @@
 
 // takeRented takes the machines in that a request has brought, of which there may be fewer
 // than it asked for.
-func (f *Fleet) takeRented(request rentalRequest, machineIDs []string) {
+func (f *Fleet) recordRented(request rentalRequest, machineIDs []string) {
 	f.rentals.byName[request.Name] = machineIDs
 	for _, id := range machineIDs {
 		if f.machines.byID[id] == nil {
--- a/internal/fleet/shard_status_test.go
+++ b/internal/fleet/shard_status_test.go
@@ -12,9 +12,9 @@
 // that waited for it.
 func TestLateStatusIsDropped(t *testing.T) {
 	_, fleet := newSmallFleet(&settings.Settings{})
-	ghost := []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}
+	releasedMachine := []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}
 	fleet.HandleStatus(&ShardStatus{Full: true, Token: 9, Seq: 40})
-	for _, late := range []*ShardStatus{{Token: 9, Seq: 12, Hosts: ghost}, {Full: true, Token: 9, Seq: 13, Hosts: ghost}, {Full: true, Token: 8, Seq: 90, Hosts: ghost}} {
+	for _, late := range []*ShardStatus{{Token: 9, Seq: 12, Hosts: releasedMachine}, {Full: true, Token: 9, Seq: 13, Hosts: releasedMachine}, {Full: true, Token: 8, Seq: 90, Hosts: releasedMachine}} {
 		fleet.HandleStatus(late)
 	}
 	fleet.EachAvailable(func(r *AvailableMachine) { t.Errorf("%s is available", r.ID) })
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -47,8 +47,8 @@
 func (z *zoneTracker) isPartitioned(zone string, moment zoneMoment) bool {
 	silence := z.silence(zone, moment)
 	// It stays so while any machine there is left.
-	was := z.wasPartitionedWithin(zone, tuning.ZonePartitionAfter, moment.now)
-	if !was && !z.settings.IsZonePartitioned(z.expected[zone], silence) {
+	wasPartitioned := z.wasPartitionedWithin(zone, tuning.ZonePartitionAfter, moment.now)
+	if !wasPartitioned && !z.settings.IsZonePartitioned(z.expected[zone], silence) {
 		return false
 	}
 	if silence <= tuning.ZonePartitionAfter {
@@ -84,7 +84,7 @@
 func (f *Fleet) isPartitioned(zone string) bool { return f.zones.isPartitioned(zone, f.zoneMoment()) }
 
 // notePartitions notes the zones that are partitioned now.
-func (f *Fleet) notePartitions() {
+func (f *Fleet) recordPartitions() {
 	now := f.runtime.Now()
 	for zone, machines := range f.zones.expected {
 		if !f.isPartitioned(zone) {
@@ -101,7 +101,7 @@
 // isSpared reports whether a silent machine is kept because its zone is partitioned. Those
 // that may have urgent tasks on them are not, if the zone is a small part of all: then others
 // can be had in their place.
-func (f *Fleet) isSpared(machine *machine) bool {
+func (f *Fleet) isRetained(machine *machine) bool {
 	zone, moment := machine.kind.Zone, f.zoneMoment()
 	if !f.zones.isPartitioned(zone, moment) {
 		// Back again, its machines have time to send heartbeats: judged at the first sign
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -36,13 +36,13 @@
 		})
 	}
 	for range 30 {
-		test.second("a", "b")
+		test.advance("a", "b")
 	}
 	return test
 }
 
 // second lets a second pass, in which the owner has heard from some zones.
-func (z *zoneTest) second(reachable ...string) {
+func (z *zoneTest) advance(reachable ...string) {
 	z.runtime.now += time.Second
 	z.message.Seq++
 	z.message.ReachableZones = reachable
@@ -53,7 +53,7 @@
 // fallSilent has the owner want the machines of a zone released that it has not heard from for
 // long enough, so many seconds after it last heard from any. Every other one may have urgent
 // tasks.
-func (z *zoneTest) fallSilent(zone string, seconds int) {
+func (z *zoneTest) markSilent(zone string, seconds int) {
 	for i := range z.message.Hosts {
 		status := &z.message.Hosts[i]
 		if status.Zone != zone || seconds <= 7+i%12 {
@@ -69,8 +69,8 @@
 // partitionLargeZone cuts zone b off for a minute, which has most of the machines.
 func (z *zoneTest) partitionLargeZone() {
 	for seconds := range 60 {
-		z.fallSilent("b", seconds)
-		z.second("a")
+		z.markSilent("b", seconds)
+		z.advance("a")
 	}
 }
 
@@ -82,7 +82,7 @@
 				z.message.Hosts[i].AcceptsTasks, z.message.Hosts[i].ReleaseReason = true, ""
 			}
 		}
-		z.second("a", "b")
+		z.advance("a", "b")
 	}
 }
 
@@ -106,22 +106,22 @@
 	test.partitionLargeZone()
 	spec := &jobs.Spec{CPUs: 4, MemoryGB: 4, Spot: true, EstimateSeconds: 40}
 	test.fleet.SetDemand([]Demand{{Spec: spec, Tasks: 500, ObjectiveSlackSeconds: []float64{60}}}, nil)
-	first := len(test.runtime.calls)
+	callsBefore := len(test.runtime.calls)
 	test.fleet.rentForDemand()
-	for _, call := range test.runtime.calls[first:] {
+	for _, call := range test.runtime.calls[callsBefore:] {
 		var request rentalRequest
 		if err := json.Unmarshal(call.Body, &request); err != nil || request.Zone != "a" {
 			t.Errorf("asked for %s", call.Body)
 		}
 	}
-	if len(test.runtime.calls) == first {
+	if len(test.runtime.calls) == callsBefore {
 		t.Error("nothing is rented in the other zone")
 	}
 }
 
 // TestMachinesHaveTimeToReportAfterAPartition: when the zone was back, the machines left were
 // released at the first sign of life.
-func TestMachinesHaveTimeToReportAfterAPartition(t *testing.T) {
+func TestMachinesHaveTimeToReportAfterPartition(t *testing.T) {
 	test := newZoneTest()
 	test.partitionLargeZone()
 	test.reconnectLargeZone()
@@ -137,8 +137,8 @@
 	test.partitionLargeZone()
 	test.reconnectLargeZone()
 	for seconds := range int(tuning.ZonePartitionRetention/time.Second) + 20 {
-		test.fallSilent("a", seconds)
-		test.second("b")
+		test.markSilent("a", seconds)
+		test.advance("b")
 		if released := test.countReleased(); seconds == 40 && released != 15 {
 			t.Errorf("%d machines of the small zone released, 15 may have urgent tasks", released)
 		}
