--- a/internal/fleet/machine_list.go
+++ b/internal/fleet/machine_list.go
@@ -73,9 +73,10 @@
 	}
 }
 
-// releaseUnlisted releases machines that are missing from several consecutive lists: they were
-// released before, or reclaimed by the cloud. A list can be stale, so only the confirmed release
-// proves that the tasks on them are gone.
+// releaseUnlisted requests the release of machines that are missing from several consecutive
+// lists, because they were released before or reclaimed by the cloud. A list can be stale:
+// machines with a fresh status that accept tasks are retained, and only the confirmed release
+// proves that the tasks on a machine are gone.
 func (f *Fleet) releaseUnlisted(seen map[string]bool) {
 	for id, machine := range f.machines.byID {
 		if seen[id] || !machine.listing.listed {
--- a/internal/fleet/releases.go
+++ b/internal/fleet/releases.go
@@ -7,14 +7,15 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Reasons for which the leader has a machine's owner keep tasks off it.
+// Reasons for which the leader asks a machine's shard owner to assign no more tasks to it.
 const (
 	drainIdle      = "idle"
 	drainExpensive = "expensive"
 )
 
-// evaluateMachines decides which machines are released beside those that their owners want
-// released.
+// evaluateMachines requests the release of machines that are silent, failed to boot or failed to
+// report, and drains idle ones. Other releases that shard owners ask for are requested when
+// their status messages are handled.
 func (f *Fleet) evaluateMachines() {
 	machines, idle := f.countMachines()
 	f.recordPartitions()
@@ -29,7 +30,7 @@
 				f.requestRelease(machine, machine.status.ReleaseReason)
 			}
 			if f.isDispensable(machine, idle > maxIdle) {
-				machine.drainReason = drainIdle // its owner agrees, then wants it released
+				machine.drainReason = drainIdle // its owner stops assigning tasks, then requests the release
 				idle--
 			}
 		}
@@ -37,8 +38,8 @@
 	f.machines.forgetReleased(f.runtime.Now())
 }
 
-// countMachines counts the machines that report, and those of them that are idle, and notes
-// how many there should be in each zone.
+// countMachines returns the number of machines that have reported and are not being released,
+// and how many of them are idle. It also updates the number of expected machines by zone.
 func (f *Fleet) countMachines() (machines, idle int) {
 	clear(f.zones.expected)
 	for _, m := range f.machines.byID {
@@ -55,9 +56,9 @@
 	return machines, idle
 }
 
-// isDispensable reports whether a machine has been idle for too long. Idle in an outage, when
-// nothing could be dispatched, says nothing of what is needed: most machines were released
-// just when it was over.
+// isDispensable reports whether a machine has been idle for too long and may be drained. Idle
+// time during an outage, when nothing can be dispatched, does not show that a machine is not
+// needed. If it counted, most machines would be released just when the outage ends.
 func (f *Fleet) isDispensable(m *machine, manyIdle bool) bool {
 	if !f.isIdle(m) || f.idleFor(m) <= f.idleTimeout(m, manyIdle) || f.machines.retainedIdle[m.id] {
 		return false
@@ -69,12 +70,14 @@
 	return !f.isAwaitedByGang(m) || now-m.idleSince >= tuning.GangIdleRetention
 }
 
-// idleTimeout returns how long a machine is kept that is idle. manyIdle: most are, as after a
-// burst, and so many are not soon needed.
+// idleTimeout returns how long an idle machine is retained. manyIdle is set when more machines
+// are idle than are retained for the whole timeout, as after a burst; that many are not needed
+// soon.
 func (f *Fleet) idleTimeout(m *machine, manyIdle bool) time.Duration {
 	timeout := f.settings.MachineIdleTimeout()
 	if t := f.MachineType(m.kind.MachineType); t != nil && !m.kind.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
-		// Kept ready as long as a spot machine would be for the money.
+		// Retaining an ordinary machine should cost no more than retaining a spot machine for
+		// the whole timeout.
 		timeout = time.Duration(float64(timeout) * max(t.SpotPrice/t.Price, tuning.MinIdleTimeoutShare))
 	}
 	if manyIdle {
@@ -83,8 +86,8 @@
 	return timeout
 }
 
-// isAwaitedByGang reports whether a gang waits for machines of which this is one: it needs
-// several at a time, and they may come one by one.
+// isAwaitedByGang reports whether a gang that the machine could run waits for room. A gang needs
+// several machines at a time, and they may become available one by one.
 func (f *Fleet) isAwaitedByGang(m *machine) bool {
 	empty := f.emptyMachine(m.kind)
 	if empty.MachineType == nil {
@@ -99,7 +102,7 @@
 	return false
 }
 
-// evaluateUnreported releases a machine that has not reported when it should have.
+// evaluateUnreported requests the release of a machine that should have reported by now.
 func (f *Fleet) evaluateUnreported(machine *machine) {
 	now := f.runtime.Now()
 	bootSeconds := float64(tuning.UnknownTypeBootSeconds)
@@ -113,13 +116,14 @@
 	case machine.listing.booting && now-machine.rentedAt > limit && now-f.term.beganAt > tuning.BootTimeoutSlack:
 		f.requestRelease(machine, "never booted")
 	case !machine.listing.listed && f.term.listed && now-max(machine.rentedAt, f.term.beganAt) > limit+2*f.settings.ListLag()+tuning.BootTimeoutSlack:
-		// Taken by the cloud before any list had it: it counted as booting, and so as room,
-		// for ever.
+		// The cloud reclaimed the machine before any list showed it. It would count as
+		// booting, and so as capacity, forever.
 		f.requestRelease(machine, "never listed")
 	}
 }
 
-// releaseMachines returns machines to the cloud.
+// releaseMachines returns machines whose release is requested to the cloud, with at most one
+// call.
 func (f *Fleet) releaseMachines() {
 	ids := f.nextReleases()
 	if len(ids) == 0 || !f.cloud.spendCall() {
@@ -131,13 +135,14 @@
 	finish := term.GuardValue(&f.term.counter, func(released bool) { f.finishRelease(ids, released) })
 	f.cloud.release(ids, func(err error) {
 		if err == nil {
-			f.recordReleased(ids) // whoever leads now: the machines are gone
+			f.recordReleased(ids) // also if the term has ended: the machines are gone
 		}
 		finish(err == nil)
 	})
 }
 
-// nextReleases lists machines that one request releases.
+// nextReleases returns the IDs of up to tuning.MaxReleaseMachines machines for the next release
+// request.
 func (f *Fleet) nextReleases() []string {
 	var ids []string
 	for _, m := range f.machines.byID {
@@ -152,7 +157,7 @@
 	return ids
 }
 
-// noteReleased notes that machines are gone, with all on them.
+// recordReleased records that machines, and all tasks on them, are gone.
 func (f *Fleet) recordReleased(ids []string) {
 	for _, id := range ids {
 		f.machines.releasedAt[id] = f.runtime.Now()
@@ -161,7 +166,8 @@
 	}
 }
 
-// finishRelease forgets the machines of a release request, or has them released again.
+// finishRelease removes the machines of a release request that succeeded. If it failed, the
+// machines are released by a later request.
 func (f *Fleet) finishRelease(ids []string, released bool) {
 	for _, id := range ids {
 		if released {
--- a/internal/fleet/rental_plan.go
+++ b/internal/fleet/rental_plan.go
@@ -9,26 +9,26 @@
 	"lemonmoor/internal/tuning"
 )
 
-// rentalPlan is the machines that a round rents: first all that is needed, then the calls. A
-// call for each demand was small, and calls are few.
+// rentalPlan collects the machines to rent in one round, so that the demands share requests to
+// the cloud. A request for each demand would be small, and the request budget is limited.
 type rentalPlan struct {
 	fleet           *Fleet
-	capacity        fleetCapacity // the machines that there are or will be
-	requestOrder    []MachineKind // of the calls
+	capacity        fleetCapacity // available and planned machines
+	requestOrder    []MachineKind // kinds in the order in which they are requested
 	plannedMachines map[MachineKind]int
-	// forGangs are the machines planned for gangs in this round.
+	// gangMachines are the machines planned for gangs in this round.
 	gangMachines []plannedMachine
 }
 
-// plannedMachine is a machine that is planned for a gang, with what the gang leaves of it.
+// plannedMachine is a machine planned for a gang, with the resources that are not yet reserved.
 type plannedMachine struct {
 	kind      MachineKind
 	available resource.Vector
 }
 
-// rentForDemand asks for machines for the tasks that have no room. Each demand waits behind
-// those before it; machines are rented while that wait, at the pace of the machines that could
-// do the work, is longer than the users' objectives leave.
+// rentForDemand rents machines for the tasks that have no room. Each demand is queued behind
+// those before it. Machines are rented for it as long as the time that the usable machines need
+// for this queue exceeds the wait that the users' objectives allow.
 func (f *Fleet) rentForDemand() {
 	if f.types == nil || f.runtime.Now()-f.term.beganAt < tuning.StatusInterval*2 {
 		return
@@ -45,14 +45,14 @@
 	}
 }
 
-// planAll plans for all demands, in the order in which they are served.
+// planAll plans machines for all demands, in the order in which they are dispatched.
 func (p *rentalPlan) planAll(demands []Demand) {
-	heldByQuota := map[string]float64{} // processor seconds of work, by team
+	heldByQuota := map[string]float64{} // work in processor seconds, by team
 	for i := range demands {
 		demand := &demands[i]
 		heldByQuota[demand.Spec.Team] += demand.workSeconds(demand.HeldByQuota)
 	}
-	queuedBefore := 0.0 // processor seconds of the work of the demands so far
+	queuedBefore := 0.0 // work of the demands so far, in processor seconds
 	for i := range demands {
 		demand := &demands[i]
 		if demand.Spec.IsGang() && demand.Tasks > 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// add plans so many machines of a kind.
+// add plans a number of machines of a kind.
 func (p *rentalPlan) add(kind MachineKind, number int) {
 	if p.plannedMachines[kind] == 0 {
 		p.requestOrder = append(p.requestOrder, kind)
@@ -74,8 +74,8 @@
 	p.plannedMachines[kind] += number
 }
 
-// planTasks plans machines for a demand behind so many processor seconds of work, its own
-// included; from are the demands from this one on.
+// planTasks plans machines for a demand. queued is the work up to and including the demand, in
+// processor seconds; demands begins with this demand.
 func (p *rentalPlan) planTasks(demand *Demand, queued float64, demands []Demand) {
 	for demand.Tasks > 0 {
 		usable := p.fleet.usableCPUs(demand, p.capacity)
@@ -90,9 +90,10 @@
 	}
 }
 
-// cheapestKind finds the kind of machine that does the queued work at the least price, and how
-// many seconds the queue may take for it; none if the work can wait. usable is the processors
-// that the demand can count on as it is.
+// cheapestKind returns the kind of machine with the lowest cost for the demand, and the number of
+// seconds that the queue may take for it. found is false if no machine has to be rented or none
+// can be. queued is the work in processor seconds, usable the number of processors that the
+// demand can count on already.
 func (p *rentalPlan) cheapestKind(demand *Demand, queued, usable float64) (cheapest MachineKind, waitSeconds float64, found bool) {
 	lowestCost := math.Inf(1)
 	for kind, machineType := range p.fleet.rentableKinds() {
@@ -113,23 +114,24 @@
 	return cheapest, waitSeconds, found
 }
 
-// taskCost weighs the price of a machine by the work that it does. Large machines are all that
-// large tasks have; at about the same price small tasks go to small ones.
+// taskCost returns the price of a machine per processor that tasks of a demand can use on it. A
+// penalty for large machines directs small tasks to small machines at about the same price,
+// because large tasks can run only on large ones.
 func taskCost(demand *Demand, machineType *jobs.MachineType, price float64) float64 {
-	const minCPUs = 1e-3 // of tasks that take next to nothing
+	const minCPUs = 1e-3 // avoids a division by almost zero for tiny tasks
 	usedCPUs := demand.Spec.CPUs * math.Floor(machineType.CPUs/demand.taskCPUs(machineType)+resource.Epsilon)
 	return price / max(usedCPUs, minCPUs) * (1 + tuning.LargeMachinePenalty*math.Log2(max(1, machineType.CPUs)))
 }
 
-// meetsObjective reports whether the machines that there are, up or booting, do the work up to
-// a demand before the next of its objectives that a new machine of a type could still meet.
-// Expensive machines are rented only if they do not.
+// meetsObjective reports whether the available and planned machines, up or booting, can do the
+// queued work, within tuning.ExpensiveQueueFactor, before the next objective of the demand that
+// a new machine of the type could still meet. Ordinary machines are rented only if they cannot.
 func (p *rentalPlan) meetsObjective(demand *Demand, machineType *jobs.MachineType, queued float64) bool {
 	wait := demand.objectiveWait(readySeconds(demand, machineType), tuning.MissedObjectiveQueueTime.Seconds())
 	return queued <= tuning.ExpensiveQueueFactor*p.fleet.workWithin(demand, p.capacity, wait)
 }
 
-// machinesFilled returns how many machines of a kind the tasks of demands fill.
+// machinesNeeded returns the number of machines of a kind that the tasks of demands would fill.
 func (p *rentalPlan) machinesNeeded(kind MachineKind, demands []Demand) int {
 	empty := p.fleet.emptyMachine(kind)
 	cpus := 0.0
@@ -141,15 +143,16 @@
 	return int(math.Ceil(cpus / empty.MachineType.CPUs))
 }
 
-// maxQueueSeconds returns how many seconds a queue may take before a machine of a type is
-// worth its boot for a demand; most bounds the wait of one that has no objective left.
+// maxQueueSeconds returns the number of seconds that a queue may take before a machine of a type
+// is rented for a demand. maxWait bounds the wait, also of a demand with no objective left.
 func maxQueueSeconds(demand *Demand, machineType *jobs.MachineType, maxWait time.Duration) float64 {
 	ready := readySeconds(demand, machineType)
 	return max(tuning.RentBacklogShare*machineType.BootSeconds, tuning.QueueTimeShare*(demand.objectiveWait(ready, maxWait.Seconds())-ready))
 }
 
-// planGang plans machines that hold all tasks of a gang, unless machines that are planned
-// already have the room: a gang cannot wait for room to come free bit by bit.
+// planGang plans machines for all tasks of a gang, unless machines that are already planned for
+// other gangs have room for it. A gang needs room for all its tasks at once and cannot use room
+// that becomes free bit by bit.
 func (p *rentalPlan) planGang(demand *Demand) {
 	if p.shareGangMachines(demand) {
 		return
@@ -166,7 +169,7 @@
 	}
 }
 
-// take gives up to limit tasks room on the machine, and returns how many.
+// reserve reserves room for up to limit tasks on the machine, and returns their number.
 func (m *plannedMachine) reserve(spec *jobs.Spec, limit int) int {
 	task := spec.Resources()
 	tasks := min(limit, task.CountIn(m.available))
@@ -174,11 +177,11 @@
 	return tasks
 }
 
-// shareForGangs gives a gang room on machines that are planned for others, if there is enough
-// for all of it.
+// shareGangMachines reserves room for a gang on machines that are planned for other gangs, if
+// they have room for all its tasks, and reports whether they do.
 func (p *rentalPlan) shareGangMachines(demand *Demand) bool {
 	unassigned := demand.Tasks
-	tasks := make([]int, len(p.gangMachines)) // on each of the machines
+	tasks := make([]int, len(p.gangMachines)) // tasks on each machine
 	for i, machine := range p.gangMachines {
 		if unassigned > 0 && p.fleet.emptyMachine(machine.kind).CouldRun(demand.Spec, demand.Zone) {
 			tasks[i] = min(unassigned, demand.Spec.Resources().CountIn(machine.available))
@@ -194,8 +197,8 @@
 	return true
 }
 
-// cheapestForGang finds the kind of machine, and how many, that hold all tasks of a gang at the
-// least price.
+// cheapestForGang returns the kind and number of machines that have room for all tasks of a gang
+// at the lowest cost; number is 0 if there is none.
 func (p *rentalPlan) cheapestForGang(demand *Demand) (cheapest MachineKind, number int) {
 	lowestCost := math.Inf(1)
 	for kind, machineType := range p.fleet.rentableKinds() {
@@ -203,8 +206,8 @@
 		if tasksEach == 0 || !p.fleet.emptyMachine(kind).CouldRun(demand.Spec, demand.Zone) {
 			continue
 		}
-		// Machines belong to shards by their names, in turn, and a gang stays in one shard
-		// if it can.
+		// A gang is placed in a single shard if possible, but new machines are spread evenly
+		// over the shards by their IDs, so each shard gets only its part of them.
 		needed := (demand.Tasks + tasksEach - 1) / tasksEach
 		if needed > 1 {
 			needed *= len(p.fleet.shards)
--- a/internal/fleet/rentals.go
+++ b/internal/fleet/rentals.go
@@ -12,10 +12,11 @@
 
 // rentals holds the rental requests of a term.
 type rentals struct {
-	counter  uint64                   // of the names of requests
-	inFlight map[string]rentalRequest // by name; the answer is not known yet
-	byName   map[string][]string      // IDs of the machines rented, by the request's name
-	// pausedUntil is when kinds may be asked for again of which none could be had.
+	counter  uint64                   // number of the last generated request name
+	inFlight map[string]rentalRequest // requests without an answer, by name
+	byName   map[string][]string      // IDs of the rented machines, by request name
+	// pausedUntil is the time until which a kind is not requested, after a request for it was
+	// refused or filled only in part.
 	pausedUntil map[MachineKind]time.Duration
 }
 
@@ -33,7 +34,7 @@
 	clear(r.pausedUntil)
 }
 
-// rent asks for machines of a kind, under a name that no other request has.
+// rent requests a number of machines of a kind, under a new, unique name.
 func (f *Fleet) rent(kind MachineKind, number int) {
 	f.rentals.counter++
 	name := fmt.Sprintf("r-%d-%d", f.leases.LeaderToken(), f.rentals.counter)
@@ -41,8 +42,8 @@
 }
 
 // RentNamed rents one machine under a name that the caller has made durable, so that a later
-// leader that asks again gets the same one. Until the answer is known, known is false; the
-// caller asks again then.
+// leader that repeats the request gets the same machine. It returns known = false until the
+// machine is known; the caller then has to call it again.
 func (f *Fleet) RentNamed(name string, kind MachineKind) (machineID string, known bool) {
 	if ids := f.rentals.byName[name]; len(ids) > 0 {
 		return ids[0], true
@@ -57,8 +58,9 @@
 	return "", false
 }
 
-// sendRental sends a rental request until its answer is known. Machines that it brings in a
-// later term turn up in status messages and in the list.
+// sendRental sends a rental request and repeats it until its answer is known or the term ends.
+// Machines of a request that is answered after the term are found in the machine list and in
+// status messages.
 func (f *Fleet) sendRental(request rentalRequest, attempt int) {
 	f.rentals.inFlight[request.Name] = request
 	f.cloud.rent(request, term.GuardResult(&f.term.counter, func(machineIDs []string, err error) {
@@ -83,8 +85,8 @@
 	}))
 }
 
-// takeRented takes the machines in that a request has brought, of which there may be fewer
-// than it asked for.
+// recordRented adds the machines that a request has rented. If they are fewer than requested,
+// further requests for the kind are paused.
 func (f *Fleet) recordRented(request rentalRequest, machineIDs []string) {
 	f.rentals.byName[request.Name] = machineIDs
 	for _, id := range machineIDs {
@@ -99,7 +101,7 @@
 		"requested", request.Number, "count", len(machineIDs))
 }
 
-// pauseKind has no machines of a kind asked for during a pause.
+// pauseKind stops requests for a kind of machine for the given time.
 func (f *Fleet) pauseKind(kind MachineKind, pause time.Duration) {
 	f.rentals.pausedUntil[kind] = f.runtime.Now() + pause
 }
--- a/internal/fleet/shard_status.go
+++ b/internal/fleet/shard_status.go
@@ -6,7 +6,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// MachineStatus is what a shard's owner tells of a machine.
+// MachineStatus is the state of a machine as its shard owner reports it.
 type MachineStatus struct {
 	ID            string `json:"id"`
 	Addr          string `json:"addr"`
@@ -14,31 +14,31 @@
 	Zone          string `json:"zone"`
 	Spot          bool   `json:"spot"`
 	HasReported   bool   `json:"up"`               // its worker has sent a heartbeat to this owner
-	AcceptsTasks  bool   `json:"open"`             // it takes tasks
+	AcceptsTasks  bool   `json:"open"`             // new tasks may be assigned to it
 	IdleMS        int64  `json:"idleMs,omitempty"` // milliseconds without a task
-	Busy          bool   `json:"busy,omitempty"`   // it has, or may have, tasks
-	ReleaseReason string `json:"back,omitempty"`   // why it should be released now
+	Busy          bool   `json:"busy,omitempty"`   // it runs tasks or may run some
+	ReleaseReason string `json:"back,omitempty"`   // reason for a requested release
 }
 
-// ShardStatus is an owner's status message on its shard: all machines, or those of which
-// something has changed since the message before.
+// ShardStatus is a shard owner's status message. It contains all machines of the shard, or those
+// that have changed since the previous message.
 type ShardStatus struct {
 	Node           string          `json:"node"`
 	Shard          int             `json:"block"`
 	Token          uint64          `json:"token"`          // the owner's fencing token
-	Seq            uint64          `json:"seq"`            // grows by 1 with each message under a token
-	Full           bool            `json:"full,omitempty"` // it tells of all machines
-	ReachableZones []string        `json:"lit,omitempty"`  // zones that the owner has heard from just now
+	Seq            uint64          `json:"seq"`            // incremented with each message under a token
+	Full           bool            `json:"full,omitempty"` // Hosts contains all machines of the shard
+	ReachableZones []string        `json:"lit,omitempty"`  // zones that the owner has just heard from
 	Hosts          []MachineStatus `json:"hosts"`
 }
 
-// Recall asks an owner to return so many waiting tasks of a job.
+// Recall asks a shard owner to return a number of waiting tasks of a job to the leader.
 type Recall struct {
 	Job   string `json:"job"`
 	Tasks int    `json:"number"`
 }
 
-// MachineAddress is where a machine's worker takes commands.
+// MachineAddress is the address at which a machine's worker receives commands.
 type MachineAddress struct {
 	ID   string `json:"id"`
 	Addr string `json:"addr"`
@@ -46,45 +46,46 @@
 
 // StatusReply is the leader's answer to a status message.
 type StatusReply struct {
-	Full  bool     `json:"full,omitempty"`  // a message is missing: send all
-	Drain []string `json:"drain,omitempty"` // machines to keep tasks off
-	// Machines are those that the owner has not heard of, in the reply to a full message.
+	Full  bool     `json:"full,omitempty"`  // the next message must contain all machines, because one is missing
+	Drain []string `json:"drain,omitempty"` // machines to which no more tasks must be assigned
+	// Machines lists, in the reply to a full message, the machines that have not reported to
+	// the owner.
 	Machines []MachineAddress `json:"machines,omitempty"`
-	Released []string         `json:"returned,omitempty"` // gone, with all on them
+	Released []string         `json:"returned,omitempty"` // machines that are gone, with all tasks on them
 	Recall   []Recall         `json:"recall,omitempty"`
 }
 
-// shardState is what is known of a shard's owner, and what it is yet to be told.
+// shardState is the state of a shard's owner, and what has not been reported to the owner yet.
 type shardState struct {
 	owner ownerStatus
-	// unreportedReleases are the machines released since the owner's last message.
+	// unreportedReleases are the IDs of the machines released since the owner's last message.
 	unreportedReleases []string
 }
 
-// ownerStatus is the newest that a shard's owner has told.
+// ownerStatus is the state of the message stream from a shard's owner.
 type ownerStatus struct {
-	known           bool // an owner has told anything
+	known           bool // a message has been received in this term
 	token, seq      uint64
 	heardAt         time.Duration
-	respondingSince time.Duration // when this owner was first heard, without a gap
+	respondingSince time.Duration // start of the period without a gap in this owner's messages
 }
 
-// isFresh reports whether the owner has been heard lately.
+// isFresh reports whether the owner's last message is younger than tuning.StatusStaleAfter.
 func (o *ownerStatus) isFresh(now time.Duration) bool {
 	return o.known && now-o.heardAt < tuning.StatusStaleAfter
 }
 
-// isLate reports whether a message was held back on its way, so that a newer one is known.
+// isLate reports whether a message was delayed, so that one at least as new is already known.
 func (o *ownerStatus) isLate(message *ShardStatus) bool {
 	return o.known && (message.Token < o.token || (message.Token == o.token && message.Seq <= o.seq))
 }
 
-// follows reports whether no message is missing before this one.
+// follows reports whether a message is full or the direct successor of the last one.
 func (o *ownerStatus) follows(message *ShardStatus) bool {
 	return message.Full || o.known && o.token == message.Token && message.Seq == o.seq+1
 }
 
-// observe takes in that a message has come.
+// observe records the receipt of a message.
 func (o *ownerStatus) observe(message *ShardStatus, now time.Duration) {
 	since := o.respondingSince
 	if !o.known || o.token != message.Token || now-o.heardAt > tuning.StatusStaleAfter {
@@ -93,37 +94,40 @@
 	*o = ownerStatus{known: true, token: message.Token, seq: message.Seq, heardAt: now, respondingSince: since}
 }
 
-// HandleStatus takes an owner's status message in, and returns the reply. Machines in it that
-// were not rented in this term are adopted.
+// HandleStatus processes a shard owner's status message and returns the reply. Machines in the
+// message that are not known yet, such as those rented in an earlier term, are added once they
+// have reported.
 func (f *Fleet) HandleStatus(message *ShardStatus) StatusReply {
 	var reply StatusReply
 	now := f.runtime.Now()
 	shard := &f.shards[message.Shard]
 	if shard.owner.isLate(message) {
-		// A machine in it, released long ago, counted as room for ever: nothing was rented
-		// for tasks that waited for it.
+		// A late message may contain a machine that was released long ago. It would count as
+		// capacity forever, and nothing would be rented for the tasks that wait for it.
 		return reply
 	}
 	if shard.owner.follows(message) {
 		shard.owner.observe(message, now)
 	} else {
-		reply.Full = true // what it tells is true, but something is missing
+		reply.Full = true // its content is valid, but a previous message is missing
 	}
 	for _, zone := range message.ReachableZones {
 		f.zones.heardAt[zone] = now
 	}
-	// A message whose reply is lost is followed by a full one, which asks for these anew.
+	// If this reply is lost, the owner's next message is a full one. It contains the released
+	// machines, so they are reported again.
 	reply.Released, shard.unreportedReleases = shard.unreportedReleases, nil
 	reported := f.observeMachines(message, &reply)
 	if message.Full && !f.term.listed {
-		reply.Full = true // tell all once more, when the machines are known
+		reply.Full = true // request all again, until the machine list has been read
 	}
 	f.addInstructions(&reply, message.Shard, reported)
 	return reply
 }
 
-// observeMachines takes the machines of a message in, and tells the owner which of them are
-// gone. Of a full message it returns which machines have reported to the owner, else nil.
+// observeMachines processes the machines of a message, and adds those that have been released
+// to the reply. For a full message it returns, by machine ID, whether the machine has reported
+// to the owner; otherwise it returns nil.
 func (f *Fleet) observeMachines(message *ShardStatus, reply *StatusReply) (reported map[string]bool) {
 	if message.Full {
 		reported = make(map[string]bool, len(message.Hosts))
@@ -142,13 +146,13 @@
 	return reported
 }
 
-// observeMachine takes in what an owner tells of a machine.
+// observeMachine updates a machine from an owner's status of it, or adds it.
 func (f *Fleet) observeMachine(status *MachineStatus, shard int) {
 	now := f.runtime.Now()
 	machine := f.machines.byID[status.ID]
 	if machine == nil {
 		if !status.HasReported {
-			return // known from a record only
+			return // the owner knows it only from a stored record
 		}
 		machine = newMachine(status.ID, shard, MachineKind{}, now)
 		f.machines.byID[status.ID] = machine
@@ -156,18 +160,17 @@
 	if status.HasReported {
 		machine.address, machine.kind = status.Addr, MachineKind{status.MachineType, status.Zone, status.Spot}
 	}
-	// A new owner knows some machines from their records only, until they report to it:
-	// that makes none of them one that never booted.
+	// A new owner knows machines only from their stored records until they report to it. A
+	// machine that reported to an earlier owner must not count as never booted then.
 	machine.status, machine.reported = *status, machine.reported || status.HasReported
 	machine.idleSince = now - time.Duration(status.IdleMS)*time.Millisecond
-	if status.ReleaseReason != "" && !machine.isSilent() { // evaluateMachines sees to silent ones
+	if status.ReleaseReason != "" && !machine.isSilent() { // silent ones are released by evaluateMachines
 		f.requestRelease(machine, status.ReleaseReason)
 	}
 }
 
-// addInstructions tells a shard's owner of machines that it has not heard of, and which to
-// keep tasks off. reported are the machines that have reported to it, after a full message,
-// else nil.
+// addInstructions adds to a reply the addresses of machines that have not reported to the shard
+// owner, and the IDs of machines to drain. reported is the result of observeMachines.
 func (f *Fleet) addInstructions(reply *StatusReply, shard int, reported map[string]bool) {
 	for id, m := range f.machines.byID {
 		switch {
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -8,14 +8,14 @@
 	"lemonmoor/internal/workers"
 )
 
-// zoneTracker knows which zones the shard owners hear from.
+// zoneTracker records which zones the shard owners receive heartbeats from.
 type zoneTracker struct {
 	settings *settings.Settings
-	// heardAt is when an owner last heard from a zone, by zone.
+	// heardAt is the time at which an owner last heard from a zone, by zone.
 	heardAt map[string]time.Duration
-	// expected is the machines that should send heartbeats, by zone.
+	// expected is the number of machines that should send heartbeats, by zone.
 	expected map[string]int
-	// partitionedAt is when a zone was last found to be partitioned, by zone.
+	// partitionedAt is the last time at which a zone was partitioned, by zone.
 	partitionedAt map[string]time.Duration
 }
 
@@ -32,21 +32,22 @@
 	clear(z.partitionedAt)
 }
 
-// zoneMoment is a moment at which zones are judged, by a leader that has acted since another
-// one.
+// zoneMoment is the time at which zones are evaluated, and the start of the period in which the
+// leader's lease has been valid without a gap.
 type zoneMoment struct{ now, actingSince time.Duration }
 
-// silence returns how long no owner has heard from a zone.
+// silence returns the time since an owner last heard from a zone, or since the leader has been
+// acting if that is shorter.
 func (z *zoneTracker) silence(zone string, moment zoneMoment) time.Duration {
 	return moment.now - max(z.heardAt[zone], moment.actingSince)
 }
 
-// isPartitioned reports whether a zone is cut off from the shard owners, though others are
-// not. Its machines are no capacity and none are rented there; see
-// tuning.ZonePartitionRetention.
+// isPartitioned reports whether a zone is unreachable for the shard owners while others are
+// reachable. The machines of a partitioned zone do not count as capacity and none are rented
+// there; see tuning.ZonePartitionRetention.
 func (z *zoneTracker) isPartitioned(zone string, moment zoneMoment) bool {
 	silence := z.silence(zone, moment)
-	// It stays so while any machine there is left.
+	// A zone that was partitioned just before stays so, however few machines are left there.
 	wasPartitioned := z.wasPartitionedWithin(zone, tuning.ZonePartitionAfter, moment.now)
 	if !wasPartitioned && !z.settings.IsZonePartitioned(z.expected[zone], silence) {
 		return false
@@ -62,14 +63,14 @@
 	return false
 }
 
-// wasPartitionedWithin reports whether a zone was found to be partitioned less than a period
+// wasPartitionedWithin reports whether a zone was last partitioned less than the given period
 // ago.
 func (z *zoneTracker) wasPartitionedWithin(zone string, period, now time.Duration) bool {
 	partitionedAt, known := z.partitionedAt[zone]
 	return known && now-partitionedAt < period
 }
 
-// isSmall reports whether a zone has only a small part of all machines.
+// isSmall reports whether a zone has at most tuning.SmallZoneShare of all machines.
 func (z *zoneTracker) isSmall(zone string) bool {
 	all := 0
 	for _, machines := range z.expected {
@@ -80,10 +81,10 @@
 
 func (f *Fleet) zoneMoment() zoneMoment { return zoneMoment{f.runtime.Now(), f.term.actingSince} }
 
-// isPartitioned reports whether a zone is cut off from the shard owners now.
+// isPartitioned reports whether a zone is partitioned now.
 func (f *Fleet) isPartitioned(zone string) bool { return f.zones.isPartitioned(zone, f.zoneMoment()) }
 
-// notePartitions notes the zones that are partitioned now.
+// recordPartitions records, and logs, the zones that are partitioned now.
 func (f *Fleet) recordPartitions() {
 	now := f.runtime.Now()
 	for zone, machines := range f.zones.expected {
@@ -98,14 +99,14 @@
 	}
 }
 
-// isSpared reports whether a silent machine is kept because its zone is partitioned. Those
-// that may have urgent tasks on them are not, if the zone is a small part of all: then others
-// can be had in their place.
+// isRetained reports whether a silent machine is retained because its zone is partitioned.
+// Machines that may run urgent tasks are not retained if the zone is small, because they can
+// then be replaced by machines in other zones.
 func (f *Fleet) isRetained(machine *machine) bool {
 	zone, moment := machine.kind.Zone, f.zoneMoment()
 	if !f.zones.isPartitioned(zone, moment) {
-		// Back again, its machines have time to send heartbeats: judged at the first sign
-		// of life, most were released just then.
+		// After a partition the machines get time to send heartbeats. If they were evaluated
+		// as soon as the first one reports, most of them would be released.
 		return f.zones.wasPartitionedWithin(zone, f.settings.WorkerDeadAfter(), moment.now)
 	}
 	if f.zones.silence(zone, moment) > tuning.ZonePartitionRetention {
