--- a/internal/fleet/benchmark_test.go
+++ b/internal/fleet/benchmark_test.go
@@ -9,8 +9,8 @@
 	"lemonmoor/internal/settings"
 )
 
-// BenchmarkByMachineCount shows what a walk over all machines, their evaluation and an
-// owner's status message cost, by the number of machines.
+// BenchmarkByMachineCount measures a walk over all available machines, their evaluation, and
+// the handling of a shard owner's status message, by the number of machines.
 func BenchmarkByMachineCount(b *testing.B) {
 	for _, machines := range []int{1000, 2000, 4000} {
 		runtime := &manualRuntime{now: time.Hour}
--- a/internal/fleet/exchange_test.go
+++ b/internal/fleet/exchange_test.go
@@ -10,18 +10,18 @@
 	"lemonmoor/internal/jobs"
 )
 
-// exchangeTest is a fleet of ordinary machines with work for seven tenths of them, spread over
-// all that take tasks.
+// exchangeTest is a fleet of ordinary machines with work for seven tenths of them, spread evenly
+// over all machines that accept tasks.
 type exchangeTest struct {
 	runtime  *manualRuntime
 	fleet    *Fleet
 	machines int
-	// load is the part of the work that there is after a while.
+	// load returns the part of the work that is present at a time since the start.
 	load func(time.Duration) float64
 }
 
-// newExchangeTest returns a test with so many machines, of which the first few have work that
-// must be there.
+// newExchangeTest returns a test with the given number of machines. Half of the work on the
+// first bound machines can run nowhere else.
 func newExchangeTest(machines, bound int, load func(time.Duration) float64) *exchangeTest {
 	test := &exchangeTest{machines: machines, load: load}
 	test.runtime, test.fleet = newRentingFleet()
@@ -36,14 +36,15 @@
 	return test
 }
 
-// add adds a machine that is up.
+// add adds a machine that is up and busy.
 func (e *exchangeTest) add(spot bool) *machine {
 	added := e.fleet.addBusyMachine(fmt.Sprintf("vm-%06d", len(e.fleet.machines.byID)), spot)
 	added.rentedAt = e.runtime.now
 	return added
 }
 
-// machineLoad returns a machine's share of the work. Half of it is bound where some is.
+// machineLoad returns a machine's share of the work. On a bound machine half of it is movable,
+// on others all of it.
 func (e *exchangeTest) machineLoad(machineID string) MachineLoad {
 	accepting := e.fleet.countMachinesThat(func(m *machine) bool { return m.drainReason == "" })
 	cpus := 0.7 * 32 * float64(e.machines) / float64(accepting) * e.load(e.runtime.now-time.Hour)
@@ -53,7 +54,7 @@
 	return MachineLoad{CPUs: cpus, MovableCPUs: cpus}
 }
 
-// run lets so many seconds pass. What is rented is up at once.
+// run simulates a number of seconds. Rented machines are up at once.
 func (e *exchangeTest) run(t *testing.T, seconds int) {
 	t.Helper()
 	job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 20}
@@ -77,15 +78,15 @@
 	}
 }
 
-// steady is work that is there all the time.
+// steadyLoad is work that is present all the time.
 func steadyLoad(time.Duration) float64 { return 1 }
 
-// waves is work that comes and goes within the time of a boot.
+// burstyLoad is work that is present in every other period of 12 s, which is shorter than a boot.
 func burstyLoad(at time.Duration) float64 { return float64(int(at/(12*time.Second)) % 2) }
 
-// TestSteadyWorkMovesToSpotMachines: work that may run on spot machines and is there all the
-// time moves to them. Ordinary ones are drained when there is room for the most of late, never
-// those that other work needs.
+// TestSteadyWorkMovesToSpotMachines checks that steady work that may run on spot machines is
+// moved to them. Ordinary machines are drained once there is room for the recent maximum of the
+// work, but never those that other work needs.
 func TestSteadyWorkMovesToSpotMachines(t *testing.T) {
 	test := newExchangeTest(60, 10, steadyLoad)
 	test.run(t, 90)
@@ -97,17 +98,18 @@
 		case m.drainReason != "":
 			drained++
 			if m.address == "bound" {
-				t.Error("a machine is drained that other work needs")
+				t.Errorf("machine %s is drained, although other work needs it", m.id)
 			}
 		}
 	}
 	if spot < 30 || drained < 30 {
-		t.Errorf("%d spot machines rented, %d ordinary ones drained", spot, drained)
+		t.Errorf("%d spot machines rented and %d ordinary ones drained, want at least 30 of each", spot, drained)
 	}
 }
 
-// TestNothingIsExchangedForWavesOrFewMachines: work that comes and goes rents nothing, and with
-// few machines nothing is exchanged at all.
+// TestBurstyWorkAndSmallFleetsAreNotExchanged checks that no spot machines are rented and no
+// machines drained for bursty work, for which they would be up too late, or with few machines,
+// where the bursts are as large as the machines.
 func TestBurstyWorkAndSmallFleetsAreNotExchanged(t *testing.T) {
 	for name, test := range map[string]struct {
 		machines int
@@ -117,10 +119,10 @@
 			exchange := newExchangeTest(test.machines, 0, test.load)
 			exchange.run(t, 90)
 			if got := len(exchange.fleet.machines.byID); got != test.machines {
-				t.Errorf("%d machines of %d", got, test.machines)
+				t.Errorf("%d machines after the run, want %d", got, test.machines)
 			}
 			if drained := exchange.fleet.countMachinesThat(func(m *machine) bool { return m.drainReason != "" }); drained > 0 {
-				t.Errorf("%d machines are drained", drained)
+				t.Errorf("%d machines drained, want none", drained)
 			}
 		})
 	}
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -12,7 +12,7 @@
 	"lemonmoor/internal/settings"
 )
 
-// manualRuntime is a runtime on which nothing happens by itself: calls and timers wait for the
+// manualRuntime is a runtime whose clock, timers and answers to calls are controlled by the
 // test.
 type manualRuntime struct {
 	now     time.Duration
@@ -36,7 +36,7 @@
 }
 func (r *manualRuntime) CallPeer(string, string, []byte, time.Duration, func([]byte, error)) {}
 
-// fireTimers lets the timers run that are set now.
+// fireTimers runs all timers that are pending at the call.
 func (r *manualRuntime) fireTimers() {
 	timers := r.timers
 	r.timers = nil
@@ -45,14 +45,14 @@
 	}
 }
 
-// checkLastCall checks the last call to the cloud.
+// checkLastCall checks method, target and body of the last call to the cloud.
 func (r *manualRuntime) checkLastCall(t *testing.T, method, target, body string) {
 	t.Helper()
 	if len(r.calls) == 0 {
-		t.Fatal("the cloud is not called")
+		t.Fatalf("no call to the cloud, want %s %s %s", method, target, body)
 	}
 	if call := r.calls[len(r.calls)-1]; call.Method != method || call.Target != target || string(call.Body) != body {
-		t.Errorf("the cloud is called %s %s %s, not %s %s %s", call.Method, call.Target, call.Body, method, target, body)
+		t.Errorf("last call to the cloud: %s %s %s, want %s %s %s", call.Method, call.Target, call.Body, method, target, body)
 	}
 }
 
@@ -61,7 +61,8 @@
 	r.answers[len(r.answers)-1](http1.Response{Status: status, Body: []byte(body)}, nil)
 }
 
-// countRented counts the machines that were asked for in requests of a sort.
+// countRented returns the number of machines in the rental requests for which counts returns
+// true.
 func (r *manualRuntime) countRented(t *testing.T, counts func(*rentalRequest) bool) (number int) {
 	t.Helper()
 	for _, call := range r.calls {
@@ -76,18 +77,18 @@
 	return number
 }
 
-// fixedLeases is the leader's lease, valid until the test lets it expire.
+// fixedLeases is a leader lease that is valid unless expired is set.
 type fixedLeases struct{ expired bool }
 
 func (fixedLeases) LeaderToken() uint64 { return 7 }
 func (l fixedLeases) LeaseValid() bool  { return !l.expired }
 
-// loadsFunc is a source of loads made of a function.
+// loadsFunc is a function that implements LoadSource.
 type loadsFunc func(machineID string) MachineLoad
 
 func (f loadsFunc) MachineLoad(machineID string) MachineLoad { return f(machineID) }
 
-// newFleet returns a fleet with nothing on its machines, and no machine types.
+// newFleet returns a fleet without load on its machines and without machine types.
 func newFleet(runtime eventloop.Runtime, leases Leases, settings *settings.Settings) *Fleet {
 	return New(Dependencies{
 		Runtime: runtime, Address: "cloud", Leases: leases, Settings: settings, Log: slog.New(slog.DiscardHandler),
@@ -95,7 +96,7 @@
 	})
 }
 
-// newSmallFleet returns a fleet of machines of eight processors.
+// newSmallFleet returns a fleet whose machine type has eight processors.
 func newSmallFleet(config *settings.Settings) (*manualRuntime, *Fleet) {
 	runtime := &manualRuntime{now: time.Hour}
 	fleet := newFleet(runtime, fixedLeases{}, config)
@@ -103,7 +104,8 @@
 	return runtime, fleet
 }
 
-// newRentingFleet returns a fleet of machines of 32 processors that can be rented in one zone.
+// newRentingFleet returns a fleet whose machine type has 32 processors and can be rented in one
+// zone.
 func newRentingFleet() (*manualRuntime, *Fleet) {
 	runtime := &manualRuntime{now: time.Hour}
 	config := &settings.Settings{}
@@ -113,12 +115,12 @@
 	return runtime, fleet
 }
 
-// hearOwner has the owner of the only shard just heard.
+// setOwnerFresh records a message from the owner of the only shard at the current time.
 func (f *Fleet) setOwnerFresh() {
 	f.shards[0].owner = ownerStatus{token: 1, seq: 1, heardAt: f.runtime.Now(), known: true}
 }
 
-// addBusyMachine adds a machine with tasks on it.
+// addBusyMachine adds a machine that has reported and runs tasks.
 func (f *Fleet) addBusyMachine(id string, spot bool) *machine {
 	added := &machine{
 		id: id, kind: MachineKind{"g8", "a", spot}, listing: machineListing{listed: true}, reported: true,
@@ -128,16 +130,16 @@
 	return added
 }
 
-// pauseSpot has no spot machines to be had.
+// pauseSpotRentals pauses the rental of spot machines for an hour.
 func (f *Fleet) pauseSpotRentals() { f.pauseKind(MachineKind{"g8", "a", true}, time.Hour) }
 
-// countAvailable counts the machines that take tasks or are about to.
+// countAvailable returns the number of available machines, including those that boot.
 func (f *Fleet) countAvailable() (number int) {
 	f.EachAvailable(func(*AvailableMachine) { number++ })
 	return number
 }
 
-// countMachinesThat counts the machines of a sort.
+// countMachinesThat returns the number of machines for which counts returns true.
 func (f *Fleet) countMachinesThat(counts func(*machine) bool) (number int) {
 	for _, m := range f.machines.byID {
 		if counts(m) {
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -9,9 +9,9 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestMachineIsGoneWhenItsReleaseIsConfirmed: a release that the cloud refuses, or does not
-// answer, proves nothing. The machine and the tasks on it count as gone when it has answered
-// that they are, and the owner is told then.
+// TestMachineIsGoneWhenItsReleaseIsConfirmed checks that a machine and its tasks count as gone,
+// and are reported so to the shard owner, only when the cloud has confirmed the release. A
+// release that is refused or not answered proves nothing.
 func TestMachineIsGoneWhenItsReleaseIsConfirmed(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -36,12 +36,12 @@
 			runtime.fireTimers()
 			runtime.checkLastCall(t, "POST", "/rentals/release", `{"hosts":["vm-1"]}`)
 			if fleet.IsGone("vm-1") {
-				t.Error("gone before there is an answer")
+				t.Error("vm-1 counts as gone before the release is answered")
 			}
 			runtime.answers[len(runtime.answers)-1](test.answer, test.err)
 			reply := fleet.HandleStatus(&ShardStatus{Node: "node-0", Token: 1, Seq: 2})
-			if gone, told := fleet.IsGone("vm-1"), len(reply.Released) == 1; gone != test.gone || told != test.gone {
-				t.Errorf("gone %v, its owner is told so: %v", gone, told)
+			if gone, reported := fleet.IsGone("vm-1"), len(reply.Released) == 1; gone != test.gone || reported != test.gone {
+				t.Errorf("vm-1 gone: %v, reported to its owner: %v, want %v for both", gone, reported, test.gone)
 			}
 		})
 	}
--- a/internal/fleet/releases_test.go
+++ b/internal/fleet/releases_test.go
@@ -10,8 +10,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestMachinesKnownFromRecordsAreNotReleased a new owner, which knew the machines from
-// its records only, made the leader release all of them as never booted, with their tasks.
+// TestMachinesKnownFromRecordsAreNotReleased: a new shard owner knows machines only from its
+// records until they report to it. If its status messages made machines that have reported
+// before count as never booted, all of them would be released with their tasks.
 func TestMachinesKnownFromRecordsAreNotReleased(t *testing.T) {
 	runtime, fleet := newSmallFleet(&settings.Settings{})
 	fleet.machines.byID["vm-1"] = &machine{id: "vm-1", kind: MachineKind{MachineType: "g8"}, rentedAt: 0, listing: machineListing{listed: true}}
@@ -21,16 +22,16 @@
 	fleet.HandleStatus(&ShardStatus{Full: true, Token: 9, Hosts: []MachineStatus{{ID: "vm-1", Busy: true}}})
 	fleet.evaluateMachines()
 	if m := fleet.machines.byID["vm-1"]; m.release.requested {
-		t.Errorf("a machine with tasks is released: %s", m.release.reason)
+		t.Errorf("vm-1 has tasks and is released for reason %q, want it retained", m.release.reason)
 	}
 	if m := fleet.machines.byID["vm-2"]; !m.release.requested {
-		t.Error("a machine that has been booting for an hour is kept")
+		t.Error("vm-2 has been booting for an hour and is retained, want it released")
 	}
 }
 
-// TestOverdueMachineIsNotAvailable machines that died while all controllers were down stayed
-// in the lists as running, counted as about to come, and for half a minute nothing was
-// rented in their place.
+// TestOverdueMachineIsNotAvailable: machines that die while all controllers are down stay in
+// the machine list as running. If they counted as booting, nothing would be rented in their
+// place for half a minute.
 func TestOverdueMachineIsNotAvailable(t *testing.T) {
 	config := &settings.Settings{}
 	config.Deployment.Workers.ReportS = 10
@@ -41,21 +42,22 @@
 	for seconds := range 25 {
 		fleet.HandleStatus(&ShardStatus{Full: seconds == 0, Seq: uint64(seconds), Hosts: []MachineStatus{{ID: "vm-1", MachineType: "g8", HasReported: true, AcceptsTasks: true}}})
 		if seconds == 3 && fleet.countAvailable() != 2 {
-			t.Error("a machine that may report any moment is not available")
+			t.Errorf("%d machines available after %d s, want 2: vm-2 may still report", fleet.countAvailable(), seconds)
 		}
 		runtime.now += time.Second
 	}
 	if n := fleet.countAvailable(); n != 1 {
-		t.Errorf("%d machines are available, one is dead", n)
+		t.Errorf("%d machines available after 25 s, want 1: vm-2 is dead", n)
 	}
 	fleet.evaluateMachines()
 	if !fleet.machines.byID["vm-2"].release.requested || fleet.machines.byID["vm-1"].release.requested {
-		t.Error("the dead machine is kept, or the live one released")
+		t.Errorf("release of dead vm-2: %v, want true; of live vm-1: %v, want false",
+			fleet.machines.byID["vm-2"].release.requested, fleet.machines.byID["vm-1"].release.requested)
 	}
 }
 
-// TestMachineThatNoListHadIsReleased a machine that the cloud took before any list had it
-// counted as one that boots, and work waited for it for ever.
+// TestNeverListedMachineIsReleased: a machine that the cloud reclaims before any machine list
+// shows it must not count as booting forever, or work would wait for it forever.
 func TestNeverListedMachineIsReleased(t *testing.T) {
 	config := &settings.Settings{}
 	config.Deployment.Cloud.ListLagS = 10
@@ -69,14 +71,14 @@
 		runtime.now = time.Hour + test.after
 		fleet.evaluateMachines()
 		if got := fleet.machines.byID["vm-1"].release.requested; got != test.released {
-			t.Errorf("after %v: released %v", test.after, got)
+			t.Errorf("vm-1 released %v after its rental: %v, want %v", test.after, got, test.released)
 		}
 	}
 }
 
-// TestIdleTimeInAnOutageDoesNotCount in a long outage of the state service nothing could be
-// dispatched, all machines became idle, and when it was over they were released at once, two
-// thousand of them.
+// TestIdleTimeDuringOutageIsNotCounted: in a long outage of the state service nothing can be
+// dispatched and all machines become idle. If that time counted, they would all be released as
+// soon as the outage ends, two thousand of them in a large fleet.
 func TestIdleTimeDuringOutageIsNotCounted(t *testing.T) {
 	runtime := &manualRuntime{now: time.Hour}
 	config := &settings.Settings{}
@@ -110,19 +112,19 @@
 		advance()
 	}
 	if n := fleet.countMachinesThat(isDrained); n > 0 {
-		t.Errorf("%d machines are drained right after the outage", n)
+		t.Errorf("%d machines drained within 8 s after the outage, want none", n)
 	}
 	for range int(tuning.MachineIdleTimeout / time.Second) {
 		advance()
 	}
 	if fleet.countMachinesThat(isDrained) == 0 {
-		t.Error("machines that stay idle are kept for ever")
+		t.Errorf("no machine drained after a further %v of idle time, want some", tuning.MachineIdleTimeout)
 	}
 }
 
-// TestIdleMachineIsReleasedOnlyWhenItsOwnerAgrees: what the leader knows may be old. An
-// idle machine is drained by its owner first, and released when that says that nothing is on
-// it.
+// TestIdleMachineIsReleasedOnlyWhenItsOwnerAgrees: the leader's view of a machine may be stale.
+// An idle machine is first drained by its shard owner, and released only when the owner reports
+// that no tasks are on it.
 func TestIdleMachineIsReleasedOnlyWhenItsOwnerAgrees(t *testing.T) {
 	config := &settings.Settings{}
 	config.Deployment.Cloud.RPS = 10
@@ -140,13 +142,14 @@
 		}
 	}
 	if len(reply.Drain) != 1 || len(runtime.calls) > 0 {
-		t.Fatalf("the owner is asked to drain %v, %d calls to the cloud before it has", reply.Drain, len(runtime.calls))
+		t.Fatalf("owner asked to drain %v with %d calls to the cloud before its release request, want one machine and no call",
+			reply.Drain, len(runtime.calls))
 	}
 	status.AcceptsTasks, status.ReleaseReason = false, "idle"
 	fleet.HandleStatus(&ShardStatus{Full: true, Seq: 1000, Hosts: []MachineStatus{status}})
 	fleet.evaluateMachines()
 	fleet.releaseMachines()
 	if len(runtime.calls) != 1 || runtime.calls[0].Target != "/rentals/release" {
-		t.Errorf("%d calls to the cloud when it has", len(runtime.calls))
+		t.Errorf("%d calls to the cloud after the owner's release request, want 1 to /rentals/release", len(runtime.calls))
 	}
 }
--- a/internal/fleet/rental_plan.go
+++ b/internal/fleet/rental_plan.go
@@ -74,8 +74,9 @@
 	p.plannedMachines[kind] += number
 }
 
-// planTasks plans machines for a demand. queued is the work up to and including the demand, in
-// processor seconds; demands begins with this demand.
+// planTasks plans machines for a demand. queued is the work up to and including the demand, and
+// the work that its team's quota holds back, in processor seconds; demands begins with this
+// demand.
 func (p *rentalPlan) planTasks(demand *Demand, queued float64, demands []Demand) {
 	for demand.Tasks > 0 {
 		usable := p.fleet.usableCPUs(demand, p.capacity)
@@ -207,7 +208,8 @@
 			continue
 		}
 		// A gang is placed in a single shard if possible, but new machines are spread evenly
-		// over the shards by their IDs, so each shard gets only its part of them.
+		// over the shards by their IDs, so each shard gets only a
+		// fraction of them: rent enough for every shard to have room for the gang.
 		needed := (demand.Tasks + tasksEach - 1) / tasksEach
 		if needed > 1 {
 			needed *= len(p.fleet.shards)
--- a/internal/fleet/rental_test.go
+++ b/internal/fleet/rental_test.go
@@ -12,8 +12,9 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestBacklogIsRentedForInFewCalls: a large backlog is rented for in few calls within the
-// cloud's budget, and what is under way is not rented for again.
+// TestBacklogIsRentedForInFewCalls checks that the machines for a large backlog are rented with
+// few calls within the cloud's request budget, and that rentals in flight are not repeated
+// under other names.
 func TestBacklogIsRentedForInFewCalls(t *testing.T) {
 	runtime := &manualRuntime{now: time.Hour}
 	config := &settings.Settings{}
@@ -31,32 +32,33 @@
 		fleet.SetDemand([]Demand{{Spec: job, Tasks: waiting / 2, ObjectiveSlackSeconds: []float64{100}}, {Spec: job, Tasks: waiting - waiting/2, ObjectiveSlackSeconds: []float64{100}}}, nil)
 		callsBefore := len(runtime.calls)
 		fleet.rentForDemand()
-		// The cloud allows four a second and bursts of two seconds' worth.
+		// The cloud allows four calls per second and bursts of those of two seconds.
 		if n := len(runtime.calls); n > 8+4*second {
-			t.Fatalf("%d calls in %d seconds", n, second)
+			t.Fatalf("%d calls in %d seconds, want at most %d", n, second, 8+4*second)
 		}
 		for i := callsBefore; i < len(runtime.calls); i++ {
 			var request rentalRequest
 			if err := json.Unmarshal(runtime.calls[i].Body, &request); err != nil || request.Number < 1 || request.Number > 50 {
-				t.Fatalf("asked for %+v, %v", request, err)
+				t.Fatalf("rental request %+v (error %v), want 1 to 50 machines", request, err)
 			}
 			requests[request.Name]++
 			total += request.Number
 		}
 	}
-	// Two tasks to a machine; what is left may wait for half a boot.
+	// A machine runs two tasks at a time; the remaining tasks may wait for half a boot.
 	if wait := float64(800-2*total) * 16 * 40 / (float64(total) * 32); total > 400 || wait > 25 || len(requests) > 10 {
-		t.Errorf("%d machines in %d calls for 800 tasks, the rest waits %.0f s", total, len(requests), wait)
+		t.Errorf("%d machines in %d requests for 800 tasks, wait of the rest %.0f s; want at most 400 machines, 10 requests, 25 s",
+			total, len(requests), wait)
 	}
 	for name, n := range requests {
 		if n > 1 {
-			t.Errorf("request %s was used %d times", name, n)
+			t.Errorf("request name %s used %d times, want once", name, n)
 		}
 	}
 }
 
-// TestRepeatedRentalKeepsItsName: a rental without an answer may have been carried out; under
-// its own name once more it rents nothing more.
+// TestRepeatedRentalKeepsItsName: a rental request without an answer may have been carried out.
+// It must be repeated under the same name, so that it rents no further machines.
 func TestRepeatedRentalKeepsItsName(t *testing.T) {
 	runtime := &manualRuntime{now: time.Hour}
 	config := &settings.Settings{}
@@ -65,16 +67,17 @@
 	runtime.answers[0](http1.Response{}, eventloop.ErrNoAnswer)
 	runtime.fireTimers()
 	if len(runtime.calls) != 2 || string(runtime.calls[1].Body) != string(runtime.calls[0].Body) {
-		t.Fatalf("%d requests, the last %s", len(runtime.calls), runtime.calls[len(runtime.calls)-1].Body)
+		t.Fatalf("%d requests, the last with body %s; want 2 with body %s",
+			len(runtime.calls), runtime.calls[len(runtime.calls)-1].Body, runtime.calls[0].Body)
 	}
 	if len(fleet.rentals.inFlight) != 1 {
-		t.Errorf("%d rentals count as in flight", len(fleet.rentals.inFlight))
+		t.Errorf("%d rentals in flight, want 1", len(fleet.rentals.inFlight))
 	}
 }
 
-// TestSmallJobIsNotBehindQueuedLargeOne: a small job that goes before a large one is not
-// taken to wait behind it because tasks of the large one are queued already; ordinary
-// machines were rented for it though its objective leaves it enough time.
+// TestSmallJobDoesNotWaitBehindQueuedLargeJob: a small job that precedes a large one in rank
+// must not count as waiting behind it because tasks of the large job are queued already.
+// Otherwise ordinary machines are rented for it, although its objective leaves enough time.
 func TestSmallJobDoesNotWaitBehindQueuedLargeJob(t *testing.T) {
 	runtime, fleet := newRentingFleet()
 	fleet.setOwnerFresh()
@@ -87,12 +90,12 @@
 	fleet.SetDemand([]Demand{{Spec: large, Tasks: 75, Rank: 1, ObjectiveSlackSeconds: []float64{300}}, {Spec: small, Tasks: 2, Rank: 0, ObjectiveSlackSeconds: []float64{60}}}, nil)
 	fleet.rentForDemand()
 	if len(runtime.calls) != 0 {
-		t.Errorf("rented: %s", runtime.calls[0].Body)
+		t.Errorf("rental request %s, want none", runtime.calls[0].Body)
 	}
 }
 
-// TestDemandWaitsBehindItsRank: an urgent need is not taken to wait behind work of a
-// lower rank that was queued before it.
+// TestDemandWaitsBehindItsRank checks that an urgent demand does not count as waiting behind work
+// that was queued before it but follows it in rank.
 func TestDemandWaitsBehindItsRank(t *testing.T) {
 	runtime, fleet := newRentingFleet()
 	low := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 60, Urgency: "standard"}
@@ -101,14 +104,14 @@
 	fleet.rentForDemand()
 	ordinary := runtime.countRented(t, func(request *rentalRequest) bool { return !request.Spot })
 	if ordinary != 1 {
-		t.Errorf("%d ordinary machines for four small replicas", ordinary)
+		t.Errorf("%d ordinary machines rented for four small replicas, want 1", ordinary)
 	}
 }
 
-// TestLowerWorkOnUnusableMachinesDoesNotCount: a replica that fits nowhere just now rents one
-// machine at the most, whatever work of lower priority runs on machines that it may
-// not use. A hundred were rented for one on a calm day of a large fleet, since all
-// lower work was taken off the few machines that it may use.
+// TestLowerPriorityWorkOnUnusableMachinesIsNotCounted: for a replica that currently fits nowhere
+// at most one machine is rented, whatever lower-priority work runs on machines that it may not
+// use. If that work were subtracted from the capacity of the few machines that it may use, a
+// hundred would be rented for a single replica in a large fleet, even without a burst.
 func TestLowerPriorityWorkOnUnusableMachinesIsNotCounted(t *testing.T) {
 	runtime, fleet := newRentingFleet()
 	fleet.setOwnerFresh()
@@ -126,14 +129,13 @@
 	fleet.rentForDemand()
 	rented := runtime.countRented(t, func(*rentalRequest) bool { return true })
 	if rented > 1 {
-		t.Errorf("%d machines rented for one replica", rented)
+		t.Errorf("%d machines rented for one replica, want at most 1", rented)
 	}
 }
 
-// TestExpensiveMachinesAreRentedOnlyForLateWork: no ordinary machine is rented for work that
-// the machines that are up or boot do before its deadline, also not while a queue is long;
-// for work that they would be late for, some are. Several hundred were rented for the first
-// minute.
+// TestExpensiveMachinesAreRentedOnlyForLateWork: no ordinary machine is rented for work that the
+// machines, up or booting, can do before its deadline, even if the queue is long. Otherwise
+// several hundred are rented in the first minute. For work that would be late some are rented.
 func TestExpensiveMachinesAreRentedOnlyForLateWork(t *testing.T) {
 	for name, test := range map[string]struct {
 		deadline float64 // of the work, in seconds from now
@@ -147,27 +149,27 @@
 			runtime, fleet := newRentingFleet()
 			fleet.pauseSpotRentals()
 			fleet.setOwnerFresh()
-			for i := range 20 { // half of them boot, for 10 s more
+			for i := range 20 { // half of them are booting, with 10 s left
 				added := fleet.addBusyMachine(fmt.Sprintf("vm-%06d", i), true)
 				added.rentedAt = runtime.now - 20*time.Second
 				added.reported, added.status.HasReported = i < 10, i < 10
 			}
-			// Of the 112,000, the machines do 49,600 in 100 s and 113,600 in 200 s; a third
-			// of the queue may be late.
+			// Of the 112,000 processor seconds of work the machines do 49,600 in 100 s and
+			// 113,600 in 200 s; a third of the queue may be late.
 			job := &jobs.Spec{CPUs: 4, MemoryGB: 8, Spot: true, EstimateSeconds: 35, Urgency: "standard"}
 			fleet.SetDemand([]Demand{{Spec: job, Tasks: 800, ObjectiveSlackSeconds: []float64{test.deadline}}}, nil)
 			fleet.rentForDemand()
 			if rents := len(runtime.calls) > 0; rents != test.rents {
-				t.Errorf("rents: %v, want %v", rents, test.rents)
+				t.Errorf("ordinary machines rented for a deadline in %v s: %v, want %v", test.deadline, rents, test.rents)
 			}
 		})
 	}
 }
 
-// TestReplicaGetsAMachineWhenAllAreFullOfReplicas: a replica for which all machines are full
-// of other replicas gets a machine of its own at once; one that lower tasks keep out, when
-// they have done so for half a boot. It got none for ever: its queue was a second of one
-// processor.
+// TestMachineIsRentedForReplicaWhenAllAreFullOfReplicas: a machine is rented at once for a replica
+// if all machines are full of other replicas, and after half a boot time if tasks of lower
+// priority occupy the room. If replicas counted as work that ends, none would ever be rented:
+// the queue of a replica is only one processor second.
 func TestMachineIsRentedForReplicaWhenAllAreFullOfReplicas(t *testing.T) {
 	standard := &jobs.Spec{Urgency: "standard"}
 	for name, test := range map[string]struct {
@@ -194,7 +196,7 @@
 			fleet.rentForDemand()
 			rented := runtime.countRented(t, func(*rentalRequest) bool { return true })
 			if rented != test.rented {
-				t.Errorf("%d machines rented, want %d", rented, test.rented)
+				t.Errorf("%d machines rented for one replica, want %d", rented, test.rented)
 			}
 		})
 	}
--- a/internal/fleet/shard_status.go
+++ b/internal/fleet/shard_status.go
@@ -46,7 +46,7 @@
 
 // StatusReply is the leader's answer to a status message.
 type StatusReply struct {
-	Full  bool     `json:"full,omitempty"`  // the next message must contain all machines, because one is missing
+	Full  bool     `json:"full,omitempty"`  // the next message must be full, as one is missing or machines are not known yet
 	Drain []string `json:"drain,omitempty"` // machines to which no more tasks must be assigned
 	// Machines lists, in the reply to a full message, the machines that have not reported to
 	// the owner.
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -12,7 +12,7 @@
 	"lemonmoor/internal/workers"
 )
 
-// zoneTest is a fleet of ninety machines, a third of them in zone a, the others in b.
+// zoneTest is a fleet of 90 machines, a third of them in zone a and the others in zone b.
 type zoneTest struct {
 	runtime *manualRuntime
 	fleet   *Fleet
@@ -41,7 +41,7 @@
 	return test
 }
 
-// second lets a second pass, in which the owner has heard from some zones.
+// advance simulates one second in which the owner hears from the given zones.
 func (z *zoneTest) advance(reachable ...string) {
 	z.runtime.now += time.Second
 	z.message.Seq++
@@ -50,9 +50,9 @@
 	z.fleet.evaluateMachines()
 }
 
-// fallSilent has the owner want the machines of a zone released that it has not heard from for
-// long enough, so many seconds after it last heard from any. Every other one may have urgent
-// tasks.
+// markSilent makes the owner request the release of the machines of a zone that it has not heard
+// from for long enough, a number of seconds after it last heard from any of them. Every other
+// machine may have urgent tasks.
 func (z *zoneTest) markSilent(zone string, seconds int) {
 	for i := range z.message.Hosts {
 		status := &z.message.Hosts[i]
@@ -66,7 +66,7 @@
 	}
 }
 
-// partitionLargeZone cuts zone b off for a minute, which has most of the machines.
+// partitionLargeZone partitions zone b, which has most of the machines, for a minute.
 func (z *zoneTest) partitionLargeZone() {
 	for seconds := range 60 {
 		z.markSilent("b", seconds)
@@ -74,7 +74,7 @@
 	}
 }
 
-// reconnectLargeZone has zone b back: its machines report one after the other.
+// reconnectLargeZone ends the partition of zone b. Its machines report one after the other.
 func (z *zoneTest) reconnectLargeZone() {
 	for seconds := range 12 {
 		for i := range z.message.Hosts {
@@ -90,17 +90,18 @@
 	return z.fleet.countMachinesThat(func(m *machine) bool { return m.release.requested })
 }
 
-// TestMachinesOfAPartitionedZoneAreKept: the machines of a zone that was cut off were released.
+// TestMachinesOfAPartitionedZoneAreKept: the machines of a partitioned zone must not be released
+// as silent, because they are usable again as soon as the partition ends.
 func TestMachinesOfAPartitionedZoneAreKept(t *testing.T) {
 	test := newZoneTest()
 	test.partitionLargeZone()
 	if available, released := test.fleet.countAvailable(), test.countReleased(); available != 30 || released != 0 {
-		t.Errorf("%d machines available, %d released", available, released)
+		t.Errorf("%d machines available and %d released during the partition, want 30 and 0", available, released)
 	}
 }
 
-// TestNothingIsRentedInAPartitionedZone: hundreds of machines were rented anew in the zone that
-// was cut off, where they could not report.
+// TestNothingIsRentedInAPartitionedZone: machines rented in a partitioned zone cannot report
+// either. Without the rule hundreds would be rented there as replacements.
 func TestNothingIsRentedInAPartitionedZone(t *testing.T) {
 	test := newZoneTest()
 	test.partitionLargeZone()
@@ -111,27 +112,28 @@
 	for _, call := range test.runtime.calls[callsBefore:] {
 		var request rentalRequest
 		if err := json.Unmarshal(call.Body, &request); err != nil || request.Zone != "a" {
-			t.Errorf("asked for %s", call.Body)
+			t.Errorf("rental request %s, want one for zone a", call.Body)
 		}
 	}
 	if len(test.runtime.calls) == callsBefore {
-		t.Error("nothing is rented in the other zone")
+		t.Error("no machines rented in zone a, which is not partitioned")
 	}
 }
 
-// TestMachinesHaveTimeToReportAfterAPartition: when the zone was back, the machines left were
-// released at the first sign of life.
+// TestMachinesHaveTimeToReportAfterPartition: when a partition ends, machines report one after the
+// other. The others must not be released as soon as the first one reports.
 func TestMachinesHaveTimeToReportAfterPartition(t *testing.T) {
 	test := newZoneTest()
 	test.partitionLargeZone()
 	test.reconnectLargeZone()
 	if available, released := test.fleet.countAvailable(), test.countReleased(); available < 90 || released != 0 {
-		t.Errorf("%d machines available, %d released", available, released)
+		t.Errorf("%d machines available and %d released after the partition, want at least 90 and 0", available, released)
 	}
 }
 
-// TestSmallPartitionedZoneIsReleasedInSteps: a small zone's machines with urgent tasks are
-// released at once, the others when the zone has been partitioned for very long.
+// TestSmallPartitionedZoneIsReleasedInSteps checks that machines of a small partitioned zone that
+// may have urgent tasks are released without the zone's retention, and the others when the zone
+// has been partitioned for tuning.ZonePartitionRetention.
 func TestSmallPartitionedZoneIsReleasedInSteps(t *testing.T) {
 	test := newZoneTest()
 	test.partitionLargeZone()
@@ -140,10 +142,10 @@
 		test.markSilent("a", seconds)
 		test.advance("b")
 		if released := test.countReleased(); seconds == 40 && released != 15 {
-			t.Errorf("%d machines of the small zone released, 15 may have urgent tasks", released)
+			t.Errorf("%d machines of the small zone released after 40 s, want the 15 that may have urgent tasks", released)
 		}
 	}
 	if released := test.countReleased(); released != 30 {
-		t.Errorf("%d machines of a zone that does not come back released", released)
+		t.Errorf("%d machines of the small zone released after its retention, want 30", released)
 	}
 }
