--- a/internal/fleet/rental_plan.go
+++ b/internal/fleet/rental_plan.go
@@ -208,8 +208,8 @@
 			continue
 		}
 		// A gang is placed in a single shard if possible, but new machines are spread evenly
-		// over the shards by their IDs, so each shard gets only a
-		// fraction of them: rent enough for every shard to have room for the gang.
+		// over the shards by their IDs, so each shard gets only a fraction of them. Enough
+		// are rented for each shard to have room for the gang.
 		needed := (demand.Tasks + tasksEach - 1) / tasksEach
 		if needed > 1 {
 			needed *= len(p.fleet.shards)
