--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -29,7 +29,7 @@
 		batch.job.team.countPlanned(batch.job.spec, -float64(len(batch.tasks)))
 	}
 	if maxRecords := l.maxRecordsPerCommit(); len(batches) > maxRecords {
-		l.fleet.NoteStalledDispatch()
+		l.fleet.RecordStalledDispatch()
 		for _, batch := range batches[maxRecords:] {
 			batch.requeue()
 		}
@@ -83,7 +83,7 @@
 	case statestore.OutcomeOK:
 		// RecordAdded is called for the records when the watch reports them.
 	case statestore.OutcomeRefused:
-		c.leader.fleet.NoteStalledDispatch()
+		c.leader.fleet.RecordStalledDispatch()
 		// While writes are throttled, a large commit is refused repeatedly while small ones
 		// of other nodes pass, so half of the records are dropped before the retry. The
 		// transaction stays whole if an earlier attempt may still be carried out.
