--- a/internal/drain/advance.go
+++ b/internal/drain/advance.go
@@ -10,14 +10,14 @@
 	"lemonmoor/internal/tuning"
 )
 
-// advance takes a drain's next steps.
-func (r *round) advance(drain *Drain) {
+// advance adds a drain's next steps to the pass.
+func (r *reconcilePass) advance(drain *Drain) {
 	r.removeSettledGrants(drain)
 	if !drain.Head.Phase.Active() {
 		return
 	}
-	machinesLeft := r.markReleasedMachines(drain)
-	if machinesLeft == 0 && len(drain.Grants) == 0 {
+	remaining := r.markReleasedMachines(drain)
+	if remaining == 0 && len(drain.Grants) == 0 {
 		r.finish(drain)
 		return
 	}
@@ -30,8 +30,8 @@
 	r.grantMoves(drain)
 }
 
-// removeSettledGrants removes the grants all of whose tasks are disturbed no more.
-func (r *round) removeSettledGrants(drain *Drain) {
+// removeSettledGrants removes the grants of which no task is disturbed any longer.
+func (r *reconcilePass) removeSettledGrants(drain *Drain) {
 	for _, number := range drain.grantNumbers() {
 		grant := drain.Grants[number]
 		conditions, isSettled := r.removalConditions(drain, grant)
@@ -43,11 +43,11 @@
 	}
 }
 
-// removalConditions reports whether all tasks of a grant are disturbed no more, and what
-// must still hold when the grant's removal is committed. A task of a cancelled drain that
-// was never halted counts only if its owner still holds the shard then: another owner might
-// halt it, not knowing that the drain was cancelled.
-func (r *round) removalConditions(drain *Drain, grant *StoredGrant) (conditions []statestore.Condition, isSettled bool) {
+// removalConditions reports whether no task of a grant is disturbed any longer, and returns
+// the conditions for the commit that removes the grant. A task of a cancelled drain that was
+// never halted counts as undisturbed only on condition that the owner that reported it still
+// holds the shard: another owner might not know of the cancellation and halt the task.
+func (r *reconcilePass) removalConditions(drain *Drain, grant *StoredGrant) (conditions []statestore.Condition, isSettled bool) {
 	for _, ref := range grant.Tasks {
 		if r.disturbances.isSettled(ref) {
 			continue
@@ -64,8 +64,9 @@
 	return conditions, true
 }
 
-// markReleasedMachines notes the machines that are gone, and counts the others.
-func (r *round) markReleasedMachines(drain *Drain) (machinesLeft int) {
+// markReleasedMachines marks the machines that no longer exist as released and returns the
+// number of the others.
+func (r *reconcilePass) markReleasedMachines(drain *Drain) (remaining int) {
 	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State == MachineReleased {
 			return
@@ -73,13 +74,13 @@
 		if r.cluster.IsGone(machine.ID) && r.editMachine(drain, position, stepReleased, func(m *Machine) { m.State = MachineReleased }) {
 			return
 		}
-		machinesLeft++
+		remaining++
 	})
-	return machinesLeft
+	return remaining
 }
 
-// finish ends a drain all of whose machines are gone.
-func (r *round) finish(drain *Drain) {
+// finish sets the phase of a drain whose machines are all released to PhaseDone.
+func (r *reconcilePass) finish(drain *Drain) {
 	head := drain.Head
 	head.Phase, head.EndedAtMS, head.Released = PhaseDone, r.rt.WallClock().UnixMilli(), head.Machines
 	if r.changes.put(HeadKey(drain.ID), drain.Revision, head) {
@@ -87,14 +88,16 @@
 	}
 }
 
-// rentalName names the request for a machine's replacement. It is never used for
-// another one: the time of creation tells drains of the same name apart.
+// rentalName returns the name under which a machine's replacement is requested. It is
+// unique to the drain, the machine and the attempt: the creation time distinguishes drains
+// with the same ID.
 func rentalName(drain *Drain, machine *Machine) string {
 	return fmt.Sprintf("drain-%s-%d-%s-%d", drain.ID, drain.Head.CreatedAtMS, machine.ID, machine.RentalAttempts)
 }
 
-// advanceReplacements follows the replacements from the request until they are up.
-func (r *round) advanceReplacements(drain *Drain) {
+// advanceReplacements requests the replacements and closes each machine whose replacement
+// is up. A replacement that is lost is requested again.
+func (r *reconcilePass) advanceReplacements(drain *Drain) {
 	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State != MachineReplacing || r.cluster.IsGone(machine.ID) {
 			return
@@ -110,15 +113,17 @@
 		case r.cluster.IsGone(machine.Replacement):
 			r.editMachine(drain, position, stepReplacementLost, func(m *Machine) { m.Replacement, m.RentalAttempts = "", m.RentalAttempts+1 })
 		default:
-			r.addWaitReason(drain, fmt.Sprintf("replacement %s of %s is booting", machine.Replacement, machine.ID))
+			r.addWaitReason(drain, fmt.Sprintf("replacement %s for machine %s is booting", machine.Replacement, machine.ID))
 		}
 	})
 }
 
-func (r *round) rentReplacement(drain *Drain, position entryPosition, machine *Machine) {
+// rentReplacement requests a machine's replacement, or looks up the outcome of the request,
+// and records the replacement once its ID is known.
+func (r *reconcilePass) rentReplacement(drain *Drain, position entryPosition, machine *Machine) {
 	info, isKnown := r.cluster.Machine(machine.ID)
 	if !isKnown {
-		r.addWaitReason(drain, unknownMachineReason(machine))
+		r.addWaitReason(drain, missingMachineReason(machine))
 		return
 	}
 	replacement, isKnown := r.cluster.RentMachine(rentalName(drain, machine), info)
@@ -129,55 +134,58 @@
 	r.editMachine(drain, position, stepReplacementRented, func(m *Machine) { m.Replacement = replacement })
 }
 
-func unknownMachineReason(machine *Machine) string {
-	return fmt.Sprintf("machine %s is not known at present", machine.ID)
+// missingMachineReason returns the wait reason for a machine that the cluster does not list,
+// though it is not known to be gone.
+func missingMachineReason(machine *Machine) string {
+	return fmt.Sprintf("the leader has no information on machine %s at present", machine.ID)
 }
 
-// closeMachine is the edit that closes a machine to new work.
-func (r *round) closeMachine(m *Machine) {
+// closeMachine is the edit of a machine's entry that closes the machine to new tasks.
+func (r *reconcilePass) closeMachine(m *Machine) {
 	m.State, m.ClosedAtMS = MachineClosed, r.rt.WallClock().UnixMilli()
 }
 
-// candidate is a machine that could be the next to be drained.
+// candidate is a waiting machine that can be drained next.
 type candidate struct {
 	position   entryPosition
-	info       MachineInfo
-	placedCPUs float64 // processors of the tasks on it
+	machine    MachineInfo
+	placedCPUs float64 // processors of the tasks placed on it
 }
 
-// closeNextMachines picks the next machines: of one zone at a time, those first on which
-// the least runs.
-func (r *round) closeNextMachines(drain *Drain) {
+// closeNextMachines starts to drain the next machines, up to the configured number at
+// once: of one zone at a time, and within it those first whose tasks use the fewest
+// processors.
+func (r *reconcilePass) closeNextMachines(drain *Drain) {
 	inProgress, zone, waiting := r.countMachines(drain)
 	maxInProgress := r.settings.MachinesAtOnceOrDefault()
 	if waiting == 0 || inProgress >= maxInProgress {
 		return
 	}
-	// With a replacement first no room is taken away. Where urgent work always waits for
-	// some, a drain would never begin otherwise.
+	// A drain that rents replacements first takes no capacity away, so it need not wait. It
+	// would never begin where urgent work always waits for room.
 	if !drain.Head.Replace && r.cluster.HasUrgentWaiting(jobs.PriorityStandard) {
 		r.addWaitReason(drain, "urgent work waits for room: no further machine is closed")
 		return
 	}
 	candidates := r.candidates(drain)
 	if zone == "" && len(candidates) > 0 {
-		zone = candidates[0].info.Zone
+		zone = candidates[0].machine.Zone
 	}
 	for _, next := range candidates {
-		if next.info.Zone != zone || inProgress >= maxInProgress {
+		if next.machine.Zone != zone || inProgress >= maxInProgress {
 			continue
 		}
-		if !r.beginMachine(drain, next) {
+		if !r.startMachine(drain, next) {
 			return
 		}
 		inProgress++
 	}
 }
 
-// countMachines counts the machines that are being emptied and those that wait for it, and
-// tells in which zone the former are. A machine that is stuck does not count as being
-// emptied, as long as few are stuck.
-func (r *round) countMachines(drain *Drain) (inProgress int, zone string, waiting int) {
+// countMachines returns how many machines are being emptied, the zone that they are in, and
+// how many machines wait for their turn. Stuck machines do not count as being emptied, up
+// to DrainStuckFactor-1 times the configured number of machines at once.
+func (r *reconcilePass) countMachines(drain *Drain) (inProgress int, zone string, waiting int) {
 	stuck := 0
 	drain.EachMachine(func(_ entryPosition, machine *Machine) {
 		switch machine.State {
@@ -199,9 +207,9 @@
 	return max(inProgress, inProgress+stuck-maxStuck), zone, waiting
 }
 
-// candidates lists the machines that could be the next, in the order in which they are
-// taken.
-func (r *round) candidates(drain *Drain) []candidate {
+// candidates returns the waiting machines whose workers send heartbeats, sorted by zone,
+// placed processors and ID.
+func (r *reconcilePass) candidates(drain *Drain) []candidate {
 	var candidates []candidate
 	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State != MachineWaiting {
@@ -212,32 +220,34 @@
 		}
 	})
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.info.Zone, b.info.Zone), cmp.Compare(a.placedCPUs, b.placedCPUs), cmp.Compare(a.info.ID, b.info.ID))
+		return cmp.Or(cmp.Compare(a.machine.Zone, b.machine.Zone), cmp.Compare(a.placedCPUs, b.placedCPUs), cmp.Compare(a.machine.ID, b.machine.ID))
 	})
 	return candidates
 }
 
-// beginMachine takes a machine in hand.
-func (r *round) beginMachine(drain *Drain, next candidate) bool {
+// startMachine starts to drain a machine: it closes the machine, or marks it to be replaced
+// first. It returns false if the commit has no room for the edit.
+func (r *reconcilePass) startMachine(drain *Drain, next candidate) bool {
 	if drain.Head.Replace {
 		return r.editMachine(drain, next.position, stepReplacing, func(m *Machine) { m.State = MachineReplacing })
 	}
 	return r.editMachine(drain, next.position, stepClosed, r.closeMachine)
 }
 
-// collectGarbage removes what is left of drains that are over, and of requests that were
-// never accepted.
-func (r *round) collectGarbage() {
+// collectGarbage removes the pages of ended drains that have no grants left and of requests
+// that were never accepted, and the heads of the oldest ended drains beyond
+// MaxFinishedDrains.
+func (r *reconcilePass) collectGarbage() {
 	var ended []*Drain
 	for _, drain := range r.records.drains {
 		isAbandoned := !drain.isAccepted() && !r.requests.isCommitting()
-		isOver := drain.isAccepted() && !drain.Head.Phase.Active()
-		if isAbandoned || (isOver && len(drain.Grants) == 0) {
+		isEnded := drain.isAccepted() && !drain.Head.Phase.Active()
+		if isAbandoned || (isEnded && len(drain.Grants) == 0) {
 			for number, page := range drain.Pages {
 				r.changes.remove(PageKey(drain.ID, number), page.Revision)
 			}
 		}
-		if isOver && len(drain.Pages)+len(drain.Grants) == 0 {
+		if isEnded && len(drain.Pages)+len(drain.Grants) == 0 {
 			ended = append(ended, drain)
 		}
 	}
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -9,21 +9,22 @@
 	"lemonmoor/internal/settings"
 )
 
-// Budget is how much of a team's work may be disturbed at once. All limits hold.
+// Budget limits how much of a team's work may be disturbed at the same time. All of its
+// limits apply.
 type Budget struct {
 	Tasks      int     // math.MaxInt32 without a limit
 	CPUs       float64 // processors of the disturbed tasks, +Inf without a limit
-	Share      float64 // of the processors of its work, the disturbed included; +Inf without a limit
-	ReplicasUp int     // of each service, at least
+	Share      float64 // of the processors of running and disturbed work, +Inf without a limit
+	ReplicasUp int     // least number of replicas of each service that stay up
 }
 
-// Budgets holds the teams' budgets.
+// Budgets holds the budgets of all teams.
 type Budgets struct {
 	Default Budget
 	Teams   map[string]Budget
 }
 
-// ForTeam returns a team's budget.
+// ForTeam returns a team's own budget, or the default if it has none.
 func (b *Budgets) ForTeam(team string) Budget {
 	if own, ok := b.Teams[team]; ok {
 		return own
@@ -31,7 +32,8 @@
 	return b.Default
 }
 
-// NewBudgets reads the budgets from the operators' settings.
+// NewBudgets returns the budgets that the operators' settings define. Limits that are not
+// set are unlimited.
 func NewBudgets(drainSettings *settings.Drains) Budgets {
 	unbounded := Budget{Tasks: math.MaxInt32, CPUs: math.Inf(1), Share: math.Inf(1)}
 	budgets := Budgets{Default: unbounded, Teams: map[string]Budget{}}
@@ -39,12 +41,13 @@
 		budgets.Default = overlay(unbounded, &drainSettings.Default.Limits)
 	}
 	for i := range drainSettings.Teams {
-		// What a team's block leaves out is the default's.
+		// A limit that the team's block leaves out is taken from the default budget.
 		budgets.Teams[drainSettings.Teams[i].Name] = overlay(budgets.Default, &drainSettings.Teams[i].Limits)
 	}
 	return budgets
 }
 
+// overlay returns base with the limits replaced that are set.
 func overlay(base Budget, limits *settings.DrainLimits) Budget {
 	if limits.Tasks != nil {
 		base.Tasks = *limits.Tasks
@@ -61,7 +64,7 @@
 	return base
 }
 
-// Amount is a number of tasks and the processors that they take.
+// Amount is a number of tasks and the processors that they use.
 type Amount struct {
 	Tasks int     `json:"tasks"`
 	CPUs  float64 `json:"cpus"`
@@ -70,35 +73,35 @@
 // Plus returns the sum of two amounts.
 func (a Amount) Plus(other Amount) Amount { return Amount{a.Tasks + other.Tasks, a.CPUs + other.CPUs} }
 
-// TeamUsage is how a team's budget stands.
+// TeamUsage is a team's running work and the disturbances that count against its budget.
 type TeamUsage struct {
 	Running  Amount `json:"running"`
-	Chosen   Amount `json:"chosen"`   // granted, and not yet over
-	Unchosen Amount `json:"unchosen"` // crashes, spot notices, cut-off machines
+	Chosen   Amount `json:"chosen"`   // granted to drains and still disturbed
+	Unchosen Amount `json:"unchosen"` // disturbed by crashes, spot notices and unreachable machines
 }
 
-// Disturbed returns all that uses the budget up.
+// Disturbed returns the amount that counts against the budget, whatever its cause.
 func (u *TeamUsage) Disturbed() Amount { return u.Chosen.Plus(u.Unchosen) }
 
-// ShortageError is why a budget does not allow a disturbance.
+// ShortageError reports the limit of a budget that does not allow a disturbance.
 type ShortageError struct {
 	Team string
 	// Limit is the name of the limit, as in the settings: tasks, cpus, share or replicas_up.
 	Limit string
-	// Used, Requested and Max are tasks or processors; of replicas_up, Requested is the
-	// replicas that would be up and Max those that must be.
+	// Used, Requested and Max are tasks or processors. For replicas_up, Requested is the
+	// number of replicas that would stay up and Max the number that must; Used is 0.
 	Used      float64
 	Requested float64
 	Max       float64
-	Service   string // of which too few replicas would be up, with replicas_up
+	Service   string // service with too few replicas, set for replicas_up alone
 }
 
-// Error is the reason as operators read it.
+// Error returns the reason as operators read it.
 func (e *ShortageError) Error() string {
 	if e.Limit == limitReplicasUp {
 		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", e.Team, e.Limit, e.Requested, e.Service, e.Max)
 	}
-	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more wanted, %g allowed", e.Team, e.Limit, e.Used, e.Requested, e.Max)
+	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more requested, %g allowed", e.Team, e.Limit, e.Used, e.Requested, e.Max)
 }
 
 // Names of the limits, as in the settings.
@@ -109,8 +112,8 @@
 	limitReplicasUp = "replicas_up"
 )
 
-// Allows returns a *ShortageError if a team's budget has no room for a further
-// disturbance.
+// Allows returns a *ShortageError if the requested disturbance, on top of the usage, would
+// exceed the budget. It does not check ReplicasUp.
 func (b Budget) Allows(team string, usage *TeamUsage, requested Amount) error {
 	used := usage.Disturbed()
 	if used.Tasks+requested.Tasks > b.Tasks {
@@ -119,7 +122,7 @@
 	if used.CPUs+requested.CPUs > b.CPUs+resource.Epsilon {
 		return &ShortageError{Team: team, Limit: limitCPUs, Used: used.CPUs, Requested: requested.CPUs, Max: b.CPUs}
 	}
-	// What is disturbed belongs to the work that would run.
+	// Disturbed tasks would run otherwise, so the share is of running and disturbed work.
 	maxCPUs := b.Share * (usage.Running.CPUs + used.CPUs)
 	if !math.IsInf(b.Share, 1) && used.CPUs+requested.CPUs > maxCPUs+resource.Epsilon {
 		return &ShortageError{Team: team, Limit: limitShare, Used: used.CPUs, Requested: requested.CPUs, Max: maxCPUs}
@@ -127,19 +130,21 @@
 	return nil
 }
 
-// EverAllows returns a *ShortageError if a budget could not allow a disturbance even with
-// nothing else disturbed.
+// EverAllows returns a *ShortageError if the budget does not allow a disturbance even when
+// nothing else is disturbed. The share is not checked, since it depends on the work that
+// runs.
 func (b Budget) EverAllows(team string, requested Amount) error {
 	withoutShare := Budget{Tasks: b.Tasks, CPUs: b.CPUs, Share: math.Inf(1)}
 	return withoutShare.Allows(team, &TeamUsage{}, requested)
 }
 
-// rounds is the least number of times that the budget has to be used up for an amount.
+// rounds returns the least number of times that the budget has to be used up to disturb an
+// amount.
 func (b Budget) rounds(amount Amount) int {
 	return max(1, int(math.Ceil(max(float64(amount.Tasks)/float64(b.Tasks), amount.CPUs/b.CPUs)-resource.Epsilon)))
 }
 
-// String is the budget as operators read it.
+// String returns the budget as operators read it.
 func (b Budget) String() string {
 	var parts []string
 	if b.Tasks != math.MaxInt32 {
--- a/internal/drain/cluster.go
+++ b/internal/drain/cluster.go
@@ -5,10 +5,10 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// MachineInfo is a machine as the leader knows it.
+// MachineInfo describes a machine as the leader knows it.
 type MachineInfo struct {
 	ID           string
-	Addr         string // of its worker: IP address and port
+	Addr         string // IP address and port of its worker
 	Zone         string
 	Type         string
 	Spot         bool
@@ -17,41 +17,49 @@
 	AcceptsTasks bool
 }
 
-// Cluster is what the Coordinator asks of the leader's other parts.
+// Cluster gives the Coordinator access to the leader's other parts: machines, jobs and
+// tasks.
 type Cluster interface {
-	// IsKnown reports whether all machines and all work are known.
+	// IsKnown reports whether all machines and all tasks have been loaded.
 	IsKnown() bool
+	// EachMachine calls fn for each machine.
 	EachMachine(fn func(*MachineInfo))
+	// Machine returns a machine by its ID.
 	Machine(id string) (info MachineInfo, isKnown bool)
-	// IsGone reports whether a machine does not exist any more.
+	// IsGone reports whether a machine no longer exists.
 	IsGone(id string) bool
-	// CPUsPlacedOn returns the processors of the tasks placed on a machine.
+	// CPUsPlacedOn returns the sum of the processors of the tasks placed on a machine.
 	CPUsPlacedOn(id string) float64
 
-	// Job finds a job; isOpen is false if it is over.
+	// Job returns the specification of a job; isOpen is false if the job has ended or is not
+	// known.
 	Job(id string) (spec *jobs.Spec, isOpen bool)
-	// TaskStatus returns what the records say of a task.
+	// TaskStatus returns the recorded status of a task.
 	TaskStatus(job string, index int) (status taskstate.TaskStatus, isKnown bool)
 	// PlacedReplicas returns how many tasks of a job are placed.
 	PlacedReplicas(job string) int
-	// EachPlacement calls fn for all tasks that are placed.
+	// EachPlacement calls fn for each placed task.
 	EachPlacement(fn func(spec *jobs.Spec, status taskstate.TaskStatus))
-	// EachInterrupted calls fn for each job with the number of tasks that have run and
-	// that no shard holds now, without those granted.
+	// EachInterrupted calls fn for tasks, grouped by job, that have run and that no shard holds
+	// now. Granted tasks are left out: they count as disturbed by their drain. fn may be
+	// called several times for a job.
 	EachInterrupted(fn func(spec *jobs.Spec, tasks int))
 
-	// CapacityFor returns for how many tasks of a job the open machines have room, in a
-	// zone or, if it is "", in all.
+	// CapacityFor returns the number of further tasks of a job that fit on the open machines
+	// of a zone, or of all zones if zone is "".
 	CapacityFor(spec *jobs.Spec, zone string) int
-	// HasUrgentWaiting reports whether work of a higher priority waits for room.
+	// HasUrgentWaiting reports whether tasks of a higher priority wait for room.
 	HasUrgentWaiting(priority jobs.Priority) bool
-	// RentMachine asks for a machine like another one. Repeated under the same name, it
-	// rents nothing more; the machine's name is known after a while.
+	// RentMachine requests a machine of the same type, zone and spot kind as another one. It
+	// is idempotent: a call with the same name rents no further machine. isKnown is false
+	// until the cloud has named the machine.
 	RentMachine(name string, like MachineInfo) (machineID string, isKnown bool)
-	// KeepIdle has machines kept that are idle, and no others any more.
+	// KeepIdle exempts exactly these machines from release while they are idle; it replaces
+	// the set of the previous call.
 	KeepIdle(machines map[string]bool)
 
 	// ShardKey returns the key of a shard's lease.
 	ShardKey(shardIndex int) string
+	// ShardCount returns the number of shards.
 	ShardCount() int
 }
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -11,28 +11,29 @@
 	"lemonmoor/internal/tuning"
 )
 
-// LeaderLease is what the Coordinator asks of the leader's lease.
+// LeaderLease is the leader's lease as the Coordinator sees it.
 type LeaderLease interface {
-	// LeaseValid reports whether this process surely leads now.
+	// LeaseValid reports whether this process is certain to hold the lease now.
 	LeaseValid() bool
 }
 
-// Dependencies is what a Coordinator is built from. All but Tracer must be set.
+// Dependencies contains what NewCoordinator needs. All fields but Tracer must be set.
 type Dependencies struct {
 	Runtime eventloop.Runtime
 	State   *statestore.Client
 	Lease   LeaderLease
 	Records *Records
 	Cluster Cluster
-	// Settings are the node's; Operator.Drains must not be nil.
+	// Settings are the node's settings; Operator.Drains must not be nil.
 	Settings *settings.Settings
-	Tracer   *Tracer // nil: nothing is traced
+	Tracer   *Tracer // nil disables tracing
 	Log      *slog.Logger
 }
 
-// Coordinator runs the drains while this process leads. Each of its rounds starts from
-// records that are verified to hold all of its own commits, and makes at most one commit;
-// so what is in use of a budget is known exactly, also when an answer is lost.
+// Coordinator runs the drains while this process leads. Each of its passes starts from
+// records that are verified to contain all of its own commits, and makes at most one
+// commit. The usage of each budget is therefore known exactly, even if the answer to a
+// commit is lost.
 type Coordinator struct {
 	rt       eventloop.Runtime
 	state    *statestore.Client
@@ -51,7 +52,7 @@
 	requests     *requestHandler
 }
 
-// NewCoordinator returns a coordinator that does not lead.
+// NewCoordinator returns a coordinator outside a term of leadership.
 func NewCoordinator(deps Dependencies) *Coordinator {
 	coordinator := &Coordinator{
 		rt: deps.Runtime, state: deps.State, lease: deps.Lease, records: deps.Records, cluster: deps.Cluster,
@@ -72,54 +73,56 @@
 	return coordinator
 }
 
-// BeginTerm starts a term of leadership under a fencing token: earlier leaders' commits
-// fail from now on, so the records, once verified, hold all that was ever granted.
+// BeginTerm starts a term of leadership under a fencing token. Commits of earlier leaders
+// fail from now on, so the records contain every grant once they are verified.
 func (c *Coordinator) BeginTerm(token uint64) {
 	c.EndTerm()
-	c.committer.begin(token)
+	c.committer.beginTerm(token)
 }
 
-// EndTerm forgets everything: the leadership is lost.
+// EndTerm ends the term, when the leadership is lost. It discards the reports, stuck machines
+// and wait reasons, and answers a request whose commit is in progress as unavailable.
 func (c *Coordinator) EndTerm() {
-	c.committer.end()
+	c.committer.endTerm()
 	c.reports.reset(c.cluster.ShardCount())
 	c.stuck.reset()
 	c.progress.reset()
 	c.requests.abandon()
 }
 
-// canAct reports whether this process leads and knows all that decisions rest on.
+// canAct reports whether this process leads and has verified the records and loaded the
+// machines and tasks that its decisions depend on.
 func (c *Coordinator) canAct() bool {
 	return c.committer.isReady() && c.lease.LeaseValid() && c.cluster.IsKnown()
 }
 
-// Handle answers an operator's request; answer is called once. Changes are confirmed
-// when they are durable.
+// Handle answers an operator's request. It calls answer once; a change is confirmed when it
+// is durable.
 func (c *Coordinator) Handle(request *Request, answer func(Response)) {
 	if refusal := request.Validate(); refusal != nil {
 		answer(c.requests.refused(refusal))
 		return
 	}
 	if !c.canAct() {
-		answer(c.requests.unavailable("this node does not lead, or does not know all machines and work yet"))
+		answer(c.requests.unavailable("this controller does not lead, or has not loaded all machines and tasks yet"))
 		return
 	}
 	c.requests.handle(request, answer)
 }
 
-// HandleShardReport takes what a shard owner reports under its fencing token. The report
-// is nil from an owner that knows no drains, or as long as it knows of none. Reports that
-// are older than one already taken are dropped.
+// HandleShardReport processes the report that a shard owner sent under its fencing token.
+// The report is nil if drains are off in the owner's settings, or while its records show no
+// drain. A report that is older than the newest one received for the shard is dropped.
 func (c *Coordinator) HandleShardReport(shardIndex int, token, sequence uint64, report *ShardReport) {
 	if !c.committer.hasTerm() {
 		return
 	}
 	if c.reports.accept(shardIndex, token, sequence, report) {
-		c.Tick() // tasks run again: a budget has become free
+		c.Tick() // tasks run again, so their share of the budget is free
 	}
 }
 
-// Tick takes the next step. It is to be called once a second.
+// Tick evaluates all drains and commits their next steps. It must be called once a second.
 func (c *Coordinator) Tick() {
 	if c.committer.inFlight || !c.canAct() {
 		return
@@ -129,13 +132,13 @@
 		return
 	}
 	if c.state.WritesThrottled() {
-		return // the scheduler's own decisions come first
+		return // the scheduler's own decisions have priority
 	}
 	c.writes.refill(c.rt.Now())
 	if c.writes.available() == 0 {
 		return
 	}
-	next := c.newRound()
+	next := c.newReconcilePass()
 	for _, drain := range c.records.Drains() {
 		next.advance(drain)
 	}
@@ -147,20 +150,21 @@
 	}
 }
 
-// writeBudget is the part of the state service's changes a second that the drains take.
+// writeBudget limits the drains to their part of the write operations per second of the
+// state service.
 type writeBudget struct {
 	bucket tokenbucket.Bucket
-	rate   float64 // changes a second
+	rate   float64 // write operations per second
 }
 
 func (b *writeBudget) refill(now time.Duration) { b.bucket.Refill(now, b.rate, max(1, b.rate)) }
 
-// available returns how many changes may be made now.
+// available returns how many write operations may be made now.
 func (b *writeBudget) available() int { return max(0, int(b.bucket.Tokens())) }
 
-func (b *writeBudget) spend(changes int) { b.bucket.Spend(float64(changes)) }
+func (b *writeBudget) spend(operations int) { b.bucket.Spend(float64(operations)) }
 
-// stuckMachines remembers since when nothing could be granted of a machine that has tasks
+// stuckMachines records since when no move could be granted on each machine that has tasks
 // to move.
 type stuckMachines struct {
 	rt    eventloop.Runtime
@@ -169,16 +173,17 @@
 
 func (s *stuckMachines) reset() { s.since = map[string]time.Duration{} }
 
-// note records whether a machine is stuck now.
-func (s *stuckMachines) note(machineID string, isStuck bool) {
+// update records whether a machine is stuck now. The start of an unbroken stuck period is
+// retained.
+func (s *stuckMachines) update(machineID string, isStuck bool) {
 	if !isStuck {
 		delete(s.since, machineID)
-	} else if _, isNoted := s.since[machineID]; !isNoted {
+	} else if _, wasStuck := s.since[machineID]; !wasStuck {
 		s.since[machineID] = s.rt.Now()
 	}
 }
 
-// stuckFor returns how long nothing of a machine could be granted, 0 if something could.
+// stuckFor returns for how long no move could be granted on a machine, 0 if it is not stuck.
 func (s *stuckMachines) stuckFor(machineID string) time.Duration {
 	if since, isStuck := s.since[machineID]; isStuck {
 		return s.rt.Now() - since
@@ -186,8 +191,8 @@
 	return 0
 }
 
-// isStuck reports whether nothing of a machine could be granted for so long that other
-// machines are taken in hand meanwhile.
+// isStuck reports whether a machine has been stuck for longer than DrainStuckAfter. Other
+// machines are then started in addition.
 func (s *stuckMachines) isStuck(machineID string) bool {
 	return s.stuckFor(machineID) > tuning.DrainStuckAfter
 }
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -10,44 +10,48 @@
 	"lemonmoor/internal/workers"
 )
 
-// Workers is what the Executor asks of the shard's worker registry.
+// Workers is the shard's worker registry as the Executor sees it.
 type Workers interface {
+	// Workers returns all workers of the shard.
 	Workers() []*workers.Worker
+	// Worker returns a worker by its ID, nil if it is not known.
 	Worker(id string) *workers.Worker
-	// IsCurrent reports whether a worker's heartbeats arrive under the present fencing
-	// token.
+	// IsCurrent reports whether a worker's heartbeats arrive under the owner's current
+	// fencing token.
 	IsCurrent(worker *workers.Worker) bool
-	// HaltTask has a task halted, with the time that it needs to save a checkpoint.
+	// HaltTask halts a task and leaves it the time that it needs to save a checkpoint.
 	HaltTask(task *taskstate.Task)
-	// HaltGang has all tasks of a gang halted, at the same time.
+	// HaltGang halts all tasks of a gang at the same time.
 	HaltGang(job *taskstate.Job)
 }
 
-// Tasks is what the Executor asks of the shard's task store.
+// Tasks is the shard's task store as the Executor sees it.
 type Tasks interface {
+	// Job returns a job by its ID, nil if the shard has no tasks of it.
 	Job(id string) *taskstate.Job
+	// EachJob calls fn for each job.
 	EachJob(fn func(*taskstate.Job))
 }
 
-// Executor carries out, for the owner of a shard, what the records of the drains grant,
-// and reports how it stands. It halts a task only if the records were lately verified: a
-// grant that is withdrawn is never acted upon later.
+// Executor halts the tasks that the records of the drains grant, on behalf of the owner of a
+// shard, and reports on them. It halts a task only if the records were verified recently,
+// so that it never acts on a grant that has been withdrawn.
 type Executor struct {
 	rt      eventloop.Runtime
 	records *Records
 	workers Workers
 	tasks   Tasks
-	// isLeaseHeld reports whether the shard's lease is surely held.
+	// isLeaseHeld reports whether the shard's lease is certain to be held.
 	isLeaseHeld func() bool
 	reporter    *reporter
 
 	terms       term.Counter
 	termBeganAt time.Duration
-	isVerifying bool // the records; what is granted is halted when they are verified
+	isVerifying bool // whether the records are being verified; granted tasks are halted afterwards
 }
 
-// NewExecutor returns an executor for one shard. isLeaseHeld reports whether the shard's
-// lease is surely held and its tasks are known.
+// NewExecutor returns an executor for one shard. isLeaseHeld must report whether the shard's
+// lease is certain to be held and its tasks are loaded.
 func NewExecutor(rt eventloop.Runtime, records *Records, workers Workers, tasks Tasks, isLeaseHeld func() bool) *Executor {
 	return &Executor{
 		rt: rt, records: records, workers: workers, tasks: tasks, isLeaseHeld: isLeaseHeld,
@@ -62,10 +66,12 @@
 	clear(e.reporter.ranAttempts)
 }
 
-// Report tells the leader how the shard stands; nil if there are no drains.
+// Report returns the shard's report to the leader, nil if no drain is active and no grant is
+// left.
 func (e *Executor) Report() *ShardReport { return e.reporter.report() }
 
-// HaltGranted halts what is granted and still runs, while the shard's lease is held.
+// HaltGranted halts the granted attempts that still run, provided that the shard's lease is
+// held.
 func (e *Executor) HaltGranted() {
 	if !e.isLeaseHeld() {
 		return
@@ -84,8 +90,8 @@
 	}
 }
 
-// halt halts one task or gang, if the attempt granted still runs; false if that has to wait
-// until the records are verified.
+// halt halts one task or gang if the granted attempt still runs. It returns false if the
+// records have to be verified first.
 func (e *Executor) halt(ref TaskRef) bool {
 	job := e.tasks.Job(ref.Job)
 	if job == nil || job.Cancelled {
@@ -113,8 +119,9 @@
 	return true
 }
 
-// recordsAreFresh reports whether the records were verified in this term and lately. If
-// not, they are verified now, and what is granted is halted after that.
+// recordsAreFresh reports whether the records were verified in this term and at most
+// MaxLaunchKnowledgeAge ago. If not, it starts to verify them; HaltGranted is called again
+// when they are verified.
 func (e *Executor) recordsAreFresh() bool {
 	now := e.rt.Now()
 	verifiedAt, isKnown := e.records.VerifiedAt()
@@ -127,7 +134,7 @@
 	e.isVerifying = true
 	haltGranted := e.terms.Guard(e.HaltGranted)
 	e.records.Verify(func(err error) {
-		e.isVerifying = false // also in a later term, which could not verify otherwise
+		e.isVerifying = false // even if the term has ended: a later term could not verify otherwise
 		if err == nil {
 			haltGranted()
 		}
--- a/internal/drain/executor_report.go
+++ b/internal/drain/executor_report.go
@@ -10,7 +10,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// reporter makes the reports of a shard's owner.
+// reporter builds the reports of a shard's owner to the leader.
 type reporter struct {
 	rt          eventloop.Runtime
 	records     *Records
@@ -19,13 +19,14 @@
 	ranAttempts map[TaskName]uint64 // highest attempt of a granted task seen running in this term
 }
 
-// report tells how the shard stands; nil if there are no drains.
+// report returns the shard's report, nil if no drain is active and no grant is left.
 func (r *reporter) report() *ShardReport {
 	if r.records.IsIdle() {
 		return nil
 	}
 	report := &ShardReport{Teams: map[string]TeamWork{}, ReplicasDown: map[string]int{}}
-	// The granted tasks go first: which of them run again decides what the others count.
+	// The granted tasks must be first: addJob counts a granted task by its grant unless
+	// addGranted has recorded that it runs again.
 	r.addGranted(report)
 	r.addMachines(report)
 	r.tasks.EachJob(func(job *taskstate.Job) {
@@ -36,6 +37,7 @@
 	return report
 }
 
+// addGranted reports the granted tasks and gangs of the shard.
 func (r *reporter) addGranted(report *ShardReport) {
 	for _, drain := range r.records.Drains() {
 		isCancelled := drain.Head.Phase == PhaseCancelled
@@ -49,11 +51,11 @@
 	}
 }
 
-// addGrantedTask reports a granted task or gang that runs, if it runs again, or if it was
-// never halted and its drain is cancelled.
+// addGrantedTask reports a granted task or gang that runs under an attempt later than the
+// granted one, or that was never halted and whose drain is cancelled.
 func (r *reporter) addGrantedTask(report *ShardReport, job *taskstate.Job, ref TaskRef, isCancelled bool) {
-	attempt, isUntouched, isUp := r.runningAttempt(job, ref)
-	if !isUp {
+	attempt, isUntouched, isRunning := r.runningAttempt(job, ref)
+	if !isRunning {
 		return
 	}
 	granted := GrantedTask{TaskRef: ref}
@@ -68,12 +70,13 @@
 	}
 }
 
-// runningAttempt returns the attempt of a task or gang that surely runs, and whether none of
-// it was halted.
-func (r *reporter) runningAttempt(job *taskstate.Job, ref TaskRef) (attempt uint64, isUntouched, isUp bool) {
+// runningAttempt returns the attempt under which a task or gang runs and whether no halt of
+// it was decided. isRunning is false unless the task, or every task of the gang, is proven
+// to run.
+func (r *reporter) runningAttempt(job *taskstate.Job, ref TaskRef) (attempt uint64, isUntouched, isRunning bool) {
 	if ref.Gang == 0 {
 		task := job.Tasks[ref.Index]
-		if task == nil || !r.isUp(task) {
+		if task == nil || !r.isProvenRunning(task) {
 			return 0, false, false
 		}
 		return task.Attempt, !task.Halt.Decided, true
@@ -83,7 +86,7 @@
 	}
 	isUntouched = len(job.Tasks) == ref.Gang // tasks in other shards may have been halted
 	for _, task := range job.Tasks {
-		if !r.isUp(task) {
+		if !r.isProvenRunning(task) {
 			return 0, false, false
 		}
 		isUntouched = isUntouched && !task.Halt.Decided
@@ -91,7 +94,8 @@
 	return job.Gang.Attempt, isUntouched, true
 }
 
-// addMachines reports the closed machines with the tasks on them.
+// addMachines reports the closed machines whose workers send heartbeats, with the launched
+// tasks on them.
 func (r *reporter) addMachines(report *ShardReport) {
 	now := r.rt.Now()
 	for _, worker := range r.workers.Workers() {
@@ -111,6 +115,7 @@
 	}
 }
 
+// placedTask returns the report of a task on a closed machine.
 func placedTask(task *taskstate.Task, now time.Duration) PlacedTask {
 	placed := PlacedTask{Job: task.Job.Spec.ID, Index: task.Index, Attempt: task.Attempt}
 	if task.Job.Gang != nil {
@@ -122,18 +127,19 @@
 	return placed
 }
 
-// addJob adds a job's tasks to what runs and to what nobody chose to disturb. What is
-// granted is counted by the leader.
+// addJob adds a job's tasks to the running work of its team or, if they are interrupted, to
+// its unchosen disturbances. Tasks disturbed by a grant are left out: the leader counts
+// them.
 func (r *reporter) addJob(report *ShardReport, job *taskstate.Job) {
 	team := report.Teams[job.Spec.Team]
-	one := Amount{1, job.Spec.CPUs}
+	amountPerTask := Amount{1, job.Spec.CPUs}
 	for _, task := range job.Tasks {
 		switch {
 		case task.State != taskstate.StatePlaced && task.State != taskstate.StateWaiting, r.isDisturbedByGrant(job, task):
-		case r.isUp(task):
-			team.Running = team.Running.Plus(one)
+		case r.isProvenRunning(task):
+			team.Running = team.Running.Plus(amountPerTask)
 		case r.isInterrupted(task):
-			team.Disturbed = team.Disturbed.Plus(one)
+			team.Disturbed = team.Disturbed.Plus(amountPerTask)
 			if job.Spec.IsService() && task.State == taskstate.StatePlaced {
 				addReplicaDown(report, job.Spec.ID)
 			}
@@ -142,8 +148,8 @@
 	report.Teams[job.Spec.Team] = team
 }
 
-// addReplicaDown counts a replica that is not up, for so many services that the report
-// stays small.
+// addReplicaDown counts a replica that is not up. At most MaxReportedDownServices services
+// are listed, which bounds the size of the report.
 func addReplicaDown(report *ShardReport, job string) {
 	if _, isListed := report.ReplicasDown[job]; !isListed && len(report.ReplicasDown) >= tuning.MaxReportedDownServices {
 		report.ReplicasDownIsPartial = true
@@ -152,8 +158,9 @@
 	report.ReplicasDown[job]++
 }
 
-// isUp reports whether a task surely runs.
-func (r *reporter) isUp(task *taskstate.Task) bool {
+// isProvenRunning reports whether a task is placed and running according to a heartbeat under
+// the current fencing token.
+func (r *reporter) isProvenRunning(task *taskstate.Task) bool {
 	if task.State != taskstate.StatePlaced || !task.Observed.Running {
 		return false
 	}
@@ -161,8 +168,8 @@
 	return worker != nil && r.workers.IsCurrent(worker)
 }
 
-// isDisturbedByGrant reports whether the leader counts a task as disturbed, since it is
-// granted and was not seen running under a later attempt.
+// isDisturbedByGrant reports whether the leader counts a task as disturbed because it is
+// granted and has not been seen running under a later attempt.
 func (r *reporter) isDisturbedByGrant(job *taskstate.Job, task *taskstate.Task) bool {
 	name := TaskName{job.Spec.ID, task.Index}
 	if job.Gang != nil {
@@ -176,8 +183,9 @@
 	return false
 }
 
-// isInterrupted reports whether a task that does not run, as far as one can tell, has run
-// before. What cannot be proven counts as disturbed.
+// isInterrupted reports whether a task that is not proven to run has run before. A task on a
+// machine without current heartbeats counts as interrupted, since it cannot be proven to
+// run.
 func (r *reporter) isInterrupted(task *taskstate.Task) bool {
 	if task.State == taskstate.StateWaiting {
 		return task.Attempt > 0
--- a/internal/drain/grants.go
+++ b/internal/drain/grants.go
@@ -12,21 +12,23 @@
 	"lemonmoor/internal/tuning"
 )
 
-// errNoRoom says that no open machine has room for a task. If nothing else of the machine
-// can be granted either, one is rented in its place.
+// errNoRoom reports that no open machine has room for a task. If no other task of the closed
+// machine can be granted either, a machine is rented in its place.
 var errNoRoom = errors.New("no room")
 
-// pendingMove is a task, or a gang as a whole, that has to leave a closed machine.
+// pendingMove is a task, or a gang as a whole, that has to leave a closed machine and is not
+// granted yet.
 type pendingMove struct {
 	spec            *jobs.Spec
 	ref             TaskRef
-	runningFor      time.Duration // 0 if it has not begun to run
-	destinationZone string        // the only zone where it may go, "" for any
-	tasksOnClosed   int           // tasks of it on closed machines, which need room elsewhere
+	runningFor      time.Duration // 0 if it does not run yet
+	destinationZone string        // the only zone that it may move to, "" for any
+	tasksOnClosed   int           // its tasks on closed machines, which need room elsewhere
 	closedFor       time.Duration // how long the machine has been closed
 }
 
-// lostCPUSeconds is how much work is lost when it is halted, in seconds of a processor.
+// lostCPUSeconds estimates the work that is lost when the move is granted, in
+// processor-seconds.
 func (m *pendingMove) lostCPUSeconds() float64 {
 	seconds := m.runningFor.Seconds()
 	if m.spec.CheckpointIntervalSeconds > 0 {
@@ -35,32 +37,34 @@
 	return seconds * disturbanceOf(m.spec, m.ref).CPUs
 }
 
-// requiredCPUs is the processors of the room that it needs on open machines.
+// requiredCPUs returns the number of processors that the move needs on open machines.
 func (m *pendingMove) requiredCPUs() float64 { return float64(m.tasksOnClosed) * m.spec.CPUs }
 
-// isAboutToEnd reports whether it should end so soon that it is waited for, for at most
-// maxWait from the closing of the machine on.
+// isAboutToEnd reports whether the task is expected to end within maxWait of the closing of
+// its machine, so that the drain waits for its end instead of halting it.
 func (m *pendingMove) isAboutToEnd(maxWait time.Duration) bool {
-	wait := maxWait - m.closedFor
+	remainingWait := maxWait - m.closedFor
 	remainingSeconds := m.spec.EstimateSeconds - m.runningFor.Seconds()
-	return wait > 0 && m.runningFor > 0 && !m.spec.IsService() && remainingSeconds > 0 && remainingSeconds <= wait.Seconds()
+	return remainingWait > 0 && m.runningFor > 0 && !m.spec.IsService() && remainingSeconds > 0 && remainingSeconds <= remainingWait.Seconds()
 }
 
-// grantMoves lets tasks of the closed machines be halted, as far as budgets and room go.
-func (r *round) grantMoves(drain *Drain) {
+// grantMoves grants moves off the drain's closed machines, within the limits of budgets and
+// room. A machine that has had no room for its tasks for DrainNoRoomAfter is reopened.
+func (r *reconcilePass) grantMoves(drain *Drain) {
 	drain.EachMachine(func(position entryPosition, machine *Machine) {
 		if machine.State != MachineClosed {
 			return
 		}
 		r.grantMachine(drain, machine)
-		if r.withoutRoom[machine.ID] && machine.RentalAttempts < tuning.MaxDrainRentalAttempts && r.stuck.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
+		if r.machinesWithoutRoom[machine.ID] && machine.RentalAttempts < tuning.MaxDrainRentalAttempts && r.stuck.stuckFor(machine.ID) > tuning.DrainNoRoomAfter {
 			r.editMachine(drain, position, stepReopened, reopenMachine)
 		}
 	})
 }
 
-// reopenMachine is the edit that has a machine take tasks until there is one more in its
-// place. The room of an earlier replacement has been taken by other work.
+// reopenMachine is the edit of a machine's entry that opens the machine to new tasks until a
+// replacement is up. An earlier replacement is dropped, since other work has used up its
+// room.
 func reopenMachine(m *Machine) {
 	m.State = MachineReplacing
 	if m.Replacement != "" {
@@ -68,46 +72,47 @@
 	}
 }
 
-// grantMachine grants what may leave a machine now, and notes what the rest waits for.
-func (r *round) grantMachine(drain *Drain, machine *Machine) {
+// grantMachine grants the moves off a machine that are allowed now and records the wait
+// reasons of the others.
+func (r *reconcilePass) grantMachine(drain *Drain, machine *Machine) {
 	if r.cluster.IsGone(machine.ID) {
 		return
 	}
 	info, isKnown := r.cluster.Machine(machine.ID)
 	if !isKnown {
-		r.addWaitReason(drain, unknownMachineReason(machine))
+		r.addWaitReason(drain, missingMachineReason(machine))
 		return
 	}
-	if reason := r.missingKnowledge(); reason != "" {
+	if reason := r.grantBlocker(); reason != "" {
 		r.addWaitReason(drain, reason)
 		return
 	}
 	closed := r.reports.closedMachine(info.Shard, info.ID)
 	if closed == nil {
-		r.addWaitReason(drain, fmt.Sprintf("machine %s does not report: its tasks count as disturbed until they are proven gone", machine.ID))
+		r.addWaitReason(drain, fmt.Sprintf("machine %s is missing from the report of shard %d: its tasks count as disturbed until they are proven gone", machine.ID, info.Shard))
 		return
 	}
 	moves := r.pendingMoves(machine, info, closed)
 	granted := r.grantableMoves(drain, machine, moves)
-	r.stuck.note(machine.ID, len(moves) > 0 && len(granted) == 0)
+	r.stuck.update(machine.ID, len(moves) > 0 && len(granted) == 0)
 	if len(granted) == 0 {
 		return
 	}
 	grant := Grant{Machine: machine.ID, Tasks: granted}
-	if r.changes.put(GrantKey(drain.ID, r.nextGrantNumber(drain)), 0, grant) {
+	if r.changes.put(GrantKey(drain.ID, r.unusedGrantNumber(drain)), 0, grant) {
 		r.steps = append(r.steps, drainStep{drainID: drain.ID, machineID: machine.ID, name: stepGranted, grant: &grant})
 	}
 }
 
-// grantableMoves reserves the budget and room for those of the moves that may happen now,
-// and notes what the others wait for. What does not fit into one record is left to the
-// next round.
-func (r *round) grantableMoves(drain *Drain, machine *Machine, moves []pendingMove) []TaskRef {
+// grantableMoves returns the moves that are allowed now, reserves budget and room for them,
+// and records the wait reasons of the others. Moves that do not fit into one record are
+// left to the next pass.
+func (r *reconcilePass) grantableMoves(drain *Drain, machine *Machine, moves []pendingMove) []TaskRef {
 	var granted []TaskRef
 	for i := range moves {
-		if err := r.refusal(machine, &moves[i]); err != nil {
+		if err := r.checkMove(machine, &moves[i]); err != nil {
 			if errors.Is(err, errNoRoom) {
-				r.withoutRoom[machine.ID] = true
+				r.machinesWithoutRoom[machine.ID] = true
 			}
 			r.addWaitReason(drain, err.Error())
 			continue
@@ -121,20 +126,21 @@
 	return granted
 }
 
-// missingKnowledge is why nothing can be granted to any drain, "" if something can.
-func (r *round) missingKnowledge() string {
+// grantBlocker returns the reason why no drain may be granted anything, "" if there is none.
+func (r *reconcilePass) grantBlocker() string {
 	if r.hasUnreadableRecord {
-		return "a record of a drain does not parse: what it grants is not known"
+		return "a record of a drain cannot be decoded, so its grants are unknown: nothing is granted to any drain"
 	}
 	if r.shardWithoutReport != noShard {
-		return fmt.Sprintf("the owner of block %d has not told how its work stands, or knows no drains", r.shardWithoutReport)
+		return fmt.Sprintf("the owner of shard %d has sent no current drain report (drains may be off in its settings): nothing is granted to any drain", r.shardWithoutReport)
 	}
 	return ""
 }
 
-// nextGrantNumber is a number that no grant of the drain has. One that is used again does
-// no harm: a late copy of an earlier grant names attempts that are over.
-func (r *round) nextGrantNumber(drain *Drain) uint64 {
+// unusedGrantNumber returns a number that no grant of the drain has now. The number of a
+// removed grant may be reused: a node that still sees the removed grant finds only attempts
+// in it that have ended.
+func (r *reconcilePass) unusedGrantNumber(drain *Drain) uint64 {
 	number := uint64(1)
 	if taken := drain.grantNumbers(); len(taken) > 0 {
 		number = taken[len(taken)-1] + 1
@@ -145,8 +151,9 @@
 	return number
 }
 
-// pendingMoves lists what has to leave a machine and is not granted, the cheapest first.
-func (r *round) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []pendingMove {
+// pendingMoves lists the moves off a machine that are not granted yet, those that lose the
+// least work first.
+func (r *reconcilePass) pendingMoves(machine *Machine, info MachineInfo, closed *ClosedMachine) []pendingMove {
 	closedFor := time.Duration(max(0, r.rt.WallClock().UnixMilli()-machine.ClosedAtMS)) * time.Millisecond
 	gangs := map[string]bool{}
 	var moves []pendingMove
@@ -167,8 +174,8 @@
 			next.ref.Index, next.ref.Gang = 0, spec.Tasks
 			next.tasksOnClosed = r.reports.tasksOnClosedMachines(task.Job)
 		}
-		// A report can be older than what is known of the task: granted by it, one that
-		// was done already was granted once more.
+		// The report may be older than the task's recorded status. Without the second check
+		// a task that is already done would be granted again.
 		if !r.isGranted(next.ref) && !r.disturbances.isSettled(next.ref) {
 			moves = append(moves, next)
 		}
@@ -177,25 +184,26 @@
 	return moves
 }
 
-// isGranted reports whether an attempt is granted already.
-func (r *round) isGranted(ref TaskRef) bool {
-	return r.grantedNow[ref] || slices.Contains(r.records.grantsOf(ref.Name()), ref)
+// isGranted reports whether an attempt is granted, by the records or by this pass.
+func (r *reconcilePass) isGranted(ref TaskRef) bool {
+	return r.grantedInPass[ref] || slices.Contains(r.records.grantsOf(ref.Name()), ref)
 }
 
-// reserve counts a move as granted.
-func (r *round) reserve(move *pendingMove) {
+// reserve adds a granted move to the usage of budgets and room.
+func (r *reconcilePass) reserve(move *pendingMove) {
 	r.usage.addGrant(move.spec, move.ref)
 	r.usage.movingCPUs += move.requiredCPUs()
 	if move.ref.Gang == 0 {
 		r.usage.replicasDown[move.ref.Job]++
 	}
-	r.grantedNow[move.ref] = true
+	r.grantedInPass[move.ref] = true
 }
 
-// refusal is why a move has to wait, nil if it need not. The texts are for operators.
-func (r *round) refusal(machine *Machine, move *pendingMove) error {
+// checkMove returns why a move has to wait, nil if it may be granted now. Operators read the
+// error texts.
+func (r *reconcilePass) checkMove(machine *Machine, move *pendingMove) error {
 	if move.isAboutToEnd(r.settings.WaitOrDefault()) {
-		return fmt.Errorf("tasks of %s are about to end", move.spec.ID)
+		return fmt.Errorf("tasks of job %s are expected to end soon", move.spec.ID)
 	}
 	team := move.spec.Team
 	budget := r.budgets.ForTeam(team)
@@ -210,8 +218,9 @@
 	return r.checkRoom(machine, move)
 }
 
-// checkReplicas returns a *ShortageError if too few replicas of a service would stay up.
-func (r *round) checkReplicas(move *pendingMove, budget Budget) error {
+// checkReplicas returns a *ShortageError if the move leaves fewer replicas of the service up
+// than the budget demands.
+func (r *reconcilePass) checkReplicas(move *pendingMove, budget Budget) error {
 	replicasUp := r.cluster.PlacedReplicas(move.ref.Job) - r.usage.replicasDown[move.ref.Job] - 1
 	if r.usage.replicasUnknown {
 		replicasUp = 0
@@ -225,17 +234,18 @@
 	}
 }
 
-// checkRoom returns why there is no place for what is moved, nil if there is. That a
-// machine might be rented for it is not enough: what the cloud has shows only when it is
-// asked. Work of a higher priority goes first, but for the room of the machine's own
-// replacement: if it takes that, there is none.
-func (r *round) checkRoom(machine *Machine, move *pendingMove) error {
+// checkRoom returns an error if the open machines have no room for the moved tasks. Machines
+// that might still be rented do not count, because the cloud's capacity is unknown until a
+// machine is requested. Waiting work of a higher priority has precedence, except for the
+// room of the machine's own replacement; if such work occupies that, the capacity check
+// finds no room.
+func (r *reconcilePass) checkRoom(machine *Machine, move *pendingMove) error {
 	if machine.Replacement == "" && r.cluster.HasUrgentWaiting(move.spec.Priority()) {
-		return fmt.Errorf("work of a higher priority than %s waits for room", move.spec.ID)
+		return fmt.Errorf("work of a higher priority than job %s waits for room", move.spec.ID)
 	}
 	availableCPUs := float64(r.cluster.CapacityFor(move.spec, move.destinationZone)) * move.spec.CPUs
 	if availableCPUs-r.usage.movingCPUs+resource.Epsilon >= move.requiredCPUs() {
 		return nil
 	}
-	return fmt.Errorf("%w for tasks of %s", errNoRoom, move.spec.ID)
+	return fmt.Errorf("%w on open machines for tasks of job %s", errNoRoom, move.spec.ID)
 }
--- a/internal/drain/keys.go
+++ b/internal/drain/keys.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// KeyPrefix begins every key of the drains in the state service.
+// KeyPrefix is the prefix of every key of the drains in the state service.
 const KeyPrefix = "drain/"
 
-// recordKind is the part of a key that tells the kinds of records of a drain apart:
+// recordKind is the segment of a key that identifies the kind of the record. The keys are
 // drain/ID/head, drain/ID/page/N and drain/ID/grant/N.
 type recordKind string
 
@@ -24,19 +24,19 @@
 // HeadKey returns the key of a drain's head. A drain exists when its head does.
 func HeadKey(drainID string) string { return KeyPrefix + drainID + "/" + string(headKind) }
 
-// PageKey returns the key of a page of a drain's machines; pages count from 0.
+// PageKey returns the key of a page of a drain's machines. Pages are numbered from 0.
 func PageKey(drainID string, number int) string {
 	return KeyPrefix + drainID + "/" + string(pageKind) + "/" + strconv.Itoa(number)
 }
 
-// GrantKey returns the key of a grant; grants of a drain count from 1.
+// GrantKey returns the key of a grant. The grants of a drain are numbered from 1.
 func GrantKey(drainID string, number uint64) string {
 	return KeyPrefix + drainID + "/" + string(grantKind) + "/" + strconv.FormatUint(number, 10)
 }
 
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,39}$`)
 
-// ValidID reports whether a string can name a drain.
+// ValidID reports whether a string is a valid ID of a drain.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
 // recordKey is a parsed key. The number is 0 for heads.
@@ -46,11 +46,11 @@
 	number  uint64
 }
 
-// errForeignKey says that a key is not one that HeadKey, PageKey or GrantKey makes.
+// errForeignKey reports a key that HeadKey, PageKey and GrantKey do not produce.
 var errForeignKey = errors.New("not a key of a drain")
 
-// parseKey is the inverse of HeadKey, PageKey and GrantKey. Any other key is an
-// errForeignKey.
+// parseKey parses a key that HeadKey, PageKey or GrantKey returned. For any other key it
+// returns an error that wraps errForeignKey.
 func parseKey(raw string) (recordKey, error) {
 	segments := strings.Split(strings.TrimPrefix(raw, KeyPrefix), "/")
 	if !ValidID(segments[0]) {
--- a/internal/drain/operator_changes.go
+++ b/internal/drain/operator_changes.go
@@ -9,8 +9,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// startCommit is the commit of an accepted request to start a drain: first the pages,
-// which mean nothing by themselves, in as many commits as they take, then the head.
+// startCommit commits an accepted request to start a drain: first the pages, in as many
+// commits as their size needs, then the head. Pages have no effect until the head exists.
 type startCommit struct {
 	*requestHandler
 
@@ -19,7 +19,8 @@
 	pages   []Page
 }
 
-// start accepts a drain.
+// start validates a request to start a drain against the cluster and the budgets, and
+// commits the drain.
 func (h *requestHandler) start(request *Request, answer func(Response)) {
 	if response, isRepeated := h.answerRepeated(request); isRepeated {
 		answer(response)
@@ -45,30 +46,33 @@
 	commit.writePages(0)
 }
 
-// answerRepeated answers a request for a drain that exists, if there is one of its name.
+// answerRepeated returns the answer to a request whose ID belongs to an existing drain;
+// isRepeated is false if there is no such drain.
 func (h *requestHandler) answerRepeated(request *Request) (response Response, isRepeated bool) {
 	drain := h.records.Get(request.ID)
 	if drain == nil {
 		return Response{}, false
 	}
 	if drain.Head.Digest != request.Digest() {
-		return h.refused(&RequestError{fieldID, fmt.Sprintf("drain %q exists with another selection", request.ID)}), true
+		return h.refused(&RequestError{fieldID, fmt.Sprintf("drain %q exists with another selection or replace option", request.ID)}), true
 	}
 	return h.confirmed(request.ID), true
 }
 
-// checkBudgets finds work that no budget would ever let go.
+// checkBudgets refuses machines with a task or gang that exceeds its team's budget even when
+// nothing else is disturbed.
 func (h *requestHandler) checkBudgets(machines []MachineInfo) *RequestError {
 	var refusal *RequestError
 	h.eachDisturbed(machines, func(spec *jobs.Spec, amount Amount) {
 		if err := h.budgets.ForTeam(spec.Team).EverAllows(spec.Team, amount); err != nil && refusal == nil {
-			refusal = &RequestError{fieldBudget, "nothing of job " + spec.ID + " could ever move: " + err.Error()}
+			refusal = &RequestError{fieldBudget, "no task of job " + spec.ID + " could ever be moved: " + err.Error()}
 		}
 	})
 	return refusal
 }
 
-// paginate divides the machines into pages that fit into a value of the state service.
+// paginate divides the machines into pages that each fit into one value of the state
+// service.
 func (h *requestHandler) paginate(machines []MachineInfo) []Page {
 	machinesPerPage := max(1, h.state.MaxValueBytes()/maxMachineBytes)
 	var pages []Page
@@ -82,7 +86,7 @@
 	return pages
 }
 
-// writePages commits the pages from one number on, then the head.
+// writePages commits the pages from firstPage on, then the head.
 func (c *startCommit) writePages(firstPage int) {
 	if firstPage == len(c.pages) {
 		c.writeHead()
@@ -98,7 +102,7 @@
 			break
 		}
 		condition := statestore.Condition{Key: PageKey(c.request.ID, nextPage)}
-		if existing != nil && existing.Pages[nextPage] != nil { // of a request that came to nothing
+		if existing != nil && existing.Pages[nextPage] != nil { // left by a request that was not accepted
 			condition.Revision = existing.Pages[nextPage].Revision
 		}
 		valueBytes += len(raw)
@@ -114,6 +118,7 @@
 	})
 }
 
+// writeHead commits the head, which accepts the drain, and replies to the request.
 func (c *startCommit) writeHead() {
 	raw, err := encode(c.head)
 	if err != nil {
@@ -122,7 +127,8 @@
 	}
 	key := HeadKey(c.request.ID)
 	c.committer.commit([]statestore.Condition{{Key: key}}, []statestore.Operation{{PutKey: key, Value: raw}}, func(bool) {
-		// A first answer may have been lost: the records tell what came of it.
+		// The reply depends on the records, not on the commit's result: a commit repeated after
+		// a lost answer fails on its condition although the first attempt was carried out.
 		response, isAccepted := c.answerRepeated(c.request)
 		if !isAccepted {
 			c.reply(c.superseded())
@@ -133,7 +139,7 @@
 	})
 }
 
-// phaseChange is the phase that a request leads to, and those from which it may.
+// phaseChange is the phase that a verb leads to and the phases in which it is allowed.
 type phaseChange struct {
 	to   Phase
 	from []Phase
@@ -154,11 +160,11 @@
 	}
 	change := phaseChanges[request.Verb]
 	if drain.Head.Phase == change.to {
-		answer(h.confirmed(request.ID)) // repeated
+		answer(h.confirmed(request.ID)) // a repeated request
 		return
 	}
 	if !slices.Contains(change.from, drain.Head.Phase) {
-		answer(h.refused(&RequestError{fieldID, fmt.Sprintf("drain %q is %s", request.ID, drain.Head.Phase)}))
+		answer(h.refused(&RequestError{fieldID, fmt.Sprintf("drain %q is %s: %s is not possible", request.ID, drain.Head.Phase, request.Verb)}))
 		return
 	}
 	if !h.beginCommit(answer) {
@@ -176,7 +182,7 @@
 	}
 	key := HeadKey(request.ID)
 	h.committer.commit([]statestore.Condition{{Key: key, Revision: drain.Revision}}, []statestore.Operation{{PutKey: key, Value: raw}}, func(bool) {
-		// A first answer may have been lost: the records tell what came of it.
+		// As in writeHead, the reply depends on the records and not on the commit's result.
 		if changed := h.records.Get(request.ID); changed == nil || changed.Head.Phase != change.to {
 			h.reply(h.superseded())
 			return
--- a/internal/drain/operator_requests.go
+++ b/internal/drain/operator_requests.go
@@ -12,7 +12,7 @@
 )
 
 // requestHandler answers operators' requests while this process leads. Requests that
-// change something are committed one at a time, and no round commits meanwhile.
+// change a drain are committed one at a time, and never while a pass is being committed.
 type requestHandler struct {
 	rt           eventloop.Runtime
 	state        *statestore.Client
@@ -22,13 +22,13 @@
 	committer    *committer
 	disturbances *disturbances
 	progress     *progressLog
-	node         string // this controller, named in answers
+	node         string // name of this controller, for the answers
 	log          *slog.Logger
 
-	pendingAnswer func(Response) // of the request that is being committed, nil for none
+	pendingAnswer func(Response) // replies to the request that is being committed, nil if there is none
 }
 
-// handle answers a valid request; answer is called once.
+// handle answers a valid request. It calls answer once.
 func (h *requestHandler) handle(request *Request, answer func(Response)) {
 	switch request.Verb {
 	case VerbStatus:
@@ -42,25 +42,28 @@
 	}
 }
 
-// abandon answers the request that is being committed when the leadership is lost: the
-// next leader tells what came of it.
-func (h *requestHandler) abandon() { h.reply(h.unavailable("the leader has changed")) }
+// abandon answers the request that is being committed when the leadership is lost. Its
+// outcome is unknown here; a repeated request learns it from the next leader.
+func (h *requestHandler) abandon() {
+	h.reply(h.unavailable("the leader changed before the outcome of the request was known"))
+}
 
 // isCommitting reports whether a request is being committed.
 func (h *requestHandler) isCommitting() bool { return h.pendingAnswer != nil }
 
-// beginCommit has answer called with the outcome of the request; false, and answered
-// already, if a commit of another request or of a round is under way.
+// beginCommit registers answer for the outcome of the request's commit. If a commit of
+// another request or of a pass is in progress, it answers that the request is unavailable
+// and returns false.
 func (h *requestHandler) beginCommit(answer func(Response)) bool {
 	if h.committer.inFlight || h.isCommitting() {
-		answer(h.unavailable("a change of the drains is being committed"))
+		answer(h.unavailable("another change of the drains is being committed"))
 		return false
 	}
 	h.pendingAnswer = answer
 	return true
 }
 
-// reply answers the request that is being committed.
+// reply answers the request that is being committed, if there is one.
 func (h *requestHandler) reply(response Response) {
 	if answer := h.pendingAnswer; answer != nil {
 		h.pendingAnswer = nil
@@ -68,24 +71,29 @@
 	}
 }
 
+// refused returns the answer to a request that will not be accepted if repeated.
 func (h *requestHandler) refused(err *RequestError) Response {
 	return Response{Status: StatusRefused, Node: h.node, Field: err.Field, Reason: err.Reason}
 }
 
+// unavailable returns the answer to a request that may be sent again after
+// OperatorRetryDelay.
 func (h *requestHandler) unavailable(reason string) Response {
 	return Response{Status: StatusUnavailable, Node: h.node, Reason: reason, RetryMS: tuning.OperatorRetryDelay.Milliseconds()}
 }
 
-// superseded answers a request whose commit failed on a condition.
+// superseded returns the answer to a request whose commit failed on a condition: the drain's
+// records or the leader have changed.
 func (h *requestHandler) superseded() Response {
-	return h.unavailable("the request met another one")
+	return h.unavailable("the request conflicted with another change of the drains or of the leader")
 }
 
+// unknownDrain returns the answer to a request for a drain that does not exist.
 func (h *requestHandler) unknownDrain(id string) Response {
 	return h.refused(&RequestError{fieldID, fmt.Sprintf("no drain %q", id)})
 }
 
-// confirmed answers with how one drain stands.
+// confirmed returns the answer to a successful request, with the current view of its drain.
 func (h *requestHandler) confirmed(id string) Response {
 	response := Response{Status: StatusOK, Node: h.node}
 	if drain := h.records.Get(id); drain != nil {
@@ -94,6 +102,8 @@
 	return response
 }
 
+// view returns a drain as operators see it. The states of an ended drain whose pages are
+// removed are taken from its head.
 func (h *requestHandler) view(drain *Drain) View {
 	states := map[string]int{}
 	for state, count := range drain.CountByState() {
@@ -112,7 +122,8 @@
 	}
 }
 
-// status tells how one drain stands, or all if the ID is empty, and all teams' budgets.
+// status returns the view of one drain, or of all drains if the ID is empty, and the budgets
+// and usage of all teams.
 func (h *requestHandler) status(id string) Response {
 	if id != "" && h.records.Get(id) == nil {
 		return h.unknownDrain(id)
@@ -129,7 +140,7 @@
 	return response
 }
 
-// plan tells what a drain would disturb.
+// plan returns what a drain of the selected machines would disturb.
 func (h *requestHandler) plan(request *Request) Response {
 	machines, refusal := selectMachines(h.cluster, request.Selection)
 	if refusal != nil {
@@ -153,7 +164,8 @@
 	return Response{Status: StatusOK, Node: h.node, Plan: plan}
 }
 
-// eachDisturbed calls fn for the tasks on machines, once for each gang.
+// eachDisturbed calls fn for each task placed on the machines, and once for each gang that
+// has tasks on them.
 func (h *requestHandler) eachDisturbed(machines []MachineInfo, fn func(spec *jobs.Spec, amount Amount)) {
 	isSelected := map[string]bool{}
 	for _, machine := range machines {
--- a/internal/drain/progress.go
+++ b/internal/drain/progress.go
@@ -6,8 +6,7 @@
 	"slices"
 )
 
-// stepName names a step of a drain in the log and in the trace, where operators' tools
-// look for it.
+// stepName is the name of a drain's step in the log and the trace. Operators' tools match it.
 type stepName string
 
 const (
@@ -21,33 +20,32 @@
 	stepReleased          stepName = "released"
 )
 
-// drainStep is something to be logged and traced once it is durable.
+// drainStep is a step of a drain, to be logged and traced once it is durable.
 type drainStep struct {
 	drainID   string
 	machineID string // "" for a step of the drain as a whole
 	name      stepName
-	grant     *Grant // of stepGranted, nil for other steps
+	grant     *Grant // the grant of stepGranted, nil for other steps
 }
 
-// progressLog tells operators in the log and in the trace what the drains do and what they
-// wait for.
+// progressLog records the steps and wait reasons of the drains in the log and the trace.
 type progressLog struct {
 	log     *slog.Logger
 	tracer  *Tracer
 	cluster Cluster
 	budgets Budgets
 
-	waitReasons map[string][]string // by drain, as of the newest round
+	waitReasons map[string][]string // by drain, as of the last pass
 }
 
-// reset forgets all drains at the end of a term, and ends their spans.
+// reset discards the wait reasons and ends the spans at the end of a term.
 func (p *progressLog) reset() {
 	p.waitReasons = map[string][]string{}
 	p.tracer.End()
 }
 
-// setWaitReasons takes what the drains wait for now, and tells of those drains for which
-// that has changed.
+// setWaitReasons replaces the wait reasons of all drains, and logs and traces those of the
+// drains for which they have changed.
 func (p *progressLog) setWaitReasons(waitReasons map[string][]string) {
 	for drainID, reasons := range waitReasons {
 		if slices.Equal(reasons, p.waitReasons[drainID]) {
@@ -61,8 +59,8 @@
 	p.waitReasons = waitReasons
 }
 
-// stepsCommitted tells of the steps of a round that are durable; usage is how the budgets
-// stand with them.
+// stepsCommitted logs and traces the steps of a pass, which are durable now. usage is the
+// usage of the budgets after these steps.
 func (p *progressLog) stepsCommitted(steps []drainStep, usage *budgetUsage) {
 	for _, step := range steps {
 		if step.grant == nil {
@@ -74,7 +72,8 @@
 	}
 }
 
-// logGrant tells how the budgets of the teams concerned stand after a grant.
+// logGrant logs a grant once for each team that has tasks in it, with the usage of the
+// team's budget after the grant.
 func (p *progressLog) logGrant(granted drainStep, usage *budgetUsage) {
 	teams := map[string]bool{}
 	for _, ref := range granted.grant.Tasks {
--- a/internal/drain/round.go
+++ b/internal/drain/reconcile_pass.go
@@ -7,50 +7,51 @@
 	"lemonmoor/internal/tuning"
 )
 
-// round is one evaluation of all drains by the leader, and the one commit that comes of
-// it. It is made anew for each Tick from the records and the newest shard reports, and
-// what it decides is in effect only when its changes are durable.
-type round struct {
+// reconcilePass is one evaluation of all drains by the leader and the single commit that results
+// from it. Each Tick creates a new one from the records and the newest shard reports. Its
+// decisions take effect only when its changes are durable.
+type reconcilePass struct {
 	*Coordinator
 
-	usage   *budgetUsage // of the teams' budgets, with what this round grants
+	usage   *budgetUsage // usage of the teams' budgets, including the grants of this pass
 	changes *changeSet
 	steps   []drainStep // to be logged when the changes are durable
 
-	// Of these nothing may be granted: with an unreadable record it is not known what is
-	// granted already, without a shard's report how its tasks are.
+	// Either of these forbids all grants: an unreadable record may contain grants that are not
+	// counted, and the state of a shard's tasks is unknown without its report.
 	hasUnreadableRecord bool
-	shardWithoutReport  int // noShard if all have reported
+	shardWithoutReport  int // noShard if all reports are current
 
-	grantedNow  map[TaskRef]bool    // by this round
-	withoutRoom map[string]bool     // machines with tasks for which there is no room elsewhere
-	waitReasons map[string][]string // by drain
+	grantedInPass       map[TaskRef]bool    // attempts granted by this pass
+	machinesWithoutRoom map[string]bool     // machines with tasks for which there is no room elsewhere
+	waitReasons         map[string][]string // by drain
 }
 
-func (c *Coordinator) newRound() *round {
-	return &round{
+// newReconcilePass returns a pass without changes, with the current usage of the budgets.
+func (c *Coordinator) newReconcilePass() *reconcilePass {
+	return &reconcilePass{
 		Coordinator: c, usage: c.disturbances.usage(),
 		changes:             &changeSet{capacity: min(c.state.MaxOperations(), c.writes.available()), pageEdits: map[string]*pageEdit{}},
 		hasUnreadableRecord: c.records.HasUnreadable(), shardWithoutReport: c.reports.shardWithoutReport(),
-		grantedNow: map[TaskRef]bool{}, withoutRoom: map[string]bool{}, waitReasons: map[string][]string{},
+		grantedInPass: map[TaskRef]bool{}, machinesWithoutRoom: map[string]bool{}, waitReasons: map[string][]string{},
 	}
 }
 
-// addWaitReason notes what a drain waits for. Each reason is given once, and only so many
-// that an answer to operators stays small.
-func (r *round) addWaitReason(drain *Drain, reason string) {
+// addWaitReason records what a drain waits for. Each reason is listed once, and at most
+// MaxDrainWaitReasons are, which bounds the size of the answers to operators.
+func (r *reconcilePass) addWaitReason(drain *Drain, reason string) {
 	reasons := r.waitReasons[drain.ID]
 	if !slices.Contains(reasons, reason) && len(reasons) < tuning.MaxDrainWaitReasons {
 		r.waitReasons[drain.ID] = append(reasons, reason)
 	}
 }
 
-// editMachine changes a machine's entry and notes the step; false if the commit has no
-// room for it.
-func (r *round) editMachine(drain *Drain, position entryPosition, name stepName, edit func(*Machine)) bool {
+// editMachine changes a machine's entry and records the step. It returns false if the commit
+// has no room for the change.
+func (r *reconcilePass) editMachine(drain *Drain, position entryPosition, step stepName, edit func(*Machine)) bool {
 	machineID, isEdited := r.changes.editMachine(drain, position, edit)
 	if isEdited {
-		r.steps = append(r.steps, drainStep{drainID: drain.ID, machineID: machineID, name: name})
+		r.steps = append(r.steps, drainStep{drainID: drain.ID, machineID: machineID, name: step})
 	}
 	return isEdited
 }
@@ -59,14 +60,14 @@
 type changeSet struct {
 	conditions []statestore.Condition
 	operations []statestore.Operation
-	capacity   int                  // operations that the commit may still take
+	capacity   int                  // number of operations that can still be added
 	pageEdits  map[string]*pageEdit // by key
 }
 
-// pageEdit is a page that the commit changes, perhaps at several entries.
+// pageEdit is a copy of a page with the changes of the commit to one or more entries.
 type pageEdit struct {
 	page           Page
-	operationIndex int // of the page's operation in the commit
+	operationIndex int // index of the page's operation in the commit
 }
 
 func (s *changeSet) isEmpty() bool { return len(s.operations) == 0 }
@@ -78,7 +79,8 @@
 	}
 }
 
-// put writes a key that must still have the revision; false if the commit has no room.
+// put adds a write of a key, on condition that the key still has the revision. It returns
+// false if the commit has no room or the record cannot be encoded.
 func (s *changeSet) put(key string, revision uint64, record any) bool {
 	raw, err := encode(record)
 	if err != nil {
@@ -87,11 +89,13 @@
 	return s.add(statestore.Condition{Key: key, Revision: revision}, statestore.Operation{PutKey: key, Value: raw})
 }
 
-// remove deletes a key that must still have the revision; false if the commit has no room.
+// remove adds a deletion of a key, on condition that the key still has the revision. It
+// returns false if the commit has no room.
 func (s *changeSet) remove(key string, revision uint64) bool {
 	return s.add(statestore.Condition{Key: key, Revision: revision}, statestore.Operation{DeleteKey: key})
 }
 
+// add adds an operation with its condition. It returns false if the commit has no room.
 func (s *changeSet) add(condition statestore.Condition, operation statestore.Operation) bool {
 	if s.capacity <= 0 {
 		return false
@@ -107,8 +111,8 @@
 	return slices.ContainsFunc(s.operations, func(operation statestore.Operation) bool { return operation.PutKey == key })
 }
 
-// editMachine changes an entry of a stored page, of which the commit then writes a copy,
-// and returns the name of the machine; false if the commit has no room.
+// editMachine changes an entry in a copy of a stored page, which the commit then writes, and
+// returns the ID of the machine. isEdited is false if the commit has no room.
 func (s *changeSet) editMachine(drain *Drain, position entryPosition, change func(*Machine)) (machineID string, isEdited bool) {
 	key := PageKey(drain.ID, position.page)
 	edit := s.pageEdits[key]
--- a/internal/drain/records.go
+++ b/internal/drain/records.go
@@ -13,11 +13,11 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Drain is a drain as the records have it.
+// Drain is a drain as the records describe it.
 type Drain struct {
 	ID       string
 	Head     Head
-	Revision uint64 // of the head, 0 while there is none
+	Revision uint64 // revision of the head, 0 while there is no head
 	Pages    map[int]*StoredPage
 	Grants   map[uint64]*StoredGrant
 }
@@ -34,20 +34,21 @@
 	Revision uint64
 }
 
-// isAccepted reports whether the drain was accepted. Pages are written before the head.
+// isAccepted reports whether the drain was accepted, which the head shows: pages are written
+// before it.
 func (d *Drain) isAccepted() bool { return d.Revision != 0 }
 
-// grantNumbers lists the grants in the order in which they were given.
+// grantNumbers returns the numbers of the grants in ascending order.
 func (d *Drain) grantNumbers() []uint64 { return slices.Sorted(maps.Keys(d.Grants)) }
 
-// entryPosition is where a drain's pages list a machine.
+// entryPosition is the position of a machine's entry in a drain's pages.
 type entryPosition struct {
 	page  int // number of the page
-	index int // in the page
+	index int // index in the page
 }
 
-// EachMachine calls fn for the machines, in the order of the pages. The entries must not
-// be changed.
+// EachMachine calls fn for each machine, in the order of the pages. fn must not modify the
+// entries.
 func (d *Drain) EachMachine(fn func(position entryPosition, machine *Machine)) {
 	for number := range d.Head.Pages {
 		if page := d.Pages[number]; page != nil {
@@ -58,32 +59,32 @@
 	}
 }
 
-// CountByState tells how many machines are in each state.
+// CountByState returns the number of machines in each state.
 func (d *Drain) CountByState() map[MachineState]int {
 	counts := map[MachineState]int{}
 	d.EachMachine(func(_ entryPosition, machine *Machine) { counts[machine.State]++ })
 	return counts
 }
 
-// Records is a node's copy of all drains, fed by a watch.
+// Records is a node's copy of the records of all drains, kept up to date by a watch.
 type Records struct {
 	mirror         *statestore.Mirror
 	log            *slog.Logger
-	drains         map[string]*Drain // by ID, also those that have pages alone
+	drains         map[string]*Drain // by ID, including those that have only pages or grants
 	unreadableKeys map[string]bool   // keys whose values do not parse
 	index          recordIndex
 }
 
-// recordIndex answers from the records what is asked for each task and machine. It is
-// made anew when it is needed after the records have changed.
+// recordIndex indexes the records by machine and by task. It is rebuilt on the first lookup
+// after a change of the records.
 type recordIndex struct {
 	isStale       bool
-	closingDrains map[string]int // active drains that keep a machine closed, by machine
+	closingDrains map[string]int // number of active drains that keep a machine closed, by machine
 	grants        map[TaskName][]TaskRef
 }
 
-// NewRecords returns an empty copy, which Start has filled and kept up to date. onChange
-// is called after the records have changed.
+// NewRecords returns an empty copy, which is filled and updated once Start is called.
+// onChange is called after the records have changed.
 func NewRecords(rt eventloop.Runtime, state *statestore.Client, log *slog.Logger, onChange func()) *Records {
 	records := &Records{log: log}
 	records.clear()
@@ -100,18 +101,18 @@
 	r.index = recordIndex{closingDrains: map[string]int{}, grants: map[TaskName][]TaskRef{}}
 }
 
-// Start begins to follow the records.
+// Start begins to watch the records.
 func (r *Records) Start() { r.mirror.Start() }
 
-// Verify calls done when the copy is proven to hold all that was committed before, or
-// with an error if that could not be shown.
+// Verify calls done when the copy is proven to contain everything committed before the call,
+// or with an error if that cannot be proven.
 func (r *Records) Verify(done func(error)) { r.mirror.Verify(done) }
 
-// VerifiedAt is the moment, by the loop's clock, up to which the copy is proven to be
-// complete; isKnown is false before the first proof.
+// VerifiedAt returns the time, by the event loop's clock, up to which the copy is proven to
+// be complete. isKnown is false before the first proof.
 func (r *Records) VerifiedAt() (at time.Duration, isKnown bool) { return r.mirror.VerifiedAt() }
 
-// Get finds a drain; nil if none of that name was accepted.
+// Get returns an accepted drain by its ID, nil if there is none.
 func (r *Records) Get(id string) *Drain {
 	if drain := r.drains[id]; drain != nil && drain.isAccepted() {
 		return drain
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// Drains lists the drains that were accepted, the oldest first.
+// Drains returns the accepted drains, the oldest first.
 func (r *Records) Drains() []*Drain {
 	var drains []*Drain
 	for _, drain := range r.drains {
@@ -133,7 +134,8 @@
 	return drains
 }
 
-// IsIdle reports whether nothing is to be done for any drain.
+// IsIdle reports whether no drain is active and no grant is left, so that shard owners have
+// nothing to halt or report.
 func (r *Records) IsIdle() bool {
 	for _, drain := range r.drains {
 		if drain.Head.Phase.Active() || len(drain.Grants) > 0 {
@@ -143,8 +145,8 @@
 	return true
 }
 
-// HasNoWork reports whether there is nothing to do at all: no drain is active, and no
-// record is left to be removed.
+// HasNoWork reports whether the leader has nothing to do: no drain is active and no record
+// has to be removed.
 func (r *Records) HasNoWork() bool {
 	for _, drain := range r.drains {
 		if drain.Head.Phase.Active() || len(drain.Pages)+len(drain.Grants) > 0 {
@@ -154,7 +156,8 @@
 	return len(r.drains) <= tuning.MaxFinishedDrains
 }
 
-// replacements is the machines rented for others that are not released yet.
+// replacements returns the machines rented to replace machines of active drains that are not
+// released yet.
 func (r *Records) replacements() map[string]bool {
 	replacements := map[string]bool{}
 	for _, drain := range r.Drains() {
@@ -170,19 +173,20 @@
 	return replacements
 }
 
-// IsClosed reports whether a machine takes no new tasks.
+// IsClosed reports whether an active drain keeps a machine closed to new tasks.
 func (r *Records) IsClosed(machineID string) bool {
 	r.refreshIndex()
 	return r.index.closingDrains[machineID] > 0
 }
 
-// grantsOf lists the granted attempts of a task or gang.
+// grantsOf returns the granted attempts of a task or gang.
 func (r *Records) grantsOf(name TaskName) []TaskRef {
 	r.refreshIndex()
 	return r.index.grants[name]
 }
 
-// IsGranted reports whether a task is granted, of a gang as a whole or by itself.
+// IsGranted reports whether any attempt of a task, or of its whole gang if isGang is set, is
+// granted.
 func (r *Records) IsGranted(job string, index int, isGang bool) bool {
 	if isGang {
 		index = gangIndex
@@ -190,10 +194,10 @@
 	return len(r.grantsOf(TaskName{job, index})) > 0
 }
 
-// HasUnreadable reports whether a record does not parse: what it grants is not known.
+// HasUnreadable reports whether a record cannot be decoded, so that its grants are unknown.
 func (r *Records) HasUnreadable() bool { return len(r.unreadableKeys) > 0 }
 
-// refreshIndex makes the index anew if the records have changed.
+// refreshIndex rebuilds the index if the records have changed.
 func (r *Records) refreshIndex() {
 	if !r.index.isStale {
 		return
@@ -217,7 +221,7 @@
 	}
 }
 
-// apply takes in a record, or its removal if the value is nil.
+// apply stores a record, or removes it if the value is nil.
 func (r *Records) apply(rawKey string, value json.RawMessage, revision uint64) {
 	key, err := parseKey(rawKey)
 	if err != nil {
@@ -241,8 +245,8 @@
 	}
 }
 
-// store takes in a record. One that does not parse is there nevertheless, as far as it
-// was understood: its revision is needed to replace it.
+// store sets one of the drain's records. A record that cannot be decoded is stored as far as
+// it was decoded, because its revision is needed to replace it.
 func (d *Drain) store(key recordKey, value json.RawMessage, revision uint64) error {
 	switch key.kind {
 	case headKind:
@@ -260,7 +264,7 @@
 	return nil
 }
 
-// remove takes in the removal of a record.
+// remove removes a record of a drain, and the drain itself with its last record.
 func (r *Records) remove(drain *Drain, key recordKey) {
 	switch key.kind {
 	case headKind:
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -7,10 +7,10 @@
 	"fmt"
 )
 
-// RequestPath is where controllers take operators' requests on drains.
+// RequestPath is the HTTP path at which controllers accept operators' requests on drains.
 const RequestPath = "/operator/drain"
 
-// Verb is what an operator asks for.
+// Verb is the action that an operator requests.
 type Verb string
 
 // The verbs. VerbPlan and VerbStatus change nothing.
@@ -23,20 +23,22 @@
 	VerbCancel Verb = "cancel"
 )
 
-// Request is an operator's request.
+// Request is an operator's request on drains.
 type Request struct {
 	Verb      Verb      `json:"verb"`
 	ID        string    `json:"id,omitempty"`
 	Selection Selection `json:"selection"`
 	Replace   bool      `json:"replace,omitempty"`
-	// Forwarded says that another controller has sent it on, which took this one to lead.
+	// Forwarded is set if another controller forwarded the request in the belief that this one
+	// leads.
 	Forwarded bool `json:"forwarded,omitempty"`
 }
 
-// Digest returns a text that is the same for two requests of a drain if, and only if, they
-// ask for the same.
+// Digest returns a hash of what the request asks for: two requests to start a drain have the
+// same digest if, and only if, they select the same machines in the same terms and agree
+// on Replace.
 func (r *Request) Digest() string {
-	// Digests are stored and compared across versions: the names of these fields must stay.
+	// Digests are stored and compared across versions, so these field names must not change.
 	content := struct {
 		Selection Selection `json:"Selection"`
 		Replace   bool      `json:"Replace"`
@@ -49,9 +51,9 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// RequestError is why a request is refused for good: sent again, it would be refused again.
+// RequestError is the reason for refusing a request permanently: a retry would be refused too.
 type RequestError struct {
-	Field  string // of the request, or what of the cluster forbids it, as operators read it
+	Field  string // field of the request, or part of the cluster, that causes the refusal, as operators read it
 	Reason string
 }
 
@@ -66,17 +68,17 @@
 	fieldBudget    = "budget"
 )
 
-// Error names the field and the reason in one line.
+// Error returns the field and the reason in one line.
 func (e *RequestError) Error() string { return e.Field + ": " + e.Reason }
 
-// ResponseStatus is how a request ended.
+// ResponseStatus is the outcome of a request.
 type ResponseStatus string
 
-// The ways in which a request ends.
+// The outcomes of a request.
 const (
 	StatusOK          ResponseStatus = "ok"
-	StatusRefused     ResponseStatus = "refused"     // for good
-	StatusUnavailable ResponseStatus = "unavailable" // may be sent again
+	StatusRefused     ResponseStatus = "refused"     // permanently
+	StatusUnavailable ResponseStatus = "unavailable" // may be retried
 )
 
 // Response answers a request.
@@ -85,7 +87,7 @@
 	Node   string         `json:"node"` // the controller that answers
 	Field  string         `json:"field,omitempty"`
 	Reason string         `json:"reason,omitempty"`
-	// RetryMS is the milliseconds after which to ask again, with StatusUnavailable.
+	// RetryMS is the delay before a retry in milliseconds, set with StatusUnavailable.
 	RetryMS int64                `json:"retryMs,omitempty"`
 	Drains  []View               `json:"drains,omitempty"`
 	Teams   map[string]TeamState `json:"teams,omitempty"`
@@ -99,20 +101,20 @@
 	Replace  bool           `json:"replace"`
 	Machines int            `json:"machines"`
 	States   map[string]int `json:"states"`
-	// DisturbedTasks are the tasks that are disturbed now.
+	// DisturbedTasks is the number of tasks that the drain disturbs now.
 	DisturbedTasks int `json:"disturbed"`
-	// WaitReasons is what it waits for, one line for each reason.
+	// WaitReasons lists what the drain waits for, one line for each reason.
 	WaitReasons []string `json:"waits,omitempty"`
 }
 
-// TeamState is a team's budget and how it stands.
+// TeamState is a team's budget and its usage.
 type TeamState struct {
 	TeamUsage
-	// Budget as text, since limits may be infinite.
+	// Budget is a text, since JSON has no infinite numbers for limits that are not set.
 	Budget string `json:"budget"`
 }
 
-// Plan is what a drain would disturb.
+// Plan is the work that a drain would disturb.
 type Plan struct {
 	Machines int                 `json:"machines"`
 	Teams    map[string]TeamPlan `json:"teams"`
@@ -122,13 +124,13 @@
 // TeamPlan is the part of a plan that concerns one team.
 type TeamPlan struct {
 	Amount
-	// Rounds is the least number of times that the budget has to be used up.
+	// Rounds is the least number of times that the team's budget has to be used up.
 	Rounds int    `json:"rounds"`
 	Budget string `json:"budget"`
 }
 
-// Validate finds what is wrong with a request by itself, without regard to the cluster;
-// nil if nothing is.
+// Validate checks a request without regard to the cluster. It returns nil if the request is
+// valid.
 func (r *Request) Validate() *RequestError {
 	if r.Verb == VerbPlan || r.Verb == VerbStart {
 		if _, refusal := newMatcher(r.Selection); refusal != nil {
@@ -144,10 +146,10 @@
 		}
 	case VerbStart, VerbPause, VerbResume, VerbCancel:
 	default:
-		return &RequestError{fieldVerb, fmt.Sprintf("%q is not known", r.Verb)}
+		return &RequestError{fieldVerb, fmt.Sprintf("%q is not one of plan, start, status, pause, resume and cancel", r.Verb)}
 	}
 	if !ValidID(r.ID) {
-		return &RequestError{fieldID, fmt.Sprintf("%q is not 1 to 40 of a-z, 0-9 and -, the first a letter or digit", r.ID)}
+		return &RequestError{fieldID, fmt.Sprintf("%q is not 1 to 40 characters of a-z, 0-9 and -, of which the first is a letter or digit", r.ID)}
 	}
 	return nil
 }
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -8,26 +8,26 @@
 	"go4.org/netipx"
 )
 
-// MachineKind tells spot machines from ordinary ones.
+// MachineKind distinguishes spot machines from ordinary ones.
 type MachineKind string
 
-// The kinds; AnyKind is both.
+// The kinds of machines. AnyKind selects both others.
 const (
 	AnyKind      MachineKind = ""
 	SpotKind     MachineKind = "spot"
 	OrdinaryKind MachineKind = "ordinary"
 )
 
-// Selection picks machines. A machine must match each of the fields that are given.
+// Selection selects machines. A machine must match each of the fields that are set.
 type Selection struct {
 	Machines []string    `json:"machines,omitempty"`
 	Zones    []string    `json:"zones,omitempty"`
 	Types    []string    `json:"types,omitempty"`
 	Kind     MachineKind `json:"kind,omitempty"`
-	Prefixes []string    `json:"prefixes,omitempty"` // of the workers' addresses
+	Prefixes []string    `json:"prefixes,omitempty"` // IP prefixes of the workers' addresses
 }
 
-// normalized returns the selection in a form that does not depend on the order of naming.
+// normalized returns the selection with sorted lists without duplicates.
 func (s Selection) normalized() Selection {
 	sortedSet := func(list []string) []string {
 		list = slices.Clone(list)
@@ -37,14 +37,14 @@
 	return Selection{sortedSet(s.Machines), sortedSet(s.Zones), sortedSet(s.Types), s.Kind, sortedSet(s.Prefixes)}
 }
 
-// machineMatcher is a selection made ready to be applied.
+// machineMatcher matches machines against a selection.
 type machineMatcher struct {
 	selection   Selection
-	foundByName map[string]bool // by name, whether a machine of it was found
+	foundByName map[string]bool // by ID, whether the machine was found; nil if none are named
 	prefixes    *netipx.IPSet   // nil for any address
 }
 
-// newMatcher checks what a selection says by itself.
+// newMatcher validates a selection without regard to the cluster and returns its matcher.
 func newMatcher(selection Selection) (*machineMatcher, *RequestError) {
 	if len(selection.Machines)+len(selection.Zones)+len(selection.Types)+len(selection.Prefixes) == 0 && selection.Kind == AnyKind {
 		return nil, &RequestError{fieldSelection, "empty: name machines, zones, types, prefixes or a kind"}
@@ -66,8 +66,8 @@
 	return m, nil
 }
 
-// parsePrefixes returns the set of the addresses that have one of the prefixes; nil if
-// there are no prefixes.
+// parsePrefixes returns the set of the addresses within the prefixes, nil if there are no
+// prefixes.
 func parsePrefixes(texts []string) (*netipx.IPSet, *RequestError) {
 	if len(texts) == 0 {
 		return nil, nil
@@ -87,7 +87,7 @@
 	return set, nil
 }
 
-// matches reports whether a machine is selected.
+// matches reports whether a machine is selected, and records it as found if it is named.
 func (m *machineMatcher) matches(machine *MachineInfo) bool {
 	if m.foundByName != nil {
 		if _, isNamed := m.foundByName[machine.ID]; !isNamed {
@@ -111,7 +111,8 @@
 	return err == nil && m.prefixes.Contains(address.Addr().Unmap())
 }
 
-// missingMachine returns a named machine that does not exist, "" if there is none.
+// missingMachine returns the first named machine that was not found, "" if all were. It must
+// be called after matches has been called for every machine.
 func (m *machineMatcher) missingMachine() string {
 	for _, name := range m.selection.Machines {
 		if !m.foundByName[name] {
@@ -121,7 +122,7 @@
 	return ""
 }
 
-// selectMachines lists the machines of the cluster that a selection names.
+// selectMachines returns the machines of the cluster that a selection matches.
 func selectMachines(cluster Cluster, selection Selection) ([]MachineInfo, *RequestError) {
 	matcher, refusal := newMatcher(selection)
 	if refusal != nil {
@@ -134,10 +135,10 @@
 		}
 	})
 	if name := matcher.missingMachine(); name != "" {
-		return nil, &RequestError{fieldMachine, fmt.Sprintf("there is no machine %q", name)}
+		return nil, &RequestError{fieldMachine, fmt.Sprintf("machine %q does not exist", name)}
 	}
 	if len(machines) == 0 {
-		return nil, &RequestError{fieldSelection, "no machine matches it"}
+		return nil, &RequestError{fieldSelection, "no machine matches the selection"}
 	}
 	return machines, nil
 }
--- a/internal/drain/shard_report.go
+++ b/internal/drain/shard_report.go
@@ -1,17 +1,18 @@
 package drain
 
-// ShardReport is what a shard's owner adds to its status message to the leader while there
-// are drains.
+// ShardReport is the part on drains of the status message that a shard's owner sends to the
+// leader.
 type ShardReport struct {
-	// Machines are the closed ones that are up, with the tasks on them.
+	// Machines are the closed machines whose workers send heartbeats, with the tasks on them.
 	Machines []ClosedMachine `json:"machines,omitempty"`
-	// Granted is how the granted tasks are of which the owner knows.
+	// Granted lists the granted tasks and gangs of the shard that run again or are untouched.
 	Granted []GrantedTask `json:"granted,omitempty"`
-	// Teams is the work of the shard that runs, or was disturbed by nobody's choice.
+	// Teams is, by team, the shard's running work and the work disturbed without a grant.
 	Teams map[string]TeamWork `json:"teams,omitempty"`
-	// ReplicasDown is, by service, how many replicas are placed but not up.
+	// ReplicasDown is, by service, the number of replicas that are placed but not up.
 	ReplicasDown map[string]int `json:"down,omitempty"`
-	// ReplicasDownIsPartial says that ReplicasDown was cut short, so no replica may be counted as up.
+	// ReplicasDownIsPartial is set if ReplicasDown was truncated, so that no replica may be
+	// counted as up.
 	ReplicasDownIsPartial bool `json:"partial,omitempty"`
 }
 
@@ -32,16 +33,16 @@
 	Job     string `json:"job"`
 	Index   int    `json:"index,omitempty"`
 	Attempt uint64 `json:"attempt"`
-	// RunningMS is how long it has been running, in milliseconds, 0 if it has not begun.
+	// RunningMS is for how long it has been running, in milliseconds, 0 if it does not run yet.
 	RunningMS int64 `json:"runsMs,omitempty"`
 }
 
-// GrantedTask is how a granted task, or gang, is.
+// GrantedTask is the state of a granted task or gang. Its Attempt is the one that runs.
 type GrantedTask struct {
 	TaskRef
-	// RunsAgain says that a heartbeat under the present fencing token shows it running under the
-	// Attempt given here, which is later than the grant's.
+	// RunsAgain is set if a heartbeat under the current fencing token shows it running under
+	// Attempt, which is later than the granted attempt.
 	RunsAgain bool `json:"runs,omitempty"`
-	// IsUntouched says that the owner has not halted it, and knows that its drain was cancelled.
+	// IsUntouched is set if the owner has not halted it and knows that its drain was cancelled.
 	IsUntouched bool `json:"void,omitempty"`
 }
--- a/internal/drain/shard_reports.go
+++ b/internal/drain/shard_reports.go
@@ -8,39 +8,40 @@
 	"lemonmoor/internal/tuning"
 )
 
-// noShard stands where a shard has its index.
+// noShard is the shard index that means no shard.
 const noShard = -1
 
 // receivedReport is the newest report of a shard's owner. The report is nil before the
-// first one, and from an owner that knows no drains.
+// first one is received, and if the owner sent none, see Coordinator.HandleShardReport.
 type receivedReport struct {
 	token, sequence uint64 // fencing token and heartbeat sequence of the owner
 	receivedAt      time.Duration
 	report          *ShardReport
 }
 
-// shardReports holds, for the leader, what the shard owners have reported in this term.
+// shardReports holds the newest reports that the leader received from the shard owners in
+// this term.
 type shardReports struct {
 	rt          eventloop.Runtime
-	latest      []receivedReport    // by shard
+	latest      []receivedReport    // by shard index
 	ranAttempts map[TaskName]uint64 // highest attempt of a granted task that was seen running
 }
 
-// reset forgets all reports at the end of a term.
+// reset discards all reports at the end of a term.
 func (s *shardReports) reset(shardCount int) {
 	s.latest = make([]receivedReport, shardCount)
 	s.ranAttempts = map[TaskName]uint64{}
 }
 
-// accept takes a report, if it is newer than the last one of its shard, and reports
-// whether it shows granted tasks that run again.
+// accept stores a report if it is newer than the last one of its shard. It returns whether
+// the report shows granted tasks that run again under an attempt not reported before.
 func (s *shardReports) accept(shardIndex int, token, sequence uint64, report *ShardReport) (tasksRunAgain bool) {
 	if shardIndex < 0 || shardIndex >= len(s.latest) {
 		return false
 	}
 	last := &s.latest[shardIndex]
 	if token < last.token || (token == last.token && sequence <= last.sequence) {
-		return false // held back on its way
+		return false // delayed on the network, older than the last one
 	}
 	*last = receivedReport{token, sequence, s.rt.Now(), report}
 	if report == nil {
@@ -54,8 +55,8 @@
 	return tasksRunAgain
 }
 
-// shardWithoutReport is a shard of which too little is known to grant anything, noShard
-// if there is none.
+// shardWithoutReport returns the first shard that has sent no report within StatusStaleAfter,
+// noShard if there is none. Without a current report of each shard nothing may be granted.
 func (s *shardReports) shardWithoutReport() int {
 	for shardIndex := range s.latest {
 		last := &s.latest[shardIndex]
@@ -66,8 +67,8 @@
 	return noShard
 }
 
-// shardReportingUntouched finds the shard whose owner reports that a task was never halted
-// and will not be, with the fencing token under which it has said so.
+// shardReportingUntouched returns the shard whose owner reports that a task was never halted
+// and will not be, and the fencing token of that report.
 func (s *shardReports) shardReportingUntouched(ref TaskRef) (shardIndex int, token uint64, isUntouched bool) {
 	for shardIndex := range s.latest {
 		last := &s.latest[shardIndex]
@@ -83,8 +84,8 @@
 	return noShard, 0, false
 }
 
-// closedMachine is what the owner of a shard reports of a closed machine; nil if it does
-// not. The shard must have reported.
+// closedMachine returns the entry of a closed machine in its shard's report, nil if there is
+// none. The shard must have reported.
 func (s *shardReports) closedMachine(shardIndex int, machineID string) *ClosedMachine {
 	report := s.latest[shardIndex].report
 	i := slices.IndexFunc(report.Machines, func(m ClosedMachine) bool { return m.ID == machineID })
@@ -94,8 +95,8 @@
 	return &report.Machines[i]
 }
 
-// tasksOnClosedMachines counts the tasks of a gang on closed machines. All shards must
-// have reported.
+// tasksOnClosedMachines returns the number of a gang's tasks on closed machines. All shards
+// must have reported.
 func (s *shardReports) tasksOnClosedMachines(job string) int {
 	count := 0
 	for shardIndex := range s.latest {
--- a/internal/drain/shard_reports_test.go
+++ b/internal/drain/shard_reports_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestOlderShardReportsAreDropped: a report that was held back on its way says nothing of
-// what is there now.
+// TestOlderShardReportsAreDropped guards against a report that is delayed on the network and
+// arrives after a newer one: it describes a state that has passed.
 func TestOlderShardReportsAreDropped(t *testing.T) {
 	reports := &shardReports{rt: &fakeRuntime{}}
 	reports.reset(1)
@@ -17,15 +17,15 @@
 	}
 	reports.accept(0, 6, 1, nil)
 	if reports.latest[0].report != nil || reports.shardWithoutReport() != 0 {
-		t.Error("an owner that knows no drains counts as one that has reported")
+		t.Error("an owner without a drain report counts as one that has reported")
 	}
 	if reports.accept(1, 9, 9, newest) || reports.accept(-1, 9, 9, newest) {
-		t.Error("a shard that does not exist has reported")
+		t.Error("a report of a shard that does not exist is accepted")
 	}
 }
 
-// TestTasksRunAgainOnlyUnderALaterAttempt: whatever an owner reports, a grant is settled
-// only by an attempt later than the one that it names.
+// TestTasksRunAgainOnlyUnderALaterAttempt checks that a grant is settled only by an attempt
+// later than the granted one, even if an owner reports the granted attempt as running again.
 func TestTasksRunAgainOnlyUnderALaterAttempt(t *testing.T) {
 	coordinator := newTestCoordinator(&fakeRuntime{}, openJobCluster{}, 100)
 	granted := TaskRef{Job: "wk-1", Attempt: 3}
@@ -36,28 +36,28 @@
 	}
 	report(1, 3)
 	if coordinator.disturbances.isSettled(granted) {
-		t.Error("the granted attempt itself settles the grant")
+		t.Error("the report of the granted attempt itself settles the grant")
 	}
 	report(2, 4)
 	if !coordinator.disturbances.isSettled(granted) {
-		t.Error("a later attempt that runs does not settle the grant")
+		t.Error("the report of a later attempt that runs does not settle the grant")
 	}
 }
 
-// TestUntouchedTaskSettlesOnlyACancelledDrain: of a drain that goes on, the owner may halt
-// the task at any time after its report.
+// TestUntouchedTaskSettlesOnlyACancelledDrain guards against removing a grant too early: as
+// long as the drain is active, the owner may halt the task at any time after its report.
 func TestUntouchedTaskSettlesOnlyACancelledDrain(t *testing.T) {
 	ref := TaskRef{Job: "wk-1", Attempt: 3}
 	for phase, want := range map[Phase]bool{PhaseRunning: false, PhasePaused: false, PhaseCancelled: true} {
 		coordinator := newTestCoordinator(&fakeRuntime{}, openJobCluster{}, 100)
 		coordinator.reports.accept(0, 9, 1, &ShardReport{Granted: []GrantedTask{{TaskRef: ref, IsUntouched: true}}})
-		conditions, isSettled := coordinator.newRound().removalConditions(
+		conditions, isSettled := coordinator.newReconcilePass().removalConditions(
 			&Drain{ID: "d", Head: Head{Phase: phase}}, &StoredGrant{Grant: Grant{"vm-1", []TaskRef{ref}}})
 		if isSettled != want {
 			t.Errorf("phase %s: settled %v, want %v", phase, isSettled, want)
 		}
 		if want && (len(conditions) != 1 || conditions[0].Key != "lease/block/0" || conditions[0].Revision != 9) {
-			t.Errorf("phase %s: not conditional on the lease of the owner that has reported: %+v", phase, conditions)
+			t.Errorf("phase %s: conditions %+v, want the reporting owner's lease under token 9", phase, conditions)
 		}
 	}
 }
--- a/internal/drain/stored.go
+++ b/internal/drain/stored.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Phase is how far a drain as a whole is.
+// Phase is the phase of a drain as a whole.
 type Phase string
 
-// The phases. PhaseDone and PhaseCancelled are final.
+// The phases of a drain. PhaseDone and PhaseCancelled are final.
 const (
 	PhaseRunning   Phase = "running"
 	PhasePaused    Phase = "paused"
@@ -16,66 +16,70 @@
 	PhaseDone      Phase = "done"
 )
 
-// Active reports whether machines are kept closed and grants are carried out.
+// Active reports whether the drain keeps machines closed and its grants are carried out.
 func (p Phase) Active() bool { return p == PhaseRunning || p == PhasePaused }
 
 // Head is the stored record of a drain as a whole, under HeadKey.
 type Head struct {
 	Phase Phase `json:"phase"`
-	// CreatedAtMS is when it was accepted, in milliseconds since the epoch by the leader's clock.
+	// CreatedAtMS is when the drain was accepted, in milliseconds since the Unix epoch by the
+	// leader's clock.
 	CreatedAtMS int64 `json:"created"`
-	// Digest tells requests of the same ID apart, see Request.Digest.
+	// Digest distinguishes different requests with the same ID, see Request.Digest.
 	Digest string `json:"digest"`
-	// Replace: a replacement is rented for each machine before it is closed.
+	// Replace is set if a replacement is rented for each machine before the machine is closed.
 	Replace bool `json:"replace,omitempty"`
-	// Machines is how many the drain names, Pages how many pages list them.
+	// Machines is the number of the drain's machines, Pages the number of pages listing them.
 	Machines int `json:"machines"`
 	Pages    int `json:"pages"`
-	// Released is how many machines were released, as of the end.
+	// Released is the number of machines that were released when the drain ended.
 	Released int `json:"released,omitempty"`
-	// EndedAtMS is when it reached its final phase, in milliseconds since the epoch; 0 before.
+	// EndedAtMS is when the drain reached its final phase, in milliseconds since the Unix epoch
+	// by the leader's clock, 0 before that.
 	EndedAtMS int64 `json:"ended,omitempty"`
 }
 
-// MachineState is how far a machine of a drain is. It is stored; MachineWaiting is left out.
+// MachineState is the state of a machine in a drain. It is stored; MachineWaiting is omitted.
 type MachineState string
 
-// The states, in their order.
+// The states, in the order in which a machine passes through them.
 const (
 	MachineWaiting   MachineState = ""
-	MachineReplacing MachineState = "replacing" // a replacement was asked for, or is booting
+	MachineReplacing MachineState = "replacing" // a replacement is requested or booting
 	MachineClosed    MachineState = "closed"    // takes no new tasks
-	MachineReleased  MachineState = "released"  // returned to the cloud, or gone by itself
+	MachineReleased  MachineState = "released"  // returned to the cloud or otherwise gone
 )
 
-// Machine is an entry of a page.
+// Machine is the entry of a machine in a page.
 type Machine struct {
 	ID    string       `json:"i"`
 	State MachineState `json:"s,omitempty"`
-	// RentalAttempts counts the rental requests for a replacement, each under another name.
+	// RentalAttempts is the number of replacements that were lost or given up. It makes the
+	// name of the next rental request unique.
 	RentalAttempts int `json:"n,omitempty"`
 	// Replacement is the machine rented for it.
 	Replacement string `json:"r,omitempty"`
-	// ClosedAtMS is when it was closed, in milliseconds since the epoch by the leader's clock.
+	// ClosedAtMS is when it was closed, in milliseconds since the Unix epoch by the leader's
+	// clock.
 	ClosedAtMS int64 `json:"t,omitempty"`
 }
 
-// maxMachineBytes is the most bytes that an entry of a page takes, with names of up to
-// forty bytes.
+// maxMachineBytes is the largest size of an encoded entry of a page, with machine IDs of up
+// to 40 bytes.
 const maxMachineBytes = 150
 
-// Page is the stored record of some of a drain's machines, under PageKey.
+// Page is the stored record of a part of a drain's machines, under PageKey.
 type Page struct {
 	Machines []Machine `json:"m"`
 }
 
-// TaskRef names an attempt of a task.
+// TaskRef identifies an attempt of a task or of a gang.
 type TaskRef struct {
 	Job     string `json:"j"`
 	Index   int    `json:"i,omitempty"`
-	Attempt uint64 `json:"a"` // as stored
-	// Gang is the number of tasks of a gang that is disturbed as a whole, 0 for a
-	// single task. Index is then 0, and Attempt the one that all tasks share.
+	Attempt uint64 `json:"a"` // as in the stored status of the task
+	// Gang is the number of tasks of a gang that is disturbed as a whole, 0 for a single task.
+	// For a gang, Index is 0 and Attempt is the attempt that all of its tasks share.
 	Gang int `json:"g,omitempty"`
 }
 
@@ -87,30 +91,31 @@
 	return TaskName{t.Job, t.Index}
 }
 
-// TaskName names a task, or a gang as a whole.
+// TaskName identifies a task, or a gang as a whole with gangIndex as its Index.
 type TaskName struct {
 	Job   string
 	Index int
 }
 
-// gangIndex stands where a task has its index.
+// gangIndex is the Index of a TaskName that identifies a gang as a whole.
 const gangIndex = -1
 
-// maxTaskRefBytes is the most bytes that a task takes in a grant.
+// maxTaskRefBytes is the largest size of an encoded TaskRef in a grant.
 const maxTaskRefBytes = 100
 
 // Grant is the stored record, under GrantKey, that allows tasks of a machine to be
-// disturbed. Each uses up its team's budget until it runs again, has ended, or its job is
-// over.
+// disturbed. Each task counts against its team's budget until it runs again, has ended, or
+// its job has ended.
 type Grant struct {
 	Machine string    `json:"m"`
 	Tasks   []TaskRef `json:"t"`
 }
 
+// encode returns the stored form of a Head, Page or Grant.
 func encode(record any) (json.RawMessage, error) {
 	raw, err := json.Marshal(record)
 	if err != nil {
-		return nil, fmt.Errorf("drain record: %w", err)
+		return nil, fmt.Errorf("encode drain record of type %T: %w", record, err)
 	}
 	return raw, nil
 }
--- a/internal/drain/trace.go
+++ b/internal/drain/trace.go
@@ -12,28 +12,27 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Names in the trace, by which operators' tools read it; the names of the steps are those of
-// stepName.
+// Names in the trace that operators' tools match. The events of steps are named by stepName.
 const (
 	tracerName = "lemonmoor/drain"
 	spanName   = "drain"
 	waitsEvent = "waits"
 )
 
-// Tracer records the drains' steps as spans: one for each drain, from the first step
-// that this leader takes to the last, with an event for each step and for each change of
-// what the drain waits for. The nil Tracer records nothing.
+// Tracer records a span for each drain, from its first step or wait reason under this leader
+// until the drain is done or the term ends, with an event for each step and for each change
+// of its wait reasons. A nil Tracer records nothing.
 type Tracer struct {
 	tracer trace.Tracer
 	spans  map[string]trace.Span // by drain
 }
 
-// OpenTracer returns a tracer that appends to a file, which is made if need be. The file
-// stays open while the process runs.
+// OpenTracer returns a tracer that appends to a file and creates it if it does not exist.
+// The file stays open while the process runs.
 func OpenTracer(path string) (*Tracer, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("trace of drains: %w", err)
+		return nil, fmt.Errorf("open the trace file of drains: %w", err)
 	}
 	return NewTracer(file)
 }
@@ -42,13 +41,13 @@
 func NewTracer(w io.Writer) (*Tracer, error) {
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(w))
 	if err != nil {
-		return nil, fmt.Errorf("trace of drains: %w", err)
+		return nil, fmt.Errorf("create the trace exporter of drains: %w", err)
 	}
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter))
 	return &Tracer{tracer: provider.Tracer(tracerName), spans: map[string]trace.Span{}}, nil
 }
 
-// span returns the span of a drain, which is begun if need be.
+// span returns the span of a drain and starts it if there is none.
 func (t *Tracer) span(drainID string) trace.Span {
 	span := t.spans[drainID]
 	if span == nil {
@@ -58,7 +57,7 @@
 	return span
 }
 
-// RecordStep records a step of a drain, and how the teams' budgets stand after it.
+// RecordStep records a step of a drain and the usage of the teams' budgets after it.
 func (t *Tracer) RecordStep(step drainStep, usage *budgetUsage) {
 	if t == nil {
 		return
@@ -81,7 +80,7 @@
 	}
 }
 
-// RecordWaitReasons records what a drain waits for.
+// RecordWaitReasons records the current wait reasons of a drain.
 func (t *Tracer) RecordWaitReasons(drainID string, reasons []string) {
 	if t == nil {
 		return
@@ -89,7 +88,7 @@
 	t.span(drainID).AddEvent(waitsEvent, trace.WithAttributes(attribute.StringSlice("reasons", reasons)))
 }
 
-// End ends all spans: the leadership is lost.
+// End ends all spans, when the term of leadership ends.
 func (t *Tracer) End() {
 	if t == nil {
 		return
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -5,7 +5,7 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// disturbances tells, from the records and the shard owners' reports, which tasks are
+// disturbances derives from the records and the shard owners' reports which tasks are
 // disturbed now.
 type disturbances struct {
 	cluster Cluster
@@ -13,8 +13,8 @@
 	reports *shardReports
 }
 
-// isSettled reports whether a granted task is disturbed no more: it runs again, has ended,
-// or its job is over.
+// isSettled reports whether a granted task is no longer disturbed: it runs again, has ended,
+// or its job has ended.
 func (d *disturbances) isSettled(ref TaskRef) bool {
 	if _, isOpen := d.cluster.Job(ref.Job); !isOpen {
 		return true
@@ -29,9 +29,9 @@
 	return isKnown && status.State == taskstate.StateDone
 }
 
-// eachUnsettled calls fn for each task that is granted and disturbed.
+// eachUnsettled calls fn once for each granted task or gang that is disturbed.
 func (d *disturbances) eachUnsettled(fn func(spec *jobs.Spec, ref TaskRef)) {
-	counted := map[TaskRef]bool{} // two drains may name the same machine
+	counted := map[TaskRef]bool{} // two drains may include the same machine
 	for _, drain := range d.records.Drains() {
 		for _, grant := range drain.Grants {
 			for _, ref := range grant.Tasks {
@@ -47,7 +47,7 @@
 	}
 }
 
-// unsettledTasks counts the tasks that a drain has disturbed.
+// unsettledTasks returns the number of tasks that a drain disturbs now.
 func (d *disturbances) unsettledTasks(drain *Drain) int {
 	count := 0
 	for _, grant := range drain.Grants {
@@ -60,7 +60,7 @@
 	return count
 }
 
-// usage counts what is disturbed now.
+// usage returns the current usage of the teams' budgets.
 func (d *disturbances) usage() *budgetUsage {
 	total := &budgetUsage{teams: map[string]*TeamUsage{}, replicasDown: map[string]int{}}
 	for shardIndex := range d.reports.latest {
@@ -86,18 +86,18 @@
 	return total
 }
 
-// budgetUsage is how the teams' budgets stand.
+// budgetUsage is the usage of the teams' budgets and of the room on open machines.
 type budgetUsage struct {
 	teams map[string]*TeamUsage
-	// movingCPUs is the processors of granted tasks that have no new place yet.
+	// movingCPUs is the number of processors of granted tasks that are not placed again yet.
 	movingCPUs float64
-	// replicasDown is, by service, the replicas that are granted or were lost. It is
-	// incomplete with replicasUnknown, and then no replica counts as up.
+	// replicasDown is, by service, the number of replicas that are granted or were lost. If
+	// replicasUnknown is set it is incomplete, and no replica counts as up.
 	replicasDown    map[string]int
 	replicasUnknown bool
 }
 
-// team returns a team's part, which is made if need be.
+// team returns a team's usage and adds an empty one if there is none.
 func (u *budgetUsage) team(name string) *TeamUsage {
 	team := u.teams[name]
 	if team == nil {
@@ -107,7 +107,7 @@
 	return team
 }
 
-// addReport counts what a shard owner reports.
+// addReport adds the work and the disturbances that a shard owner reports.
 func (u *budgetUsage) addReport(report *ShardReport) {
 	u.replicasUnknown = u.replicasUnknown || report.ReplicasDownIsPartial
 	for name, work := range report.Teams {
@@ -126,7 +126,8 @@
 	team.Chosen = team.Chosen.Plus(disturbanceOf(spec, ref))
 }
 
-// disturbanceOf is what the disturbance of a task or gang takes of its team's budget.
+// disturbanceOf returns the amount by which the disturbance of a task or gang counts against
+// its team's budget.
 func disturbanceOf(spec *jobs.Spec, ref TaskRef) Amount {
 	tasks := max(1, ref.Gang)
 	return Amount{tasks, float64(tasks) * spec.CPUs}
