--- a/internal/drain/budget_test.go
+++ b/internal/drain/budget_test.go
@@ -11,8 +11,8 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestBudgetIsNeverExceeded: whatever is asked in whatever order, what is allowed adds
-// up to no more than the budget, and a budget that is not used up allows what fits.
+// TestBudgetIsNeverExceeded checks random requests in random order: Allows accepts a request
+// if, and only if, the disturbances stay within the budget with it.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := Budget{
@@ -23,12 +23,12 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			requested := Amount{rapid.IntRange(1, 4).Draw(t, "n"), rapid.Float64Range(0.1, 8).Draw(t, "c")}
 			usage.Unchosen = Amount{rapid.IntRange(0, 3).Draw(t, "lost"), rapid.Float64Range(0, 3).Draw(t, "lost cpus")}
-			before := usage.Disturbed()
+			used := usage.Disturbed()
 			err := budget.Allows("t", usage, requested)
-			after := before.Plus(requested)
-			fits := after.Tasks <= budget.Tasks && after.CPUs <= budget.CPUs && after.CPUs <= budget.Share*(100+before.CPUs)
+			after := used.Plus(requested)
+			fits := after.Tasks <= budget.Tasks && after.CPUs <= budget.CPUs && after.CPUs <= budget.Share*(100+used.CPUs)
 			if (err == nil) != fits {
-				t.Fatalf("%+v in use, %+v more, of %+v: %v", before, requested, budget, err)
+				t.Fatalf("Allows with %+v in use, %+v requested and budget %+v: error %v, want an error: %v", used, requested, budget, err, !fits)
 			}
 			if err == nil {
 				usage.Chosen = usage.Chosen.Plus(requested)
@@ -36,26 +36,27 @@
 			}
 			var shortage *ShortageError
 			if !errors.As(err, &shortage) || !strings.Contains(err.Error(), "budget of team t: "+shortage.Limit) {
-				t.Fatal(err)
+				t.Fatalf("error %v, want a *ShortageError that names the team and the limit", err)
 			}
 		}
 	})
 }
 
-// TestTeamBudgetsCompleteTheDefault: what a team's budget leaves out is the default's.
-func TestTeamBudgetsCompleteTheDefault(t *testing.T) {
+// TestTeamBudgetInheritsDefaults checks that limits that a team's budget leaves out are taken
+// from the default budget, and that EverAllows refuses only what exceeds the whole budget.
+func TestTeamBudgetInheritsDefaults(t *testing.T) {
 	two, five, share := 2, 5.0, 0.5
 	budgets := NewBudgets(&settings.Drains{
 		Default: &settings.DefaultBudget{Limits: settings.DrainLimits{Tasks: &two, Share: &share}},
 		Teams:   []settings.TeamBudget{{Name: "t", Limits: settings.DrainLimits{CPUs: &five}}},
 	})
 	if got := budgets.ForTeam("t"); got.Tasks != 2 || got.CPUs != 5 || got.Share != 0.5 {
-		t.Errorf("%+v", got)
+		t.Errorf("budget of team t: %+v, want tasks 2, cpus 5, share 0.5", got)
 	}
 	if got := budgets.ForTeam("other"); got.Tasks != 2 || !math.IsInf(got.CPUs, 1) || got.String() != "tasks 2, share 0.5" {
-		t.Errorf("%+v", got)
+		t.Errorf("budget of a team without its own: %+v (%s), want tasks 2, share 0.5", got, got.String())
 	}
 	if (Budget{Tasks: 1, CPUs: 3}).EverAllows("t", Amount{1, 4}) == nil || (Budget{Tasks: 1, CPUs: 3}).EverAllows("t", Amount{1, 3}) != nil {
-		t.Error("what could never move is not told from what could")
+		t.Error("EverAllows under a budget of 3 processors: want an error for 4 and none for 3")
 	}
 }
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -15,17 +15,18 @@
 	"lemonmoor/internal/taskstate"
 )
 
-// fakeRuntime is a clock that a test moves, and an empty state service whose answers to
-// commits a test gives.
+// fakeRuntime is a runtime with a manual clock and an empty state service. The test answers
+// the commits.
 type fakeRuntime struct {
 	now     time.Duration
 	timers  []func()
 	commits []pendingCommit
-	// isSilent has the state service answer reads only when answerReads is called.
-	isSilent bool
-	reads    []func()
+	// delaysReads delays the answers to reads until answerReads is called.
+	delaysReads bool
+	reads       []func()
 }
 
+// pendingCommit is a commit that the test has to answer.
 type pendingCommit struct {
 	body   string
 	answer func(http1.Response, error)
@@ -52,23 +53,24 @@
 }
 
 func (r *fakeRuntime) answerRead(answer func()) {
-	if r.isSilent {
+	if r.delaysReads {
 		r.reads = append(r.reads, answer)
 		return
 	}
 	answer()
 }
 
-// answerReads ends the silence of the state service.
+// answerReads answers the delayed reads and resets delaysReads.
 func (r *fakeRuntime) answerReads() {
 	reads := r.reads
-	r.reads, r.isSilent = nil, false
+	r.reads, r.delaysReads = nil, false
 	for _, answer := range reads {
 		answer()
 	}
 }
 
-// runTimers moves the clock by a second and runs all timers that are set now.
+// runTimers advances the clock by one second and runs all timers set so far, whatever their
+// delay.
 func (r *fakeRuntime) runTimers() {
 	timers := r.timers
 	r.timers = nil
@@ -78,7 +80,7 @@
 	}
 }
 
-// emptyCluster has no machines and no work.
+// emptyCluster is a cluster without machines and tasks.
 type emptyCluster struct{}
 
 func (emptyCluster) IsKnown() bool                      { return true }
@@ -101,14 +103,14 @@
 func (emptyCluster) ShardCount() int                                      { return 1 }
 func (emptyCluster) LeaseValid() bool                                     { return true }
 
-// testCluster is a cluster and the leader's lease.
+// testCluster is a cluster that also implements the leader's lease.
 type testCluster interface {
 	Cluster
 	LeaderLease
 }
 
-// newTestCoordinator returns a coordinator on a state service of which the limits are not
-// set, with empty records that follow it.
+// newTestCoordinator returns a coordinator on a state service without limits, with empty
+// records that watch it.
 func newTestCoordinator(runtime *fakeRuntime, cluster testCluster, writesPerSecond float64) *Coordinator {
 	log := slog.New(slog.DiscardHandler)
 	state := statestore.New(runtime, "state", log)
@@ -122,9 +124,10 @@
 	})
 }
 
-// TestCommitIsRepeatedUntilItsOutcomeIsKnown: a commit without an answer may be carried
-// out at any time. Until it is known whether it was, the same is sent again, nothing else
-// is, and nothing is taken for done or not done; a later term has nothing to do with it.
+// TestCommitIsRepeatedUntilItsOutcomeIsKnown guards against acting on a commit whose answer
+// is missing: the service may still carry it out at any time. Until the outcome is known,
+// the same commit is repeated, no other is sent and no outcome is reported. A later term
+// neither repeats the commit nor receives its outcome.
 func TestCommitIsRepeatedUntilItsOutcomeIsKnown(t *testing.T) {
 	runtime := &fakeRuntime{}
 	coordinator := newTestCoordinator(runtime, emptyCluster{}, 100)
@@ -142,32 +145,32 @@
 	} {
 		coordinator.Tick()
 		if len(runtime.commits) != attempt+1 || runtime.commits[attempt].body != runtime.commits[0].body || !coordinator.committer.inFlight || len(outcomes) > 0 {
-			t.Fatalf("after %d answers: %d commits, in flight %v, outcomes %v", attempt, len(runtime.commits), coordinator.committer.inFlight, outcomes)
+			t.Fatalf("after %d answers: %d commits, in flight %v, outcomes %v; want %d identical commits, in flight, no outcome", attempt, len(runtime.commits), coordinator.committer.inFlight, outcomes, attempt+1)
 		}
 		answer(runtime.commits[attempt].answer)
 		runtime.runTimers()
 	}
 	if !strings.Contains(runtime.commits[0].body, `{"key":"lease/lead","stamp":7}`) {
-		t.Errorf("not conditional on the leadership: %s", runtime.commits[0].body)
+		t.Errorf("commit without the condition on the leader's fencing token 7: %s", runtime.commits[0].body)
 	}
 	runtime.commits[4].answer(http1.Response{Status: 409, Body: []byte(`{"failed":["drain/a/head"],"epoch":9}`)}, nil)
 	for range 3 {
 		runtime.runTimers()
 	}
 	if len(outcomes) != 1 || outcomes[0] || coordinator.committer.inFlight {
-		t.Errorf("outcomes %v, in flight %v", outcomes, coordinator.committer.inFlight)
+		t.Errorf("after a conflict: outcomes %v, in flight %v; want [false], not in flight", outcomes, coordinator.committer.inFlight)
 	}
-	coordinator.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("an outcome of an earlier term") })
+	coordinator.committer.commit(nil, []statestore.Operation{{PutKey: HeadKey("b"), Value: json.RawMessage(`{}`)}}, func(bool) { t.Error("the outcome of a commit of an earlier term is reported") })
 	coordinator.BeginTerm(8)
-	sent := len(runtime.commits)
-	runtime.commits[sent-1].answer(http1.Response{}, eventloop.ErrNoAnswer)
+	commits := len(runtime.commits)
+	runtime.commits[commits-1].answer(http1.Response{}, eventloop.ErrNoAnswer)
 	runtime.runTimers()
-	if len(runtime.commits) != sent {
+	if len(runtime.commits) != commits {
 		t.Error("a commit of an earlier term is repeated")
 	}
 }
 
-// openJobCluster knows every job, and no task or machine.
+// openJobCluster is a cluster in which every job is open, without machines and tasks.
 type openJobCluster struct{ emptyCluster }
 
 func (openJobCluster) Job(id string) (*jobs.Spec, bool) { return &jobs.Spec{ID: id}, true }
--- a/internal/drain/executor_test.go
+++ b/internal/drain/executor_test.go
@@ -13,7 +13,8 @@
 	"lemonmoor/internal/workers"
 )
 
-// fakeShard has one job with one task that runs on one machine, and counts its halts.
+// fakeShard is a shard with one job, whose only task runs on the only machine. It counts the
+// halts.
 type fakeShard struct {
 	job         *taskstate.Job
 	task        *taskstate.Task
@@ -35,8 +36,8 @@
 	return s.job
 }
 
-// executorFixture is an executor whose records hold drain d with a grant of attempt 3 of
-// task wk-1/0, which runs under that attempt on vm-1.
+// executorFixture is an executor whose records contain drain d with a grant for attempt 3 of
+// task wk-1/0. The task runs under that attempt on vm-1.
 type executorFixture struct {
 	runtime  *fakeRuntime
 	records  *Records
@@ -69,7 +70,7 @@
 	return fixture
 }
 
-// store has the records hold a record, as if the watch had told of it.
+// store applies a record to the records, as the watch would.
 func (f *executorFixture) store(t *testing.T, key string, record any) {
 	t.Helper()
 	raw, err := json.Marshal(record)
@@ -84,13 +85,13 @@
 	f.store(t, HeadKey("d"), Head{Phase: phase, Machines: 1, Pages: 1})
 }
 
-// outdateRecords lets so much time pass that the records have to be verified again.
+// outdateRecords advances the clock until the records have to be verified again.
 func (f *executorFixture) outdateRecords() { f.runtime.now += tuning.MaxLaunchKnowledgeAge + 1 }
 
-// TestHaltWaitsForFreshRecords: a grant may have been withdrawn since the records were
-// last verified, so nothing is halted until they are verified again, in this term and not
-// too long ago. What comes of a verification that was begun in an earlier term, or of one
-// that ends without the lease, is not acted upon.
+// TestHaltWaitsForFreshRecords guards against halting a task whose grant has been withdrawn
+// since the records were last verified: nothing is halted unless they were verified in this
+// term and recently. A verification that began in an earlier term, or that ends after the
+// lease was lost, must not cause a halt.
 func TestHaltWaitsForFreshRecords(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare      func(*executorFixture)
@@ -98,7 +99,7 @@
 		beforeAnswer func(*executorFixture)
 		haltsLater   int
 	}{
-		"verified lately":       {haltsAtOnce: 1, haltsLater: 1},
+		"verified recently":     {haltsAtOnce: 1, haltsLater: 1},
 		"verified too long ago": {prepare: (*executorFixture).outdateRecords, haltsLater: 1},
 		"verified before this term": {
 			prepare: func(f *executorFixture) {
@@ -107,15 +108,15 @@
 			},
 			haltsLater: 1,
 		},
-		"term ends meanwhile": {
+		"term ends during verification": {
 			prepare:      (*executorFixture).outdateRecords,
 			beforeAnswer: func(f *executorFixture) { f.executor.BeginTerm() },
 		},
-		"lease is lost meanwhile": {
+		"lease is lost during verification": {
 			prepare:      (*executorFixture).outdateRecords,
 			beforeAnswer: func(f *executorFixture) { f.shard.isLeaseHeld = false },
 		},
-		"grant is withdrawn meanwhile": {
+		"grant is withdrawn during verification": {
 			prepare:      (*executorFixture).outdateRecords,
 			beforeAnswer: func(f *executorFixture) { f.records.apply(GrantKey("d", 1), nil, 3) },
 		},
@@ -125,7 +126,7 @@
 			if test.prepare != nil {
 				test.prepare(fixture)
 			}
-			fixture.runtime.isSilent = true
+			fixture.runtime.delaysReads = true
 			fixture.executor.HaltGranted()
 			if fixture.shard.halts != test.haltsAtOnce {
 				t.Errorf("%d halts before the records are verified, want %d", fixture.shard.halts, test.haltsAtOnce)
@@ -142,9 +143,10 @@
 	}
 }
 
-// TestHaltOnlyOfTheGrantedAttempt: the attempt that the grant names is halted while it runs,
-// once, and no other.
-func TestHaltOnlyOfTheGrantedAttempt(t *testing.T) {
+// TestOnlyGrantedAttemptIsHalted guards against halting an attempt that is not granted: a
+// grant may still be stored when its task runs again under a later attempt. The granted
+// attempt is halted once, and only while its drain is active and the lease is held.
+func TestOnlyGrantedAttemptIsHalted(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*testing.T, *executorFixture)
 		halts   int
@@ -169,8 +171,9 @@
 	}
 }
 
-// TestReportOfGrantedTasks: a granted task is reported as running again under a later
-// attempt only, and as untouched only if its drain is cancelled and no halt was decided.
+// TestReportOfGrantedTasks checks that a granted task is reported as running again only
+// under a later attempt, and as untouched only if its drain is cancelled and no halt was
+// decided. Otherwise the leader would remove the grant of a task that is still disturbed.
 func TestReportOfGrantedTasks(t *testing.T) {
 	for name, test := range map[string]struct {
 		phase   Phase
--- a/internal/drain/keys_test.go
+++ b/internal/drain/keys_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestParseKeyInvertsKeys: what a key is made of is read from it, and no other key is
-// taken for one.
+// TestParseKeyInvertsKeys checks that parseKey returns the parts that a key was made of, and
+// an error for any other key.
 func TestParseKeyInvertsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := rapid.StringMatching(`[a-z0-9][a-z0-9-]{0,39}`).Draw(t, "id")
@@ -18,12 +18,12 @@
 			GrantKey(id, number):     {id, grantKind, number},
 		} {
 			if got, err := parseKey(raw); err != nil || got != want {
-				t.Fatalf("%s: %+v, %v", raw, got, err)
+				t.Fatalf("parseKey(%q) = %+v, %v, want %+v", raw, got, err, want)
 			}
 		}
 		other := rapid.StringMatching(`drain/[A-Z/]{0,9}(/head|/page|/grant/x)?`).Draw(t, "other")
 		if key, err := parseKey(other); err == nil {
-			t.Fatalf("%s is taken for %+v", other, key)
+			t.Fatalf("parseKey(%q) = %+v, want an error", other, key)
 		}
 	})
 }
--- a/internal/drain/records_test.go
+++ b/internal/drain/records_test.go
@@ -9,15 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// watchedChange is a change of a key as a watch tells of it.
+// watchedChange is a change of a key as the watch delivers it.
 type watchedChange struct {
 	key      string
 	value    any
 	revision uint64
 }
 
-// TestRecordsFollowChangesInAnyOrder: after any order of changes of different keys the copy
-// tells the same; what does not parse is noted until it is replaced.
+// TestRecordsFollowChangesInAnyOrder checks that the order of changes of different keys does
+// not affect the copy, and that a record that cannot be decoded is reported until it is
+// replaced or removed.
 func TestRecordsFollowChangesInAnyOrder(t *testing.T) {
 	changes := []watchedChange{
 		{PageKey("d", 0), Page{[]Machine{{ID: "vm-1", State: MachineClosed}, {ID: "vm-2"}}}, 3},
@@ -37,21 +38,21 @@
 			records.apply(change.key, raw, change.revision)
 		}
 		if !records.IsClosed("vm-1") || records.IsClosed("vm-2") || records.IsClosed("vm-9") || records.IsIdle() || len(records.Drains()) != 1 || records.Get("e") != nil {
-			t.Fatal("the machines' states are not those of the records")
+			t.Fatal("closed machines or accepted drains differ from the records: want vm-1 closed and drain d alone")
 		}
 		if !records.IsGranted("wk-1", 2, false) || records.IsGranted("wk-1", 1, false) || !records.IsGranted("wk-2", 1, true) {
-			t.Fatal("the grants are not those of the records")
+			t.Fatal("granted tasks differ from the records: want wk-1/2 and gang wk-2")
 		}
 		records.apply(GrantKey("d", 1), json.RawMessage(`{"t":7}`), 8)
 		if !records.HasUnreadable() {
-			t.Fatal("a grant that does not parse is taken for none")
+			t.Fatal("a grant that cannot be decoded is not reported as unreadable")
 		}
 		records.apply(GrantKey("d", 1), nil, 9)
 		records.apply(GrantKey("d", 2), nil, 9)
 		cancelled, _ := encode(Head{Phase: PhaseCancelled, Machines: 2, Pages: 1})
 		records.apply(HeadKey("d"), cancelled, 10)
 		if records.HasUnreadable() || records.IsClosed("vm-1") || !records.IsIdle() {
-			t.Fatal("what is over is not told as over")
+			t.Fatal("after the cancellation: want no unreadable record, no closed machine and idle records")
 		}
 	})
 }
--- a/internal/drain/scale_test.go
+++ b/internal/drain/scale_test.go
@@ -11,8 +11,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// largeCluster has a number of machines, all up and without tasks, and counts how often it
-// is asked about them.
+// largeCluster is a cluster of many machines, all up and without tasks. It counts the
+// queries of single machines.
 type largeCluster struct {
 	emptyCluster
 	machines int
@@ -36,8 +36,9 @@
 	return false
 }
 
-// TestDrainOfFourThousandMachines: it is accepted in commits and values that the state
-// service takes, and a round asks a few times about each machine, no more.
+// TestDrainOfFourThousandMachines checks that a large drain is accepted in commits and values
+// within the limits of the state service, and that a pass queries each machine at most four
+// times, so that its time stays linear in the number of machines.
 func TestDrainOfFourThousandMachines(t *testing.T) {
 	const machines, maxOperations, maxValueBytes = 4000, 12, 7000
 	runtime := &fakeRuntime{}
@@ -60,20 +61,21 @@
 		runtime.runTimers()
 	}
 	if answer == nil || answer.Status != StatusOK || coordinator.records.Get("all").CountByState()[MachineWaiting] != machines {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("answer %+v, want ok with all %d machines waiting", answer, machines)
 	}
 	if maxChanges := machines/(maxValueBytes/maxMachineBytes) + 2; changes > maxChanges {
-		t.Errorf("%d changes, not %d", changes, maxChanges)
+		t.Errorf("accepting the drain took %d changes, want at most %d", changes, maxChanges)
 	}
 	coordinator.committer.inFlight, cluster.queries = false, 0
 	coordinator.writes.bucket.Reset(runtime.now, 3)
 	coordinator.Tick()
 	if cluster.queries < machines || cluster.queries > 4*machines {
-		t.Errorf("a round asks %d times about %d machines", cluster.queries, machines)
+		t.Errorf("a pass made %d queries of %d machines, want between %d and %d", cluster.queries, machines, machines, 4*machines)
 	}
 }
 
-// applyCommit does what the state service does with a commit, and checks its limits.
+// applyCommit checks a commit against the limits of the state service, applies it to the
+// records and returns the number of its changes.
 func applyCommit(t *testing.T, records *Records, body string, revision uint64, maxOperations, maxValueBytes int) int {
 	t.Helper()
 	var commit struct {
@@ -83,11 +85,11 @@
 		t.Fatal(err)
 	}
 	if len(commit.Apply) > maxOperations || len(body) > tuning.MaxCommitBytes+8<<10 {
-		t.Errorf("a commit of %d changes and %d bytes", len(commit.Apply), len(body))
+		t.Errorf("commit of %d changes and %d bytes, want at most %d and %d", len(commit.Apply), len(body), maxOperations, tuning.MaxCommitBytes+8<<10)
 	}
 	for _, operation := range commit.Apply {
 		if len(operation.Value) > maxValueBytes || !strings.HasPrefix(operation.PutKey, KeyPrefix) {
-			t.Errorf("%s has %d bytes", operation.PutKey, len(operation.Value))
+			t.Errorf("value of %d bytes at key %q, want at most %d and prefix %q", len(operation.Value), operation.PutKey, maxValueBytes, KeyPrefix)
 		}
 		records.apply(operation.PutKey, operation.Value, revision)
 	}
--- a/internal/drain/selection_test.go
+++ b/internal/drain/selection_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSelectionMatchesAllItsCriteria: each criterion picks what it says, and all of them together what each
-// of them picks.
+// TestSelectionMatchesAllItsCriteria checks each criterion by itself, and that a machine must
+// match every criterion that is set.
 func TestSelectionMatchesAllItsCriteria(t *testing.T) {
 	machines := []MachineInfo{
 		{ID: "vm-1", Addr: "10.1.0.1:9000", Zone: "a", Type: "small", Spot: true},
@@ -35,20 +35,22 @@
 			}
 		}
 		if strings.Join(got, " ") != want {
-			t.Errorf("%+v picks %v, not %s", selection, got, want)
+			t.Errorf("%+v selects %v, want %s", selection, got, want)
 		}
 	}
 }
 
-// TestDigestTellsWhatIsAsked: not in which order, how often, for which drain or by whom.
-func TestDigestTellsWhatIsAsked(t *testing.T) {
+// TestDigestDependsOnlyOnSelectionAndReplace checks that the digest does not depend on the
+// order or repetition of the selection's entries, on the drain's ID or on forwarding: a
+// repeated start must be recognized.
+func TestDigestDependsOnlyOnSelectionAndReplace(t *testing.T) {
 	request := Request{Selection: Selection{Machines: []string{"x", "y"}}}
 	same := Request{Selection: Selection{Machines: []string{"y", "x", "x"}}, ID: "other", Forwarded: true}
 	withReplacement := Request{Selection: request.Selection, Replace: true}
 	if request.Digest() != same.Digest() {
-		t.Error("the same is asked under different digests")
+		t.Error("equivalent requests have different digests")
 	}
 	if request.Digest() == withReplacement.Digest() {
-		t.Error("something else is asked under the same digest")
+		t.Error("requests with and without replacement have the same digest")
 	}
 }
--- a/internal/drain/surface_test.go
+++ b/internal/drain/surface_test.go
@@ -12,7 +12,7 @@
 	Value struct{ Value any }
 }
 
-// valuesByKey returns the attributes as JSON, in the order of their keys.
+// valuesByKey returns the attributes as a JSON object, sorted by key.
 func valuesByKey(t *testing.T, attributes []traceAttribute) string {
 	t.Helper()
 	values := map[string]any{}
@@ -26,7 +26,7 @@
 	return string(raw)
 }
 
-// TestSurfaceTrace: the names in the trace, by which operators' tools read it.
+// TestSurfaceTrace pins the names in the trace, which operators' tools match.
 func TestSurfaceTrace(t *testing.T) {
 	var out bytes.Buffer
 	tracer, err := NewTracer(&out)
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if span.Name != "drain" || span.InstrumentationScope.Name != "lemonmoor/drain" || valuesByKey(t, span.Attributes) != `{"drain":"d-1"}` {
-		t.Errorf("%+v", span)
+		t.Errorf("span %+v, want name drain, scope lemonmoor/drain and attribute drain d-1", span)
 	}
 	events := [][2]string{
 		{"granted", `{"machine":"vm-1","tasks":2,"team.red.chosen":2,"team.red.cpus":4.5,"team.red.unchosen":1}`},
@@ -58,30 +58,30 @@
 		{"done", `{"machine":"","team.red.chosen":2,"team.red.cpus":4.5,"team.red.unchosen":1}`},
 	}
 	if len(span.Events) != len(events) {
-		t.Fatalf("%d events", len(span.Events))
+		t.Fatalf("%d events, want %d", len(span.Events), len(events))
 	}
 	for i, want := range events {
 		if event := span.Events[i]; event.Name != want[0] || valuesByKey(t, event.Attributes) != want[1] {
-			t.Errorf("event %s %s, not %s %s", event.Name, valuesByKey(t, event.Attributes), want[0], want[1])
+			t.Errorf("event %s %s, want %s %s", event.Name, valuesByKey(t, event.Attributes), want[0], want[1])
 		}
 	}
 }
 
-// TestSurfaceBudgetWords: the names of the limits are those of the settings.
+// TestSurfaceBudgetWords pins the names of the limits, which are those of the settings.
 func TestSurfaceBudgetWords(t *testing.T) {
 	if got := (Budget{Tasks: 8, CPUs: 128.5, Share: 0.2, ReplicasUp: 1}).String(); got != "tasks 8, cpus 128.5, share 0.2, replicas_up 1" {
-		t.Error(got)
+		t.Errorf("budget reads %q", got)
 	}
 }
 
-// TestSurfaceIDs: the form of drains' names.
+// TestSurfaceIDs pins the form of drain IDs.
 func TestSurfaceIDs(t *testing.T) {
 	for id, valid := range map[string]bool{
 		"d-1": true, "0": true, "": false, "-d": false, "D": false, "a/b": false,
 		"abcdefghijabcdefghijabcdefghijabcdefghij": true, "abcdefghijabcdefghijabcdefghijabcdefghijk": false,
 	} {
 		if ValidID(id) != valid {
-			t.Errorf("%q: %v", id, !valid)
+			t.Errorf("ValidID(%q) = %v, want %v", id, !valid, valid)
 		}
 	}
 }
--- a/internal/drain/trace_test.go
+++ b/internal/drain/trace_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestTraceTellsStepsWaitsAndBudgets: steps, waits and budgets can be read from the spans;
-// without a tracer nothing happens.
-func TestTraceTellsStepsWaitsAndBudgets(t *testing.T) {
+// TestTraceContainsStepsWaitReasonsAndUsage checks that the spans contain the steps, the wait
+// reasons and the usage of the budgets, and that a nil tracer does nothing.
+func TestTraceContainsStepsWaitReasonsAndUsage(t *testing.T) {
 	var out bytes.Buffer
 	tracer, err := NewTracer(&out)
 	if err != nil {
@@ -24,10 +24,10 @@
 	}
 	for _, want := range []string{`"granted"`, "vm-1", "team.red.chosen", "team.red.unchosen", "no room", `"done"`} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%s is not in the trace: %s", want, out.String())
+			t.Errorf("trace without %s: %s", want, out.String())
 		}
 	}
 	if spans := strings.Count(out.String(), `"TraceID"`); spans == 0 || !json.Valid(out.Bytes()) {
-		t.Errorf("%d spans in %s", spans, out.String())
+		t.Errorf("%d spans, want at least one in valid JSON: %s", spans, out.String())
 	}
 }
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -6,7 +6,7 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// TestWireKeys: the keys under which drains are stored.
+// TestWireKeys pins the keys under which drains are stored and the path of requests.
 func TestWireKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		KeyPrefix:           "drain/",
@@ -16,7 +16,7 @@
 		RequestPath:         "/operator/drain",
 	} {
 		if got != want {
-			t.Errorf("%q instead of %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 	for _, stored := range []string{"drain/d-1/head", "drain/d-1/page/12", "drain/d-1/grant/34"} {
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestWireRecords: what is stored of a drain.
+// TestWireRecords pins the stored form of a drain's records.
 func TestWireRecords(t *testing.T) {
 	wiretest.Same(t, `{"phase":"cancelled","created":1700000000001,"digest":"0a1b","replace":true,"machines":5,"pages":2,"released":3,`+
 		`"ended":1700000000002}`, &Head{})
@@ -37,7 +37,7 @@
 	wiretest.Written(t, Grant{}, `{"m":"","t":null}`)
 }
 
-// TestWireWords: the words for phases, states, verbs, kinds and statuses.
+// TestWireWords pins the values of phases, states, verbs, kinds and statuses.
 func TestWireWords(t *testing.T) {
 	wiretest.Written(t, []Phase{PhaseRunning, PhasePaused, PhaseCancelled, PhaseDone}, `["running","paused","cancelled","done"]`)
 	wiretest.Written(t, []MachineState{MachineWaiting, MachineReplacing, MachineClosed, MachineReleased}, `["","replacing","closed","released"]`)
@@ -47,7 +47,7 @@
 	wiretest.Written(t, []ResponseStatus{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
 }
 
-// TestWireShardReport: what a shard's owner tells the leader of its drains.
+// TestWireShardReport pins the encoded report of a shard's owner to the leader.
 func TestWireShardReport(t *testing.T) {
 	wiretest.Same(t, `{"machines":[{"id":"vm-1","tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],`+
 		`"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
@@ -58,14 +58,14 @@
 	wiretest.Written(t, GrantedTask{}, `{"j":"","a":0}`)
 }
 
-// TestWireRequest: what an operator asks.
+// TestWireRequest pins the encoded request of an operator.
 func TestWireRequest(t *testing.T) {
 	wiretest.Same(t, `{"verb":"start","id":"d-1","selection":{"machines":["vm-1"],"zones":["yard-a"],"types":["g8"],"kind":"spot",`+
 		`"prefixes":["10.0.0.0/8"]},"replace":true,"forwarded":true}`, &Request{})
 	wiretest.Written(t, Request{}, `{"verb":"","selection":{}}`)
 }
 
-// TestWireResponse: what an operator is answered.
+// TestWireResponse pins the encoded answer to an operator.
 func TestWireResponse(t *testing.T) {
 	wiretest.Same(t, `{"status":"unavailable","node":"n0","field":"id","reason":"why","retryMs":1500,`+
 		`"drains":[{"id":"d-1","phase":"running","replace":true,"machines":1,"states":{"closed":2},"disturbed":3,"waits":["w"]}],`+
@@ -75,8 +75,8 @@
 	wiretest.Written(t, View{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
 }
 
-// TestWireDigest: the digest of a request is stored in a drain's head and compared with
-// that of a request repeated to a later version, so it must not change. It is the first
+// TestWireDigest pins the digest of a request. It is stored in a drain's head and compared
+// with that of a request repeated to a later version, so it must not change. It is the first
 // half of the SHA-256 of {"Selection":{"machines":["vm-1","vm-2"],"zones":["yard-a"],
 // "types":["g8"],"kind":"spot","prefixes":["10.0.0.0/8"]},"Replace":true}, without spaces.
 func TestWireDigest(t *testing.T) {
@@ -85,18 +85,18 @@
 		Zones:    []string{"yard-a"}, Types: []string{"g8"}, Kind: SpotKind, Prefixes: []string{"10.0.0.0/8"},
 	}}
 	if got := request.Digest(); got != "6d1777ec38c522073beebbd5d3f4298e" {
-		t.Errorf("digest %s", got)
+		t.Errorf("digest of the request: %s", got)
 	}
 	if got := (&Request{}).Digest(); got != "5a56e004cba19c3c3db41ce32987073c" {
-		t.Errorf("digest of nothing %s", got)
+		t.Errorf("digest of the empty request: %s", got)
 	}
 }
 
-// TestWireReplacementName: the name of the rental of a replacement, by which a later
-// leader, of another version perhaps, gets the same machine.
+// TestWireReplacementName pins the name of the rental request for a replacement. A later
+// leader, perhaps of another version, must request the same name to get the same machine.
 func TestWireReplacementName(t *testing.T) {
 	d := &Drain{ID: "d-1", Head: Head{CreatedAtMS: 1700000000001}}
 	if got := rentalName(d, &Machine{ID: "vm-000001", RentalAttempts: 2}); got != "drain-d-1-1700000000001-vm-000001-2" {
-		t.Error(got)
+		t.Errorf("rental name %q", got)
 	}
 }
