--- a/internal/controller/sim_clock_test.go
+++ b/internal/controller/sim_clock_test.go
@@ -10,20 +10,20 @@
 	millisecond = time.Millisecond
 )
 
-// clock is the simulated time, and what is to happen at which moment.
+// clock is the simulated time and the queue of scheduled events.
 type clock struct {
 	now      time.Duration
-	sequence int // of the event scheduled last
+	sequence int // number of the last scheduled event
 	events   eventQueue
 }
 
-// after schedules fn.
+// schedule calls fn after a delay; a negative delay counts as 0.
 func (c *clock) schedule(delay time.Duration, fn func()) {
 	c.sequence++
 	heap.Push(&c.events, event{c.now + max(delay, 0), c.sequence, fn})
 }
 
-// run lets everything happen that is due until a moment, and stops there.
+// runUntil runs all events that are due up to and including a time, and sets the clock to it.
 func (c *clock) runUntil(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		next := heap.Pop(&c.events).(event)
@@ -33,15 +33,15 @@
 	c.now = until
 }
 
-// event is something that happens at a moment. Events of the same moment happen in the
-// order in which they were scheduled.
+// event is a scheduled call. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at  time.Duration
 	seq int
 	fn  func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -60,11 +60,11 @@
 	return e
 }
 
-// whenever calls fn as soon as something holds.
-func (c *clock) runWhen(holds func() bool, fn func()) {
-	if holds() {
+// runWhen calls fn once, as soon as condition is true; it checks every millisecond.
+func (c *clock) runWhen(condition func() bool, fn func()) {
+	if condition() {
 		fn()
 		return
 	}
-	c.schedule(millisecond, func() { c.runWhen(holds, fn) })
+	c.schedule(millisecond, func() { c.runWhen(condition, fn) })
 }
--- a/internal/controller/sim_controller_test.go
+++ b/internal/controller/sim_controller_test.go
@@ -8,29 +8,29 @@
 	"lemonmoor/internal/settings"
 )
 
-// simController is one controller process, or the pause between two of its processes.
+// simController is one controller, whose process may be running or down.
 type simController struct {
 	sim           *simulation
 	name          string
 	index         int
-	withoutDrains bool // a version that knows no drains
-	incarnation   int  // of the process
+	withoutDrains bool // runs like a version without drains
+	incarnation   int  // changes when a process starts or crashes
 	startedAt     time.Duration
 	node          *Node // nil while down
 }
 
-// simRuntime is a process's Runtime; it falls silent with the process.
+// simRuntime is the Runtime of one process; after the process has ended it runs nothing more.
 type simRuntime struct {
 	controller  *simController
 	incarnation int
 }
 
-// alive tells whether the process still runs.
+// alive reports whether the process still runs.
 func (r *simRuntime) alive() bool {
 	return r.controller.incarnation == r.incarnation && r.controller.node != nil
 }
 
-// runOnLoop runs fn on the process's event loop, as a batch of its own.
+// runOnLoop runs fn on the process's event loop as a separate batch.
 func (r *simRuntime) runOnLoop(fn func()) {
 	if r.alive() {
 		fn()
@@ -38,18 +38,18 @@
 	}
 }
 
-// Now is the time since the process began.
+// Now returns the time since the process started.
 func (r *simRuntime) Now() time.Duration { return r.controller.sim.now - r.controller.startedAt }
 
-// WallClock is the time of day.
+// WallClock returns the simulated date and time.
 func (r *simRuntime) WallClock() time.Time {
 	return time.UnixMilli(1_790_000_000_000).Add(r.controller.sim.now)
 }
 
-// Rand draws a number from 0 to below 1.
+// Rand returns a random number in [0, 1).
 func (r *simRuntime) Rand() float64 { return r.controller.sim.rng.Float64() }
 
-// After runs fn later, if the process still runs then.
+// After runs fn on the event loop after d, if the process still runs then.
 func (r *simRuntime) After(d time.Duration, fn func()) {
 	r.controller.sim.schedule(d, func() { r.runOnLoop(fn) })
 }
@@ -102,7 +102,7 @@
 	c.startedAt = c.sim.now
 	set := *c.sim.settings
 	if c.withoutDrains {
-		set.Operator.Drains = nil // as a version that knows none
+		set.Operator.Drains = nil
 	}
 	set.Node = c.name
 	set.Seeds = nil
@@ -116,7 +116,8 @@
 	rt.runOnLoop(c.node.Start)
 }
 
-// crash ends the process; the next one starts after a while.
+// crash ends the process and starts the next one after the down time. It has no effect while
+// the controller is down.
 func (c *simController) crash(down time.Duration) {
 	if c.node == nil {
 		return
@@ -130,7 +131,7 @@
 	})
 }
 
-// request sends a user's or worker's request to the controller.
+// request sends a user's or worker's HTTP request to the controller.
 func (c *simController) request(from, method, path string, body []byte, timeout time.Duration, fn func(http1.Response, error)) {
 	if c.sim.realProcesses != nil {
 		c.sim.realProcesses.request(c.index, method, path, body, timeout, fn)
@@ -148,7 +149,7 @@
 	}, fn)
 }
 
-// leader is the controller that leads, or nil.
+// leader returns the first controller that holds the leader lease, or nil.
 func (s *simulation) leader() *simController {
 	for _, controller := range s.controllers {
 		if controller.node != nil && controller.node.leases.LeaderToken() != 0 {
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// ownerOfShard0 is the controller that owns shard 0, or nil.
+// ownerOfShard0 returns the first controller that holds the lease of shard 0, or nil.
 func (s *simulation) ownerOfShard0() *simController {
 	for _, controller := range s.controllers {
 		if controller.node != nil && controller.node.leases.ShardToken(0) != 0 {
--- a/internal/controller/sim_dump_test.go
+++ b/internal/controller/sim_dump_test.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// dump writes what the controllers hold, for the search after a failed day; only with
-// LEMONMOOR_SIM_LOG set.
+// dump prints the state of the controllers and workers, to help find the cause of a failed day.
+// It prints only with LEMONMOOR_SIM_LOG set.
 func (s *simulation) dump() {
 	if os.Getenv("LEMONMOOR_SIM_LOG") == "" {
 		return
@@ -28,7 +28,7 @@
 		for shard, owner := range controller.node.shardOwners {
 			fmt.Println("  shard", shard, "token", owner.token, "owner", controller.node.leases.ShardOwner(shard), "loaded", owner.tasks.IsLoaded())
 			for _, tracked := range owner.workers.Workers() {
-				fmt.Printf("    %s up %v open %v deaf %v drain %q silent %v token %d heard %v tasks %d stray %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Deaf, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
+				fmt.Printf("    %s has reported %v accepts tasks %v deaf %v drain %q lease expired %v token %d last heartbeat %v tasks %d unknown tasks %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Deaf, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
 				for task := range tracked.Tasks {
 					fmt.Printf("      %s %+v\n", task.Name(), *task)
 				}
@@ -37,7 +37,7 @@
 	}
 	for _, worker := range s.cloud.workers {
 		if !worker.released {
-			fmt.Printf("  worker %s up %v dead %v deaf %v session %d sequence %d token %d controller %d tasks %d\n", worker.id, worker.up, worker.dead, worker.faults.inboundBlocked, worker.session, worker.sequence, worker.token, worker.controllerIndex, len(worker.tasks))
+			fmt.Printf("  worker %s up %v dead %v inbound blocked %v session %d sequence %d token %d controller %d tasks %d\n", worker.id, worker.up, worker.dead, worker.faults.inboundBlocked, worker.session, worker.sequence, worker.token, worker.controllerIndex, len(worker.tasks))
 		}
 	}
 }
--- a/internal/controller/sim_network_test.go
+++ b/internal/controller/sim_network_test.go
@@ -7,15 +7,16 @@
 	"lemonmoor/internal/http1"
 )
 
-// networkFaults are the faults of the network between all places.
+// networkFaults are the faults of the network. Its endpoints are the controllers by name,
+// "state", "cloud", "workers", "users" and "operators".
 type networkFaults struct {
-	lossShare   float64         // of messages that are lost, each way
-	lateShare   float64         // of requests that are carried out up to a minute late, unanswered
-	repeatShare float64         // of requests that are carried out once more, up to 30 s later
-	partitions  map[string]bool // "a|b": no messages between places a and b
+	lossShare   float64         // share of messages lost, in each direction
+	lateShare   float64         // share of requests executed up to a minute late, unanswered
+	repeatShare float64         // share of requests executed a second time, up to 30 s later
+	partitions  map[string]bool // "a|b": no messages between endpoints a and b
 }
 
-// exchange is one request on its way from one place to another, and its answer.
+// exchange is one request from one endpoint to another, and its answer.
 type exchange struct {
 	sim      *simulation
 	from, to string
@@ -25,7 +26,7 @@
 	finished bool
 }
 
-// finish gives the sender the first answer or failure.
+// finish passes the first answer or failure to the sender; later ones are ignored.
 func (e *exchange) finish(response http1.Response, err error) {
 	if !e.finished {
 		e.finished = true
@@ -36,10 +37,11 @@
 // timeOut fails the request if there is no answer yet.
 func (e *exchange) timeOut() { e.finish(http1.Response{}, eventloop.ErrNoAnswer) }
 
-// serveUnanswered carries the request out; its sender hears nothing of that.
+// serveUnanswered executes the request and discards its answer.
 func (e *exchange) serveUnanswered() { e.serve(func(http1.Response) {}) }
 
-// deliver carries the request out and brings the answer back, if nothing prevents it.
+// deliver executes the request and returns its answer, unless the answer is lost or meets a
+// partition.
 func (e *exchange) deliver() {
 	e.serve(func(response http1.Response) {
 		if e.sim.rng.Float64() < e.sim.network.lossShare || e.sim.partitioned(e.from, e.to) {
@@ -49,7 +51,8 @@
 	})
 }
 
-// delay draws what one way takes.
+// delay draws the latency of one direction. For a request to the state service and for its
+// answer it adds half of the latency fault, and in one case of twelve 25 times the latency more.
 func (e *exchange) delay() time.Duration {
 	delay := time.Duration(1+e.sim.rng.IntN(4)) * time.Millisecond
 	if latency := e.sim.stateFaults.latency; e.to == "state" && latency > 0 {
@@ -61,7 +64,8 @@
 	return delay
 }
 
-// meetPartition holds the request back until the partition is over, about, or refuses it.
+// handlePartition either executes the request unanswered 5 to 44 s later, about the time that
+// a partition lasts, or fails it as not sent.
 func (e *exchange) handlePartition() {
 	if e.sim.rng.IntN(2) == 0 {
 		e.sim.schedule(time.Duration(5+e.sim.rng.IntN(40))*time.Second, e.serveUnanswered)
@@ -71,13 +75,13 @@
 	e.sim.schedule(min(e.timeout, time.Second), func() { e.finish(http1.Response{}, eventloop.ErrNotSent) })
 }
 
-// partitioned tells whether there are no messages between two places.
+// partitioned reports whether a partition separates two endpoints.
 func (s *simulation) partitioned(a, b string) bool {
 	return s.network.partitions[a+"|"+b] || s.network.partitions[b+"|"+a]
 }
 
-// send carries a request from one place to another and its answer back, with
-// the faults of the day.
+// send sends a request from one endpoint to another and passes its answer to done, subject
+// to the network faults of the day.
 func (s *simulation) send(from, to string, timeout time.Duration, serve func(reply func(http1.Response)), done func(http1.Response, error)) {
 	request := &exchange{sim: s, from: from, to: to, timeout: timeout, serve: serve, done: done}
 	if s.partitioned(from, to) {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -1,58 +1,60 @@
 package controller
 
-// The tests of this package play days of a simulated deployment: three real controllers
-// on a fake clock, and stand-ins for all that surrounds them, written from PROTOCOL.
+// The tests of this package run a simulated deployment for a simulated day: three real
+// controllers on a fake clock, with simulations of everything they talk to, written from
+// PROTOCOL.
 //
 // # Where to look
 //
-//	simulation_test.go          the deployment, and how it begins
-//	sim_clock, sim_network      the time, and the way of requests with its faults
-//	sim_controller              a controller's processes: they crash and start again
+//	simulation_test.go          the deployment and its initial state
+//	sim_clock, sim_network      the clock; the network and its faults
+//	sim_controller              a controller's processes, which crash and restart
 //	sim_state_service, _faults  the key-value store, its limits and faults
-//	sim_cloud                   rents and takes back machines
+//	sim_cloud                   rents out machines and reclaims them
 //	sim_worker, _heartbeat      a machine's worker: commands, tasks, leases, heartbeats
 //	sim_gang                    tasks of a gang, which run together
-//	sim_job, _user, _workload   what users submit, ask and cancel
+//	sim_job, _user, _workload   jobs, the users' requests, mixes of jobs
 //	sim_operator                operators' requests for drains
 //	sim_rule_checker            the rules of PROTOCOL, one function for each
 //	sim_budget_checker          the budgets of drains
 //	fault_injection             the table of faults by name
-//	two_faults                  scenarios in which two faults meet
+//	two_faults                  scenarios that combine two faults
 //	random_faults, gang_random_faults, drain_random_faults
-//	                            days whose faults and jobs are drawn
-//	scenarios, incidents, ...   days that are written out
-//	processes                   the same stand-ins around real processes on loopback
+//	                            days whose faults and jobs are drawn at random
+//	scenarios, incidents, ...   days with fixed faults and jobs
+//	processes                   the same simulations around real controller processes on loopback
 //
 // # Running one scenario with one seed
 //
-// The scenarios' names and seeds are names of subtests:
+// Each scenario is a subtest, and each of its seeds a subtest of that:
 //
 //	go test ./internal/controller -run 'TestTwoFaults/all_controllers_are_down/seed_3$' -v
 //
-// Drawn days take their seed from the command line; a failed one prints the flags that
-// play it again:
+// Random days take their seed from the command line; a failed one prints the flags that
+// repeat it:
 //
 //	go test ./internal/controller -run TestRandomFaultsTogether -rapid.seed 7 -rapid.checks 300
 //
-// A seed fixes the load, the faults and every draw of the stand-ins. The controllers, and
-// some loops of the stand-ins, go through Go's maps, whose order differs from run to run, so a
-// seed does not fix a day to the last event: repeat a day that failed with -count=20.
+// A seed determines the load, the faults and every random draw of the simulation. The
+// controllers and some loops of the simulation iterate over Go maps, whose order differs from
+// run to run, so the same seed does not give exactly the same events: repeat a failed day with
+// -count=20.
 //
 // # Reading its log
 //
-// With LEMONMOOR_SIM_LOG=1 the controllers log to standard error, at debug level, and a day
-// on which a job does not end is followed by a dump of what the controllers and workers
-// hold (sim_dump_test.go):
+// With LEMONMOOR_SIM_LOG=1 the controllers log to standard error at debug level, and if a job
+// does not end, the state of the controllers and workers is dumped after the day
+// (sim_dump_test.go):
 //
 //	LEMONMOOR_SIM_LOG=1 go test ./internal/controller -run ... -v 2>day.log
 //
-// In each line "t" is the simulated time since the day began and "node" the controller.
-// A failed day names broken rules with their time in seconds, as in
+// In each line "t" is the simulated time since the start of the day and "node" the
+// controller. A failed day prints each violation with its time in seconds and its rule:
 //
 //	  27.350 ran_twice: wk-000004/1 starts on vm-000007 while on vm-000003
 //
-// The rules are explained in sim_rule_checker_test.go. To find the cause, read the log
-// backwards from that time: first the lines with the task or the worker, then those about
+// The rules are described in sim_rule_checker_test.go. To find the cause, read the log
+// backwards from that time: first the lines about the task or the worker, then those about
 // leases ("shard", "token") of the controllers that sent the two commands.
 
 import (
@@ -67,9 +69,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// simulation is a simulated deployment on a fake clock: the controllers and the stand-ins
-// for the state service, the cloud, the workers and the users. It loses, delays and
-// repeats messages, and checks the rules at every step.
+// simulation is a simulated deployment on a fake clock: real controllers and a simulated
+// state service, cloud, workers and users. It loses, delays and repeats messages, and checks
+// the rules at every step.
 type simulation struct {
 	clock
 	rng      *rand.Rand
@@ -88,16 +90,16 @@
 	heartbeats  heartbeatFaults
 	users       userBehavior
 
-	commandsRefused bool          // workers take no direct commands: connections to them fail at once
-	imageFetchTime  time.Duration // that workers take to fetch an image, about; 0: none
+	commandsRefused bool          // connections for direct commands to workers fail at once
+	imageFetchTime  time.Duration // average time to fetch an image; 0: no fetching
 
 	checker       *ruleChecker
 	drainChecker  *budgetChecker     // nil on days without drains
-	realProcesses *processDeployment // not nil: on the real clock, with controllers that are processes
+	realProcesses *processDeployment // if set, controllers are real processes on the real clock
 }
 
-// restart starts all controllers anew, with changed settings and an empty state service,
-// before the day begins.
+// restart restarts all controllers with the current settings and an empty state service. It
+// drops all scheduled events, so it must be called before anything else is scheduled.
 func (s *simulation) restart() {
 	for _, controller := range s.controllers {
 		controller.node = nil
@@ -110,27 +112,29 @@
 	}
 }
 
-// divideIntoShards has the machines divided into two shards.
+// useTwoShards raises the first team's processors so that the machines are divided into two
+// shards, and restarts the deployment.
 func (s *simulation) useTwoShards() {
 	s.settings.Deployment.Teams[0].CPUs = 2 * tuning.CPUsPerShard
 	s.restart()
 }
 
-// limitWrites has the state service take so many puts and deletes a second, as the settings
-// of controllers that start from now on tell.
+// limitWrites limits the puts and deletes that the state service accepts per second, and
+// declares the limit in the settings of controllers that start from now on.
 func (s *simulation) limitWrites(perSecond float64) {
 	s.stateLimits.writesPerSecond = perSecond
 	s.settings.Deployment.State.WriteRPS = perSecond
 }
 
-// faultsAreOver has it checked that nobody is neglected from now on, and that every
-// controller answers about every job within a time.
+// startRecoveryChecks marks the end of the faults: from now on no job may be neglected, and
+// every controller must answer requests about every accepted job within answersWithin.
 func (s *simulation) startRecoveryChecks(answersWithin time.Duration) {
 	s.checker.faultsOverAt = s.now
 	s.expectAnswersWithin(answersWithin)
 }
 
-// newSimulation is a deployment of three controllers. All random draws come from the seed.
+// newSimulation returns a deployment of three running controllers. All random draws derive
+// from the seed.
 func newSimulation(seed uint64) *simulation {
 	sim := &simulation{
 		rng:         rand.New(rand.NewPCG(seed, 1)),
@@ -155,7 +159,7 @@
 	return sim
 }
 
-// simSettings are the settings of a day on which a test changes nothing.
+// simSettings returns the settings of a day unless a test changes them.
 func simSettings() *settings.Settings {
 	set := &settings.Settings{}
 	set.External.State, set.External.Cloud = "state:1", "cloud:1"
@@ -168,8 +172,8 @@
 	return set
 }
 
-// newLog is the log of all controllers: on standard error with LEMONMOOR_SIM_LOG set,
-// each line at its simulated time "t", else nowhere.
+// newLog returns the logger of all controllers. With LEMONMOOR_SIM_LOG set it writes to
+// standard error, each line with its simulated time "t"; otherwise it discards everything.
 func (s *simulation) newLog() *slog.Logger {
 	if os.Getenv("LEMONMOOR_SIM_LOG") == "" {
 		return slog.New(slog.NewTextHandler(io.Discard, nil))
