--- a/internal/controller/sim_cloud_test.go
+++ b/internal/controller/sim_cloud_test.go
@@ -10,20 +10,21 @@
 	"lemonmoor/internal/http1"
 )
 
-// simCloud rents machines, by the words of PROTOCOL, section "Controller nodes -> cloud".
+// simCloud is the cloud's rental service as PROTOCOL describes it, section "Controller nodes ->
+// cloud".
 type simCloud struct {
 	sim         *simulation
-	lastMachine int                 // number of the machine added last
-	rentals     map[string][]string // machines by the name of their rental
+	lastMachine int                 // number of the last machine added
+	rentals     map[string][]string // machine IDs by the name of their rental
 	workers     []*simWorker        // all machines ever rented
 
-	available        int    // machines that can still be had
-	soldOutType      string // a machine type of which there is none
-	availablePerKind int    // if not 0, what there is of each type, zone and price instead of available
-	bootsFast        bool   // machines are up within two seconds
+	available        int    // machines left to rent, of all kinds together
+	soldOutType      string // a machine type without capacity
+	availablePerKind int    // if not 0, capacity for each machine type, zone and price; replaces available
+	bootsFast        bool   // machines boot within two seconds
 }
 
-// remaining tells how many machines of a kind can still be had.
+// remaining returns the number of machines of a type, zone and price that are left to rent.
 func (c *simCloud) remaining(machineType, zone string, spot bool) int {
 	if machineType == c.soldOutType {
 		return 0
@@ -31,13 +32,13 @@
 	if c.availablePerKind == 0 {
 		return c.available
 	}
-	left := c.availablePerKind
+	remaining := c.availablePerKind
 	for _, worker := range c.workers {
 		if worker.machineType == machineType && worker.zone == zone && worker.spot == spot && !worker.released && !worker.dead {
-			left--
+			remaining--
 		}
 	}
-	return left
+	return remaining
 }
 
 // serve answers a request to the cloud.
@@ -63,7 +64,7 @@
 	}})
 }
 
-// release takes machines back.
+// release answers POST /rentals/release.
 func (c *simCloud) release(raw []byte) http1.Response {
 	var body struct {
 		Hosts []string `json:"hosts"`
@@ -79,14 +80,14 @@
 	return jsonResponse(200, nil)
 }
 
-// takeBack ends a rental of one machine.
+// endRental ends the rental of one machine, on a controller's request or by the cloud.
 func (c *simCloud) endRental(worker *simWorker) {
 	worker.released = true
 	worker.die()
 	c.available++
 }
 
-// list lists the machines. It lags: machines are missing for two seconds.
+// list answers GET /rentals. It lags: a machine is missing for two seconds after its rental.
 func (c *simCloud) list() http1.Response {
 	machines := []map[string]any{}
 	for _, worker := range c.workers {
@@ -105,7 +106,8 @@
 	return jsonResponse(200, map[string]any{"hosts": machines, "hasNext": false})
 }
 
-// rent rents machines; a repeated request gets the machines of the first one.
+// rent answers POST /rentals. A repeated request, one with the same rental name, gets the
+// machines of the first one.
 func (c *simCloud) rent(raw []byte) http1.Response {
 	var body struct {
 		Name        string `json:"hire"`
@@ -120,12 +122,12 @@
 	if machines, known := c.rentals[body.Name]; known {
 		return jsonResponse(200, map[string]any{"hosts": machines})
 	}
-	number := min(body.Number, c.remaining(body.MachineType, body.Zone, body.Spot))
-	if number == 0 {
+	count := min(body.Number, c.remaining(body.MachineType, body.Zone, body.Spot))
+	if count == 0 {
 		return jsonResponse(503, map[string]string{"error": "no capacity"})
 	}
 	var machines []string
-	for range number {
+	for range count {
 		c.lastMachine++
 		c.available--
 		worker := c.addMachine(body.MachineType, body.Zone, body.Spot)
@@ -136,7 +138,7 @@
 	return jsonResponse(200, map[string]any{"hosts": machines})
 }
 
-// bootTime draws what a machine takes to boot.
+// bootTime draws the time that a machine needs to boot.
 func (c *simCloud) bootTime() time.Duration {
 	boot := time.Duration(1+c.sim.rng.IntN(4)) * time.Second
 	if c.bootsFast {
@@ -145,7 +147,7 @@
 	return boot
 }
 
-// addMachine adds the machine of the number lastMachine, not up yet.
+// addMachine adds the machine with the number lastMachine, which has not booted yet.
 func (c *simCloud) addMachine(machineType, zone string, spot bool) *simWorker {
 	worker := &simWorker{
 		sim: c.sim, id: fmt.Sprintf("vm-%06d", c.lastMachine), machineType: machineType, zone: zone, spot: spot,
--- a/internal/controller/sim_state_faults_test.go
+++ b/internal/controller/sim_state_faults_test.go
@@ -6,26 +6,26 @@
 	"lemonmoor/internal/http1"
 )
 
-// stateFaults are the faults of the state service and of the way to it.
+// stateFaults are the faults of the state service and of the connection to it.
 type stateFaults struct {
-	outage             bool            // 503 for all
-	refusedControllers map[string]bool // 503 for these alone, by name
-	silentWatchPrefix  string          // a prefix of keys: no watch of it is answered
-	latency            time.Duration   // each way takes half of it more, one in twelve 25 times as much more
-	lateCommitShare    float64         // of transactions that are not answered, and carried out 2 to 12 s later
-	lostAnswerShare    float64         // of transactions that are carried out at once and not answered
+	outage             bool            // all requests get 503
+	refusedControllers map[string]bool // requests of these controllers get 503, by name
+	silentWatchPrefix  string          // watches of this key prefix are not answered
+	latency            time.Duration   // half of it is added in each direction, 25 times it in one of twelve cases
+	lateCommitShare    float64         // share of transactions executed 2 to 12 s late, unanswered
+	lostAnswerShare    float64         // share of transactions executed immediately, unanswered
 }
 
-// stateLimits is what the state service takes.
+// stateLimits are the limits that the state service enforces.
 type stateLimits struct {
-	writesPerSecond float64 // puts and deletes, 0: any number
-	operations      int     // of a transaction
+	writesPerSecond float64 // puts and deletes, 0: unlimited
+	operations      int     // per transaction
 	valueBytes      int
-	undeclared      bool // the settings don't tell these limits: exceeding them breaks no rule
+	undeclared      bool // the settings don't declare these limits, so exceeding them breaks no rule
 }
 
-// outageFor has the state service down for a while; afterwards every lease has its full
-// time again.
+// outageFor takes the state service down for a duration; afterwards every lease has its full
+// TTL again.
 func (s *simulation) outageFor(d time.Duration) {
 	s.stateFaults.outage = true
 	s.schedule(d, func() {
@@ -35,8 +35,8 @@
 	})
 }
 
-// refuseControllerFor has the state service refuse one controller for a while; its open
-// watches wait.
+// refuseControllerFor makes the state service refuse one controller for a duration; its open
+// watches get no answer before the end.
 func (s *simulation) refuseControllerFor(node string, d time.Duration) {
 	s.stateFaults.refusedControllers[node] = true
 	s.schedule(d, func() {
@@ -45,13 +45,12 @@
 	})
 }
 
-// unavailableTo tells whether a fault keeps the service from answering a controller.
+// unavailableTo reports whether a fault prevents the service from answering a controller.
 func (s *simStateService) unavailableTo(controller string) bool {
 	return s.sim.stateFaults.outage || s.sim.stateFaults.refusedControllers[controller]
 }
 
-// receive takes a controller's request, unless a fault of the day has it carried out late
-// or its answer lost.
+// receive serves a controller's request, unless a fault executes it late or loses its answer.
 func (s *simStateService) receive(from string, request http1.ClientRequest, reply func(http1.Response)) {
 	faults := &s.sim.stateFaults
 	noReply := func(http1.Response) {}
--- a/internal/controller/sim_state_service_test.go
+++ b/internal/controller/sim_state_service_test.go
@@ -12,23 +12,23 @@
 	"lemonmoor/internal/http1"
 )
 
-// simStateService is the key-value store, by the words of PROTOCOL, section "Controller
-// nodes -> state service".
+// simStateService is the key-value store as PROTOCOL describes it, section "Controller nodes ->
+// state service".
 type simStateService struct {
 	sim      *simulation
 	revision uint64
 	keys     map[string]*storedValue
-	log      []storedChange // all changes, the oldest first
+	log      []storedChange // all changes, oldest first
 	watches  []*openWatch
 
 	leases      map[uint64]*simLease
 	lastLeaseID uint64
 
-	writeTokens float64 // puts and deletes that may be made now, where they are limited
+	writeTokens float64 // puts and deletes allowed now, if they are limited
 	refilledAt  time.Duration
 }
 
-// storedValue is what is stored under a key.
+// storedValue is a key's value with its revision and lease; lease 0 is none.
 type storedValue struct {
 	value    json.RawMessage
 	revision uint64
@@ -38,28 +38,28 @@
 // storedChange is one put or delete.
 type storedChange struct {
 	key      string
-	value    json.RawMessage // nil: removed
+	value    json.RawMessage // nil: deleted
 	revision uint64
 }
 
-// simLease is a lease that ends unless it is renewed.
+// simLease is a lease, which ends at endsAt unless it is renewed.
 type simLease struct{ ttl, endsAt time.Duration }
 
-// openWatch is a watch that waits for a change.
+// openWatch is a watch request that waits for a change.
 type openWatch struct {
-	from     string // the name of the controller
+	from     string // the controller's name
 	prefix   string
 	since    uint64
 	reply    func(http1.Response)
 	answered bool
 }
 
-// newSimStateService is an empty state service.
+// newSimStateService returns an empty state service.
 func newSimStateService(sim *simulation) *simStateService {
 	return &simStateService{sim: sim, keys: map[string]*storedValue{}, leases: map[uint64]*simLease{}}
 }
 
-// jsonResponse is an answer with a body in JSON.
+// jsonResponse returns a response with a JSON body.
 func jsonResponse(status int, body any) http1.Response {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -68,13 +68,13 @@
 	return http1.Response{Status: status, Body: raw}
 }
 
-// put stores a value behind the controllers' backs.
+// put stores a value without adding a change to the log, so that no watch reports it.
 func (s *simStateService) put(key string, value json.RawMessage) {
 	s.revision++
 	s.keys[key] = &storedValue{value, s.revision, 0}
 }
 
-// expireLeases ends the leases that were not renewed in time.
+// expireLeases ends the leases that have expired.
 func (s *simStateService) expireLeases() {
 	for id, lease := range s.leases {
 		if lease.endsAt <= s.sim.now {
@@ -86,25 +86,25 @@
 // endLease ends a lease and removes the keys attached to it.
 func (s *simStateService) endLease(id uint64) {
 	delete(s.leases, id)
-	var gone []string
+	var attached []string
 	for key, stored := range s.keys {
 		if stored.leaseID == id {
-			gone = append(gone, key)
+			attached = append(attached, key)
 		}
 	}
-	if len(gone) == 0 {
+	if len(attached) == 0 {
 		return
 	}
-	sort.Strings(gone)
+	sort.Strings(attached)
 	s.revision++
-	for _, key := range gone {
+	for _, key := range attached {
 		delete(s.keys, key)
 		s.log = append(s.log, storedChange{key, nil, s.revision})
 	}
 	s.notifyWatches()
 }
 
-// notifyWatches answers the open watches for which something has changed.
+// notifyWatches answers the open watches that have changes to report.
 func (s *simStateService) notifyWatches() {
 	for _, watch := range s.watches {
 		if !watch.answered && !s.unavailableTo(watch.from) {
@@ -117,7 +117,7 @@
 	s.watches = slices.DeleteFunc(s.watches, func(watch *openWatch) bool { return watch.answered })
 }
 
-// changes is the answer to a watch, and whether it holds any change.
+// changes returns the answer to a watch, and whether it contains any change.
 func (s *simStateService) changes(prefix string, since uint64) (http1.Response, bool) {
 	list := []map[string]any{}
 	for _, change := range s.log {
@@ -133,7 +133,7 @@
 	return jsonResponse(200, map[string]any{"epoch": s.revision, "log": list}), len(list) > 0
 }
 
-// serve carries a request out.
+// serve executes a request and answers it.
 func (s *simStateService) serve(from string, request http1.ClientRequest, reply func(http1.Response)) {
 	if s.unavailableTo(from) {
 		reply(jsonResponse(503, map[string]string{"error": "trouble"}))
@@ -162,7 +162,7 @@
 	}
 }
 
-// watch answers a watch when something changes or its time is up.
+// watch answers GET /watch at the first change or at the end of its waiting time.
 func (s *simStateService) watch(from string, query url.Values, reply func(http1.Response)) {
 	prefix := query.Get("under")
 	if silent := s.sim.stateFaults.silentWatchPrefix; silent != "" && prefix == silent {
@@ -186,9 +186,9 @@
 	})
 }
 
-// list answers a page of keys with their values.
+// list answers GET /keys with a page of keys and their values.
 func (s *simStateService) list(query url.Values) http1.Response {
-	const pageSize = 3 // so that paging is used
+	const pageSize = 3 // small, so that controllers read several pages
 	var names []string
 	for key := range s.keys {
 		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("since") {
@@ -232,7 +232,7 @@
 	return jsonResponse(200, nil)
 }
 
-// scheduleLeaseEnd ends a lease when its time is up, but not in an outage.
+// scheduleLeaseEnd ends a lease when it expires, but not during an outage.
 func (s *simStateService) scheduleLeaseEnd(id uint64) {
 	lease := s.leases[id]
 	if lease == nil {
@@ -246,7 +246,7 @@
 	})
 }
 
-// renewAllLeases gives every lease its full time again, as after an outage.
+// renewAllLeases renews every lease for its full TTL, as after an outage.
 func (s *simStateService) renewAllLeases() {
 	for _, lease := range s.leases {
 		lease.endsAt = s.sim.now + lease.ttl
@@ -267,7 +267,7 @@
 	} `json:"apply"`
 }
 
-// commit carries a transaction out, if its conditions hold.
+// commit answers POST /commit: it executes a transaction if its conditions hold.
 func (s *simStateService) commit(raw []byte) http1.Response {
 	var body transaction
 	err := json.Unmarshal(raw, &body)
@@ -276,13 +276,13 @@
 		if limits.undeclared && err == nil {
 			return jsonResponse(400, map[string]string{"error": "too many changes in a commit"})
 		}
-		s.sim.checker.violated(ruleStateLimit, "a commit of %d changes, %d guards, %d bytes", len(body.Operations), len(body.Conditions), len(raw))
+		s.sim.checker.violated(ruleStateLimit, "a commit has %d operations, %d conditions, %d bytes", len(body.Operations), len(body.Conditions), len(raw))
 		return jsonResponse(400, nil)
 	}
 	if refusal := s.refuseOperations(&body); refusal != nil {
 		return *refusal
 	}
-	if !s.takeWriteTokens(len(body.Operations)) {
+	if !s.consumeWriteTokens(len(body.Operations)) {
 		return jsonResponse(429, map[string]string{"error": "too many changes"})
 	}
 	if failed := s.failedConditions(&body); len(failed) > 0 {
@@ -292,7 +292,8 @@
 	return jsonResponse(200, map[string]uint64{"epoch": s.revision})
 }
 
-// refuseOperations finds operations that are refused whatever the conditions; nil: none.
+// refuseOperations returns the refusal of a transaction with an invalid operation, whether or
+// not its conditions hold; nil if all operations are valid.
 func (s *simStateService) refuseOperations(body *transaction) *http1.Response {
 	limits := s.sim.stateLimits
 	refuse := func(body any) *http1.Response {
@@ -307,16 +308,16 @@
 			if limits.undeclared {
 				return refuse(map[string]string{"error": "value too large"})
 			}
-			s.sim.checker.violated(ruleStateLimit, "value of %d bytes for %s", len(operation.Value), operation.Set)
+			s.sim.checker.violated(ruleStateLimit, "a value of %d bytes is written to %s", len(operation.Value), operation.Set)
 			return refuse(nil)
 		}
 	}
 	return nil
 }
 
-// takeWriteTokens tells whether so many puts and deletes are within the limit now; a burst
-// of one second's worth is.
-func (s *simStateService) takeWriteTokens(operations int) bool {
+// consumeWriteTokens consumes a write token for each operation and reports whether there were
+// enough. The bucket holds the tokens of one second.
+func (s *simStateService) consumeWriteTokens(operations int) bool {
 	rate := s.sim.stateLimits.writesPerSecond
 	if rate == 0 {
 		return true
@@ -330,7 +331,8 @@
 	return true
 }
 
-// failedConditions lists the keys that have another revision than a transaction demands.
+// failedConditions returns the keys whose revision differs from the one that a transaction
+// demands.
 func (s *simStateService) failedConditions(body *transaction) []string {
 	var failed []string
 	for _, condition := range body.Conditions {
@@ -345,7 +347,8 @@
 	return failed
 }
 
-// apply carries out the operations of a transaction whose conditions hold.
+// apply executes the operations of a transaction and notifies the watches. A write of a lease
+// key of the leader or of a shard releases the retained heartbeats.
 func (s *simStateService) apply(body *transaction) {
 	if len(body.Operations) == 0 {
 		return
