--- a/internal/controller/sim_gang_test.go
+++ b/internal/controller/sim_gang_test.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// simGang is one attempt of a gang, as operators describe it: its tasks find each other by
-// the attempt's number, start and complete together, notice a loss within gang_peer_s and
-// save together.
+// simGang is one attempt of a gang. As in the operators' description, its tasks find each
+// other by the attempt's number, start and complete together, detect the loss of a member
+// within gang_peer_s and save together.
 type simGang struct {
 	sim          *simulation
 	job          *simJob
 	members      map[int]*gangMember
-	startedAt    time.Duration // 0: not yet
-	haltedAt     time.Duration // the first halt of the running gang, 0: none
-	broken       bool          // one is gone
+	startedAt    time.Duration // 0: not started
+	haltedAt     time.Duration // first halt of a member while the gang ran, 0: none
+	broken       bool          // a member was lost
 	ended        bool
-	checkpointed bool // progress is safe
+	checkpointed bool // the halted attempt saved its progress
 }
 
 // gangMember is one task of an attempt, on its machine.
@@ -24,8 +24,8 @@
 	task   *simTask
 }
 
-// joinGang is what a task of a gang does on its machine: it gets its image, waits for the
-// others, and runs with them.
+// joinGang runs a task of a gang on its machine: the task fetches its image, waits for the
+// other members and runs with them.
 func (w *simWorker) joinGang(task *simTask, job *simJob) {
 	if job.attempts == nil {
 		job.attempts = map[uint64]*simGang{}
@@ -37,8 +37,8 @@
 	}
 	task.gang, task.phase = gang, phaseFetching
 	index := task.index()
-	ends := task.generation
-	live := func() bool { return task.generation == ends && !w.dead }
+	generation := task.generation
+	live := func() bool { return task.generation == generation && !w.dead }
 	w.sim.schedule(time.Duration(50+w.sim.rng.IntN(1500))*time.Millisecond, func() {
 		if !live() {
 			return
@@ -63,22 +63,23 @@
 	})
 }
 
-// inPhase tells whether a member is on its machine, in a phase, and able to speak.
+// respondsIn reports whether a member is on its machine and in a phase, and its machine is
+// alive and does not hang.
 func (m *gangMember) respondsIn(phase taskPhase) bool {
 	return !m.worker.dead && m.worker.sim.now >= m.worker.faults.unresponsiveUntil && m.task.phase == phase && m.worker.hasTask(m.task)
 }
 
-// has tells whether a task is still on the machine.
+// hasTask reports whether a task is still on the machine.
 func (w *simWorker) hasTask(task *simTask) bool {
-	for _, o := range w.tasks {
-		if o == task {
+	for _, existing := range w.tasks {
+		if existing == task {
 			return true
 		}
 	}
 	return false
 }
 
-// startIfComplete lets the gang run when all its members wait.
+// startIfComplete starts the gang once all its members wait.
 func (g *simGang) startIfComplete() {
 	if g.startedAt > 0 || len(g.members) < g.job.tasks {
 		return
@@ -97,10 +98,10 @@
 	g.checkMembers()
 }
 
-// progress of the job now.
+// progress returns the job's progress, from its last checkpoint on.
 func (g *simGang) progress() time.Duration { return g.job.checkpoint + g.sim.now - g.startedAt }
 
-// checkMembers looks at the running gang from time to time.
+// checkMembers checks the running gang every 100 ms for lost members and for completion.
 func (g *simGang) checkMembers() {
 	if g.ended {
 		return
@@ -122,25 +123,25 @@
 	g.sim.schedule(100*time.Millisecond, g.checkMembers)
 }
 
-// loseMember is the loss of a member: progress falls back to the last checkpoint, and the
-// others notice.
+// loseMember breaks the gang after the loss of a member: progress falls back to the last
+// checkpoint, and the other members detect the loss within gang_peer_s and end.
 func (g *simGang) loseMember() {
 	if g.broken || g.ended {
 		return
 	}
 	g.broken = true
 	if every := time.Duration(g.job.checkpointSeconds * float64(time.Second)); every > 0 && !g.checkpointed {
-		until := g.sim.now
+		stoppedAt := g.sim.now
 		if g.haltedAt > 0 {
-			until = g.haltedAt
+			stoppedAt = g.haltedAt
 		}
-		g.job.checkpoint = max(g.job.checkpoint, (g.job.checkpoint+until-g.startedAt)/every*every)
+		g.job.checkpoint = max(g.job.checkpoint, (g.job.checkpoint+stoppedAt-g.startedAt)/every*every)
 	}
 	for _, member := range g.members {
-		ends := member.task.generation
+		generation := member.task.generation
 		g.sim.schedule(time.Duration(g.sim.rng.IntN(int(g.sim.settings.GangPeerTimeout()))), func() {
 			member.worker.whenResponsive(func() {
-				if member.task.generation == ends && !member.worker.dead && member.worker.hasTask(member.task) {
+				if member.task.generation == generation && !member.worker.dead && member.worker.hasTask(member.task) {
 					member.task.end("mates_gone")
 				}
 			})
@@ -148,10 +149,11 @@
 	}
 }
 
-// halt stops a running member; false lets it exit at once.
+// halt stops a member. It reports whether the member saves first; otherwise the member exits
+// immediately.
 func (g *simGang) halt(task *simTask, windDown float64) bool {
 	if task.phase == phaseSaving && windDown >= 1 {
-		return true // a repeat
+		return true // a repeated command
 	}
 	if g.startedAt == 0 || g.ended || task.phase != phaseRunning {
 		return false
@@ -163,7 +165,8 @@
 	if g.haltedAt == 0 {
 		g.haltedAt = g.sim.now
 		g.sim.schedule(g.sim.settings.GangPeerTimeout(), func() {
-			// Those that were not told in time notice, and the save fails.
+			// Members that were not halted in time detect the loss of the others, and the
+			// save fails.
 			for _, member := range g.members {
 				if !g.checkpointed && (member.task.saveCommandAt == 0 || !member.respondsIn(phaseSaving)) {
 					g.loseMember()
@@ -189,7 +192,7 @@
 	return true
 }
 
-// newGang is a gang of short tasks.
+// newGang returns a gang job of short tasks.
 func newGang(i, tasks int, cpus float64) *simJob {
 	return newJob(jobSpec{
 		id: jobID(i), team: teamOf(i), tasks: tasks, cpus: cpus,
--- a/internal/controller/sim_heartbeat_test.go
+++ b/internal/controller/sim_heartbeat_test.go
@@ -8,25 +8,25 @@
 	"lemonmoor/internal/http1"
 )
 
-// heartbeatFaults are the faults of the way of heartbeats to controllers.
+// heartbeatFaults are the faults in the sending and delivery of heartbeats.
 type heartbeatFaults struct {
-	slowdown      int      // how many times slower workers send them, 0: not slower
-	lateCopyShare float64  // of heartbeats of which a copy comes up to a minute late
-	retainedShare float64  // of heartbeats of which copies are kept until a lease has changed hands
-	retained      []func() // these copies: each call delivers one
+	slowdown      int      // factor on the interval between heartbeats, 0: 1
+	lateCopyShare float64  // share of heartbeats of which a copy arrives up to a minute late
+	retainedShare float64  // share of heartbeats of which copies are retained until the leader's or a shard's lease changes hands
+	retained      []func() // the retained copies; each call delivers one
 }
 
-// releaseRetainedHeartbeats delivers the copies of heartbeats that were kept for the next
-// leader or owner: they arrive at all controllers just as it begins, and a little later.
+// releaseRetainedHeartbeats delivers the retained copies of heartbeats. It is called when a
+// leader or owner acquires its lease; the copies reach all controllers 10 to 400 ms later.
 func (s *simulation) releaseRetainedHeartbeats() {
-	kept := s.heartbeats.retained
+	deliveries := s.heartbeats.retained
 	s.heartbeats.retained = nil
-	for i, fn := range kept {
-		s.schedule(time.Duration(1+i%40)*10*time.Millisecond, fn)
+	for i, deliver := range deliveries {
+		s.schedule(time.Duration(1+i%40)*10*time.Millisecond, deliver)
 	}
 }
 
-// heartbeatBody is the worker's next message, with its tasks as they are now.
+// heartbeatBody returns the worker's next heartbeat, with the current state of its tasks.
 func (w *simWorker) heartbeatBody() []byte {
 	list := []map[string]any{}
 	for _, task := range w.tasks {
@@ -47,7 +47,7 @@
 	return raw
 }
 
-// sendHeartbeat sends a heartbeat and, after its answer, schedules the next.
+// sendHeartbeat sends a heartbeat and schedules the next one after its answer or failure.
 func (w *simWorker) sendHeartbeat() {
 	if w.dead {
 		return
@@ -80,8 +80,8 @@
 // nextHeartbeat schedules the next heartbeat.
 func (w *simWorker) nextHeartbeat(delay time.Duration) { w.sim.schedule(delay, w.sendHeartbeat) }
 
-// reachesNoController tells whether a fault keeps the worker from the controller whose
-// turn it is; then the next attempt is scheduled.
+// reachesNoController reports whether a fault prevents the worker from reaching the current
+// controller. If so, it schedules the next attempt.
 func (w *simWorker) reachesNoController() bool {
 	nextController := (w.controllerIndex + 1) % len(w.sim.controllers)
 	switch {
@@ -100,14 +100,15 @@
 	return true
 }
 
-// copyHeartbeat has copies of a heartbeat arrive later, by the faults of the day.
+// copyHeartbeat delays or retains copies of a heartbeat as the heartbeat faults demand.
 func (w *simWorker) copyHeartbeat(body []byte) {
 	sim, heartbeats := w.sim, &w.sim.heartbeats
 	deliver := func(controller *simController) {
 		controller.request("workers", "POST", "/agent/beat", body, time.Second, func(http1.Response, error) {})
 	}
 	if sim.rng.Float64() < heartbeats.lateCopyShare {
-		// A copy comes seconds to well over a lease late, to any controller.
+		// The copy reaches a random controller 1 to 60 s late, which may be several worker
+		// leases.
 		sim.schedule(time.Duration(1+sim.rng.IntN(60))*time.Second, func() {
 			deliver(sim.controllers[sim.rng.IntN(len(sim.controllers))])
 		})
@@ -119,7 +120,9 @@
 	}
 }
 
-// heartbeatAnswered is what a worker does with the answer to its heartbeat of a session.
+// heartbeatAnswered processes the answer to a heartbeat that was sent in a session at a time,
+// and schedules the next heartbeat: to the same controller, after a redirection to the one
+// named, after a failure to the next one.
 func (w *simWorker) heartbeatAnswered(response http1.Response, err error, session uint64, sentAt time.Duration) {
 	rng := w.sim.rng
 	if err == nil && response.Status == 200 {
--- a/internal/controller/sim_worker_test.go
+++ b/internal/controller/sim_worker_test.go
@@ -10,7 +10,7 @@
 	"lemonmoor/internal/http1"
 )
 
-// simWorker is one machine and its worker, by the words of PROTOCOL.
+// simWorker is one machine and its worker, which behaves as PROTOCOL describes.
 type simWorker struct {
 	sim                *simulation
 	id, addr           string
@@ -19,25 +19,25 @@
 	cpus               float64
 	up, dead, released bool
 	rentedAt           time.Duration
-	reclaimAt          time.Duration // when the cloud takes the machine, 0: no notice
+	reclaimAt          time.Duration // when the cloud reclaims the machine, 0: no notice
 	session            uint64
-	sequence, token    uint64        // of its last message; the highest it has seen
-	leaseFrom          time.Duration // its lease runs from here
-	controllerIndex    int           // the controller that it reports to
+	sequence, token    uint64        // number of its last message; highest token seen
+	leaseFrom          time.Duration // start of its current lease
+	controllerIndex    int           // the controller to which it sends its next heartbeat
 	heartbeatNumber    int           // of the heartbeat in flight; answers to others are dropped
 	tasks              []*simTask
 	faults             workerFaults
 }
 
-// workerFaults is what is wrong with one machine or with the way to it.
+// workerFaults are the faults of one machine and of its network connection.
 type workerFaults struct {
-	failsTasks           bool          // every task that it starts ends with an error
-	unresponsiveUntil    time.Duration // nothing runs on it until then
-	inboundBlocked       bool          // its heartbeats arrive, answers and commands do not
-	outboundBlockedUntil time.Duration // until then it reaches no controller, while commands reach it
-	partitionedUntil     time.Duration // until then its zone is cut off
-	onlyController       int           // the number, from 1, of the one controller that it can speak with; 0: any
-	commandsDelayedUntil time.Duration // until then direct commands are held up, and executed then
+	failsTasks           bool          // every task started on it ends with an error
+	unresponsiveUntil    time.Duration // until then the machine hangs: nothing runs on it
+	inboundBlocked       bool          // its heartbeats arrive, but their answers and direct commands do not
+	outboundBlockedUntil time.Duration // until then its heartbeats reach no controller, while direct commands reach it
+	partitionedUntil     time.Duration // until then its zone is partitioned from the controllers
+	onlyController       int           // index+1 of the only controller with which it can communicate; 0: any
+	commandsDelayedUntil time.Duration // direct commands sent before then are executed then
 }
 
 // taskPhase is the state of a task as its worker reports it.
@@ -47,7 +47,7 @@
 	phaseFetching taskPhase = "fetching" // waits for its image
 	phaseWaiting  taskPhase = "waiting"  // of a gang: waits for the other members
 	phaseRunning  taskPhase = "running"
-	phaseSaving   taskPhase = "saving" // was told to stop and saves
+	phaseSaving   taskPhase = "saving" // has been halted and saves its progress
 	phaseEnded    taskPhase = "ended"
 )
 
@@ -56,14 +56,14 @@
 	name          string // job/index
 	attempt       uint64
 	phase         taskPhase
-	cause         string        // with which it ended
-	saved         bool          // its progress, when it was stopped
-	generation    int           // counts ends and kills: a timer of before counts for nothing
-	gang          *simGang      // nil: of an array or a service
-	saveCommandAt time.Duration // when a running task of a gang was told to stop and save
+	cause         string        // why it ended
+	saved         bool          // whether its progress was saved when it was halted
+	generation    int           // incremented when it ends or is killed, which invalidates earlier timers
+	gang          *simGang      // nil for a task of an array or a service
+	saveCommandAt time.Duration // when a running task of a gang was commanded to stop and save
 }
 
-// boot starts the worker on a machine that is up.
+// boot marks the machine as up and starts its worker.
 func (w *simWorker) boot() {
 	if w.dead {
 		return
@@ -75,7 +75,7 @@
 	w.checkLease()
 }
 
-// die ends the machine.
+// die ends the machine and kills its tasks.
 func (w *simWorker) die() {
 	w.dead = true
 	for _, task := range w.tasks {
@@ -84,7 +84,7 @@
 	w.tasks = nil
 }
 
-// whenAwake runs fn now, or when a hanging machine resumes.
+// whenResponsive runs fn now, or, if the machine hangs, when it resumes.
 func (w *simWorker) whenResponsive(fn func()) {
 	if w.sim.now >= w.faults.unresponsiveUntil {
 		fn()
@@ -98,7 +98,7 @@
 	})
 }
 
-// checkLease ends the session, from time to time, when its lease has run out.
+// checkLease ends the session if its lease has expired, every 200 ms.
 func (w *simWorker) checkLease() {
 	if w.dead {
 		return
@@ -107,8 +107,8 @@
 	w.sim.schedule(200*time.Millisecond, w.checkLease)
 }
 
-// expireLease ends the session if its lease has run out: all tasks are killed and
-// forgotten.
+// expireLease ends the session if its lease has expired: all tasks are killed and forgotten,
+// and a new session starts.
 func (w *simWorker) expireLease() {
 	if w.sim.now-w.leaseFrom > w.sim.settings.WorkerLease() {
 		for _, task := range w.tasks {
@@ -120,7 +120,7 @@
 	}
 }
 
-// command is one of a controller's commands to a worker.
+// command is one command of a controller to a worker.
 type command struct {
 	Verb     string  `json:"verb"`
 	Task     string  `json:"piece"`
@@ -128,8 +128,8 @@
 	WindDown float64 `json:"windDownS"`
 }
 
-// receiveCommands takes direct commands of a controller, unless a fault holds them up or
-// loses them.
+// receiveCommands executes a controller's direct commands, unless a fault delays or loses
+// them. Delayed commands are not answered.
 func (w *simWorker) receiveCommands(from *simController, request http1.ClientRequest, reply func(http1.Response)) {
 	handleUnanswered := func() {
 		if !w.dead {
@@ -143,7 +143,7 @@
 	case w.dead || faults.inboundBlocked || (faults.onlyController > 0 && w.sim.controllers[faults.onlyController-1] != from):
 		// lost
 	case w.sim.now < faults.partitionedUntil:
-		if w.sim.rng.IntN(2) == 0 { // held back, and delivered when the partition is over
+		if w.sim.rng.IntN(2) == 0 { // delayed until the end of the partition; otherwise lost
 			w.sim.schedule(faults.partitionedUntil-w.sim.now, handleUnanswered)
 		}
 	default:
@@ -151,7 +151,7 @@
 	}
 }
 
-// handleCommands serves POST /orders.
+// handleCommands answers POST /orders.
 func (w *simWorker) handleCommands(request http1.ClientRequest) http1.Response {
 	w.expireLease()
 	var body struct {
@@ -170,7 +170,7 @@
 	return http1.Response{Status: 200, Body: w.heartbeatBody()}
 }
 
-// execute carries commands out in order.
+// execute executes commands in order.
 func (w *simWorker) execute(commands []command) {
 	for _, command := range commands {
 		i := slices.IndexFunc(w.tasks, func(task *simTask) bool {
@@ -193,7 +193,7 @@
 	}
 }
 
-// halt ends a task, at once unless its gang saves first.
+// halt ends a task, immediately unless its gang saves its progress first.
 func (w *simWorker) halt(task *simTask, windDown float64) {
 	w.sim.drainChecker.taskHalted(w, task)
 	if task.gang != nil && task.gang.halt(task, windDown) {
@@ -202,7 +202,7 @@
 	task.end("halted")
 }
 
-// launch starts a task, or refuses it.
+// launch starts a task, or refuses it: a refused task ends immediately.
 func (w *simWorker) launch(command command) {
 	task := &simTask{name: command.Task, attempt: command.Attempt, phase: phaseRunning}
 	w.tasks = append(w.tasks, task)
@@ -230,7 +230,7 @@
 	})
 }
 
-// refusal is the cause with which a new task ends at once, or "".
+// refusal returns the cause for which a new task is refused, or "".
 func (w *simWorker) refusal(task *simTask, job *simJob) string {
 	used := 0.0
 	for _, existing := range w.tasks {
@@ -253,7 +253,8 @@
 	return ""
 }
 
-// runTask runs a task that has its image until it completes.
+// runTask runs a task that has its image until it completes; a service task runs until it is
+// halted. A task that had completed in an earlier attempt completes after 10 ms.
 func (w *simWorker) runTask(task *simTask, job *simJob) {
 	w.sim.drainChecker.taskStarted(task.name)
 	if job.service {
@@ -285,33 +286,34 @@
 	w.sim.schedule(runTime, complete)
 }
 
-// takeAfterNotice tells a machine that the cloud takes it after a while, and takes it then.
-func (w *simWorker) reclaimAfterNotice(in time.Duration) {
+// reclaimAfterNotice notifies a machine's worker that the cloud reclaims the machine after a
+// delay, and reclaims it then.
+func (w *simWorker) reclaimAfterNotice(delay time.Duration) {
 	if w.dead || w.reclaimAt > 0 {
 		return
 	}
-	w.reclaimAt = w.sim.now + in
-	w.sim.schedule(in, func() {
+	w.reclaimAt = w.sim.now + delay
+	w.sim.schedule(delay, func() {
 		if !w.dead {
 			w.sim.cloud.endRental(w)
 		}
 	})
 }
 
-// jobID is the job that a task belongs to.
+// jobID returns the ID of the task's job.
 func (t *simTask) jobID() string {
 	id, _, _ := strings.Cut(t.name, "/")
 	return id
 }
 
-// index is the task's number in its job.
+// index returns the task's index in its job.
 func (t *simTask) index() int {
 	_, text, _ := strings.Cut(t.name, "/")
 	index, _ := strconv.Atoi(text)
 	return index
 }
 
-// end ends a task that has not been killed.
+// end ends a task for a cause; the task stays on the machine until it is forgotten.
 func (t *simTask) end(cause string) {
 	t.generation++
 	t.phase, t.cause = phaseEnded, cause
