--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -1,12 +1,15 @@
 package controller
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
-// The faults that are drawn or meet in scenarios. Each lasts from its injection on for a
-// while; the faults of single messages are shares in networkFaults, stateFaults and
-// heartbeatFaults.
+// The faults that are drawn at random or combined in scenarios. Each lasts for a duration from
+// its injection on. Faults of single messages, given as shares of all messages, are in
+// networkFaults, stateFaults and heartbeatFaults.
 
-// faultName names a fault of the table.
+// faultName is the name of a fault in the table faults.
 type faultName string
 
 const (
@@ -27,17 +30,17 @@
 	heartbeatCopiesLate       faultName = "copies of heartbeats arrive late"
 	heartbeatCopiesAtTakeover faultName = "copies of heartbeats arrive when a lease changes hands"
 	machinesHang              faultName = "machines hang"
-	workersReceiveNothing     faultName = "workers are deaf"
+	workersReceiveNothing     faultName = "workers receive nothing"
 	workersReachNoController  faultName = "workers reach no controller"
 	machinesPartitioned       faultName = "machines are partitioned"
 	machinesDie               faultName = "machines die"
 	workersCutFromOwner       faultName = "workers are partitioned from the owner"
 	jobsCancelled             faultName = "jobs are cancelled"
 	jobsCancelledRepeatedly   faultName = "jobs are cancelled one after the other"
-	commandsDelayed           faultName = "commands are held up"
+	commandsDelayed           faultName = "commands are delayed"
 )
 
-// fault is something that goes wrong.
+// fault is a fault that can be injected into a simulation.
 type fault struct {
 	name   faultName
 	inject func(sim *simulation, drawn injection)
@@ -45,11 +48,12 @@
 
 // injection is one occurrence of a fault.
 type injection struct {
-	variant  int // picks a machine, a number or a length, as the fault has them
+	variant  int // selects a machine, a count or a duration, depending on the fault
 	duration time.Duration
 }
 
-// faults are all faults. Drawn days pick them by their places in the table.
+// faults are all faults. Random days select them by index, so their order determines what a seed
+// draws.
 var faults = []fault{
 	{leaderCrashes, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
@@ -162,7 +166,7 @@
 	}},
 }
 
-// inject has a fault happen now.
+// inject injects a fault now.
 func (s *simulation) inject(name faultName, variant int, duration time.Duration) {
 	for _, fault := range faults {
 		if fault.name == name {
@@ -170,11 +174,11 @@
 			return
 		}
 	}
-	panic("no fault " + name)
+	panic(fmt.Sprintf("no fault %q in the table", name))
 }
 
-// busyWorker is a worker with tasks, or any that is alive; variant picks where the search
-// begins.
+// busyWorker returns a worker with tasks; the search starts at the index variant. If none has
+// tasks, it returns the worker at this index, or nil if that is dead.
 func (s *simulation) busyWorker(variant int) *simWorker {
 	workers := s.cloud.workers
 	for i := range workers {
@@ -188,10 +192,10 @@
 	return nil
 }
 
-// forBusyWorkers does something to up to so many busy workers.
-func (s *simulation) forBusyWorkers(number, variant int, fn func(*simWorker)) {
+// forBusyWorkers calls fn for up to limit different busy workers; see busyWorker for variant.
+func (s *simulation) forBusyWorkers(limit, variant int, fn func(*simWorker)) {
 	seen := map[*simWorker]bool{}
-	for i := range number {
+	for i := range limit {
 		if worker := s.busyWorker(variant + i); worker != nil && !seen[worker] {
 			seen[worker] = true
 			fn(worker)
@@ -199,8 +203,8 @@
 	}
 }
 
-// isolate cuts a controller from the state service and the other controllers, but not from
-// workers and users.
+// isolate partitions a controller from the state service and the other controllers for a
+// duration, but not from workers and users.
 func (s *simulation) isolate(name string, duration time.Duration) {
 	others := []string{"state"}
 	for _, controller := range s.controllers {
--- a/internal/controller/rule_checker_test.go
+++ b/internal/controller/rule_checker_test.go
@@ -10,8 +10,10 @@
 	"lemonmoor/internal/userapi"
 )
 
-// newCheckerTrial is a deployment with one job of so many tasks that run, and two machines
-// besides, one of them a spot machine in another zone, on which a trial starts what it likes.
+// newCheckerSimulation returns a deployment at 20 s, with one job whose tasks run, and two
+// further machines that no controller knows of, one of them a spot machine in another zone. A
+// test case starts tasks on these directly. change, if not nil, changes the job before its
+// submission.
 func newCheckerSimulation(tasks int, change func(*simJob)) (sim *simulation, job *simJob, inZoneA, spotInZoneB *simWorker) {
 	sim = newSimulation(1)
 	job = newJob(jobSpec{id: "wk-000001", team: "red", tasks: tasks, cpus: 1, runTime: time.Hour, spot: true})
@@ -30,12 +32,13 @@
 	return sim, job, machine("a", false), machine("b", true)
 }
 
-// startTask starts a task that no controller knows of.
+// startTask starts a task on the machine without any controller.
 func (w *simWorker) startTask(job *simJob, index, attempt int) {
 	w.launch(command{Verb: "launch", Task: fmt.Sprintf("%s/%d", job.id, index), Attempt: uint64(attempt)})
 }
 
-// rewrite changes a job's record behind the controllers' backs and starts them anew.
+// rewriteRecord crashes all controllers, which restart after 100 ms, and replaces a job's record
+// in the state service, or deletes it if value is nil. No watch reports the change.
 func (s *simulation) rewriteRecord(job *simJob, value any) {
 	for _, controller := range s.controllers {
 		controller.crash(100 * time.Millisecond)
@@ -52,11 +55,11 @@
 	s.state.put(key, raw)
 }
 
-// checkerTrials are days on which a rule is broken on purpose.
+// checkerCases are simulated days that each break a rule on purpose.
 var checkerCases = []struct {
 	rule rule
 	name string
-	play func() *simulation
+	run  func() *simulation
 }{
 	{ruleRanTwice, "a task starts on two machines", func() *simulation {
 		sim, job, inZoneA, spotInZoneB := newCheckerSimulation(1, nil)
@@ -99,7 +102,7 @@
 		return sim
 	}},
 	{ruleRanCancelled, "a cancelled task stays", func() *simulation {
-		sim, job, _, spotInZoneB := newCheckerSimulation(1, nil) // no controller is told of this machine, so nobody halts it there
+		sim, job, _, spotInZoneB := newCheckerSimulation(1, nil) // no controller knows of this machine, so none halts the task there
 		job.cancel()
 		sim.runUntil(25 * time.Second)
 		spotInZoneB.tasks = append(spotInZoneB.tasks, &simTask{name: job.id + "/0", attempt: 7, phase: phaseRunning})
@@ -148,13 +151,13 @@
 	}},
 	{ruleWentBack, "a cancelled job is called pending again", func() *simulation {
 		sim, job, _, _ := newCheckerSimulation(1, nil)
-		var before userapi.Record
-		if err := json.Unmarshal(sim.state.keys[userapi.KeyPrefix+job.id].value, &before); err != nil {
+		var pending userapi.Record
+		if err := json.Unmarshal(sim.state.keys[userapi.KeyPrefix+job.id].value, &pending); err != nil {
 			panic(err)
 		}
 		job.cancel()
 		sim.runUntil(30 * time.Second)
-		sim.rewriteRecord(job, before)
+		sim.rewriteRecord(job, pending)
 		sim.runUntil(50 * time.Second)
 		return sim
 	}},
@@ -180,7 +183,7 @@
 	}},
 	{ruleInvalidAccepted, "a job above its team's limit is accepted", func() *simulation {
 		sim, _, _, _ := newCheckerSimulation(1, nil)
-		sim.settings.Deployment.Teams[0].CPUsMax = 100 // users know of 24
+		sim.settings.Deployment.Teams[0].CPUsMax = 100 // users assume teamLimitCPUs, 24
 		for _, controller := range sim.controllers {
 			controller.crash(100 * time.Millisecond)
 		}
@@ -190,15 +193,15 @@
 	}},
 }
 
-// TestCheckerCatchesViolations tries the rule checker itself: a day that breaks a rule must
-// be caught, by that rule's name.
+// TestCheckerCatchesViolations tests the rule checker itself: on a day that breaks a rule it
+// must report a violation of that rule.
 func TestCheckerCatchesViolations(t *testing.T) {
-	for _, trial := range checkerCases {
-		t.Run(fmt.Sprintf("%s: %s", trial.rule, trial.name), func(t *testing.T) {
-			checker := trial.play().checker
-			caught := slices.ContainsFunc(checker.violations, func(broken violation) bool { return broken.rule == trial.rule })
+	for _, c := range checkerCases {
+		t.Run(fmt.Sprintf("%s: %s", c.rule, c.name), func(t *testing.T) {
+			checker := c.run().checker
+			caught := slices.ContainsFunc(checker.violations, func(broken violation) bool { return broken.rule == c.rule })
 			if !caught {
-				t.Errorf("%s is not caught; found: %v", trial.rule, checker.violations)
+				t.Errorf("no violation of %s is reported; got: %v", c.rule, checker.violations)
 			}
 		})
 	}
--- a/internal/controller/sim_budget_checker_test.go
+++ b/internal/controller/sim_budget_checker_test.go
@@ -9,22 +9,22 @@
 	"lemonmoor/internal/settings"
 )
 
-// budgetChecker checks the budgets of drains from what the workers do alone: a task that is
-// told to end on a machine which operators want drained is disturbed by choice until it
-// runs somewhere, has ended, or its user has cancelled its job.
+// budgetChecker checks the budgets of drains, from the workers' actions alone: a task that is
+// halted on a machine named by operators in a drain is disturbed by choice until it runs
+// somewhere, has completed, or its user has cancelled its job.
 type budgetChecker struct {
 	sim            *simulation
 	limits         map[string]settings.DrainLimits // by team
-	namedMachines  map[string]bool                 // machines that operators have named
+	namedMachines  map[string]bool                 // machines that operators have named in drains
 	disturbed      map[string]disturbance          // by task, or by job for a gang
-	halts          int
-	downTime       time.Duration   // from halts until the tasks ran again, in all
-	maxDisturbed   map[string]int  // tasks disturbed at once, by team
-	closedMachines map[string]bool // machines that the records have closed at some time
-	changesRead    int             // changes of the state service that this is from
+	halts          int                             // of tasks and gangs, by choice
+	downTime       time.Duration                   // total time from these halts until the tasks ran again
+	maxDisturbed   map[string]int                  // maximum of tasks disturbed at the same time, by team
+	closedMachines map[string]bool                 // machines that a drain's records have ever shown as closed
+	changesRead    int                             // changes of the state service already read for closedMachines
 }
 
-// disturbedNow is how many tasks are disturbed, by team.
+// disturbedNow returns the number of disturbed tasks, by team.
 func (c *budgetChecker) disturbedNow() map[string]int {
 	sums := map[string]int{"red": 0, "blue": 0}
 	for name, disturbed := range c.disturbed {
@@ -35,8 +35,8 @@
 	return sums
 }
 
-// restored tells whether a task, or a gang, is no longer disturbed although it does not run
-// again: it has completed, or its job is cancelled or over.
+// restored reports whether a task, or a gang, is no longer disturbed although it does not run
+// again: it has completed, or its job has ended or its cancellation was requested.
 func (c *budgetChecker) restored(name string, disturbed disturbance) bool {
 	if disturbed.job.cancelRequested || disturbed.job.ended() {
 		return true
@@ -45,19 +45,20 @@
 	return single && disturbed.job.completed[atoi(index)]
 }
 
-// taskRuns notes that a task, or a gang, runs again.
+// taskStarted records that a task, or a gang, runs again.
 func (c *budgetChecker) taskStarted(name string) {
 	if c == nil {
 		return
 	}
-	if disturbed, there := c.disturbed[name]; there {
+	if disturbed, found := c.disturbed[name]; found {
 		c.downTime += c.sim.now - disturbed.since
 		delete(c.disturbed, name)
 	}
 }
 
-// wasClosed tells whether a drain has ever closed a machine, by the state service.
-func (c *budgetChecker) wasClosed(host string) bool {
+// wasClosed reports whether a drain has ever closed a machine, according to the drains' records
+// in the state service.
+func (c *budgetChecker) wasClosed(machineID string) bool {
 	if c.closedMachines == nil {
 		c.closedMachines = map[string]bool{}
 	}
@@ -68,7 +69,7 @@
 		}
 		var page drain.Page
 		if err := json.Unmarshal(change.value, &page); err != nil {
-			c.sim.checker.violated(ruleMalformedRecord, "a page does not parse: %s", change.value)
+			c.sim.checker.violated(ruleMalformedRecord, "drain page %s does not parse: %s", change.key, change.value)
 		}
 		for _, m := range page.Machines {
 			if m.State == drain.MachineClosed {
@@ -76,10 +77,10 @@
 			}
 		}
 	}
-	return c.closedMachines[host]
+	return c.closedMachines[machineID]
 }
 
-// taskHalted notes that a worker is told to end a task.
+// taskHalted records that a worker halts a task, and checks the budget if that is by choice.
 func (c *budgetChecker) taskHalted(worker *simWorker, task *simTask) {
 	if c == nil || task.phase != phaseRunning {
 		return
@@ -89,29 +90,29 @@
 	if job.cancelRequested {
 		return
 	}
-	name, tasks, chosen := task.name, 1, c.namedMachines[worker.id] && worker.reclaimAt == 0 && !worker.faults.failsTasks
+	name, tasks, byChoice := task.name, 1, c.namedMachines[worker.id] && worker.reclaimAt == 0 && !worker.faults.failsTasks
 	if gang := task.gang; gang != nil {
 		if gang.broken || gang.ended || gang.haltedAt > 0 {
-			return // what follows the loss of a member, or the first halt
+			return // follows from the loss of a member, or from an earlier halt
 		}
-		name, tasks, chosen = id, job.tasks, false
+		name, tasks, byChoice = id, job.tasks, false
 		for _, member := range gang.members {
 			if member.worker.reclaimAt > 0 {
 				return
 			}
-			chosen = chosen || c.namedMachines[member.worker.id]
+			byChoice = byChoice || c.namedMachines[member.worker.id]
 		}
 	}
-	// The daemon itself moves replicas off a machine that it returns as idle, which may
-	// be one that operators have named and no drain has touched yet. Nothing else is
-	// stopped where no drain has closed the machine.
-	if chosen && task.gang == nil && !c.wasClosed(worker.id) {
+	// The daemon itself moves replicas off a machine that it releases as idle, which may be
+	// one that operators have named and no drain has closed yet. No other task may be halted
+	// on a named machine before a drain has closed it.
+	if byChoice && task.gang == nil && !c.wasClosed(worker.id) {
 		if !job.service {
-			c.sim.checker.violated(ruleBudget, "%s is stopped on %s, which no drain has closed", task.name, worker.id)
+			c.sim.checker.violated(ruleBudget, "%s is halted on %s, which no drain has closed", task.name, worker.id)
 		}
 		return
 	}
-	if !chosen {
+	if !byChoice {
 		return
 	}
 	c.halts++
@@ -119,7 +120,7 @@
 	c.checkBudget(job)
 }
 
-// checkBudget checks whether the budget of a job's team is kept.
+// checkBudget checks that the disturbed tasks are within the budget of a job's team.
 func (c *budgetChecker) checkBudget(job *simJob) {
 	limits := c.limits[job.team]
 	tasks, cpus, replicas := 0, 0.0, 0
@@ -138,10 +139,10 @@
 	}
 	c.maxDisturbed[job.team] = max(c.maxDisturbed[job.team], tasks)
 	if limits.Tasks != nil && tasks > *limits.Tasks {
-		c.sim.checker.violated(ruleBudget, "%d tasks of %s are disturbed, %d may be; last of %s", tasks, job.team, *limits.Tasks, job.id)
+		c.sim.checker.violated(ruleBudget, "%d tasks of team %s are disturbed, limit %d; last one of %s", tasks, job.team, *limits.Tasks, job.id)
 	}
 	if limits.CPUs != nil && cpus > *limits.CPUs {
-		c.sim.checker.violated(ruleBudget, "%g processors of %s are disturbed, %g may be", cpus, job.team, *limits.CPUs)
+		c.sim.checker.violated(ruleBudget, "tasks with %g processors of team %s are disturbed, limit %g", cpus, job.team, *limits.CPUs)
 	}
 	if limits.ReplicasUp != nil && job.service && job.tasks-replicas < *limits.ReplicasUp {
 		c.sim.checker.violated(ruleBudget, "%d of %d replicas of %s are disturbed, %d must be up", replicas, job.tasks, job.id, *limits.ReplicasUp)
@@ -155,7 +156,7 @@
 	since time.Duration
 }
 
-// atoi reads a task's index.
+// atoi parses a task's index.
 func atoi(s string) int {
 	n := 0
 	for _, c := range s {
@@ -164,12 +165,13 @@
 	return n
 }
 
-// teamBudget is the budget of a team.
+// teamBudget returns a team's budget: the maximum of disturbed tasks and of their processors,
+// and the minimum of a service's replicas that are up.
 func teamBudget(tasks int, cpus float64, replicas int) settings.DrainLimits {
 	return settings.DrainLimits{Tasks: &tasks, CPUs: &cpus, ReplicasUp: &replicas}
 }
 
-// newBudgetChecker checks the budgets of the teams.
+// newBudgetChecker returns a checker of the teams' budgets.
 func newBudgetChecker(sim *simulation, limits map[string]settings.DrainLimits) *budgetChecker {
 	return &budgetChecker{
 		sim: sim, limits: limits,
@@ -177,10 +179,10 @@
 	}
 }
 
-// withDrains turns drains on, with budgets for red and blue, and starts the controllers
-// anew.
-func (s *simulation) enableDrains(limits map[string]settings.DrainLimits, atOnce int, wait float64) {
-	d := &settings.Drains{MachinesAtOnce: &atOnce, WaitS: &wait}
+// enableDrains enables drains with budgets for the teams red and blue, machinesAtOnce machines
+// at the same time and a wait of waitSeconds, and restarts the deployment.
+func (s *simulation) enableDrains(limits map[string]settings.DrainLimits, machinesAtOnce int, waitSeconds float64) {
+	d := &settings.Drains{MachinesAtOnce: &machinesAtOnce, WaitS: &waitSeconds}
 	for _, team := range []string{"red", "blue"} {
 		d.Teams = append(d.Teams, settings.TeamBudget{Name: team, Limits: limits[team]})
 	}
@@ -189,8 +191,9 @@
 	s.restart()
 }
 
-// grantedTwice finds an attempt that more than one grant names. A commit that was carried
-// out once more, late, makes the same grant again; that one is over and goes at once.
+// grantedTwice returns a task attempt that two different grants name, and whether there is one.
+// A commit that is executed a second time, late, writes an identical grant again. That is
+// allowed: its attempts have ended by then, and it is removed immediately.
 func (s *simulation) grantedTwice() (drain.TaskRef, bool) {
 	seen := map[drain.TaskRef]string{}
 	for _, change := range s.state.log {
@@ -199,20 +202,20 @@
 		}
 		var grant drain.Grant
 		if err := json.Unmarshal(change.value, &grant); err != nil {
-			s.checker.violated(ruleMalformedRecord, "a grant does not parse: %s", change.value)
+			s.checker.violated(ruleMalformedRecord, "grant %s does not parse: %s", change.key, change.value)
 		}
 		for _, ref := range grant.Tasks {
-			grant := change.key + string(change.value)
-			if seen[ref] != "" && seen[ref] != grant {
+			stored := change.key + string(change.value)
+			if seen[ref] != "" && seen[ref] != stored {
 				return ref, true
 			}
-			seen[ref] = grant
+			seen[ref] = stored
 		}
 	}
 	return drain.TaskRef{}, false
 }
 
-// countDrainChanges counts the changes of drains' records in the state service.
+// countDrainChanges returns the number of changes of drains' records in the state service.
 func (s *simulation) countDrainChanges() int {
 	n := 0
 	for _, change := range s.state.log {
--- a/internal/controller/sim_rule_checker_test.go
+++ b/internal/controller/sim_rule_checker_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// rule is the name of something that must not happen. The first ones are those of
-// PROTOCOL, section "Rules"; the others hold on simulated days besides.
+// rule is the name of a kind of violation. The first group is from PROTOCOL, section "Rules";
+// the second applies only to simulated days.
 type rule string
 
 const (
 	ruleRanTwice     rule = "ran_twice"     // a task starts on one machine while it is on another
-	ruleQuota        rule = "quota"         // a team's tasks use more than its limit
+	ruleQuota        rule = "quota"         // a team's tasks use more processors than its limit
 	ruleWrongPlace   rule = "wrong_place"   // a task starts where its job does not allow it
-	ruleRanCancelled rule = "ran_cancelled" // a task of a cancelled job starts, or stays too long
-	ruleForgotten    rule = "forgotten"     // an accepted job is refused or unknown, or nobody answers for it
-	ruleInvented     rule = "invented"      // an answer is given for a job that nobody submitted
-	ruleNotDone      rule = "not_done"      // a job is called done too early
-	ruleWentBack     rule = "went_back"     // a final phase changes, or is cancelled unasked
-
-	ruleNeglected        rule = "neglected"         // a job waits though it could run, long after the last fault
-	ruleInvalidAccepted  rule = "invalid_accepted"  // a request that can't be met does not get the refusal of PROTOCOL
-	ruleValidRefused     rule = "valid_refused"     // a submission that can be met gets 400 or 422
-	ruleBudget           rule = "budget"            // a drain disturbs more than its budgets allow
-	ruleStateLimit       rule = "state_limit"       // the state service is sent more than it takes
+	ruleRanCancelled rule = "ran_cancelled" // a task of a cancelled job starts, or stays on a machine too long
+	ruleForgotten    rule = "forgotten"     // an accepted job is refused or unknown, or a controller does not answer for it
+	ruleInvented     rule = "invented"      // a job that nobody submitted gets an answer other than 404
+	ruleNotDone      rule = "not_done"      // a job is reported as done before all its tasks have completed
+	ruleWentBack     rule = "went_back"     // a final phase changes, or a job is cancelled without a request
+
+	ruleNeglected        rule = "neglected"         // a job that could run still waits long after the last fault
+	ruleInvalidAccepted  rule = "invalid_accepted"  // an invalid or impossible submission does not get the refusal of PROTOCOL
+	ruleValidRefused     rule = "valid_refused"     // a valid submission gets 400 or 422
+	ruleBudget           rule = "budget"            // drains disturb more tasks than the budgets allow
+	ruleStateLimit       rule = "state_limit"       // a request exceeds the limits of the state service
 	ruleMalformedRecord  rule = "malformed_record"  // a stored record does not parse
-	ruleDrainNotAccepted rule = "drain_not_started" // an operator's start of a drain is refused without need
+	ruleDrainNotAccepted rule = "drain_not_started" // an operator's valid request to start a drain is refused
 )
 
 const (
 	teamLimitCPUs  = 24               // of each team, in the settings of all days
-	neglectLimit   = 90 * time.Second // that a job may wait without a reason after the last fault
-	promptCommands = 3 * time.Second  // that a command takes at most where none is held up
+	neglectLimit   = 90 * time.Second // time after the last fault from which a job that could run must not wait
+	promptCommands = 3 * time.Second  // maximum age of a command if no fault delays commands
 	checkInterval  = 500 * time.Millisecond
 )
 
-// violation is one rule broken at one moment of a simulated day.
+// violation is a violation of a rule at a time of a simulated day.
 type violation struct {
 	at     time.Duration
 	rule   rule
@@ -47,31 +47,31 @@
 	return fmt.Sprintf("%8.3f %s: %s", v.at.Seconds(), v.rule, v.detail)
 }
 
-// ruleChecker checks the rules of PROTOCOL on what workers do and users are told, never on
-// what controllers say of themselves. What users are told is reported to it by the
-// simulated users; budgets of drains have a checker of their own, budgetChecker.
+// ruleChecker checks the rules of PROTOCOL against the workers' actions and the answers to
+// users, never against the controllers' own state. The simulated users check their answers and
+// report violations to it. The budgets of drains are checked by budgetChecker.
 type ruleChecker struct {
 	sim        *simulation
 	violations []violation
 	starts     int // tasks started
 
-	faultsOverAt   time.Duration // 0: not known; from then on nobody may be neglected
-	commandsPrompt bool          // no command is held up: none starts a task long after its job was cancelled
+	faultsOverAt   time.Duration // end of the faults, from which no job may be neglected; 0: not known
+	commandsPrompt bool          // no fault delays commands: no task may start more than promptCommands after its job's cancellation
 }
 
-// violated notes that a rule is broken now.
+// violated records a violation of a rule at the current time.
 func (c *ruleChecker) violated(broken rule, format string, args ...any) {
 	c.violations = append(c.violations, violation{c.sim.now, broken, fmt.Sprintf(format, args...)})
 }
 
-// reporter is what the checks of a day need of a test.
+// reporter is the part of testing.TB that the checks of a day use.
 type reporter interface {
 	Helper()
 	Error(args ...any)
 	Errorf(format string, args ...any)
 }
 
-// checkRules fails a test on whose day a rule was broken.
+// checkRules reports every violation as a test error.
 func (s *simulation) checkRules(t reporter) {
 	t.Helper()
 	for _, broken := range s.checker.violations {
@@ -79,37 +79,37 @@
 	}
 }
 
-// checkRulesAndCompletion reports broken rules, and jobs that are not over though all
-// faults are.
+// checkRulesAndCompletion reports every violation, and every job that has not ended although
+// the faults have.
 func (s *simulation) checkRulesAndCompletion(t reporter) {
 	t.Helper()
 	s.checkRules(t)
 	for _, job := range s.jobs {
 		if !job.ended() {
 			s.dump()
-			t.Errorf("%s is not over: accepted %v, %d of %d tasks done, %d starts", job.id, job.accepted, len(job.completed), job.tasks, job.gangStarts)
+			t.Errorf("%s has not ended: accepted %v, %d of %d tasks completed, %d starts of the gang", job.id, job.accepted, len(job.completed), job.tasks, job.gangStarts)
 		}
 	}
 }
 
-// checkAllDone fails a test on whose day any job is not done.
+// checkAllDone reports every job that was not reported as done.
 func (s *simulation) checkAllDone(t reporter) {
 	t.Helper()
 	for _, job := range s.jobs {
 		if job.reportedPhase != "done" {
-			t.Errorf("%s is %q", job.id, job.reportedPhase)
+			t.Errorf("%s was last reported as %q, want \"done\"", job.id, job.reportedPhase)
 		}
 	}
 }
 
-// startSituation is what the machines show at the start of a task.
+// startSituation is the state of all machines that matters for the rules at a task's start.
 type startSituation struct {
 	elsewhere   []*simWorker   // other machines that have the task
-	teamCPUs    float64        // that the job's team uses, with the new task
-	tasksByZone map[string]int // tasks of the job, with the new one
+	teamCPUs    float64        // processors that the job's team uses, including the new task
+	tasksByZone map[string]int // tasks of the job, including the new one
 }
 
-// situationOf looks at all machines for what bears on a task that starts.
+// situationOf collects the startSituation of a task from all machines.
 func (c *ruleChecker) situationOf(task *simTask, job *simJob) startSituation {
 	found := startSituation{tasksByZone: map[string]int{}}
 	for _, other := range c.sim.workers {
@@ -155,71 +155,74 @@
 	}
 }
 
-// checkQuota checks that the job's team is within its limit.
+// checkQuota checks that the job's team is within its processor limit.
 func (c *ruleChecker) checkQuota(job *simJob, found startSituation) {
 	if found.teamCPUs > teamLimitCPUs+1e-9 {
-		c.violated(ruleQuota, "team %s uses %g of %g", job.team, found.teamCPUs, float64(teamLimitCPUs))
+		c.violated(ruleQuota, "team %s uses %g processors, limit %g", job.team, found.teamCPUs, float64(teamLimitCPUs))
 	}
 }
 
-// checkWrongPlace checks the machine by itself, and the zones of all tasks of the job.
+// checkWrongPlace checks that the job allows the machine, and the zones of all its tasks.
 func (c *ruleChecker) checkWrongPlace(worker *simWorker, task *simTask, job *simJob, found startSituation) {
 	if !job.allows(worker) {
-		c.violated(ruleWrongPlace, "%s on %s", task.name, worker.id)
+		c.violated(ruleWrongPlace, "%s starts on %s, which its job does not allow", task.name, worker.id)
 	}
 	if job.sameZone && len(found.tasksByZone) > 1 {
-		c.violated(ruleWrongPlace, "%s in two zones", job.id)
+		c.violated(ruleWrongPlace, "%s has tasks in %d zones, must be in one", job.id, len(found.tasksByZone))
 	}
 	for _, tasks := range found.tasksByZone {
 		if job.spread && tasks > (job.tasks+1)/2 {
-			c.violated(ruleWrongPlace, "%s has %d of %d tasks in one zone", job.id, tasks, job.tasks)
+			c.violated(ruleWrongPlace, "%s has %d of %d tasks in one zone, at most half may be", job.id, tasks, job.tasks)
 		}
 	}
 }
 
-// allows tells whether a job's tasks may start on a machine, other tasks aside.
+// allows reports whether a job's tasks may start on a machine, regardless of other tasks.
 func (j *simJob) allows(worker *simWorker) bool {
 	return (j.spot || !worker.spot) && (j.zone == "" || j.zone == worker.zone) &&
 		(j.machineTypes == nil || slices.Contains(j.machineTypes, worker.machineType))
 }
 
-// cancelLimit is how long a cancelled job's tasks may stay.
+// cancelLimit returns the time for which a cancelled job's tasks may stay on machines.
 func (c *ruleChecker) cancelLimit() time.Duration {
 	return time.Duration(c.sim.settings.Deployment.Workers.CancelS * float64(time.Second))
 }
 
-// checkStartsCancelled checks that no task of a cancelled job starts.
+// checkStartsCancelled checks that no task of a cancelled job starts after cancelLimit or, if
+// commandsPrompt is set, after promptCommands.
 func (c *ruleChecker) checkStartsCancelled(worker *simWorker, task *simTask, job *simJob) {
 	if job.cancelledAt == 0 {
 		return
 	}
 	if late := c.sim.now - job.cancelledAt; late > c.cancelLimit() || (c.commandsPrompt && late > promptCommands) {
-		c.violated(ruleRanCancelled, "%s starts on %s %v after", task.name, worker.id, late)
+		c.violated(ruleRanCancelled, "%s starts on %s %v after the cancellation of its job", task.name, worker.id, late)
 	}
 }
 
-// checkPeriodically looks at all machines and jobs from time to time.
+// checkPeriodically checks all machines and jobs every checkInterval.
 func (c *ruleChecker) checkPeriodically() {
 	c.checkStaysCancelled()
 	c.checkNeglected()
 	c.sim.schedule(checkInterval, c.checkPeriodically)
 }
 
-// checkStaysCancelled checks that no task of a cancelled job is on a machine for too long.
+// checkStaysCancelled checks that no task of a cancelled job stays on a machine for longer than
+// cancelLimit.
 func (c *ruleChecker) checkStaysCancelled() {
 	limit := c.cancelLimit()
 	for _, worker := range c.sim.workers {
 		for _, task := range worker.tasks {
 			job := c.sim.jobs[task.jobID()]
 			if task.phase != phaseEnded && !worker.dead && job != nil && job.cancelledAt > 0 && c.sim.now > job.cancelledAt+limit {
-				c.violated(ruleRanCancelled, "%s is on %s %v after", task.name, worker.id, c.sim.now-job.cancelledAt)
+				c.violated(ruleRanCancelled, "%s is still on %s %v after the cancellation of its job", task.name, worker.id, c.sim.now-job.cancelledAt)
 			}
 		}
 	}
 }
 
-// checkNeglected looks, once the faults are over, for jobs that wait for 90 s while a
-// machine that fits has room and their team is under its limit.
+// checkNeglected reports, from neglectLimit after the end of the faults on, every accepted job
+// of which no task has started while a suitable machine has room and the team is within its
+// limit.
 func (c *ruleChecker) checkNeglected() {
 	if c.faultsOverAt == 0 || c.sim.now < c.faultsOverAt+neglectLimit {
 		return
@@ -233,13 +236,13 @@
 			fits = fits || c.couldStart(worker, job)
 		}
 		if fits && c.sim.usedCPUs(job.team)+job.cpus <= teamLimitCPUs {
-			c.violated(ruleNeglected, "%s waits for 90 s and more", job.id)
+			c.violated(ruleNeglected, "%s still waits %v after the end of the faults, though a machine has room", job.id, c.sim.now-c.faultsOverAt)
 		}
 	}
 }
 
-// couldStart tells whether a machine in order has room for a task of a job, in a zone and
-// of a kind that the job allows.
+// couldStart reports whether a machine without faults has room for a task of a job, and the job
+// allows its zone and price.
 func (c *ruleChecker) couldStart(worker *simWorker, job *simJob) bool {
 	used := 0.0
 	for _, task := range worker.tasks {
