--- a/internal/controller/fault_injection_test.go
+++ b/internal/controller/fault_injection_test.go
@@ -1,12 +1,15 @@
 package controller
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
-// The faults that are drawn or meet in scenarios. Each lasts from its injection on for a
-// while; the faults of single messages are shares in networkFaults, stateFaults and
-// heartbeatFaults.
+// The faults that are drawn at random or combined in scenarios. Each lasts for a duration from
+// its injection on. Faults of single messages, given as shares of all messages, are in
+// networkFaults, stateFaults and heartbeatFaults.
 
-// faultName names a fault of the table.
+// faultName is the name of a fault in the table faults.
 type faultName string
 
 const (
@@ -27,17 +30,17 @@
 	heartbeatCopiesLate       faultName = "copies of heartbeats arrive late"
 	heartbeatCopiesAtTakeover faultName = "copies of heartbeats arrive when a lease changes hands"
 	machinesHang              faultName = "machines hang"
-	workersDeaf               faultName = "workers are deaf"
-	workersMute               faultName = "workers reach no controller"
+	workersReceiveNothing     faultName = "workers receive nothing"
+	workersReachNoController  faultName = "workers reach no controller"
 	machinesPartitioned       faultName = "machines are partitioned"
 	machinesDie               faultName = "machines die"
 	workersCutFromOwner       faultName = "workers are partitioned from the owner"
 	jobsCancelled             faultName = "jobs are cancelled"
 	jobsCancelledRepeatedly   faultName = "jobs are cancelled one after the other"
-	commandsHeldUp            faultName = "commands are held up"
+	commandsDelayed           faultName = "commands are delayed"
 )
 
-// fault is something that goes wrong.
+// fault is a fault that can be injected into a simulation.
 type fault struct {
 	name   faultName
 	inject func(sim *simulation, drawn injection)
@@ -45,11 +48,12 @@
 
 // injection is one occurrence of a fault.
 type injection struct {
-	variant  int // picks a machine, a number or a length, as the fault has them
+	variant  int // selects a machine, a count or a duration, depending on the fault
 	duration time.Duration
 }
 
-// faults are all faults. Drawn days pick them by their places in the table.
+// faults are all faults. Random days select them by index, so their order determines what a seed
+// draws.
 var faults = []fault{
 	{leaderCrashes, func(sim *simulation, drawn injection) {
 		if controller := sim.leader(); controller != nil {
@@ -78,7 +82,7 @@
 	}},
 	{leaderChangesRepeatedly, func(sim *simulation, drawn injection) {
 		for i := range 5 {
-			sim.after(time.Duration(i)*drawn.duration/5, func() {
+			sim.schedule(time.Duration(i)*drawn.duration/5, func() {
 				if controller := sim.leader(); controller != nil {
 					controller.crash(time.Duration(200+drawn.variant*100) * millisecond)
 				}
@@ -108,35 +112,35 @@
 	}},
 	{stateSlow, func(sim *simulation, drawn injection) {
 		sim.stateFaults.latency = time.Duration(40+drawn.variant*10) * millisecond
-		sim.after(drawn.duration, func() { sim.stateFaults.latency = 0 })
+		sim.schedule(drawn.duration, func() { sim.stateFaults.latency = 0 })
 	}},
 	{commitsLate, func(sim *simulation, drawn injection) {
 		sim.stateFaults.lateCommitShare = 0.3
-		sim.after(drawn.duration, func() { sim.stateFaults.lateCommitShare = 0 })
+		sim.schedule(drawn.duration, func() { sim.stateFaults.lateCommitShare = 0 })
 	}},
 	{commitAnswersLost, func(sim *simulation, drawn injection) {
 		sim.stateFaults.lostAnswerShare = 0.3
-		sim.after(drawn.duration, func() { sim.stateFaults.lostAnswerShare = 0 })
+		sim.schedule(drawn.duration, func() { sim.stateFaults.lostAnswerShare = 0 })
 	}},
 	{heartbeatCopiesLate, func(sim *simulation, drawn injection) {
 		sim.heartbeats.lateCopyShare = 0.3
-		sim.after(drawn.duration, func() { sim.heartbeats.lateCopyShare = 0 })
+		sim.schedule(drawn.duration, func() { sim.heartbeats.lateCopyShare = 0 })
 	}},
 	{heartbeatCopiesAtTakeover, func(sim *simulation, drawn injection) {
 		sim.heartbeats.retainedShare = 0.3
-		sim.after(drawn.duration, func() { sim.heartbeats.retainedShare = 0 })
+		sim.schedule(drawn.duration, func() { sim.heartbeats.retainedShare = 0 })
 	}},
 	{machinesHang, func(sim *simulation, drawn injection) {
-		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.hungUntil = sim.now + drawn.duration*2/3 })
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.unresponsiveUntil = sim.now + drawn.duration*2/3 })
 	}},
-	{workersDeaf, func(sim *simulation, drawn injection) {
+	{workersReceiveNothing, func(sim *simulation, drawn injection) {
 		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) {
-			worker.faults.deaf = true
-			sim.after(drawn.duration, func() { worker.faults.deaf = false })
+			worker.faults.inboundBlocked = true
+			sim.schedule(drawn.duration, func() { worker.faults.inboundBlocked = false })
 		})
 	}},
-	{workersMute, func(sim *simulation, drawn injection) {
-		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.muteUntil = sim.now + drawn.duration })
+	{workersReachNoController, func(sim *simulation, drawn injection) {
+		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.outboundBlockedUntil = sim.now + drawn.duration })
 	}},
 	{machinesPartitioned, func(sim *simulation, drawn injection) {
 		sim.forBusyWorkers(3, drawn.variant, func(worker *simWorker) { worker.faults.partitionedUntil = sim.now + drawn.duration })
@@ -147,22 +151,22 @@
 	{workersCutFromOwner, func(sim *simulation, drawn injection) {
 		if controller := sim.ownerOfShard0(); controller != nil {
 			sim.network.partitions["workers|"+controller.name] = true
-			sim.after(drawn.duration, func() { delete(sim.network.partitions, "workers|"+controller.name) })
+			sim.schedule(drawn.duration, func() { delete(sim.network.partitions, "workers|"+controller.name) })
 		}
 	}},
 	{jobsCancelled, func(sim *simulation, drawn injection) { sim.cancelRunningJobs(1 + drawn.variant) }},
 	{jobsCancelledRepeatedly, func(sim *simulation, drawn injection) {
 		for i := range 6 {
-			sim.after(time.Duration(i)*drawn.duration/6, func() { sim.cancelRunningJobs(1) })
+			sim.schedule(time.Duration(i)*drawn.duration/6, func() { sim.cancelRunningJobs(1) })
 		}
 	}},
-	{commandsHeldUp, func(sim *simulation, drawn injection) {
+	{commandsDelayed, func(sim *simulation, drawn injection) {
 		sim.network.lateShare = 0.05
-		sim.after(drawn.duration, func() { sim.network.lateShare = 0 })
+		sim.schedule(drawn.duration, func() { sim.network.lateShare = 0 })
 	}},
 }
 
-// inject has a fault happen now.
+// inject injects a fault now.
 func (s *simulation) inject(name faultName, variant int, duration time.Duration) {
 	for _, fault := range faults {
 		if fault.name == name {
@@ -170,11 +174,11 @@
 			return
 		}
 	}
-	panic("no fault " + name)
+	panic(fmt.Sprintf("no fault %q in the table", name))
 }
 
-// busyWorker is a worker with tasks, or any that is alive; variant picks where the search
-// begins.
+// busyWorker returns a worker with tasks; the search starts at the index variant. If none has
+// tasks, it returns the worker at this index, or nil if that is dead.
 func (s *simulation) busyWorker(variant int) *simWorker {
 	workers := s.cloud.workers
 	for i := range workers {
@@ -188,10 +192,10 @@
 	return nil
 }
 
-// forBusyWorkers does something to up to so many busy workers.
-func (s *simulation) forBusyWorkers(number, variant int, fn func(*simWorker)) {
+// forBusyWorkers calls fn for up to limit different busy workers; see busyWorker for variant.
+func (s *simulation) forBusyWorkers(limit, variant int, fn func(*simWorker)) {
 	seen := map[*simWorker]bool{}
-	for i := range number {
+	for i := range limit {
 		if worker := s.busyWorker(variant + i); worker != nil && !seen[worker] {
 			seen[worker] = true
 			fn(worker)
@@ -199,8 +203,8 @@
 	}
 }
 
-// isolate cuts a controller from the state service and the other controllers, but not from
-// workers and users.
+// isolate partitions a controller from the state service and the other controllers for a
+// duration, but not from workers and users.
 func (s *simulation) isolate(name string, duration time.Duration) {
 	others := []string{"state"}
 	for _, controller := range s.controllers {
@@ -211,7 +215,7 @@
 	for _, other := range others {
 		s.network.partitions[name+"|"+other] = true
 	}
-	s.after(duration, func() {
+	s.schedule(duration, func() {
 		for _, other := range others {
 			delete(s.network.partitions, name+"|"+other)
 		}
--- a/internal/controller/sim_gang_test.go
+++ b/internal/controller/sim_gang_test.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// simGang is one attempt of a gang, as operators describe it: its tasks find each other by
-// the attempt's number, start and complete together, notice a loss within gang_peer_s and
-// save together.
+// simGang is one attempt of a gang. As in the operators' description, its tasks find each
+// other by the attempt's number, start and complete together, detect the loss of a member
+// within gang_peer_s and save together.
 type simGang struct {
 	sim          *simulation
 	job          *simJob
 	members      map[int]*gangMember
-	startedAt    time.Duration // 0: not yet
-	haltedAt     time.Duration // the first halt of the running gang, 0: none
-	broken       bool          // one is gone
+	startedAt    time.Duration // 0: not started
+	haltedAt     time.Duration // first halt of a member while the gang ran, 0: none
+	broken       bool          // a member was lost
 	ended        bool
-	checkpointed bool // progress is safe
+	checkpointed bool // the halted attempt saved its progress
 }
 
 // gangMember is one task of an attempt, on its machine.
@@ -24,8 +24,8 @@
 	task   *simTask
 }
 
-// joinGang is what a task of a gang does on its machine: it gets its image, waits for the
-// others, and runs with them.
+// joinGang runs a task of a gang on its machine: the task fetches its image, waits for the
+// other members and runs with them.
 func (w *simWorker) joinGang(task *simTask, job *simJob) {
 	if job.attempts == nil {
 		job.attempts = map[uint64]*simGang{}
@@ -37,13 +37,13 @@
 	}
 	task.gang, task.phase = gang, phaseFetching
 	index := task.index()
-	ends := task.ending
-	live := func() bool { return task.ending == ends && !w.dead }
-	w.sim.after(time.Duration(50+w.sim.rng.IntN(1500))*time.Millisecond, func() {
+	generation := task.generation
+	live := func() bool { return task.generation == generation && !w.dead }
+	w.sim.schedule(time.Duration(50+w.sim.rng.IntN(1500))*time.Millisecond, func() {
 		if !live() {
 			return
 		}
-		w.whenAwake(func() {
+		w.whenResponsive(func() {
 			if !live() {
 				return
 			}
@@ -54,7 +54,7 @@
 			task.phase = phaseWaiting
 			gang.members[index] = &gangMember{w, task}
 			gang.startIfComplete()
-			w.sim.after(w.sim.settings.GangWaitTimeout(), func() {
+			w.sim.schedule(w.sim.settings.GangWaitTimeout(), func() {
 				if live() && task.phase == phaseWaiting {
 					task.end("alone")
 				}
@@ -63,50 +63,51 @@
 	})
 }
 
-// inPhase tells whether a member is on its machine, in a phase, and able to speak.
-func (m *gangMember) inPhase(phase taskPhase) bool {
-	return !m.worker.dead && m.worker.sim.now >= m.worker.faults.hungUntil && m.task.phase == phase && m.worker.has(m.task)
+// respondsIn reports whether a member is on its machine and in a phase, and its machine is
+// alive and does not hang.
+func (m *gangMember) respondsIn(phase taskPhase) bool {
+	return !m.worker.dead && m.worker.sim.now >= m.worker.faults.unresponsiveUntil && m.task.phase == phase && m.worker.hasTask(m.task)
 }
 
-// has tells whether a task is still on the machine.
-func (w *simWorker) has(task *simTask) bool {
-	for _, o := range w.tasks {
-		if o == task {
+// hasTask reports whether a task is still on the machine.
+func (w *simWorker) hasTask(task *simTask) bool {
+	for _, existing := range w.tasks {
+		if existing == task {
 			return true
 		}
 	}
 	return false
 }
 
-// startIfComplete lets the gang run when all its members wait.
+// startIfComplete starts the gang once all its members wait.
 func (g *simGang) startIfComplete() {
 	if g.startedAt > 0 || len(g.members) < g.job.tasks {
 		return
 	}
 	for _, member := range g.members {
-		if !member.inPhase(phaseWaiting) {
+		if !member.respondsIn(phaseWaiting) {
 			return
 		}
 	}
 	g.startedAt = g.sim.now
 	g.job.gangStarts++
-	g.sim.drainChecker.taskRuns(g.job.id)
+	g.sim.drainChecker.taskStarted(g.job.id)
 	for _, member := range g.members {
 		member.task.phase = phaseRunning
 	}
 	g.checkMembers()
 }
 
-// progress of the job now.
+// progress returns the job's progress, from its last checkpoint on.
 func (g *simGang) progress() time.Duration { return g.job.checkpoint + g.sim.now - g.startedAt }
 
-// checkMembers looks at the running gang from time to time.
+// checkMembers checks the running gang every 100 ms for lost members and for completion.
 func (g *simGang) checkMembers() {
 	if g.ended {
 		return
 	}
 	for _, member := range g.members {
-		if !member.inPhase(phaseRunning) && !member.inPhase(phaseSaving) {
+		if !member.respondsIn(phaseRunning) && !member.respondsIn(phaseSaving) {
 			g.loseMember()
 			return
 		}
@@ -119,28 +120,28 @@
 		}
 		return
 	}
-	g.sim.after(100*time.Millisecond, g.checkMembers)
+	g.sim.schedule(100*time.Millisecond, g.checkMembers)
 }
 
-// loseMember is the loss of a member: progress falls back to the last checkpoint, and the
-// others notice.
+// loseMember breaks the gang after the loss of a member: progress falls back to the last
+// checkpoint, and the other members detect the loss within gang_peer_s and end.
 func (g *simGang) loseMember() {
 	if g.broken || g.ended {
 		return
 	}
 	g.broken = true
 	if every := time.Duration(g.job.checkpointSeconds * float64(time.Second)); every > 0 && !g.checkpointed {
-		until := g.sim.now
+		stoppedAt := g.sim.now
 		if g.haltedAt > 0 {
-			until = g.haltedAt
+			stoppedAt = g.haltedAt
 		}
-		g.job.checkpoint = max(g.job.checkpoint, (g.job.checkpoint+until-g.startedAt)/every*every)
+		g.job.checkpoint = max(g.job.checkpoint, (g.job.checkpoint+stoppedAt-g.startedAt)/every*every)
 	}
 	for _, member := range g.members {
-		ends := member.task.ending
-		g.sim.after(time.Duration(g.sim.rng.IntN(int(g.sim.settings.GangPeerTimeout()))), func() {
-			member.worker.whenAwake(func() {
-				if member.task.ending == ends && !member.worker.dead && member.worker.has(member.task) {
+		generation := member.task.generation
+		g.sim.schedule(time.Duration(g.sim.rng.IntN(int(g.sim.settings.GangPeerTimeout()))), func() {
+			member.worker.whenResponsive(func() {
+				if member.task.generation == generation && !member.worker.dead && member.worker.hasTask(member.task) {
 					member.task.end("mates_gone")
 				}
 			})
@@ -148,24 +149,26 @@
 	}
 }
 
-// halt stops a running member; false lets it exit at once.
+// halt stops a member. It reports whether the member saves first; otherwise the member exits
+// immediately.
 func (g *simGang) halt(task *simTask, windDown float64) bool {
 	if task.phase == phaseSaving && windDown >= 1 {
-		return true // a repeat
+		return true // a repeated command
 	}
 	if g.startedAt == 0 || g.ended || task.phase != phaseRunning {
 		return false
 	}
 	if windDown < 1 || g.job.checkpointSeconds == 0 || g.broken {
-		g.sim.after(0, g.loseMember)
+		g.sim.schedule(0, g.loseMember)
 		return false
 	}
 	if g.haltedAt == 0 {
 		g.haltedAt = g.sim.now
-		g.sim.after(g.sim.settings.GangPeerTimeout(), func() {
-			// Those that were not told in time notice, and the save fails.
+		g.sim.schedule(g.sim.settings.GangPeerTimeout(), func() {
+			// Members that were not halted in time detect the loss of the others, and the
+			// save fails.
 			for _, member := range g.members {
-				if !g.checkpointed && (member.task.saveCommandAt == 0 || !member.inPhase(phaseSaving)) {
+				if !g.checkpointed && (member.task.saveCommandAt == 0 || !member.respondsIn(phaseSaving)) {
 					g.loseMember()
 					return
 				}
@@ -173,9 +176,9 @@
 		})
 	}
 	task.phase, task.saveCommandAt = phaseSaving, g.sim.now
-	g.sim.after(time.Second, func() {
+	g.sim.schedule(time.Second, func() {
 		for _, member := range g.members {
-			if g.broken || !member.inPhase(phaseSaving) || g.sim.now < member.task.saveCommandAt+time.Second {
+			if g.broken || !member.respondsIn(phaseSaving) || g.sim.now < member.task.saveCommandAt+time.Second {
 				return
 			}
 		}
@@ -189,7 +192,7 @@
 	return true
 }
 
-// newGang is a gang of short tasks.
+// newGang returns a gang job of short tasks.
 func newGang(i, tasks int, cpus float64) *simJob {
 	return newJob(jobSpec{
 		id: jobID(i), team: teamOf(i), tasks: tasks, cpus: cpus,
