--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -15,7 +15,7 @@
 // TestWireStatusMessage checks the encoding of an owner's status message: the fields of the
 // shard's status are at the top level, and the drains' report is a field beside them.
 func TestWireStatusMessage(t *testing.T) {
-	wiretest.Same(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
+	wiretest.CheckRoundTrip(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
 		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}],"drains":{"machines":[{"id":"vm-1",`+
 		`"tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
 		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}}`, &statusMessage{})
@@ -23,7 +23,7 @@
 
 // TestWireLayout checks the stored encoding of the number of shards, and its key.
 func TestWireLayout(t *testing.T) {
-	wiretest.Same(t, `{"blocks":3}`, &layout{})
+	wiretest.CheckRoundTrip(t, `{"blocks":3}`, &layout{})
 	if layoutKey != "layout" {
 		t.Errorf("layoutKey is %q, want \"layout\"", layoutKey)
 	}
--- a/internal/jobs/wire_test.go
+++ b/internal/jobs/wire_test.go
@@ -16,12 +16,12 @@
 // TestWireSubmission checks that every field of a submission is decoded and stored under the
 // same name.
 func TestWireSubmission(t *testing.T) {
-	wiretest.Same(t, fullSubmission, &Spec{})
+	wiretest.CheckRoundTrip(t, fullSubmission, &Spec{})
 	parsed, err := Parse([]byte(fullSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, fullSubmission)
+	wiretest.CheckEncoding(t, parsed, fullSubmission)
 }
 
 // TestWireSubmissionNulls checks that null fields are omitted from the stored form.
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, `{"id":"wk-1","lane":"l","crew":"c","shape":"array","urgency":"low","pieces":1,"cpus":1,"cards":0,`+
+	wiretest.CheckEncoding(t, parsed, `{"id":"wk-1","lane":"l","crew":"c","shape":"array","urgency":"low","pieces":1,"cpus":1,"cards":0,`+
 		`"memoryGb":1,"kit":"k","pullGb":0,"expectS":1}`)
 }
 
@@ -82,7 +82,7 @@
 
 // TestWireMachineType checks every field of a machine type as the cloud sends it.
 func TestWireMachineType(t *testing.T) {
-	wiretest.Same(t, `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,`+
+	wiretest.CheckRoundTrip(t, `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,`+
 		`"startupS":45,"yards":["yard-a","yard-b"]}`, &MachineType{})
 }
 
