--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -170,12 +170,12 @@
 func (d *drainCommand) ask(settings *settings.Settings) (*drain.Response, error) {
 	var response drain.Response
 	client := adminclient.NewClient(peer.NewClient(), adminclient.Nodes(settings), d.timeout)
-	err := client.Ask(drain.RequestPath, &d.request, func(answer []byte) (adminclient.Verdict, error) {
+	err := client.Ask(drain.RequestPath, &d.request, func(answer []byte) (adminclient.Outcome, error) {
 		response = drain.Response{}
 		if err := json.Unmarshal(answer, &response); err != nil {
-			return adminclient.Verdict{}, err
+			return adminclient.Outcome{}, err
 		}
-		return adminclient.Verdict{
+		return adminclient.Outcome{
 			Final:  response.Status == drain.StatusOK || response.Status == drain.StatusRefused,
 			Reason: response.Reason, Retry: time.Duration(response.RetryMS) * time.Millisecond,
 		}, nil
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -54,7 +54,7 @@
 // NoAnswerError says that no controller gave a final answer in time. Whether the request was
 // carried out is not known; it may be sent again.
 type NoAnswerError struct {
-	Asked []Failure // one for each node
+	Failures []Failure // one for each node
 }
 
 // Failure is what came of asking one node the last time.
@@ -65,15 +65,15 @@
 
 // Error names the nodes that were asked and what came of it.
 func (e *NoAnswerError) Error() string {
-	parts := make([]string, len(e.Asked))
-	for i, failure := range e.Asked {
+	parts := make([]string, len(e.Failures))
+	for i, failure := range e.Failures {
 		parts[i] = fmt.Sprintf("%s (%s): %s", failure.Node.Name, failure.Node.Endpoint, failure.Reason)
 	}
 	return "no leader reachable; asked " + strings.Join(parts, "; ")
 }
 
 // Verdict is what an answer means to the one who asked.
-type Verdict struct {
+type Outcome struct {
 	// Final says that the answer stands. Otherwise Reason says why not, and the request is
 	// sent again after Retry at the earliest.
 	Final  bool
@@ -83,11 +83,11 @@
 
 // Judge tells what an answer means. An error says that it does not parse; the next
 // controller is asked then.
-type Judge func(answer []byte) (Verdict, error)
+type EvaluateFunc func(answer []byte) (Outcome, error)
 
 // Ask sends a request, encoded as JSON, until judge calls an answer final. If none is in
 // time it returns a *NoAnswerError.
-func (c *Client) Ask(path string, request any, judge Judge) error {
+func (c *Client) Ask(path string, request any, judge EvaluateFunc) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return fmt.Errorf("request: %w", err)
@@ -126,14 +126,14 @@
 }
 
 // askNode sends the request to one node and judges its answer.
-func (c *Client) askNode(node Node, path string, body []byte, timeout time.Duration, judge Judge) Verdict {
+func (c *Client) askNode(node Node, path string, body []byte, timeout time.Duration, judge EvaluateFunc) Outcome {
 	answer, err := c.Sender.Send(node.Endpoint, path, body, timeout)
 	if err != nil {
-		return Verdict{Reason: err.Error()}
+		return Outcome{Reason: err.Error()}
 	}
 	verdict, err := judge(answer)
 	if err != nil {
-		return Verdict{Reason: "its answer does not parse: " + err.Error()}
+		return Outcome{Reason: "its answer does not parse: " + err.Error()}
 	}
 	return verdict
 }
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -38,14 +38,14 @@
 	return c
 }
 
-func judge(answer []byte) (Verdict, error) {
+func judge(answer []byte) (Outcome, error) {
 	switch text := string(answer); text {
 	case "garbage":
-		return Verdict{}, errors.New("not JSON")
+		return Outcome{}, errors.New("not JSON")
 	case "later":
-		return Verdict{Reason: "does not lead", Retry: 2 * time.Second}, nil
+		return Outcome{Reason: "does not lead", Retry: 2 * time.Second}, nil
 	default:
-		return Verdict{Final: true, Reason: text}, nil
+		return Outcome{Final: true, Reason: text}, nil
 	}
 }
 
@@ -69,7 +69,7 @@
 		begun := s.now
 		err := newTestClient(s, timeout).Ask("/x", 1, judge)
 		var noAnswer *NoAnswerError
-		if !errors.As(err, &noAnswer) || len(noAnswer.Asked) != 3 {
+		if !errors.As(err, &noAnswer) || len(noAnswer.Failures) != 3 {
 			t.Fatalf("%v", err)
 		}
 		if took := s.now.Sub(begun); took > timeout {
--- a/internal/controller/heartbeat_routing_test.go
+++ b/internal/controller/heartbeat_routing_test.go
@@ -56,7 +56,7 @@
 // TestWireRedirectReply: the bytes with which a worker is redirected, with and without a
 // known owner.
 func TestWireRedirectReply(t *testing.T) {
-	wiretest.Same(t, `{"upstream":"node-1"}`, &redirectReply{})
+	wiretest.CheckRoundTrip(t, `{"upstream":"node-1"}`, &redirectReply{})
 	if body, err := json.Marshal(redirectReply{}); err != nil || string(body) != "{}" {
 		t.Errorf("without a known owner: %s (%v)", body, err)
 	}
--- a/internal/controller/wire_test.go
+++ b/internal/controller/wire_test.go
@@ -15,7 +15,7 @@
 // TestWireStatusMessage: an owner's status message is the shard's status with the drains'
 // report beside its fields, not below them.
 func TestWireStatusMessage(t *testing.T) {
-	wiretest.Same(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
+	wiretest.CheckRoundTrip(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
 		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}],"drains":{"machines":[{"id":"vm-1",`+
 		`"tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
 		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}}`, &statusMessage{})
@@ -23,7 +23,7 @@
 
 // TestWireLayout: the number of shards as it is stored.
 func TestWireLayout(t *testing.T) {
-	wiretest.Same(t, `{"blocks":3}`, &layout{})
+	wiretest.CheckRoundTrip(t, `{"blocks":3}`, &layout{})
 	if layoutKey != "layout" {
 		t.Error(layoutKey)
 	}
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -28,51 +28,51 @@
 
 // TestWireRecords: what is stored of a drain.
 func TestWireRecords(t *testing.T) {
-	wiretest.Same(t, `{"phase":"cancelled","created":1700000000001,"digest":"0a1b","replace":true,"machines":5,"pages":2,"released":3,`+
+	wiretest.CheckRoundTrip(t, `{"phase":"cancelled","created":1700000000001,"digest":"0a1b","replace":true,"machines":5,"pages":2,"released":3,`+
 		`"ended":1700000000002}`, &Head{})
-	wiretest.Written(t, Head{}, `{"phase":"","created":0,"digest":"","machines":0,"pages":0}`)
-	wiretest.Same(t, `{"m":[{"i":"vm-000001","s":"closed","n":2,"r":"vm-000009","t":1700000000003},{"i":"vm-000002"}]}`, &Page{})
-	wiretest.Same(t, `{"m":"vm-000001","t":[{"j":"wk-1","i":3,"a":4},{"j":"wk-2","a":5,"g":6}]}`, &Grant{})
-	wiretest.Written(t, Page{}, `{"m":null}`)
-	wiretest.Written(t, Grant{}, `{"m":"","t":null}`)
+	wiretest.CheckEncoding(t, Head{}, `{"phase":"","created":0,"digest":"","machines":0,"pages":0}`)
+	wiretest.CheckRoundTrip(t, `{"m":[{"i":"vm-000001","s":"closed","n":2,"r":"vm-000009","t":1700000000003},{"i":"vm-000002"}]}`, &Page{})
+	wiretest.CheckRoundTrip(t, `{"m":"vm-000001","t":[{"j":"wk-1","i":3,"a":4},{"j":"wk-2","a":5,"g":6}]}`, &Grant{})
+	wiretest.CheckEncoding(t, Page{}, `{"m":null}`)
+	wiretest.CheckEncoding(t, Grant{}, `{"m":"","t":null}`)
 }
 
 // TestWireWords: the words for phases, states, verbs, kinds and statuses.
 func TestWireWords(t *testing.T) {
-	wiretest.Written(t, []Phase{PhaseRunning, PhasePaused, PhaseCancelled, PhaseDone}, `["running","paused","cancelled","done"]`)
-	wiretest.Written(t, []MachineState{MachineWaiting, MachineReplacing, MachineClosed, MachineReleased}, `["","replacing","closed","released"]`)
-	wiretest.Written(t, []Verb{VerbPlan, VerbStart, VerbStatus, VerbPause, VerbResume, VerbCancel},
+	wiretest.CheckEncoding(t, []Phase{PhaseRunning, PhasePaused, PhaseCancelled, PhaseDone}, `["running","paused","cancelled","done"]`)
+	wiretest.CheckEncoding(t, []MachineState{MachineWaiting, MachineReplacing, MachineClosed, MachineReleased}, `["","replacing","closed","released"]`)
+	wiretest.CheckEncoding(t, []Verb{VerbPlan, VerbStart, VerbStatus, VerbPause, VerbResume, VerbCancel},
 		`["plan","start","status","pause","resume","cancel"]`)
-	wiretest.Written(t, []MachineKind{AnyKind, SpotKind, OrdinaryKind}, `["","spot","ordinary"]`)
-	wiretest.Written(t, []ResponseStatus{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
+	wiretest.CheckEncoding(t, []MachineKind{AnyKind, SpotKind, OrdinaryKind}, `["","spot","ordinary"]`)
+	wiretest.CheckEncoding(t, []ResponseStatus{StatusOK, StatusRefused, StatusUnavailable}, `["ok","refused","unavailable"]`)
 }
 
 // TestWireShardReport: what a shard's owner tells the leader of its drains.
 func TestWireShardReport(t *testing.T) {
-	wiretest.Same(t, `{"machines":[{"id":"vm-1","tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],`+
+	wiretest.CheckRoundTrip(t, `{"machines":[{"id":"vm-1","tasks":[{"job":"wk-1","index":2,"attempt":3,"runsMs":4}]}],`+
 		`"granted":[{"j":"wk-1","i":5,"a":6,"g":7,"runs":true,"void":true}],`+
 		`"teams":{"red":{"running":{"tasks":8,"cpus":9.5},"disturbed":{"tasks":10,"cpus":11.5}}},"down":{"wk-2":12},"partial":true}`, &ShardReport{})
-	wiretest.Written(t, ShardReport{}, `{}`)
-	wiretest.Written(t, ClosedMachine{}, `{"id":""}`)
-	wiretest.Written(t, PlacedTask{}, `{"job":"","attempt":0}`)
-	wiretest.Written(t, GrantedTask{}, `{"j":"","a":0}`)
+	wiretest.CheckEncoding(t, ShardReport{}, `{}`)
+	wiretest.CheckEncoding(t, ClosedMachine{}, `{"id":""}`)
+	wiretest.CheckEncoding(t, PlacedTask{}, `{"job":"","attempt":0}`)
+	wiretest.CheckEncoding(t, GrantedTask{}, `{"j":"","a":0}`)
 }
 
 // TestWireRequest: what an operator asks.
 func TestWireRequest(t *testing.T) {
-	wiretest.Same(t, `{"verb":"start","id":"d-1","selection":{"machines":["vm-1"],"zones":["yard-a"],"types":["g8"],"kind":"spot",`+
+	wiretest.CheckRoundTrip(t, `{"verb":"start","id":"d-1","selection":{"machines":["vm-1"],"zones":["yard-a"],"types":["g8"],"kind":"spot",`+
 		`"prefixes":["10.0.0.0/8"]},"replace":true,"forwarded":true}`, &Request{})
-	wiretest.Written(t, Request{}, `{"verb":"","selection":{}}`)
+	wiretest.CheckEncoding(t, Request{}, `{"verb":"","selection":{}}`)
 }
 
 // TestWireResponse: what an operator is answered.
 func TestWireResponse(t *testing.T) {
-	wiretest.Same(t, `{"status":"unavailable","node":"n0","field":"id","reason":"why","retryMs":1500,`+
+	wiretest.CheckRoundTrip(t, `{"status":"unavailable","node":"n0","field":"id","reason":"why","retryMs":1500,`+
 		`"drains":[{"id":"d-1","phase":"running","replace":true,"machines":1,"states":{"closed":2},"disturbed":3,"waits":["w"]}],`+
 		`"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},"unchosen":{"tasks":5,"cpus":6.5},"budget":"tasks 8"}},`+
 		`"plan":{"machines":1,"teams":{"red":{"tasks":2,"cpus":3.5,"rounds":4,"budget":"cpus 9"}},"jobs":5}}`, &Response{})
-	wiretest.Written(t, Response{}, `{"status":"","node":""}`)
-	wiretest.Written(t, View{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
+	wiretest.CheckEncoding(t, Response{}, `{"status":"","node":""}`)
+	wiretest.CheckEncoding(t, View{}, `{"id":"","phase":"","replace":false,"machines":0,"states":null,"disturbed":0}`)
 }
 
 // TestWireDigest: the digest of a request is stored in a drain's head and compared with
--- a/internal/fleet/wire_test.go
+++ b/internal/fleet/wire_test.go
@@ -10,13 +10,13 @@
 
 // TestWireStatus: what a shard's owner tells the leader, and the answer.
 func TestWireStatus(t *testing.T) {
-	wiretest.Same(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
+	wiretest.CheckRoundTrip(t, `{"node":"node-1","block":2,"token":3,"seq":4,"full":true,"lit":["yard-a"],"hosts":[{"id":"vm-1","addr":"10.0.0.1:7",`+
 		`"build":"g8","zone":"yard-a","spot":true,"up":true,"open":true,"idleMs":5,"busy":true,"back":"old"}]}`, &ShardStatus{})
-	wiretest.Written(t, ShardStatus{}, `{"node":"","block":0,"token":0,"seq":0,"hosts":null}`)
-	wiretest.Written(t, MachineStatus{}, `{"id":"","addr":"","build":"","zone":"","spot":false,"up":false,"open":false}`)
-	wiretest.Same(t, `{"full":true,"drain":["vm-1"],"machines":[{"id":"vm-2","addr":"10.0.0.2:7"}],"returned":["vm-3"],`+
+	wiretest.CheckEncoding(t, ShardStatus{}, `{"node":"","block":0,"token":0,"seq":0,"hosts":null}`)
+	wiretest.CheckEncoding(t, MachineStatus{}, `{"id":"","addr":"","build":"","zone":"","spot":false,"up":false,"open":false}`)
+	wiretest.CheckRoundTrip(t, `{"full":true,"drain":["vm-1"],"machines":[{"id":"vm-2","addr":"10.0.0.2:7"}],"returned":["vm-3"],`+
 		`"recall":[{"job":"wk-1","number":4}]}`, &StatusReply{})
-	wiretest.Written(t, StatusReply{}, `{}`)
+	wiretest.CheckEncoding(t, StatusReply{}, `{}`)
 }
 
 // newCloudFleet is a fleet whose calls to the cloud wait for the test's answers.
@@ -35,13 +35,13 @@
 	const one = `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,` +
 		`"startupS":45,"yards":["yard-a"]}`
 	runtime.answerLastCall(200, `{"builds":[`+one+`]}`)
-	wiretest.Written(t, fleet.MachineTypes(), "["+one+"]")
+	wiretest.CheckEncoding(t, fleet.MachineTypes(), "["+one+"]")
 }
 
 // TestWireMachineList: how the cloud is called for the machines, page by page, and what is
 // read of the answers.
 func TestWireMachineList(t *testing.T) {
-	wiretest.Same(t, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],`+
+	wiretest.CheckRoundTrip(t, `{"hosts":[{"id":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"phase":"booting","ageS":2.5}],`+
 		`"hasNext":true}`, &machineListPage{})
 	runtime, fleet := newCloudFleet()
 	fleet.readList()
--- a/internal/jobs/wire_test.go
+++ b/internal/jobs/wire_test.go
@@ -15,12 +15,12 @@
 
 // TestWireSubmission: every field of a submission is read, and stored under the same name.
 func TestWireSubmission(t *testing.T) {
-	wiretest.Same(t, fullSubmission, &Spec{})
+	wiretest.CheckRoundTrip(t, fullSubmission, &Spec{})
 	parsed, err := Parse([]byte(fullSubmission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, fullSubmission)
+	wiretest.CheckEncoding(t, parsed, fullSubmission)
 }
 
 // TestWireSubmissionNulls: what may be null is left out of what is stored.
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, `{"id":"wk-1","lane":"l","crew":"c","shape":"array","urgency":"low","pieces":1,"cpus":1,"cards":0,`+
+	wiretest.CheckEncoding(t, parsed, `{"id":"wk-1","lane":"l","crew":"c","shape":"array","urgency":"low","pieces":1,"cpus":1,"cards":0,`+
 		`"memoryGb":1,"kit":"k","pullGb":0,"expectS":1}`)
 }
 
@@ -80,7 +80,7 @@
 
 // TestWireMachineType: every field of a machine type, as the cloud tells it.
 func TestWireMachineType(t *testing.T) {
-	wiretest.Same(t, `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,`+
+	wiretest.CheckRoundTrip(t, `{"label":"g8","cpus":8,"cards":2,"memoryGb":32,"cacheGb":100,"pullGbPerS":0.5,"price":1.25,"spotPrice":0.4,`+
 		`"startupS":45,"yards":["yard-a","yard-b"]}`, &MachineType{})
 }
 
--- a/internal/settings/surface_test.go
+++ b/internal/settings/surface_test.go
@@ -16,12 +16,12 @@
 		`"workers":{"report_s":3,"lease_s":36,"cancel_s":66,"gang_wait_s":20,"gang_peer_s":5},` +
 		`"state":{"rps":80,"write_rps":15,"value_kb":8,"txn_ops":12,"next":{"rps":40,"write_rps":7.5,"value_kb":4,"txn_ops":6}},` +
 		`"cloud":{"rps":3,"list_lag_s":10},"quota":{"core_share":0.096,"mem_mb":98,"sockets":700},"skew_ms":250}}`
-	wiretest.Same(t, file, &Settings{})
+	wiretest.CheckRoundTrip(t, file, &Settings{})
 	parsed, err := Parse([]byte(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, file)
+	wiretest.CheckEncoding(t, parsed, file)
 }
 
 // TestSurfaceOperator: every name of the operators' settings.
--- a/internal/statestore/wire_test.go
+++ b/internal/statestore/wire_test.go
@@ -14,18 +14,18 @@
 
 // TestWireKeyValues: key-values, conditions, operations and events.
 func TestWireKeyValues(t *testing.T) {
-	wiretest.Same(t, `{"key":"job/wk-1","v":{"at":1},"stamp":2}`, &KeyValue{})
-	wiretest.Same(t, `{"key":"job/wk-1","stamp":2}`, &Condition{})
-	wiretest.Written(t, Condition{Key: "job/wk-1"}, `{"key":"job/wk-1","stamp":0}`)
-	wiretest.Same(t, `{"set":"job/wk-1","v":{"at":1},"permit":3,"remove":"job/wk-2"}`, &Operation{})
-	wiretest.Written(t, Operation{DeleteKey: "job/wk-2"}, `{"remove":"job/wk-2"}`)
-	wiretest.Same(t, `{"set":"job/wk-1","v":{"at":1},"remove":"job/wk-2","stamp":4}`, &WatchEvent{})
+	wiretest.CheckRoundTrip(t, `{"key":"job/wk-1","v":{"at":1},"stamp":2}`, &KeyValue{})
+	wiretest.CheckRoundTrip(t, `{"key":"job/wk-1","stamp":2}`, &Condition{})
+	wiretest.CheckEncoding(t, Condition{Key: "job/wk-1"}, `{"key":"job/wk-1","stamp":0}`)
+	wiretest.CheckRoundTrip(t, `{"set":"job/wk-1","v":{"at":1},"permit":3,"remove":"job/wk-2"}`, &Operation{})
+	wiretest.CheckEncoding(t, Operation{DeleteKey: "job/wk-2"}, `{"remove":"job/wk-2"}`)
+	wiretest.CheckRoundTrip(t, `{"set":"job/wk-1","v":{"at":1},"remove":"job/wk-2","stamp":4}`, &WatchEvent{})
 }
 
 // TestWireLeases: the keys and values of leases.
 func TestWireLeases(t *testing.T) {
-	wiretest.Same(t, `{"node":"n0","nonce":1125899906842623,"permit":3,"unfit":true}`, &leaseHolder{})
-	wiretest.Written(t, leaseHolder{}, `{"node":"","nonce":0}`)
+	wiretest.CheckRoundTrip(t, `{"node":"n0","nonce":1125899906842623,"permit":3,"unfit":true}`, &leaseHolder{})
+	wiretest.CheckEncoding(t, leaseHolder{}, `{"node":"","nonce":0}`)
 	if LeaderKey != "lease/lead" || ShardKey(12) != "lease/block/12" || nodePrefix != "lease/node/" || leasePrefix != "lease/" {
 		t.Error(LeaderKey, ShardKey(12), nodePrefix, leasePrefix)
 	}
@@ -99,7 +99,7 @@
 	limit, _ := strings.CutPrefix(first, "/keys?under=job%2F&limit=")
 	service.takeOnly(t, "GET", "/keys?under=job%2F&limit="+limit, "")(reply(200, `{"rows":[{"key":"job/a&b","v":{"at":1},"stamp":5}],"hasNext":true,"epoch":6}`), nil)
 	service.takeOnly(t, "GET", "/keys?under=job%2F&limit="+limit+"&since=job%2Fa%26b", "")(reply(200, `{"rows":[{"key":"job/c","v":2,"stamp":7}],"hasNext":false,"epoch":8}`), nil)
-	wiretest.Written(t, got, `[{"key":"job/a\u0026b","v":{"at":1},"stamp":5},{"key":"job/c","v":2,"stamp":7}]`)
+	wiretest.CheckEncoding(t, got, `[{"key":"job/a\u0026b","v":{"at":1},"stamp":5},{"key":"job/c","v":2,"stamp":7}]`)
 	if revision != 6 || limit == "" {
 		t.Errorf("revision %d, limit %q", revision, limit)
 	}
--- a/internal/taskstate/wire_test.go
+++ b/internal/taskstate/wire_test.go
@@ -56,8 +56,8 @@
 
 // TestWireRecord: the stored form of a record.
 func TestWireRecord(t *testing.T) {
-	wiretest.Same(t, `{"i":"0-3,7","w":"1@2","z":["yard-a"],"g":3,"n":4,"d":"2","r":"3","p":{"0":{"h":"vm-1","t":5}},"a":{"7":6}}`, &storedRecord{})
-	wiretest.Written(t, storedRecord{}, `{"i":""}`)
+	wiretest.CheckRoundTrip(t, `{"i":"0-3,7","w":"1@2","z":["yard-a"],"g":3,"n":4,"d":"2","r":"3","p":{"0":{"h":"vm-1","t":5}},"a":{"7":6}}`, &storedRecord{})
+	wiretest.CheckEncoding(t, storedRecord{}, `{"i":""}`)
 
 	const text = `{"i":"0-3,7","w":"1@2,3,7@9","z":["yard-a","yard-b"],"g":3,"n":4,"d":"2"}`
 	record, err := DecodeRecord("work/5/wk-000412/6", []byte(text), 8)
@@ -82,8 +82,8 @@
 // it is read.
 func TestWirePage(t *testing.T) {
 	const text = `{"e":[{"c":"wk-000412/6","p":{"vm-1":"0-1","vm-2":"2@3"},"b":{"vm-2":"2@3"},"w":"3@4","r":"4@5","d":"5-6"}]}`
-	wiretest.Same(t, text, &storedPage{})
-	wiretest.Written(t, storedPage{Entries: []pageEntry{{}}}, `{"e":[{"c":""}]}`)
+	wiretest.CheckRoundTrip(t, text, &storedPage{})
+	wiretest.CheckEncoding(t, storedPage{Entries: []pageEntry{{}}}, `{"e":[{"c":""}]}`)
 
 	read := map[int]TaskStatus{}
 	seenRunning := map[int]bool{}
--- a/internal/userapi/wire_test.go
+++ b/internal/userapi/wire_test.go
@@ -27,10 +27,10 @@
 	const full = `{"phase":"cancelled","at":1700000000001,"job":{"id":"wk-1","lane":"l","crew":"c","shape":"gang","urgency":"low","pieces":1,` +
 		`"cpus":2,"cards":3,"memoryGb":4,"kit":"k","pullGb":5,"builds":["g8"],"yard":"y","samePlace":true,"spread":true,"loaners":true,` +
 		`"expectS":6,"snapshotS":7,"flushS":8,"dueS":9},"n":10,"off":1700000000002}`
-	wiretest.Same(t, full, &record)
-	wiretest.Written(t, Record{}, `{"at":0}`)
-	wiretest.Written(t, Record{Phase: PhaseDone, SubmittedMS: 1, TaskCount: 2}, `{"phase":"done","at":1,"n":2}`)
-	wiretest.Same(t, `{"id":"wk-1","phase":"running","done":2,"running":3}`, &jobStatus{})
+	wiretest.CheckRoundTrip(t, full, &record)
+	wiretest.CheckEncoding(t, Record{}, `{"at":0}`)
+	wiretest.CheckEncoding(t, Record{Phase: PhaseDone, SubmittedMS: 1, TaskCount: 2}, `{"phase":"done","at":1,"n":2}`)
+	wiretest.CheckRoundTrip(t, `{"id":"wk-1","phase":"running","done":2,"running":3}`, &jobStatus{})
 	if KeyPrefix != "job/" || PhaseDone != "done" || PhaseCancelled != "cancelled" {
 		t.Error(KeyPrefix, PhaseDone, PhaseCancelled)
 	}
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -13,9 +13,9 @@
 // and encodes it again to the same bytes. The example must give every field a value
 // other than zero, so that each is shown to arrive and to be sent, and every field must have
 // a tag, so that renaming it does not rename what is sent.
-func Same(t testing.TB, example string, message any) {
+func CheckRoundTrip(t testing.TB, example string, message any) {
 	t.Helper()
-	Read(t, example, message)
+	CheckDecoding(t, example, message)
 	if again, err := json.Marshal(message); err != nil || string(again) != example {
 		t.Errorf("%T\nread    %s\nwritten %s (%v)", message, example, again, err)
 	}
@@ -23,7 +23,7 @@
 
 // Read decodes an example into message, a pointer, which must know all of its names. The
 // example must give every field a value other than zero.
-func Read(t testing.TB, example string, message any) {
+func CheckDecoding(t testing.TB, example string, message any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader([]byte(example)))
 	decoder.DisallowUnknownFields()
@@ -36,7 +36,7 @@
 }
 
 // Written encodes a message, which must give exactly the expected text.
-func Written(t testing.TB, message any, expected string) {
+func CheckEncoding(t testing.TB, message any, expected string) {
 	t.Helper()
 	if raw, err := json.Marshal(message); err != nil || string(raw) != expected {
 		t.Errorf("%T\nwritten %s (%v)\nwant    %s", message, raw, err, expected)
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -37,12 +37,12 @@
 func TestWireHeartbeat(t *testing.T) {
 	const text = `{"host":"vm-1","addr":"10.0.0.1:7","build":"g8","yard":"yard-a","loaners":true,"shift":3,"tick":4,"baton":5,"warningS":6.5,` +
 		`"pieces":[{"piece":"wk-000001/2","try":7,"phase":"ended","cause":"done","stored":true},{"piece":"wk-000001/3","try":8,"phase":"running"}]}`
-	wiretest.Same(t, text, &Heartbeat{})
+	wiretest.CheckRoundTrip(t, text, &Heartbeat{})
 	parsed, err := ParseHeartbeat([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	wiretest.Written(t, parsed, text)
+	wiretest.CheckEncoding(t, parsed, text)
 	for _, incomplete := range []string{`{"shift":3}`, `{"host":"vm-1"}`, `{"host":"vm-1","shift":0}`} {
 		if _, err := ParseHeartbeat([]byte(incomplete)); err == nil || err.Error() != `report: "host" or "shift" missing` {
 			t.Errorf("%s: %v", incomplete, err)
@@ -52,12 +52,12 @@
 
 // TestWireCommands: what a worker is answered and ordered.
 func TestWireCommands(t *testing.T) {
-	wiretest.Same(t, `{"baton":1,"shift":2,"orders":[{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5},`+
+	wiretest.CheckRoundTrip(t, `{"baton":1,"shift":2,"orders":[{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5},`+
 		`{"verb":"launch","piece":"wk-000001/3","try":5},{"verb":"forget","piece":"wk-000001/4","try":6}]}`, &CommandMessage{})
-	wiretest.Written(t, CommandMessage{Token: 1, Commands: []Command{}}, `{"baton":1,"orders":[]}`)
-	wiretest.Written(t, haltCommand("wk-000001/2", 3, 0), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":0}`)
-	wiretest.Written(t, haltCommand("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
-	wiretest.Written(t, forgetCommand(&ReportedTask{Name: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
+	wiretest.CheckEncoding(t, CommandMessage{Token: 1, Commands: []Command{}}, `{"baton":1,"orders":[]}`)
+	wiretest.CheckEncoding(t, haltCommand("wk-000001/2", 3, 0), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":0}`)
+	wiretest.CheckEncoding(t, haltCommand("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
+	wiretest.CheckEncoding(t, forgetCommand(&ReportedTask{Name: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
 	if string(NotOwnerBody) != `{"error":"not the owner of this machine"}` {
 		t.Errorf("%s", NotOwnerBody)
 	}
@@ -194,7 +194,7 @@
 			gone := false
 			fixture.onTaskWaiting = func(*taskstate.Task) { gone = true }
 			commands := fixture.reportAll(t, "ended", cause)
-			wiretest.Written(t, commands, want.commands)
+			wiretest.CheckEncoding(t, commands, want.commands)
 			task := fixture.job.Tasks[0]
 			if done := task.State == taskstate.StateDone; gone != want.gone || done != want.done || (machine.ConsecutiveFailures > 0) != want.failed ||
 				(machine.RefusesUntil > 0) != want.full || (task.Queue.NotBefore > 0) != want.delay {
