--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -109,7 +109,7 @@
 	if refusal := d.request.Validate(); refusal != nil {
 		return &exitError{exitRefused, refusal}
 	}
-	response, err := d.ask(loaded)
+	response, err := d.send(loaded)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 
 // ask sends the request to one controller after the other until one gives an answer that
 // is final.
-func (d *drainCommand) ask(settings *settings.Settings) (*drain.Response, error) {
+func (d *drainCommand) send(settings *settings.Settings) (*drain.Response, error) {
 	var response drain.Response
 	client := adminclient.NewClient(peer.NewClient(), adminclient.Nodes(settings), d.timeout)
 	err := client.Ask(drain.RequestPath, &d.request, func(answer []byte) (adminclient.Outcome, error) {
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestAskGoesOnUntilANodeAnswers: dead nodes, ones that do not lead and ones that answer nonsense are
+// TestAskRetriesUntilANodeAnswers: dead nodes, ones that do not lead and ones that answer nonsense are
 // passed over, and asked again, until one answers.
-func TestAskGoesOnUntilANodeAnswers(t *testing.T) {
+func TestAskRetriesUntilANodeAnswers(t *testing.T) {
 	s := &scriptedSender{answers: map[string][]string{"e0": {""}, "e1": {"later", "garbage", "done"}, "e2": {"later"}}}
 	if err := newTestClient(s, time.Minute).Ask("/x", 1, judge); err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package eventloop runs the owner loop: one goroutine owns all state of the process and
-// works through queues of commands in batches. Everything else (sockets, timers, calls to
+// Package eventloop implements the process's event loop: one goroutine owns all state of the
+// process and runs queued commands in batches. Everything else (sockets, timers, calls to
 // other services) only posts commands.
 //
-// The package owns the queues and nothing of what the commands work on. It must never run
-// two commands at the same time, nor run a command on another goroutine than Run's.
+// The package owns the queues, but none of the state that the commands work on. It must never
+// run two commands concurrently, nor run a command on a goroutine other than Run's.
 package eventloop
 
 import (
@@ -14,14 +14,15 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Lane ranks commands. Under overload heartbeats come first, so that no work is lost for
-// want of an answer, then the program's own decisions, then users, who can come back.
+// Lane is the priority class of a command. Under overload heartbeats are served first, so
+// that no work is lost because a worker gets no answer, then the program's own decisions,
+// then users' requests, which can be repeated.
 type Lane int
 
-// The lanes in their order of service.
+// The lanes, in descending order of priority.
 const (
-	// HeartbeatLane is for workers' heartbeats, for peers' messages and for the answers to
-	// the program's own calls.
+	// HeartbeatLane is for workers' heartbeats, peers' messages and the responses to the
+	// program's own calls.
 	HeartbeatLane Lane = iota
 	// DecisionLane is for timers.
 	DecisionLane
@@ -31,7 +32,7 @@
 	laneCount = iota
 )
 
-// String returns the lane's name in logs.
+// String returns the name of the lane as it appears in logs.
 func (l Lane) String() string {
 	switch l {
 	case HeartbeatLane:
@@ -44,18 +45,19 @@
 	return "lane " + strconv.Itoa(int(l))
 }
 
-// Loop is the queues of commands and the one goroutine that runs them. Post and
+// Loop holds the queued commands, which the goroutine that calls Run executes. Post and
 // QueueLength are safe for concurrent use.
 type Loop struct {
 	mu     sync.Mutex
 	queues [laneCount][]func()
-	wake   chan struct{} // holds one element while Run may have missed a command
+	wake   chan struct{} // contains one element while Run may have missed a command
 }
 
-// NewLoop returns a loop without commands.
+// NewLoop returns a loop with empty queues.
 func NewLoop() *Loop { return &Loop{wake: make(chan struct{}, 1)} }
 
-// Post queues a command. It never blocks for longer than the queue's lock is held.
+// Post appends a command to the queue of a lane. It blocks only while another goroutine holds
+// the lock of the queues.
 func (l *Loop) Post(lane Lane, command func()) {
 	l.mu.Lock()
 	l.queues[lane] = append(l.queues[lane], command)
@@ -73,12 +75,12 @@
 	return len(l.queues[lane])
 }
 
-// Run works through the queues until the context ends and they are empty. After every batch
-// it calls afterBatch, where the owners of state take the decisions that the batch has made
-// necessary.
+// Run executes the queued commands until the context is done and the queues are empty. After
+// every batch it calls afterBatch, in which the owners of state make the decisions that the
+// batch requires.
 func (l *Loop) Run(ctx context.Context, afterBatch func()) {
 	for {
-		batch := l.takeBatch()
+		batch := l.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -94,9 +96,10 @@
 	}
 }
 
-// takeBatch takes the next batch off: all of the first lane that is not empty, but users'
-// commands in small portions, so that the other lanes are served in between.
-func (l *Loop) takeBatch() []func() {
+// nextBatch dequeues and returns the next batch: all commands of the first lane that is not
+// empty, or nil if all are empty. Users' commands are returned at most
+// tuning.UserCommandBatch at a time, so that the other lanes are served in between.
+func (l *Loop) nextBatch() []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for lane := range l.queues {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,8 +8,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// runUntilIdle runs a loop until its queues are empty and returns how often
-// afterBatch was called.
+// runUntilIdle runs a loop until its queues are empty and returns the number of calls of
+// afterBatch.
 func runUntilIdle(loop *Loop) (batches int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -17,7 +17,9 @@
 	return batches
 }
 
-func TestLanesAreServedInTheirOrder(t *testing.T) {
+// TestLanesAreServedInPriorityOrder checks that each lane is one batch and that lanes run in
+// the order of their priority, whatever the order of the posts.
+func TestLanesAreServedInPriorityOrder(t *testing.T) {
 	loop := NewLoop()
 	var served []string
 	for _, lane := range []Lane{UserLane, DecisionLane, HeartbeatLane, UserLane, HeartbeatLane} {
@@ -28,11 +30,13 @@
 		t.Errorf("served %q, want %q", served, want)
 	}
 	if batches != 3 {
-		t.Errorf("%d batches, want one for each lane", batches)
+		t.Errorf("ran %d batches, want 3, one for each lane", batches)
 	}
 }
 
-func TestUserCommandsRunInPortions(t *testing.T) {
+// TestUserCommandsRunInLimitedBatches checks that a heartbeat posted during a long queue of
+// users' commands waits for one batch of them, not for all.
+func TestUserCommandsRunInLimitedBatches(t *testing.T) {
 	loop := NewLoop()
 	var served []string
 	for number := range tuning.UserCommandBatch + 1 {
@@ -45,10 +49,12 @@
 	}
 	runUntilIdle(loop)
 	if position := slices.Index(served, "heartbeat"); position != tuning.UserCommandBatch || len(served) != tuning.UserCommandBatch+2 {
-		t.Errorf("the heartbeat was served at %d of %d commands, want after %d", position, len(served), tuning.UserCommandBatch)
+		t.Errorf("the heartbeat ran at index %d of %d commands, want index %d of %d", position, len(served), tuning.UserCommandBatch, tuning.UserCommandBatch+2)
 	}
 }
 
+// TestCommandsOfALaneRunInOrder checks that the commands of a lane run in the order in which
+// they were posted, also across batches.
 func TestCommandsOfALaneRunInOrder(t *testing.T) {
 	loop := NewLoop()
 	var served []int
@@ -57,6 +63,6 @@
 	}
 	runUntilIdle(loop)
 	if len(served) != 100 || !slices.IsSorted(served) {
-		t.Errorf("served in the order %v", served)
+		t.Errorf("commands ran in the order %v, want 0 to 99", served)
 	}
 }
--- a/internal/eventloop/system_runtime.go
+++ b/internal/eventloop/system_runtime.go
@@ -10,12 +10,13 @@
 
 // PeerSender sends a message to another controller and waits for its answer.
 type PeerSender interface {
-	// Send may be called concurrently; timeout is for the message and its answer together.
+	// Send may be called concurrently; timeout covers both the message and its answer.
 	Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// SystemRuntime is the Runtime of a running process: it reads the machine's clocks and sends
-// each call from a goroutine of its own, whose only other deed is to post the answer.
+// SystemRuntime is the Runtime of a running process. It reads the machine's clocks and sends
+// each call from its own goroutine, which posts the response to the loop and does nothing
+// else.
 type SystemRuntime struct {
 	loop      *Loop
 	client    *http1.Client
@@ -25,9 +26,9 @@
 
 var _ Runtime = (*SystemRuntime)(nil)
 
-// NewSystemRuntime returns a runtime that posts to loop and calls through client and peers.
-// From then on it closes the client's idle connections regularly, as long as the process
-// runs.
+// NewSystemRuntime returns a runtime that posts to loop and sends calls through client and
+// peers. It also starts a timer that closes the client's idle connections every
+// tuning.SocketSweepInterval until the process ends.
 func NewSystemRuntime(loop *Loop, client *http1.Client, peers PeerSender) *SystemRuntime {
 	runtime := &SystemRuntime{loop: loop, client: client, peers: peers, startedAt: time.Now()}
 	runtime.closeIdlePeriodically()
@@ -41,10 +42,10 @@
 	})
 }
 
-// Now reads the steady clock, from the start of the process.
+// Now returns the time on the monotonic clock since NewSystemRuntime was called.
 func (s *SystemRuntime) Now() time.Duration { return time.Since(s.startedAt) }
 
-// WallClock reads the time of day.
+// WallClock returns the time of day.
 func (s *SystemRuntime) WallClock() time.Time { return time.Now() }
 
 // Rand returns a random number in [0,1).
@@ -59,7 +60,7 @@
 	time.AfterFunc(delay, func() { s.loop.Post(DecisionLane, fn) })
 }
 
-// CallHTTP sends a request; the response comes back through the loop.
+// CallHTTP sends a request and runs fn on the loop with the response or an error.
 func (s *SystemRuntime) CallHTTP(address string, request http1.ClientRequest, timeout time.Duration, fn func(http1.Response, error)) {
 	go func() {
 		var response http1.Response
@@ -76,7 +77,8 @@
 	}()
 }
 
-// CallPeer sends a message to another controller; its answer comes back through the loop.
+// CallPeer sends a message to another controller and runs fn on the loop with its answer or
+// an error.
 func (s *SystemRuntime) CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
 	go func() {
 		answer, err := s.peers.Send(endpoint, path, body, timeout)
--- a/internal/eventloop/system_runtime_test.go
+++ b/internal/eventloop/system_runtime_test.go
@@ -10,7 +10,7 @@
 	"lemonmoor/internal/http1"
 )
 
-// startRuntime returns the runtime of a loop that runs until the test ends.
+// startRuntime starts a loop that runs until the test ends, and returns its runtime.
 func startRuntime(t *testing.T, peers PeerSender) *SystemRuntime {
 	t.Helper()
 	loop := NewLoop()
@@ -20,7 +20,8 @@
 	return NewSystemRuntime(loop, http1.NewClient(http1.NewSocketBudget(0)), peers)
 }
 
-// listen returns the address of a listener whose connections are handed to serve.
+// listen returns the address of a listener that passes each connection to serve and closes it
+// afterwards.
 func listen(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +42,7 @@
 	return listener.Addr().String()
 }
 
-// call waits for the response to a request.
+// call sends a request to an address and waits for its response.
 func call(t *testing.T, runtime *SystemRuntime, address string) (http1.Response, error) {
 	t.Helper()
 	type outcome struct {
@@ -57,14 +58,14 @@
 	case received := <-outcomes:
 		return received.response, received.err
 	case <-time.After(20 * time.Second):
-		t.Fatal("the call was never answered")
+		t.Fatal("CallHTTP did not call fn within 20 s")
 		return http1.Response{}, nil
 	}
 }
 
-// TestCallsTellWhetherTheyMayHaveBeenCarriedOut: only a call that surely never reached its
-// target fails with ErrNotSent, since callers take it as not carried out.
-func TestCallsTellWhetherTheyMayHaveBeenCarriedOut(t *testing.T) {
+// TestCallErrorsDistinguishNotSentFromNoAnswer guards against calls that fail with ErrNotSent
+// although they may have reached their target: callers treat such a call as not carried out.
+func TestCallErrorsDistinguishNotSentFromNoAnswer(t *testing.T) {
 	runtime := startRuntime(t, nil)
 	t.Run("answered", func(t *testing.T) {
 		address := listen(t, func(connection net.Conn) {
@@ -72,13 +73,13 @@
 			_, _ = connection.Write([]byte("HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}"))
 		})
 		if response, err := call(t, runtime, address); err != nil || response.Status != 409 || string(response.Body) != "{}" {
-			t.Errorf("%d %s, %v", response.Status, response.Body, err)
+			t.Errorf("got status %d, body %s, %v; want 409, {}", response.Status, response.Body, err)
 		}
 	})
 	t.Run("read but not answered", func(t *testing.T) {
 		address := listen(t, func(connection net.Conn) { _, _ = connection.Read(make([]byte, 4096)) })
 		if _, err := call(t, runtime, address); !errors.Is(err, ErrNoAnswer) {
-			t.Errorf("%v, want %v", err, ErrNoAnswer)
+			t.Errorf("a call that was read but not answered: %v, want %v", err, ErrNoAnswer)
 		}
 	})
 	t.Run("not connected", func(t *testing.T) {
@@ -91,19 +92,20 @@
 			t.Fatal(err)
 		}
 		if _, err := call(t, runtime, address); !errors.Is(err, ErrNotSent) {
-			t.Errorf("%v, want %v", err, ErrNotSent)
+			t.Errorf("a call to a closed port: %v, want %v", err, ErrNotSent)
 		}
 	})
 }
 
-// TestAfterNeverRunsItsFunctionAtOnce: a function without a delay runs on the loop as well,
-// not within the call, where its caller may not expect its state to change.
-func TestAfterNeverRunsItsFunctionAtOnce(t *testing.T) {
+// TestAfterNeverRunsItsFunctionSynchronously checks that a function without a delay is queued
+// as well. Run within the call, it could change state that the caller does not expect to
+// change.
+func TestAfterNeverRunsItsFunctionSynchronously(t *testing.T) {
 	loop := NewLoop()
 	runtime := NewSystemRuntime(loop, http1.NewClient(http1.NewSocketBudget(0)), nil)
 	ran := false
 	runtime.After(0, func() { ran = true })
 	if ran || loop.QueueLength(DecisionLane) != 1 {
-		t.Errorf("ran %v, %d commands queued", ran, loop.QueueLength(DecisionLane))
+		t.Errorf("After(0): function ran: %v, %d commands queued; want it queued and not run", ran, loop.QueueLength(DecisionLane))
 	}
 }
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -72,10 +72,10 @@
 	if c.sockets.IsScarce() && !c.isAlwaysReachable(addr) {
 		return nil, errSocketsScarce
 	}
-	c.sockets.noteOpened()
+	c.sockets.countOpened()
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
-		c.sockets.noteClosed()
+		c.sockets.countClosed()
 		return nil, fmt.Errorf("connect to %s: %w", addr, err)
 	}
 	return conn, nil
@@ -86,7 +86,7 @@
 // closeConnection closes a connection and returns its socket to the budget.
 func (c *Client) closeConnection(conn net.Conn) {
 	_ = conn.Close() // the connection is given up either way
-	c.sockets.noteClosed()
+	c.sockets.countClosed()
 }
 
 // initialReadBuffer is the size in bytes of a buffer that most responses fit into.
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// TestParsersTakeAnyBytes: no input makes the parser panic or take more than it was given.
-func TestParsersTakeAnyBytes(t *testing.T) {
+// TestParsersAcceptArbitraryBytes: no input makes the parser panic or take more than it was given.
+func TestParsersAcceptArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := rapid.SampledFrom([]string{"", "GET / HTTP/1.1\r\n", "POST /work HTTP/1.1\r\nContent-Length: ", "HTTP/1.1 200 OK\r\n"}).Draw(t, "head")
 		buf := append([]byte(head), rapid.SliceOfN(rapid.SampledFrom([]byte("\r\n: 0123abcfGET/HTP.-+\x00\xff")), 0, 200).Draw(t, "rest")...)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -83,7 +83,7 @@
 	state := &connectionState{}
 	state.lastActivityMS.Store(s.uptimeMS())
 	connection.SetContext(state)
-	s.config.Sockets.noteOpened()
+	s.config.Sockets.countOpened()
 	s.mu.Lock()
 	s.connections[connection] = state
 	s.mu.Unlock()
@@ -96,11 +96,11 @@
 // OnClose implements gnet.EventHandler: it forgets a connection.
 func (s *Server) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	s.mu.Lock()
-	_, there := s.connections[connection]
+	_, tracked := s.connections[connection]
 	delete(s.connections, connection)
 	s.mu.Unlock()
-	if there {
-		s.config.Sockets.noteClosed()
+	if tracked {
+		s.config.Sockets.countClosed()
 	}
 	return gnet.None
 }
--- a/internal/http1/sockets.go
+++ b/internal/http1/sockets.go
@@ -21,9 +21,9 @@
 	return &SocketBudget{maxSockets: int64(maxSockets)}
 }
 
-func (s *SocketBudget) noteOpened() { s.openSockets.Add(1) }
+func (s *SocketBudget) countOpened() { s.openSockets.Add(1) }
 
-func (s *SocketBudget) noteClosed() { s.openSockets.Add(-1) }
+func (s *SocketBudget) countClosed() { s.openSockets.Add(-1) }
 
 // remainingBelow reports whether less than a share of all sockets is left.
 func (s *SocketBudget) remainingBelow(share float64) bool {
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestConnectionsAreGivenUpInOrderAsSocketsRunOut guards against a process that meets the platform's limit:
+// TestConnectionsAreClosedInOrderAsSocketsRunOut guards against a process that meets the platform's limit:
 // near it connections that are not in use are closed, then direct commands are not
 // sent, and calls to the state service are still made.
-func TestConnectionsAreGivenUpInOrderAsSocketsRunOut(t *testing.T) {
+func TestConnectionsAreClosedInOrderAsSocketsRunOut(t *testing.T) {
 	addr := startEchoServer(t)
 	const limit = 1000
 	sockets := NewSocketBudget(limit)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,13 +1,13 @@
-// Package peer carries messages between the controllers, and from operators' commands to
-// them. Each message and its answer are one stream of an HTTP/2 connection that stays open.
-// The package owns these connections and nothing else; it neither knows the messages nor
-// repeats them.
+// Package peer transports messages between the controllers, and from operators' commands to
+// the controllers. Each message and its answer are one stream of an HTTP/2 connection that
+// stays open. The package owns these connections and nothing else: it does not interpret the
+// messages and does not retry them.
 package peer
 
 import "net/http"
 
-// Bounds of the HTTP/2 connections, small since a controller has little memory. A message
-// is larger than a stream's buffer only when it describes thousands of machines.
+// Limits of the HTTP/2 connections. They are small because a controller has little memory; a
+// message exceeds a stream's buffer only if it describes thousands of machines.
 const (
 	maxFrameBytes         = 16 << 10
 	streamBufferBytes     = 128 << 10
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -10,17 +10,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Handler takes a message. It must not block, and calls answer once, from any goroutine;
-// ok false refuses the message.
+// Handler handles a message. It must not block. It must call answer once, from any goroutine;
+// ok set to false refuses the message.
 type Handler func(path string, body []byte, answer func(body []byte, ok bool))
 
-// result is what a handler answers.
+// result is a handler's answer.
 type result struct {
 	body []byte
 	ok   bool
 }
 
-// Serve takes messages on addr until listening fails.
+// Serve listens on addr and passes each message to handle. It returns only when listening
+// fails.
 func Serve(addr string, handle Handler, log *slog.Logger) error {
 	server := &http.Server{
 		Addr:              addr,
@@ -41,8 +42,9 @@
 	return nil
 }
 
-// serveMessage hands one message to the handler and writes its answer. A handler that does
-// not answer in time counts as having refused: the sender has given up by then.
+// serveMessage passes one message to the handler and writes the handler's answer. A message
+// that is not answered within 2*tuning.PeerRequestTimeout is refused, because its sender has
+// given up by then.
 func serveMessage(w http.ResponseWriter, r *http.Request, handle Handler, log *slog.Logger) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, tuning.MaxPeerMessageBytes))
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -108,9 +108,9 @@
 	})
 }
 
-// TestNextLimitsCountFromTheStart: what the state service will allow later counts from the
+// TestNextLimitsApplyFromTheStart: what the state service will allow later counts from the
 // start; without it, or a part of it, nothing changes; nonsense is refused.
-func TestNextLimitsCountFromTheStart(t *testing.T) {
+func TestNextLimitsApplyFromTheStart(t *testing.T) {
 	parse := func(next string) (*Settings, error) {
 		return Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12,"next":`+next, 1)))
 	}
@@ -142,11 +142,11 @@
 	}
 }
 
-// TestCancelLimitLeavesTimeToLearnOfCancellations: settings under which no owner could learn of a
+// TestCancelLimitAllowsTimeToLearnOfCancellations: settings under which no owner could learn of a
 // cancellation in time are refused with the field and the reason, and under all others
 // the answers end in time: the newest answer on the oldest knowledge, the worker's
 // lease with its drift and the slack still fit into cancel_s.
-func TestCancelLimitLeavesTimeToLearnOfCancellations(t *testing.T) {
+func TestCancelLimitAllowsTimeToLearnOfCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaseSeconds := float64(rapid.IntRange(5, 120).Draw(t, "lease"))
 		cancelSeconds := leaseSeconds + float64(rapid.IntRange(-50, 600).Draw(t, "tenths more"))/10
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// seed is the one that is used unless the command line names another.
-const seed = "20261202"
+// defaultSeed is the one that is used unless the command line names another.
+const defaultSeed = "20261202"
 
 // Main runs a package's tests; its TestMain calls it.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
-		if err := flag.Set("rapid.seed", seed); err != nil {
+		if err := flag.Set("rapid.seed", defaultSeed); err != nil {
 			panic(err)
 		}
 	}
