--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -11,14 +11,14 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Client calls the state service, the cloud and the workers, and keeps connections to them
-// for the next call. It is safe for concurrent use.
+// Client sends requests to the state service, the cloud and the workers, and reuses open
+// connections. It is safe for concurrent use.
 type Client struct {
 	sockets         *SocketBudget
-	alwaysReachable []string // addresses that are called however few sockets are left
+	alwaysReachable []string // addresses that are connected to however few sockets are left
 
 	mu   sync.Mutex
-	idle map[string][]idleConnection // by address, the one used last at the end
+	idle map[string][]idleConnection // by address, the most recently used last
 }
 
 type idleConnection struct {
@@ -26,18 +26,19 @@
 	idleSince time.Time
 }
 
-// errSocketsScarce says that a call was not sent because too few sockets are left.
-var errSocketsScarce = errors.New("no socket to spare")
+// errSocketsScarce reports that a request was not sent because too few sockets are left for a
+// new connection.
+var errSocketsScarce = errors.New("too few sockets left for a new connection")
 
-// NewClient returns a client without connections. The addresses in alwaysReachable are
-// called however few sockets are left.
+// NewClient returns a client without open connections. It connects to the addresses in
+// alwaysReachable however few sockets are left.
 func NewClient(sockets *SocketBudget, alwaysReachable ...string) *Client {
 	return &Client{sockets: sockets, alwaysReachable: alwaysReachable, idle: map[string][]idleConnection{}}
 }
 
-// Send sends one request and waits for its response, timeout for both together. sent
-// reports whether any of the request may have reached the other side, so that it may have
-// been carried out although there is an error.
+// Send sends one request and waits for its response; timeout covers both. sent reports
+// whether any part of the request may have reached the server, so that the request may have
+// been carried out even if err is not nil.
 func (c *Client) Send(addr string, request ClientRequest, timeout time.Duration) (response *Response, sent bool, err error) {
 	deadline := time.Now().Add(timeout)
 	conn := c.takeIdle(addr)
@@ -48,16 +49,16 @@
 	}
 	if err := conn.SetDeadline(deadline); err != nil {
 		c.closeConnection(conn)
-		return nil, false, fmt.Errorf("set deadline: %w", err)
+		return nil, false, fmt.Errorf("set deadline of connection to %s: %w", addr, err)
 	}
 	if _, err := conn.Write(encodeRequest(addr, request)); err != nil {
 		c.closeConnection(conn)
-		return nil, true, fmt.Errorf("send to %s: %w", addr, err)
+		return nil, true, fmt.Errorf("send request to %s: %w", addr, err)
 	}
 	response, err = readResponse(conn)
 	if err != nil {
 		c.closeConnection(conn)
-		return nil, true, fmt.Errorf("answer of %s: %w", addr, err)
+		return nil, true, fmt.Errorf("read response from %s: %w", addr, err)
 	}
 	if response.CloseAfter {
 		c.closeConnection(conn)
@@ -67,7 +68,8 @@
 	return response, true, nil
 }
 
-// dial opens a connection unless too few sockets are left for that.
+// dial opens a connection. It fails with errSocketsScarce if sockets are scarce and addr is
+// not always reachable.
 func (c *Client) dial(addr string, timeout time.Duration) (net.Conn, error) {
 	if c.sockets.IsScarce() && !c.isAlwaysReachable(addr) {
 		return nil, errSocketsScarce
@@ -85,14 +87,14 @@
 
 // closeConnection closes a connection and returns its socket to the budget.
 func (c *Client) closeConnection(conn net.Conn) {
-	_ = conn.Close() // the connection is given up either way
+	_ = conn.Close() // the connection is not used again, whatever the result
 	c.sockets.countClosed()
 }
 
-// initialReadBuffer is the size in bytes of a buffer that most responses fit into.
+// initialReadBuffer is the initial size in bytes of a read buffer. Most responses fit into it.
 const initialReadBuffer = 2048
 
-// readResponse waits for one whole response.
+// readResponse reads until one response is complete.
 func readResponse(conn net.Conn) (*Response, error) {
 	buf := make([]byte, 0, initialReadBuffer)
 	for {
@@ -114,7 +116,8 @@
 	}
 }
 
-// takeIdle returns an open connection that is not in use, nil if there is none.
+// takeIdle removes an idle connection from the pool and returns it, nil if there is none. It
+// closes connections that have been idle for too long.
 func (c *Client) takeIdle(addr string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,8 +135,9 @@
 	return nil
 }
 
-// putIdle keeps a connection for the next call, or closes it if there are enough or
-// sockets are tight.
+// putIdle adds a connection to the pool for the next request. It closes the connection
+// instead if the pool has enough for this address, or if sockets are tight and the address is
+// not always reachable.
 func (c *Client) putIdle(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,9 +148,9 @@
 	c.idle[addr] = append(c.idle[addr], idleConnection{conn, time.Now()})
 }
 
-// CloseIdle closes the connections that have not been used for
-// tuning.IdleClientConnectionTimeout and, while sockets are tight, all that are not in use,
-// except those to the addresses that must stay reachable.
+// CloseIdle closes the connections that have been idle for
+// tuning.IdleClientConnectionTimeout. While sockets are tight it closes all idle connections
+// except those to the addresses that are always reachable.
 func (c *Client) CloseIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,7 +1,7 @@
-// Package http1 is HTTP/1.1 as far as the controllers need it: a parser for requests and
-// responses, a server on gnet, a small client, and the budget of sockets that server and
-// client share. It owns the open connections and nothing else, and must not know what the
-// messages mean: routing and retries belong to its callers.
+// Package http1 implements the part of HTTP/1.1 that the controllers need: a parser for
+// requests and responses, a server on gnet, a small client, and the budget of sockets that
+// server and client share. It owns the open connections and nothing else. It must not
+// interpret the messages: routing and retries belong to its callers.
 package http1
 
 import (
@@ -17,7 +17,7 @@
 	Path   string // without the query
 	Query  string // without the question mark
 	Body   []byte
-	// CloseAfter reports that the sender closes the connection after the response.
+	// CloseAfter reports that the client wants the connection closed after the response.
 	CloseAfter bool
 }
 
@@ -25,28 +25,28 @@
 type Response struct {
 	Status int
 	Body   []byte
-	// CloseAfter reports that the sender closes the connection after this response.
+	// CloseAfter reports that the server closes the connection after this response.
 	CloseAfter bool
 }
 
-// ClientRequest is a request to be sent. A nil Body sends none.
+// ClientRequest is a request to be sent. If Body is nil, it is sent without a body.
 type ClientRequest struct {
 	Method string
 	Target string // path and query
 	Body   []byte // JSON
 }
 
-// ProtocolError says that a message is malformed, too large or not supported. Its request
-// is answered with Status, and the connection is closed.
+// ProtocolError reports that a message is malformed, too large or not supported. The server
+// answers such a request with Status and closes the connection.
 type ProtocolError struct {
 	Status int
 	Reason string
 }
 
-// Error names the status and the reason.
+// Error returns the status and the reason. The text is sent to the client.
 func (e *ProtocolError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Reason) }
 
-// ErrorBody is the JSON body of a response that refuses a request.
+// ErrorBody returns the JSON body of a response that refuses a request.
 func ErrorBody(reason string) []byte {
 	body, err := json.Marshal(struct {
 		Error string `json:"error"`
@@ -57,8 +57,8 @@
 	return body
 }
 
-// reasonPhrases are the reason phrases of the statuses that the controllers send.
-// http.StatusText has the older phrases for 413 and 422.
+// reasonPhrases maps the statuses that the controllers send to their reason phrases. It
+// replaces http.StatusText, which returns the older phrases for 413 and 422.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusCreated:                     "Created",
@@ -79,7 +79,7 @@
 }
 
 // AppendResponse appends a response with a JSON body to dst. retryAfter is in seconds; 0
-// sends no Retry-After. closeAfter announces that the connection is closed.
+// omits the Retry-After field. closeAfter adds "Connection: close".
 func AppendResponse(dst []byte, status int, body []byte, retryAfter int, closeAfter bool) []byte {
 	reason := reasonPhrases[status]
 	if reason == "" {
@@ -102,7 +102,7 @@
 	return append(dst, body...)
 }
 
-// encodeRequest returns the bytes of a request. host goes into the Host field.
+// encodeRequest returns the encoded request, with host as its Host field.
 func encodeRequest(host string, request ClientRequest) []byte {
 	var encoded []byte
 	encoded = append(encoded, request.Method...)
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -10,7 +10,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// errIncomplete says that more bytes of the message are to come.
+// errIncomplete reports that the buffer ends before the message does.
 var errIncomplete = errors.New("incomplete")
 
 var (
@@ -19,24 +19,26 @@
 )
 
 const (
-	// maxChunkLine is the most bytes of the line that gives a chunk's size.
+	// maxChunkLine is the maximum length, in bytes, of the line with a chunk's size.
 	maxChunkLine = 64
-	// maxLeadingBytes is how many bytes of empty lines may stand before a request
-	// (RFC 9112, section 2.2).
+	// maxLeadingBytes is the maximum number of bytes of empty lines before a request that
+	// are skipped (RFC 9112, section 2.2).
 	maxLeadingBytes = 4
 )
 
-// messageHead is the part before the body, which requests and responses share.
+// messageHead is the part of a request or response before its body: start line and header
+// fields.
 type messageHead struct {
 	startLine           string
-	contentLength       int // -1: not given
+	contentLength       int // -1 if not given
 	chunked             bool
 	connectionClose     bool
 	connectionKeepAlive bool
-	size                int // bytes, the empty line that ends it included
+	size                int // in bytes, including the empty line at the end
 }
 
-// parseHead reads the start line and the header fields off the front of buf.
+// parseHead parses the start line and the header fields at the beginning of buf. The error is
+// errIncomplete or a *ProtocolError.
 func parseHead(buf []byte) (messageHead, error) {
 	head := messageHead{contentLength: -1}
 	end := bytes.Index(buf, headerTerminator)
@@ -62,7 +64,8 @@
 	return head, nil
 }
 
-// parseField reads one header field; those that do not matter here are only checked.
+// parseField parses one header field. Fields other than Content-Length, Transfer-Encoding and
+// Connection are only checked for their form.
 func (h *messageHead) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
@@ -88,8 +91,8 @@
 	return nil
 }
 
-// parseBody reads the message's body off the front of buf and returns how many bytes it
-// took. A body above limit bytes is an error; a limit of 0 is none.
+// parseBody parses the message's body at the beginning of buf and returns the number of bytes
+// consumed. A body of more than limit bytes is an error; a limit of 0 means no limit.
 func (h *messageHead) parseBody(buf []byte, limit int) (body []byte, size int, err error) {
 	if h.chunked {
 		return parseChunks(buf, limit)
@@ -104,8 +107,8 @@
 	return buf[:length], length, nil
 }
 
-// parseChunks is parseBody for a chunked body (RFC 9112, section 7.1). Trailer fields are
-// not supported.
+// parseChunks parses a chunked body (RFC 9112, section 7.1), with the parameters and results
+// of parseBody. Trailer fields are not supported.
 func parseChunks(buf []byte, limit int) (body []byte, used int, err error) {
 	for {
 		end := bytes.Index(buf[used:], lineTerminator)
@@ -139,9 +142,9 @@
 	}
 }
 
-// ParseRequest reads one request off the front of buf and returns how many bytes it took.
-// While the request is incomplete it returns nil and takes none. The body is a copy. An
-// error is a *ProtocolError.
+// ParseRequest parses the request at the beginning of buf and returns the number of bytes
+// consumed. While the request is incomplete it returns nil, 0 and no error. The body is a
+// copy. An error is a *ProtocolError.
 func ParseRequest(buf []byte) (*Request, int, error) {
 	skipped := 0
 	for skipped < maxLeadingBytes && bytes.HasPrefix(buf[skipped:], lineTerminator) {
@@ -175,7 +178,7 @@
 	}, skipped + head.size + bodySize, nil
 }
 
-// parseRequestLine divides the start line of a request.
+// parseRequestLine splits the start line of a request and checks its parts.
 func parseRequestLine(line string) (method, target, version string, err error) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
@@ -192,9 +195,9 @@
 	return parts[0], parts[1], parts[2], nil
 }
 
-// ParseResponse reads one response off the front of buf and returns how many bytes it took.
-// While the response is incomplete it returns nil and takes none; eof says that no more
-// bytes will come. The body is a copy. An error is a *ProtocolError.
+// ParseResponse parses the response at the beginning of buf and returns the number of bytes
+// consumed. While the response is incomplete it returns nil, 0 and no error. eof reports that
+// no bytes will follow buf. The body is a copy. An error is a *ProtocolError.
 func ParseResponse(buf []byte, eof bool) (*Response, int, error) {
 	head, err := parseHead(buf)
 	if errors.Is(err, errIncomplete) {
@@ -209,7 +212,7 @@
 	}
 	if head.contentLength < 0 && !head.chunked && status != http.StatusNoContent && status != http.StatusNotModified {
 		if !eof {
-			return nil, 0, nil // the body ends with the connection
+			return nil, 0, nil // the body ends when the connection is closed
 		}
 		return &Response{Status: status, Body: bytes.Clone(buf[head.size:]), CloseAfter: true}, len(buf), nil
 	}
@@ -223,7 +226,7 @@
 	return &Response{Status: status, Body: bytes.Clone(body), CloseAfter: head.connectionClose}, head.size + bodySize, nil
 }
 
-// parseStatusLine reads the status out of the start line of a response.
+// parseStatusLine returns the status in the start line of a response.
 func parseStatusLine(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -12,8 +12,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TestParseRequestInPieces: however a request is cut up, it parses to the same,
-// takes its own bytes only, and never before it is whole.
+// TestParseRequestInPieces checks that a request is not parsed while any of its last bytes is
+// missing, and that a complete one parses to the same values with and without chunks and
+// consumes only its own bytes.
 func TestParseRequestInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		method := rapid.SampledFrom([]string{"GET", "POST", "DELETE"}).Draw(t, "method")
@@ -38,33 +39,35 @@
 		}
 		cut := rapid.IntRange(0, len(raw)-1).Draw(t, "cut")
 		if req, n, err := ParseRequest(raw[:cut]); req != nil || n != 0 || err != nil {
-			t.Fatalf("a request without its last %d bytes gave %v, %d, %v", len(raw)-cut, req, n, err)
+			t.Fatalf("a request without its last %d bytes: %v, %d bytes consumed, %v; want nil, 0, nil", len(raw)-cut, req, n, err)
 		}
 		req, n, err := ParseRequest(append(bytes.Clone(raw), "GET /next"...))
 		if err != nil || n != len(raw) {
-			t.Fatalf("took %d of %d bytes, %v", n, len(raw), err)
+			t.Fatalf("consumed %d bytes of a request of %d, %v", n, len(raw), err)
 		}
 		if req.Method != method || req.Path != path || req.Query != query || !bytes.Equal(req.Body, body) {
-			t.Fatalf("parsed %+v", req)
+			t.Fatalf("parsed %+v, want %s %s?%s with body %q", req, method, path, query, body)
 		}
 	})
 }
 
-// TestParsersAcceptArbitraryBytes: no input makes the parser panic or take more than it was given.
+// TestParsersAcceptArbitraryBytes checks that no input makes the parsers panic or consume more
+// bytes than they were given.
 func TestParsersAcceptArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		head := rapid.SampledFrom([]string{"", "GET / HTTP/1.1\r\n", "POST /work HTTP/1.1\r\nContent-Length: ", "HTTP/1.1 200 OK\r\n"}).Draw(t, "head")
 		buf := append([]byte(head), rapid.SliceOfN(rapid.SampledFrom([]byte("\r\n: 0123abcfGET/HTP.-+\x00\xff")), 0, 200).Draw(t, "rest")...)
 		if _, n, _ := ParseRequest(buf); n > len(buf) {
-			t.Fatalf("took %d of %d", n, len(buf))
+			t.Fatalf("ParseRequest consumed %d of %d bytes", n, len(buf))
 		}
 		if _, n, _ := ParseResponse(buf, rapid.Bool().Draw(t, "eof")); n > len(buf) {
-			t.Fatalf("took %d of %d", n, len(buf))
+			t.Fatalf("ParseResponse consumed %d of %d bytes", n, len(buf))
 		}
 	})
 }
 
-// TestMalformedRequestsAreRefused: each fault has its status.
+// TestMalformedRequestsAreRefused checks the status of the error for each kind of malformed,
+// oversized or unsupported request.
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	for raw, status := range map[string]int{
 		"GET /\r\n\r\n":                                                                     400,
@@ -83,12 +86,12 @@
 		_, _, err := ParseRequest([]byte(raw))
 		var f *ProtocolError
 		if !errors.As(err, &f) || f.Status != status {
-			t.Errorf("%.60q: %v, want %d", raw, err, status)
+			t.Errorf("%.60q: error %v, want status %d", raw, err, status)
 		}
 	}
 }
 
-// TestResponsesRoundTrip: a response that is written parses to the same.
+// TestResponsesRoundTrip checks that an encoded response parses to the same values.
 func TestResponsesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		status := rapid.SampledFrom([]int{200, 201, 404, 409, 421, 503}).Draw(t, "status")
@@ -97,7 +100,7 @@
 		raw := AppendResponse(nil, status, body, rapid.IntRange(0, 30).Draw(t, "retry"), closing)
 		a, n, err := ParseResponse(raw, false)
 		if err != nil || n != len(raw) || a.Status != status || !bytes.Equal(a.Body, body) || a.CloseAfter != closing {
-			t.Fatalf("%+v, %d of %d, %v", a, n, len(raw), err)
+			t.Fatalf("%q: parsed %+v, %d of %d bytes consumed, %v", raw, a, n, len(raw), err)
 		}
 	})
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -13,28 +13,29 @@
 	"lemonmoor/internal/tuning"
 )
 
-// ResponseWriter answers a request; calls after the first do nothing. retryAfter is in
-// seconds, 0 for none. It may be called from any goroutine.
+// ResponseWriter sends the response to a request; calls after the first have no effect.
+// retryAfter is in seconds, 0 for none. It may be called from any goroutine.
 type ResponseWriter func(status int, body []byte, retryAfter int)
 
-// Handler takes a request off the network. It must not block.
+// Handler handles a request. It runs on the server's event loop and must not block; it may
+// call respond later.
 type Handler func(request *Request, respond ResponseWriter)
 
-// ServerConfig is what a server needs to know of the process that it serves.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Handle  Handler
 	Sockets *SocketBudget
 	Log     *slog.Logger
-	// IsUser reports whether a request comes from a user, whose connections yield to those
-	// of workers when sockets run out. Nil takes none for a user's.
+	// IsUser reports whether a request comes from a user. When sockets run out, users'
+	// connections are closed before those of workers. If nil, no request counts as a user's.
 	IsUser func(*Request) bool
-	// WorkerIdleTimeout is how long a connection that is no user's may be idle. A machine
-	// that died or was cut off does not close its own. 0 stands for
-	// tuning.IdleConnectionTimeout.
+	// WorkerIdleTimeout is how long a connection that is not a user's may be idle before it
+	// is closed; 0 means tuning.IdleConnectionTimeout. The timeout is needed because a
+	// machine that died or was cut off does not close its connection.
 	WorkerIdleTimeout time.Duration
 }
 
-// Server serves HTTP/1.1 on gnet's event loop, one request of a connection at a time.
+// Server serves HTTP/1.1 on gnet's event loop. It handles one request per connection at a time.
 type Server struct {
 	gnet.BuiltinEventEngine
 	config  ServerConfig
@@ -44,16 +45,16 @@
 	connections map[gnet.Conn]*connectionState
 }
 
-// connectionState is what the server knows of a connection. The event loop and the
-// goroutines that answer share it.
+// connectionState is the server's state of a connection. It is shared by the event loop and
+// the goroutines that send responses.
 type connectionState struct {
 	awaitsResponse    atomic.Bool
 	lastActivityMS    atomic.Int64 // uptime at the last byte or response, in milliseconds
 	hasPartialRequest atomic.Bool
-	isUser            atomic.Bool // the last request came from a user
+	isUser            atomic.Bool // the most recent request came from a user
 }
 
-// NewServer returns a server that does not listen yet.
+// NewServer returns a server, which listens once Serve is called.
 func NewServer(config ServerConfig) *Server {
 	if config.IsUser == nil {
 		config.IsUser = func(*Request) bool { return false }
@@ -64,10 +65,10 @@
 	return &Server{config: config, started: time.Now(), connections: map[gnet.Conn]*connectionState{}}
 }
 
-// bufferBytes is the capacity of gnet's read and write buffers of one connection.
+// bufferBytes is the capacity of each of gnet's read and write buffers of a connection.
 const bufferBytes = 16 * 1024
 
-// Serve listens on addr until the process ends or listening fails.
+// Serve listens on addr and serves requests. It returns only when listening fails.
 func (s *Server) Serve(addr string) error {
 	return gnet.Run(s, "tcp://"+addr,
 		gnet.WithNumEventLoop(1), gnet.WithTicker(true), gnet.WithReuseAddr(true),
@@ -77,8 +78,8 @@
 
 func (s *Server) uptimeMS() int64 { return time.Since(s.started).Milliseconds() }
 
-// OnOpen implements gnet.EventHandler: it counts a new connection, and closes it if the
-// last sockets are needed for calls that must go through.
+// OnOpen implements gnet.EventHandler. It counts a new connection, and closes it if the
+// sockets left are reserved for calls to the state service, the cloud and the peers.
 func (s *Server) OnOpen(connection gnet.Conn) ([]byte, gnet.Action) {
 	state := &connectionState{}
 	state.lastActivityMS.Store(s.uptimeMS())
@@ -93,7 +94,8 @@
 	return nil, gnet.None
 }
 
-// OnClose implements gnet.EventHandler: it forgets a connection.
+// OnClose implements gnet.EventHandler. It removes a connection and returns its socket to the
+// budget.
 func (s *Server) OnClose(connection gnet.Conn, _ error) gnet.Action {
 	s.mu.Lock()
 	_, tracked := s.connections[connection]
@@ -105,8 +107,8 @@
 	return gnet.None
 }
 
-// OnTraffic implements gnet.EventHandler: it hands the next request to the handler. Further
-// ones wait until the response has been written.
+// OnTraffic implements gnet.EventHandler. It passes the next request to the handler. Later
+// requests of the connection stay buffered until the response has been written.
 func (s *Server) OnTraffic(connection gnet.Conn) gnet.Action {
 	state, ok := connection.Context().(*connectionState)
 	if !ok {
@@ -114,7 +116,7 @@
 	}
 	if state.awaitsResponse.Load() {
 		if connection.InboundBuffered() > 2*tuning.MaxBodyBytes {
-			return gnet.Close // it pipelines requests, which the protocol rules out
+			return gnet.Close // the client pipelines requests, which the protocol rules out
 		}
 		return gnet.None
 	}
@@ -147,14 +149,14 @@
 	return gnet.None
 }
 
-// refuse answers on the event loop and has the connection closed.
+// refuse sends an error response on the event loop and closes the connection.
 func refuse(connection gnet.Conn, status int, reason string, retryAfter int) gnet.Action {
-	_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(reason), retryAfter, true)) // closed either way
+	_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(reason), retryAfter, true)) // the connection is closed in any case
 	return gnet.Close
 }
 
-// responseWriter returns what answers the request that a connection waits with. closeAfter
-// says that the client asked for the connection to be closed.
+// responseWriter returns the ResponseWriter for the pending request of a connection.
+// closeAfter reports that the client asked for the connection to be closed afterwards.
 func (s *Server) responseWriter(connection gnet.Conn, state *connectionState, closeAfter, isUser bool) ResponseWriter {
 	var answered atomic.Bool
 	return func(status int, body []byte, retryAfter int) {
@@ -165,7 +167,7 @@
 		response := AppendResponse(nil, status, body, retryAfter, closing)
 		_ = connection.AsyncWrite(response, func(connection gnet.Conn, err error) error {
 			if err != nil || connection == nil {
-				return nil //nolint:nilerr // the connection is gone, and OnClose has been told
+				return nil //nolint:nilerr // the connection is closed, and OnClose has handled that
 			}
 			state.lastActivityMS.Store(s.uptimeMS())
 			state.awaitsResponse.Store(false)
@@ -176,24 +178,26 @@
 				return connection.Wake(nil)
 			}
 			return nil
-		}) // fails only if the connection is gone
+		}) // fails only if the connection is closed
 	}
 }
 
-// OnTick implements gnet.EventHandler: it closes idle connections and those whose request
-// arrives too slowly. While sockets are tight, users' idle ones go at once.
+// OnTick implements gnet.EventHandler. Every tuning.SocketSweepInterval it closes idle
+// connections and those whose request arrives too slowly. While sockets are tight, users'
+// connections are closed once they have been idle for one such interval.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	userIdleTimeout := tuning.IdleConnectionTimeout
 	if s.config.Sockets.IsTight() {
 		userIdleTimeout = tuning.SocketSweepInterval
 	}
 	for _, connection := range s.expired(userIdleTimeout) {
-		_ = connection.Close() // fails only if it is closed already
+		_ = connection.Close() // fails only if the connection is already closed
 	}
 	return tuning.SocketSweepInterval, gnet.None
 }
 
-// expired lists the connections that are to be closed.
+// expired returns the connections that have been idle for too long or whose request arrives
+// too slowly. Connections with a pending response are never among them.
 func (s *Server) expired(userIdleTimeout time.Duration) []gnet.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,14 +219,15 @@
 	return expired
 }
 
-// gnetLogger carries gnet's own messages to the log: at debug level, since gnet warns of
-// every connection that a client resets, and fatal ones as errors.
+// gnetLogger writes gnet's messages to the log. Warnings and errors are logged at debug level,
+// because gnet warns of every connection that a client resets; fatal ones are logged as
+// errors.
 type gnetLogger struct{ log *slog.Logger }
 
-// Debugf drops a message.
+// Debugf discards a message.
 func (g gnetLogger) Debugf(string, ...any) {}
 
-// Infof drops a message.
+// Infof discards a message.
 func (g gnetLogger) Infof(string, ...any) {}
 
 // Warnf logs a warning at debug level.
@@ -231,11 +236,11 @@
 // Errorf logs an error at debug level.
 func (g gnetLogger) Errorf(format string, args ...any) { g.debug(format, args) }
 
-// Fatalf logs what ends the server.
+// Fatalf logs the failure that ends the server at error level.
 func (g gnetLogger) Fatalf(format string, args ...any) {
 	g.log.Error("HTTP server failed", "format", format, "args", args)
 }
 
 func (g gnetLogger) debug(format string, args []any) {
-	g.log.Debug("HTTP server message", "format", format, "args", args)
+	g.log.Debug("gnet warning or error", "format", format, "args", args)
 }
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -10,13 +10,13 @@
 	"lemonmoor/internal/tuning"
 )
 
-// startEchoServer answers every request on loopback with an empty object until the test
-// ends, and returns its address.
+// startEchoServer starts a server on the loopback interface that answers every request with an
+// empty JSON object until the test ends, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Skip("no loopback here:", err)
+		t.Skip("cannot listen on the loopback interface:", err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
@@ -31,7 +31,7 @@
 	return listener.Addr().String()
 }
 
-// answerAll answers what comes on a connection until it fails.
+// answerAll answers everything received on a connection until the connection fails.
 func answerAll(conn net.Conn) {
 	buf := make([]byte, 1024)
 	for {
@@ -44,9 +44,10 @@
 	}
 }
 
-// TestConnectionsAreClosedInOrderAsSocketsRunOut guards against a process that meets the platform's limit:
-// near it connections that are not in use are closed, then direct commands are not
-// sent, and calls to the state service are still made.
+// TestConnectionsAreClosedInOrderAsSocketsRunOut guards against a process that reaches the
+// platform's limit of sockets, at which it cannot call the state service either. Near the
+// limit idle connections are closed, then direct commands are not sent, while calls to the
+// state service still are.
 func TestConnectionsAreClosedInOrderAsSocketsRunOut(t *testing.T) {
 	addr := startEchoServer(t)
 	const limit = 1000
@@ -58,38 +59,39 @@
 	}
 	fill := func(left float64) { sockets.openSockets.Store(limit - int64(left*limit)) }
 	if err := ask(worker); err != nil || sockets.openSockets.Load() != 1 {
-		t.Fatalf("%d open, %v", sockets.openSockets.Load(), err)
+		t.Fatalf("after the first call: %d sockets open, %v; want 1", sockets.openSockets.Load(), err)
 	}
 	fill(tuning.TightSocketShare - 0.01)
 	before := sockets.openSockets.Load()
 	worker.CloseIdle()
 	if n := sockets.openSockets.Load(); n != before-1 {
-		t.Errorf("%d of %d open after the idle one was to go", n, before)
+		t.Errorf("CloseIdle while sockets are tight: %d of %d sockets open, want %d", n, before, before-1)
 	}
 	if err := ask(worker); err != nil || sockets.openSockets.Load() != before-1 {
-		t.Errorf("%d open after a call, %v", sockets.openSockets.Load(), err)
+		t.Errorf("after a call while sockets are tight: %d sockets open, %v; want %d", sockets.openSockets.Load(), err, before-1)
 	}
 	fill(tuning.ScarceSocketShare - 0.01)
 	if err := ask(worker); !errors.Is(err, errSocketsScarce) {
-		t.Errorf("a direct command takes one of the last sockets: %v", err)
+		t.Errorf("direct command while sockets are scarce: %v, want %v", err, errSocketsScarce)
 	}
 	if err := ask(state); err != nil {
-		t.Errorf("the state service is not called: %v", err)
+		t.Errorf("call of the state service while sockets are scarce: %v", err)
 	}
 	if sockets.IsExhausted() {
-		t.Error("workers are refused while sockets are left for them")
+		t.Error("sockets count as exhausted, so that workers are refused, while they are only scarce")
 	}
 	if fill(0.001); !sockets.IsExhausted() {
-		t.Error("the last sockets are given away")
+		t.Error("sockets do not count as exhausted with 0.1 % of them left")
 	}
 }
 
-// TestUsersYieldToHeartbeatsWhenSocketsAreScarce: users are refused at once and told when
-// to come back, and heartbeats are answered.
+// TestUsersYieldToHeartbeatsWhenSocketsAreScarce checks that users' connections are closed
+// after the response while sockets are tight, that users' requests are refused while sockets
+// are scarce, and that heartbeats are answered all the time.
 func TestUsersYieldToHeartbeatsWhenSocketsAreScarce(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Skip("no loopback here:", err)
+		t.Skip("cannot listen on the loopback interface:", err)
 	}
 	addr := probe.Addr().String()
 	if err := probe.Close(); err != nil {
@@ -107,7 +109,7 @@
 	client := NewClient(NewSocketBudget(0))
 	ask := func(path string) (int, bool) {
 		var response *Response
-		for range 200 { // until it listens
+		for range 200 { // until the server listens
 			if response, _, err = client.Send(addr, ClientRequest{Method: "GET", Target: path}, 5*time.Second); err == nil {
 				return response.Status, response.CloseAfter
 			}
@@ -131,7 +133,7 @@
 	} {
 		sockets.openSockets.Store(limit - int64(test.left*limit))
 		if status, closed := ask(test.path); status != test.status || closed != test.close {
-			t.Errorf("%s with %.2f of the sockets left: %d, closed %v", test.path, test.left, status, closed)
+			t.Errorf("%s with a share of %.2f of the sockets left: status %d, closed %v; want %d, %v", test.path, test.left, status, closed, test.status, test.close)
 		}
 	}
 }
--- a/internal/http1/surface_test.go
+++ b/internal/http1/surface_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestSurfaceErrorBody: how refusals say why.
+// TestSurfaceErrorBody checks the JSON body of a refusal, with the reason escaped.
 func TestSurfaceErrorBody(t *testing.T) {
 	if got := string(ErrorBody(`not "this"`)); got != `{"error":"not \"this\""}` {
-		t.Error(got)
+		t.Errorf("ErrorBody: got %s", got)
 	}
 }
 
-// TestSurfaceHeaders: requests and answers as they are sent, to the byte.
+// TestSurfaceHeaders checks the exact bytes of encoded requests and responses.
 func TestSurfaceHeaders(t *testing.T) {
 	for want, got := range map[string][]byte{
 		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}":                                                         AppendResponse(nil, 200, []byte("{}"), 0, false),
@@ -20,7 +20,7 @@
 		"GET /keys HTTP/1.1\r\nHost: state:1\r\n\r\n":                                                                                              encodeRequest("state:1", ClientRequest{Method: "GET", Target: "/keys"}),
 	} {
 		if string(got) != want {
-			t.Errorf("%q instead of %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
