--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,8 +1,8 @@
-// Package adminclient sends operators' requests to the controllers, over the same HTTP/2
-// streams by which these talk among themselves. It asks one controller after the other, and
-// all of them again, until one gives a final answer or the time is up. It owns no state
-// beyond one request, and must not know what the requests mean: its caller judges the
-// answers.
+// Package adminclient sends operators' requests to the controllers, over the same kind of
+// HTTP/2 streams as the controllers use among themselves. It asks the controllers in turn, and
+// starts over after the last one, until one gives a final answer or the timeout has passed. It
+// keeps no state beyond one request, and must not interpret requests or answers: its caller
+// evaluates the answers.
 package adminclient
 
 import (
@@ -15,18 +15,18 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Sender sends a message to a controller and waits for its answer, at most timeout.
+// Sender sends a message to a controller and waits at most timeout for its answer.
 type Sender interface {
 	Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error)
 }
 
-// Node is a controller that can be asked.
+// Node is a controller that requests can be sent to.
 type Node struct {
 	Name     string
 	Endpoint string
 }
 
-// Nodes lists the controllers that a settings file names, the one that it belongs to first.
+// Nodes returns the controllers named in a settings file, first the one whose file it is.
 func Nodes(settings *settings.Settings) []Node {
 	nodes := []Node{{settings.Node, settings.PeerBind}}
 	for _, peer := range settings.Seeds {
@@ -35,35 +35,35 @@
 	return nodes
 }
 
-// Client asks controllers.
+// Client sends requests to controllers and repeats them until one is answered.
 type Client struct {
 	Sender Sender
 	Nodes  []Node
-	// Timeout bounds a request with all its repeats.
+	// Timeout bounds a request including all its retries.
 	Timeout time.Duration
-	// Sleep and Now are the clock; tests replace them.
+	// Sleep and Now access the clock; tests replace them.
 	Sleep func(time.Duration)
 	Now   func() time.Time
 }
 
-// NewClient returns a client on the real clock.
+// NewClient returns a client that uses the system's clock.
 func NewClient(sender Sender, nodes []Node, timeout time.Duration) *Client {
 	return &Client{Sender: sender, Nodes: nodes, Timeout: timeout, Sleep: time.Sleep, Now: time.Now}
 }
 
-// NoAnswerError says that no controller gave a final answer in time. Whether the request was
-// carried out is not known; it may be sent again.
+// NoAnswerError reports that no controller gave a final answer in time. Whether the request
+// was carried out is unknown; it may be sent again.
 type NoAnswerError struct {
 	Failures []Failure // one for each node
 }
 
-// Failure is what came of asking one node the last time.
+// Failure is the reason why the last request to a node got no final answer.
 type Failure struct {
 	Node   Node
 	Reason string
 }
 
-// Error names the nodes that were asked and what came of it.
+// Error returns the nodes that were asked, each with the reason of its failure.
 func (e *NoAnswerError) Error() string {
 	parts := make([]string, len(e.Failures))
 	for i, failure := range e.Failures {
@@ -72,25 +72,25 @@
 	return "no leader reachable; asked " + strings.Join(parts, "; ")
 }
 
-// Verdict is what an answer means to the one who asked.
+// Outcome is the caller's evaluation of an answer.
 type Outcome struct {
-	// Final says that the answer stands. Otherwise Reason says why not, and the request is
-	// sent again after Retry at the earliest.
+	// Final reports whether the answer ends the request. Otherwise Reason says why not, and
+	// the request is sent again after no less than Retry.
 	Final  bool
 	Reason string
 	Retry  time.Duration
 }
 
-// Judge tells what an answer means. An error says that it does not parse; the next
-// controller is asked then.
+// EvaluateFunc evaluates an answer. An error means that the answer is malformed; the request is
+// then sent to the next controller.
 type EvaluateFunc func(answer []byte) (Outcome, error)
 
-// Ask sends a request, encoded as JSON, until judge calls an answer final. If none is in
-// time it returns a *NoAnswerError.
-func (c *Client) Ask(path string, request any, judge EvaluateFunc) error {
+// Ask sends a request, encoded as JSON, until evaluate returns a final outcome. If there is
+// none within c.Timeout, it returns a *NoAnswerError.
+func (c *Client) Ask(path string, request any, evaluate EvaluateFunc) error {
 	body, err := json.Marshal(request)
 	if err != nil {
-		return fmt.Errorf("request: %w", err)
+		return fmt.Errorf("encode request to %s: %w", path, err)
 	}
 	deadline := c.Now().Add(c.Timeout)
 	failures := make([]Failure, len(c.Nodes))
@@ -101,12 +101,12 @@
 			if remaining <= 0 {
 				break
 			}
-			verdict := c.askNode(node, path, body, min(remaining, 2*tuning.PeerRequestTimeout), judge)
-			if verdict.Final {
+			outcome := c.askNode(node, path, body, min(remaining, 2*tuning.PeerRequestTimeout), evaluate)
+			if outcome.Final {
 				return nil
 			}
-			failures[i] = Failure{node, verdict.Reason}
-			retry = max(retry, verdict.Retry)
+			failures[i] = Failure{node, outcome.Reason}
+			retry = max(retry, outcome.Retry)
 		}
 		if c.Now().Add(retry).After(deadline) {
 			return &NoAnswerError{withUnaskedNodes(c.Nodes, failures)}
@@ -115,7 +115,7 @@
 	}
 }
 
-// withUnaskedNodes fills in the nodes for which there was no time.
+// withUnaskedNodes adds failures for the nodes that were not asked within the timeout.
 func withUnaskedNodes(nodes []Node, failures []Failure) []Failure {
 	for i := range failures {
 		if failures[i].Reason == "" {
@@ -125,15 +125,15 @@
 	return failures
 }
 
-// askNode sends the request to one node and judges its answer.
-func (c *Client) askNode(node Node, path string, body []byte, timeout time.Duration, judge EvaluateFunc) Outcome {
+// askNode sends the request to one node and evaluates its answer.
+func (c *Client) askNode(node Node, path string, body []byte, timeout time.Duration, evaluate EvaluateFunc) Outcome {
 	answer, err := c.Sender.Send(node.Endpoint, path, body, timeout)
 	if err != nil {
 		return Outcome{Reason: err.Error()}
 	}
-	verdict, err := judge(answer)
+	outcome, err := evaluate(answer)
 	if err != nil {
-		return Outcome{Reason: "its answer does not parse: " + err.Error()}
+		return Outcome{Reason: "malformed answer: " + err.Error()}
 	}
-	return verdict
+	return outcome
 }
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// scriptedSender answers from a script, by endpoint. What is not in the script takes the
-// whole timeout.
+// scriptedSender returns scripted answers for each endpoint. A request without a scripted
+// answer, or with an empty one, fails after the whole timeout.
 type scriptedSender struct {
 	now     time.Time
-	answers map[string][]string // in their order; the last one stays
-	asked   []string
+	answers map[string][]string // by endpoint, in order; the last one is repeated
+	asked   []string            // endpoints, in order
 }
 
 func (s *scriptedSender) Send(endpoint, _ string, _ []byte, timeout time.Duration) ([]byte, error) {
@@ -38,7 +38,7 @@
 	return c
 }
 
-func judge(answer []byte) (Outcome, error) {
+func evaluate(answer []byte) (Outcome, error) {
 	switch text := string(answer); text {
 	case "garbage":
 		return Outcome{}, errors.New("not JSON")
@@ -49,39 +49,40 @@
 	}
 }
 
-// TestAskRetriesUntilANodeAnswers: dead nodes, ones that do not lead and ones that answer nonsense are
-// passed over, and asked again, until one answers.
+// TestAskRetriesUntilANodeAnswers checks that nodes that are unreachable, are not the leader or
+// send malformed answers are skipped, and asked again in the same order, until one gives a
+// final answer.
 func TestAskRetriesUntilANodeAnswers(t *testing.T) {
 	s := &scriptedSender{answers: map[string][]string{"e0": {""}, "e1": {"later", "garbage", "done"}, "e2": {"later"}}}
-	if err := newTestClient(s, time.Minute).Ask("/x", 1, judge); err != nil {
+	if err := newTestClient(s, time.Minute).Ask("/x", 1, evaluate); err != nil {
 		t.Fatal(err)
 	}
 	if got := strings.Join(s.asked, " "); got != "e0 e1 e2 e0 e1 e2 e0 e1" {
-		t.Error(got)
+		t.Errorf("endpoints asked: %s", got)
 	}
 }
 
-// TestAskWithoutAnswerNamesEveryNode: it ends within the time limit, and the error gives the
-// reason for each node.
+// TestAskWithoutAnswerNamesEveryNode checks that a request without a final answer ends within
+// its timeout, with an error of one line that gives the reason for each node.
 func TestAskWithoutAnswerNamesEveryNode(t *testing.T) {
 	for _, timeout := range []time.Duration{time.Second, 7 * time.Second, 20 * time.Second} {
 		s := &scriptedSender{answers: map[string][]string{"e1": {"later"}}}
 		begun := s.now
-		err := newTestClient(s, timeout).Ask("/x", 1, judge)
+		err := newTestClient(s, timeout).Ask("/x", 1, evaluate)
 		var noAnswer *NoAnswerError
 		if !errors.As(err, &noAnswer) || len(noAnswer.Failures) != 3 {
-			t.Fatalf("%v", err)
+			t.Fatalf("timeout %v: error %v, want a NoAnswerError with 3 failures", timeout, err)
 		}
 		if took := s.now.Sub(begun); took > timeout {
-			t.Errorf("%v instead of %v", took, timeout)
+			t.Errorf("the request took %v, want at most %v", took, timeout)
 		}
 		for _, words := range []string{"n0 (e0): connection refused", "n1 (e1): ", "n2 (e2): "} {
 			if !strings.Contains(err.Error(), words) {
-				t.Errorf("%q is not in %q", words, err)
+				t.Errorf("error %q does not contain %q", err, words)
 			}
 		}
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %q", err)
+			t.Errorf("error of more than one line: %q", err)
 		}
 	}
 }
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -8,16 +8,16 @@
 	"lemonmoor/internal/tuning"
 )
 
-// FieldError says what is wrong with a field of the platform's settings.
+// FieldError reports an invalid field of the platform's settings.
 type FieldError struct {
-	Field  string // with the names above it, such as deployment.state.rps
+	Field  string // full path, such as deployment.state.rps
 	Reason string
 }
 
-// Error names the field and the reason in one line.
+// Error returns the field and the reason in one line.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %q: %s", e.Field, e.Reason) }
 
-// check returns a *FieldError for the first field that is missing or makes no sense.
+// check returns a *FieldError for the first field that is missing or invalid.
 func (s *Settings) check() error {
 	for _, check := range []func() error{s.checkAddresses, s.checkPeers, s.checkTeams, s.checkAmounts, s.checkNextLimits, s.checkWorkers} {
 		if err := check(); err != nil {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// checkNextLimits checks what the state service will allow later: limits under which
-// nothing could be stored are refused at the start, not when they come into force.
+// checkNextLimits checks the future limits of the state service. Limits under which nothing
+// could be stored are refused when the node starts, not when they come into force.
 func (s *Settings) checkNextLimits() error {
 	next := s.Deployment.State.Next
 	if next == nil {
@@ -134,7 +134,7 @@
 	for _, limit := range []struct {
 		name  string
 		value *float64
-		bound float64 // which the value must be above
+		bound float64 // exclusive lower bound of the value
 	}{
 		{"rps", next.RPS, 0}, {"write_rps", next.WriteRPS, 0}, {"txn_ops", &operations, 0}, {"value_kb", next.ValueKB, tuning.MinValueLimitKB},
 	} {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// checkWorkers refuses times with which a cancelled task could outlive cancel_s.
+// checkWorkers refuses times under which a cancelled task could run longer than cancel_s.
 func (s *Settings) checkWorkers() error {
 	workers := &s.Deployment.Workers
 	if workers.GangWaitS < 0 || workers.GangPeerS < 0 {
@@ -156,8 +156,8 @@
 	}
 	if maxAge := s.MaxKnowledgeAge(); maxAge < tuning.MinKnowledgeAgeLimit {
 		return &FieldError{"deployment.workers.cancel_s", fmt.Sprintf(
-			"leaves %.1f s above lease_s for the owner of a machine to learn of a cancellation, and %.1f s of margin; it takes %.1f s, "+
-				"and a task of a machine that was answered before and is cut off then would outlive cancel_s",
+			"leaves %.1f s above lease_s and a margin of %.1f s for the owner of a machine to learn of a cancellation, but %.1f s are needed: "+
+				"a task whose machine is cut off after its last heartbeat was answered could run longer than cancel_s",
 			maxAge.Seconds(), s.knowledgeReserve().Seconds(), tuning.MinKnowledgeAgeLimit.Seconds())}
 	}
 	return nil
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -9,16 +9,16 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Drains is the operators' settings for stepwise drains; without the block there are
-// none.
+// Drains is the operators' settings for stepwise drains. Without the block, drains are
+// disabled.
 type Drains struct {
-	// MachinesAtOnce is how many machines of a drain are emptied at a time.
+	// MachinesAtOnce is the number of machines of a drain that are emptied at a time.
 	MachinesAtOnce *int `hcl:"machines_at_once,optional"`
-	// WaitS is how long tasks that are about to end are waited for, in seconds.
+	// WaitS is how long a drain waits for tasks that are about to end, in seconds.
 	WaitS *float64 `hcl:"wait_s,optional"`
-	// TraceFile is where the steps are traced; none if it is empty.
+	// TraceFile is the file to which the steps are traced; empty disables tracing.
 	TraceFile string `hcl:"trace_file,optional"`
-	// Default is the budget of the teams that have none of their own.
+	// Default is the budget of teams without one of their own.
 	Default *DefaultBudget `hcl:"default,block"`
 	Teams   []TeamBudget   `hcl:"team,block"`
 }
@@ -28,23 +28,24 @@
 	Limits DrainLimits `hcl:",remain"`
 }
 
-// TeamBudget is the budget of one team; what it leaves out is the default's.
+// TeamBudget is the budget of one team. Limits that it leaves out are those of the default.
 type TeamBudget struct {
 	Name   string      `hcl:"name,label"`
 	Limits DrainLimits `hcl:",remain"`
 }
 
-// DrainLimits is how much of a team's work may be disturbed at once; nil for no limit.
+// DrainLimits limits how much of a team's work may be disturbed at once; nil means no limit.
 type DrainLimits struct {
 	Tasks *int     `hcl:"tasks,optional"`
 	CPUs  *float64 `hcl:"cpus,optional"` // processors of the disturbed tasks
-	// Share is of the processors of the team's running work, the disturbed included, 0 to 1.
+	// Share is the share, 0 to 1, of the processors of the team's running work, including
+	// the disturbed work.
 	Share *float64 `hcl:"share,optional"`
-	// ReplicasUp is the fewest replicas of each service that stay up.
+	// ReplicasUp is the minimum number of replicas of each service that stay up.
 	ReplicasUp *int `hcl:"replicas_up,optional"`
 }
 
-// MachinesAtOnceOrDefault returns how many machines of a drain are emptied at a time.
+// MachinesAtOnceOrDefault returns the number of machines of a drain that are emptied at a time.
 func (d *Drains) MachinesAtOnceOrDefault() int {
 	if d.MachinesAtOnce != nil {
 		return *d.MachinesAtOnce
@@ -52,7 +53,7 @@
 	return tuning.DefaultDrainMachinesAtOnce
 }
 
-// WaitOrDefault returns how long tasks that are about to end are waited for.
+// WaitOrDefault returns how long a drain waits for tasks that are about to end.
 func (d *Drains) WaitOrDefault() time.Duration {
 	if d.WaitS != nil {
 		return seconds(*d.WaitS)
@@ -60,20 +61,20 @@
 	return tuning.DefaultDrainWait
 }
 
-// drainError is a setting of the drains block that makes no sense.
+// drainError is an invalid setting in the drains block.
 type drainError struct {
-	block  string // text that its inner block begins with, as it stands in the file; "" for none
+	block  string // first words of the inner block, as in the file; "" if not in an inner block
 	key    string
 	reason string
 }
 
-// line returns the line of the setting in the file.
+// line returns the line of the setting in the file, counted from 1.
 func (e *drainError) line(source []byte) int {
 	start := max(0, bytes.Index(source, []byte(e.block)))
 	return bytes.Count(source[:start], []byte("\n")) + lineOf(source[start:], e.key)
 }
 
-// check finds the first setting that makes no sense; nil if there is none.
+// check returns the first invalid setting, nil if there is none.
 func (d *Drains) check() *drainError {
 	if machines := d.MachinesAtOnceOrDefault(); machines < 1 || machines > tuning.MaxDrainMachinesAtOnce {
 		return &drainError{key: "machines_at_once", reason: fmt.Sprintf("%d is outside 1 to %d", machines, tuning.MaxDrainMachinesAtOnce)}
@@ -102,30 +103,31 @@
 	return nil
 }
 
-// check finds a limit below zero, or one under which nothing could ever move.
+// check returns the first limit that is out of range or under which nothing could ever move,
+// nil if there is none.
 func (l *DrainLimits) check() *drainError {
-	const neverMoves = "0: under it nothing could ever move"
+	const reasonNothingMoves = "0: under it nothing could ever move"
 	switch {
 	case l.Tasks != nil && *l.Tasks < 0:
 		return &drainError{key: "tasks", reason: fmt.Sprintf("%d is below 0", *l.Tasks)}
 	case l.Tasks != nil && *l.Tasks == 0:
-		return &drainError{key: "tasks", reason: neverMoves}
+		return &drainError{key: "tasks", reason: reasonNothingMoves}
 	case l.CPUs != nil && (*l.CPUs < 0 || math.IsNaN(*l.CPUs)):
 		return &drainError{key: "cpus", reason: fmt.Sprintf("%g is below 0", *l.CPUs)}
 	case l.CPUs != nil && *l.CPUs == 0:
-		return &drainError{key: "cpus", reason: neverMoves}
+		return &drainError{key: "cpus", reason: reasonNothingMoves}
 	case l.Share != nil && (*l.Share < 0 || *l.Share > 1 || math.IsNaN(*l.Share)):
 		return &drainError{key: "share", reason: fmt.Sprintf("%g is outside 0 to 1", *l.Share)}
 	case l.Share != nil && *l.Share == 0:
-		return &drainError{key: "share", reason: neverMoves}
+		return &drainError{key: "share", reason: reasonNothingMoves}
 	case l.ReplicasUp != nil && *l.ReplicasUp < 0:
 		return &drainError{key: "replicas_up", reason: fmt.Sprintf("%d is below 0", *l.ReplicasUp)}
 	}
 	return nil
 }
 
-// unknownTeam returns a team with a budget that the platform's settings do not name, "" if
-// there is none.
+// unknownTeam returns the first team that has a drain budget but is not in the platform's
+// settings, "" if there is none.
 func (s *Settings) unknownTeam() string {
 	if s.Operator.Drains == nil {
 		return ""
--- a/internal/settings/drains_test.go
+++ b/internal/settings/drains_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestDeployedDrainSettingsAreValid: the file that turns drains on is in order.
+// TestDeployedDrainSettingsAreValid checks that the file that operators enable drains with is
+// accepted, with its limits.
 func TestDeployedDrainSettingsAreValid(t *testing.T) {
 	const path = "../../deploy/drains.hcl"
 	source, err := os.ReadFile(path)
@@ -16,14 +17,15 @@
 	}
 	operator, err := ParseOperator(path, source)
 	if err != nil || operator.Drains == nil || operator.Drains.Default == nil {
-		t.Fatalf("%+v, %v", operator, err)
+		t.Fatalf("%s: parsed %+v, %v; want a default drain budget", path, operator, err)
 	}
 	if l := operator.Drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
-		t.Errorf("%+v", l)
+		t.Errorf("%s: default limits %+v, want 8 tasks, 128 CPUs, a share of 0.2 and 1 replica up", path, l)
 	}
 }
 
-// TestInvalidDrainSettingsAreRefused: each is refused with file, line and reason.
+// TestInvalidDrainSettingsAreRefused checks that the error of each invalid setting names file,
+// line and reason.
 func TestInvalidDrainSettingsAreRefused(t *testing.T) {
 	for src, want := range map[string]string{
 		"drains {\n  default {\n    tasks = -1\n  }\n}\n":                                    "x.hcl:3: drains: tasks: -1 is below 0",
@@ -41,12 +43,13 @@
 		"drains {\n  default {\n    tasks = 1\n  }\n}\ndrains {\n}\n":                        "x.hcl:",
 	} {
 		if _, err := ParseOperator("x.hcl", []byte(src)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %q", src, err, want)
+			t.Errorf("%q: error %v, want it to contain %q", src, err, want)
 		}
 	}
 }
 
-// TestDrainBudgetOfUnknownTeamIsRefused: refused when the files are read together.
+// TestDrainBudgetOfUnknownTeamIsRefused checks that a budget for a team that is not in the
+// platform's settings is refused when both files are loaded.
 func TestDrainBudgetOfUnknownTeamIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	platform, operator := filepath.Join(dir, "s.json"), filepath.Join(dir, "o.hcl")
@@ -58,10 +61,10 @@
 	write(platform, validSettings)
 	write(operator, "drains {\n  team \"nobody\" {\n    tasks = 1\n  }\n}\n")
 	if _, err := Load(platform, operator); err == nil || !strings.Contains(err.Error(), "o.hcl:2: drains: team: there is no team \"nobody\"") {
-		t.Error(err)
+		t.Errorf("drain budget of an unknown team: error %v", err)
 	}
 	write(operator, "drains {\n  team \"t\" {\n    tasks = 1\n  }\n}\n")
 	if _, err := Load(platform, operator); err != nil {
-		t.Error(err)
+		t.Errorf("drain budget of a known team: %v", err)
 	}
 }
--- a/internal/settings/durations.go
+++ b/internal/settings/durations.go
@@ -6,21 +6,21 @@
 	"lemonmoor/internal/tuning"
 )
 
-// seconds turns a decimal number of seconds into a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // HeartbeatInterval returns the time between two heartbeats of a worker.
 func (s *Settings) HeartbeatInterval() time.Duration { return seconds(s.Deployment.Workers.ReportS) }
 
-// WorkerDeadAfter returns how long a machine is silent before it counts as dead. It follows
-// the interval of the heartbeats: counted in fixed seconds, it once had machines with slow
-// heartbeats returned as dead, with their tasks.
+// WorkerDeadAfter returns how long a machine must be silent before it counts as dead. The
+// duration depends on the heartbeat interval: with a fixed number of seconds, machines with
+// long heartbeat intervals are returned as dead, with their tasks.
 func (s *Settings) WorkerDeadAfter() time.Duration {
 	return time.Duration(tuning.DeadWorkerIntervals*float64(s.HeartbeatInterval())) + tuning.DeadWorkerSlack
 }
 
-// OwnerSilenceLimit returns how long a shard owner of so many machines hears none of them
-// before it takes itself to be partitioned.
+// OwnerSilenceLimit returns how long the owner of a shard with this number of machines must
+// receive no heartbeat from any of them before it considers itself partitioned.
 func (s *Settings) OwnerSilenceLimit(machines int) time.Duration {
 	intervals := tuning.OwnerSilenceIntervals
 	if machines >= tuning.ManyWorkers {
@@ -29,68 +29,71 @@
 	return time.Duration(intervals*float64(s.HeartbeatInterval())) + tuning.OwnerSilenceSlack
 }
 
-// IsZonePartitioned reports whether the silence of a whole zone with so many machines means
-// that it is partitioned: many heartbeats would have come in that time.
+// IsZonePartitioned reports whether a zone with this number of machines, none of which sent a
+// heartbeat for the duration of silence, is partitioned: silence is above
+// tuning.ZonePartitionAfter, a time in which at least tuning.ZonePartitionHeartbeats would
+// have arrived.
 func (s *Settings) IsZonePartitioned(machines int, silence time.Duration) bool {
 	return silence > tuning.ZonePartitionAfter &&
 		float64(machines)*float64(tuning.ZonePartitionAfter) >= tuning.ZonePartitionHeartbeats*float64(s.HeartbeatInterval())
 }
 
-// WorkerLease returns how long a worker goes on without an answer.
+// WorkerLease returns how long a worker continues its tasks without an answer to its heartbeats.
 func (s *Settings) WorkerLease() time.Duration { return seconds(s.Deployment.Workers.LeaseS) }
 
-// ListLag returns how far the cloud's machine list is behind, as a rule.
+// ListLag returns the usual age of the cloud's machine list.
 func (s *Settings) ListLag() time.Duration { return seconds(s.Deployment.Cloud.ListLagS) }
 
-// GangWaitTimeout returns how long a task of a gang waits for the others before it gives up.
+// GangWaitTimeout returns how long a task of a gang waits for the other tasks before it gives
+// up.
 func (s *Settings) GangWaitTimeout() time.Duration {
 	return seconds(positiveOr(s.Deployment.Workers.GangWaitS, tuning.DefaultGangWaitTimeout.Seconds()))
 }
 
-// GangPeerTimeout returns how soon the tasks of a gang notice that one of them is gone, and
-// within which all must be told to save their progress.
+// GangPeerTimeout returns the time within which the tasks of a gang detect that one of them is
+// gone. Commands to save their progress must reach all tasks of a gang within this time.
 func (s *Settings) GangPeerTimeout() time.Duration {
 	return seconds(positiveOr(s.Deployment.Workers.GangPeerS, tuning.DefaultGangPeerTimeout.Seconds()))
 }
 
-// positiveOr returns the value if it is set, else the other.
-func positiveOr(value, other float64) float64 {
+// positiveOr returns value if it is above 0, otherwise fallback.
+func positiveOr(value, fallback float64) float64 {
 	if value > 0 {
 		return value
 	}
-	return other
+	return fallback
 }
 
-// AnswerGracePeriod returns how long a shard owner past its lease may answer heartbeats: its
-// lease, this period and the workers' lease together stay below the time within which a
-// cancelled task must be gone.
+// AnswerGracePeriod returns how long a shard owner may answer heartbeats after its lease has
+// expired. Its lease, this period and the workers' lease together stay below the time within
+// which a cancelled task must be gone.
 func (s *Settings) AnswerGracePeriod() time.Duration {
 	available := seconds(s.Deployment.Workers.CancelS) - tuning.LeaseTTL - s.WorkerLease() - tuning.CancellationReserve
 	return max(0, min(available, tuning.MaxAnswerGracePeriod))
 }
 
-// MaxKnowledgeAge returns how long after a cancellation a machine that may have a task of
-// the job can still be answered, and so the greatest age of an owner's knowledge of
-// cancellations: the answer renews the worker's lease, and the task must be gone in
-// time even if nothing reaches the worker after it.
+// MaxKnowledgeAge returns the maximum age of a shard owner's knowledge of cancellations with
+// which it may answer a heartbeat, that is, how long after a cancellation a machine that may
+// have a task of the job can still be answered. The answer renews the worker's lease, and the
+// task must be gone in time even if nothing reaches the worker after that answer.
 func (s *Settings) MaxKnowledgeAge() time.Duration {
 	lease := s.WorkerLease()
 	return seconds(s.Deployment.Workers.CancelS) - lease - lease*tuning.DriftPerMille/1000 - s.knowledgeReserve()
 }
 
-// knowledgeReserve returns the margin by which MaxKnowledgeAge stays below the time that
-// there is: less where the times are short.
+// knowledgeReserve returns the margin that MaxKnowledgeAge leaves of the time between the
+// workers' lease and cancel_s. It is tuning.KnowledgeReserve, or less if that time is short.
 func (s *Settings) knowledgeReserve() time.Duration {
 	available := seconds(s.Deployment.Workers.CancelS) - s.WorkerLease()
 	return min(tuning.KnowledgeReserve, time.Duration(float64(available)*tuning.KnowledgeReserveShare))
 }
 
-// ClockSkew returns a bound of the difference of two nodes' times of day.
+// ClockSkew returns the maximum difference between the wall clocks of two nodes.
 func (s *Settings) ClockSkew() time.Duration {
 	return 2 * time.Duration(s.Deployment.SkewMS*float64(time.Millisecond))
 }
 
-// WaitBound returns the longest wait in the extra queue before a task goes first.
+// WaitBound returns the wait in the extra queue after which a task is placed first.
 func (s *Settings) WaitBound() time.Duration {
 	if bound := s.Operator.WaitBoundS; bound != nil {
 		return seconds(*bound)
@@ -98,7 +101,7 @@
 	return tuning.WaitBound
 }
 
-// MachineIdleTimeout returns how long a machine without tasks is kept.
+// MachineIdleTimeout returns how long a machine without tasks is kept before it is returned.
 func (s *Settings) MachineIdleTimeout() time.Duration {
 	if timeout := s.Operator.IdleKeepS; timeout != nil {
 		return seconds(*timeout)
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -2,17 +2,17 @@
 
 import "lemonmoor/internal/tuning"
 
-// The kinds of objectives for which the start of a task matters. There are others, which are
-// no concern of the scheduling of single tasks.
+// The kinds of objectives that depend on when a task starts. Other kinds do not affect the
+// scheduling of single tasks and are ignored.
 const (
-	objectiveFinished = "finished" // finished within WithinS
-	objectiveWait     = "wait"     // started within WithinS
-	objectiveDeadline = "deadline" // finished within Times the job's deadline
+	objectiveFinished = "finished" // finished within WithinS seconds
+	objectiveWait     = "wait"     // started within WithinS seconds
+	objectiveDeadline = "deadline" // finished within Times times the job's deadline
 )
 
-// EachObjectiveDeadline calls fn for each objective of a class of jobs with the latest age of
-// a job, in seconds, at which a task may start to meet it. The task runs for
-// estimateSeconds; deadlineSeconds is nil for a job without a deadline.
+// EachObjectiveDeadline calls fn for each objective of a class of jobs, with the maximum age of
+// the job, in seconds, at which a task can start and still meet the objective. The task is
+// expected to run for estimateSeconds; deadlineSeconds is nil for a job without a deadline.
 func (s *Settings) EachObjectiveDeadline(class string, estimateSeconds float64, deadlineSeconds *float64, fn func(latestStartSeconds float64)) {
 	for _, objective := range s.Deployment.Objectives {
 		switch {
@@ -27,8 +27,8 @@
 	}
 }
 
-// StartsPromptly reports whether the users expect the tasks of a class to start so soon that
-// a machine that is rented when they come is too late.
+// StartsPromptly reports whether an objective requires the tasks of a class to start so soon
+// that a machine rented when the job arrives would be ready too late.
 func (s *Settings) StartsPromptly(class string) bool {
 	for _, objective := range s.Deployment.Objectives {
 		if objective.Kind == objectiveWait && objective.Class == class && objective.WithinS < tuning.PromptStartWithin.Seconds() {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -8,34 +8,35 @@
 	"github.com/hashicorp/hcl/v2/hclsimple"
 )
 
-// Operator is the operators' own settings (HCL). Every one has a default.
+// Operator is the operators' own settings (HCL). Every setting has a default.
 type Operator struct {
-	// WaitBoundS is the wait in the extra queue after which a task goes first, in seconds.
+	// WaitBoundS is the wait in the extra queue, in seconds, after which a task is placed
+	// first.
 	WaitBoundS *float64 `hcl:"wait_bound_s,optional"`
 	// IdleKeepS is how long a machine without tasks is kept, in seconds.
 	IdleKeepS *float64 `hcl:"idle_keep_s,optional"`
-	// Drains turns stepwise drains on.
+	// Drains enables stepwise drains; nil disables them.
 	Drains *Drains `hcl:"drains,block"`
 }
 
-// maxOperatorSeconds bounds the times that the operators set: a day.
+// maxOperatorSeconds is the maximum of the times that operators can set, one day in seconds.
 const maxOperatorSeconds = 86400
 
-// OperatorError says what is wrong with a setting of the operators' file.
+// OperatorError reports an invalid setting in the operators' file.
 type OperatorError struct {
 	File    string
 	Line    int    // counted from 1
-	Setting string // its name, with "drains: " before it in that block, or what the HCL reader says
+	Setting string // name, prefixed by "drains: " in that block, or the summary of an HCL diagnostic
 	Reason  string
 }
 
-// Error names file, line, setting and reason in one line.
+// Error returns file, line, setting and reason in one line.
 func (e *OperatorError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Setting, e.Reason)
 }
 
-// ParseOperator reads the operators' settings. An unknown setting, or one out of range, is
-// an *OperatorError.
+// ParseOperator parses the operators' settings; file is only named in errors. An unknown
+// setting, or one out of range, is an *OperatorError.
 func ParseOperator(file string, source []byte) (Operator, error) {
 	var operator Operator
 	if err := hclsimple.Decode(file, source, nil, &operator); err != nil {
@@ -65,12 +66,12 @@
 	return operator, nil
 }
 
-// isOperatorTime reports whether a number of seconds may be set by the operators.
+// isOperatorTime reports whether a number of seconds is in the range that operators can set.
 func isOperatorTime(seconds float64) bool {
 	return seconds >= 0 && seconds <= maxOperatorSeconds // false for NaN
 }
 
-// lineOf returns the first line, counted from 1, on which a key begins a word; 1 if there is
+// lineOf returns the first line, counted from 1, on which a word starts with key, 1 if there is
 // none.
 func lineOf(source []byte, key string) int {
 	line := 1
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
 // Package settings reads the platform's settings file (JSON) and the operators' own (HCL),
-// checks them, and derives the durations and limits that the other packages go by.
+// validates them, and derives the durations and limits that the other packages use.
 //
-// It holds no state but what is in the files, and the number of shards that was found
-// stored. A node must not start on settings that are refused here: a wrong amount of time
-// would break what the leases and fencing tokens guarantee. Constants that are not in a
-// file are in internal/tuning.
+// Its only state is the contents of the files and the number of shards found in the state
+// service. A node must not start with settings that are refused here: a wrong duration would
+// break the guarantees of the leases and fencing tokens. Constants that are not in a file are
+// in internal/tuning.
 package settings
 
 import (
@@ -21,8 +21,8 @@
 	Endpoint string `json:"endpoint"` // host:port
 }
 
-// Team is a team's quota of processors and GPUs: CPUs and GPUs are guaranteed, CPUsMax and
-// GPUsMax the most that it may use. The value 0 means none.
+// Team is a team's quota of processors and GPUs. CPUs and GPUs are guaranteed; CPUsMax and
+// GPUsMax are the maximum that the team may use. The value 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -33,15 +33,14 @@
 
 // Objective is a service-level objective of the users.
 type Objective struct {
-	Kind    string  `json:"kind"` // see objectiveFinished and those beside it
+	Kind    string  `json:"kind"` // see the objective constants
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s"` // seconds
-	Share   float64 `json:"share"`    // of the class that must meet it
-	Times   float64 `json:"times"`    // of the deadline
+	Share   float64 `json:"share"`    // of the jobs of the class that must meet it, 0 to 1
+	Times   float64 `json:"times"`    // multiple of the job's deadline
 }
 
-// NextLimits are the limits that the state service will have later; nil for those that do
-// not change.
+// NextLimits are the future limits of the state service; nil for those that do not change.
 type NextLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -49,7 +48,7 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Settings is the platform's file, and the operators' settings beside it.
+// Settings contains the platform's settings and the operators' settings.
 type Settings struct {
 	Node     string `json:"node"` // name of this controller
 	Area     string `json:"area"`
@@ -67,8 +66,8 @@
 		Objectives  []Objective `json:"objectives"`
 		Workers     struct {
 			ReportS   float64 `json:"report_s"` // seconds between heartbeats
-			LeaseS    float64 `json:"lease_s"`  // seconds that a worker goes on without an answer
-			CancelS   float64 `json:"cancel_s"` // seconds within which a cancelled task is gone
+			LeaseS    float64 `json:"lease_s"`  // seconds that a worker continues without an answer
+			CancelS   float64 `json:"cancel_s"` // seconds within which a cancelled task must be gone
 			GangWaitS float64 `json:"gang_wait_s"`
 			GangPeerS float64 `json:"gang_peer_s"`
 		} `json:"workers"`
@@ -77,8 +76,8 @@
 			WriteRPS float64 `json:"write_rps"` // changes a second
 			ValueKB  float64 `json:"value_kb"`
 			TxnOps   int     `json:"txn_ops"` // operations in a commit
-			// Next is what the service will allow from some moment on; nil, in
-			// whole or in part, means no change.
+			// Next is the limits that come into force at a later time. If Next is
+			// nil, no limit changes; if one of its fields is nil, that limit does not.
 			Next *NextLimits `json:"next"`
 		} `json:"state"`
 		Cloud struct {
@@ -90,17 +89,18 @@
 			MemMB     float64 `json:"mem_mb"`
 			Sockets   int     `json:"sockets"`
 		} `json:"quota"`
-		SkewMS float64 `json:"skew_ms"` // that a clock may be off, in milliseconds
+		SkewMS float64 `json:"skew_ms"` // maximum error of a clock, in milliseconds
 	} `json:"deployment"`
 
-	// Operator holds what the operators set themselves.
+	// Operator is the operators' own settings.
 	Operator Operator `json:"-"`
 
 	storedShardCount int // see SetShardCount
 }
 
-// Load reads the platform's file and, if operatorPath is not empty, the operators'. What is
-// wrong in a file is a *FieldError or an *OperatorError, with the file named in the text.
+// Load reads the platform's file and, if operatorPath is not empty, the operators' file. The
+// error for an invalid setting wraps a *FieldError or is an *OperatorError; its text names the
+// file.
 func Load(path, operatorPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// Parse reads the platform's settings; unknown fields are ignored. What is wrong with a
-// field is a *FieldError.
+// Parse parses the platform's settings; unknown fields are ignored. The error for an invalid
+// field wraps a *FieldError.
 func Parse(raw []byte) (*Settings, error) {
 	var settings Settings
 	if err := json.Unmarshal(raw, &settings); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,8 +19,8 @@
 "workers":{"report_s":3,"lease_s":36,"cancel_s":66},"state":{"rps":80,"write_rps":15,"value_kb":8,"txn_ops":12},
 "cloud":{"rps":3,"list_lag_s":10},"quota":{"core_share":0.096,"mem_mb":98,"sockets":700},"skew_ms":250}}`
 
-// TestErrorsNameTheField: each setting, taken away or spoilt, is refused with
-// its name.
+// TestErrorsNameTheField checks that each required field that is null or of another type is
+// refused with an error that names it.
 func TestErrorsNameTheField(t *testing.T) {
 	if _, err := Parse([]byte(validSettings)); err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 		"deployment.state.write_rps", "deployment.state.value_kb", "deployment.state.txn_ops", "deployment.cloud.rps",
 		"deployment.quota.core_share", "deployment.quota.mem_mb",
 	} {
-		for _, spoilt := range []any{nil, []string{"x"}} {
+		for _, invalid := range []any{nil, []string{"x"}} {
 			var tree map[string]any
 			if err := json.Unmarshal([]byte(validSettings), &tree); err != nil {
 				t.Fatal(err)
@@ -40,22 +40,24 @@
 			for _, name := range names[:len(names)-1] {
 				parent = parent[name].(map[string]any)
 			}
-			parent[names[len(names)-1]] = spoilt
+			parent[names[len(names)-1]] = invalid
 			raw, err := json.Marshal(tree)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, err := Parse(raw); err == nil || !strings.Contains(err.Error(), path) {
-				t.Errorf("%s = %v: %v", path, spoilt, err)
+				t.Errorf("%s = %v: error %v, want it to name the field", path, invalid, err)
 			}
 		}
 	}
 }
 
+// TestOperatorSettingsAreParsedOrRefused checks that errors in the operators' settings name file
+// and line, and for a value out of range also the setting.
 func TestOperatorSettingsAreParsedOrRefused(t *testing.T) {
 	operator, err := ParseOperator("x.hcl", []byte("wait_bound_s = 12.5\n"))
 	if err != nil || operator.WaitBoundS == nil || *operator.WaitBoundS != 12.5 {
-		t.Fatalf("%+v, %v", operator, err)
+		t.Fatalf("wait_bound_s = 12.5: parsed %+v, %v", operator, err)
 	}
 	for src, want := range map[string]string{
 		"# c\nunheard_of = 1\n":     "x.hcl:2",
@@ -64,33 +66,34 @@
 		"wait_bound_s = \"soon\"\n": "x.hcl:1",
 	} {
 		if _, err := ParseOperator("x.hcl", []byte(src)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", src, err, want)
+			t.Errorf("%q: error %v, want it to contain %q", src, err, want)
 		}
 	}
 }
 
-// TestSilenceLimitsFollowTheHeartbeatInterval guards against the fault of an incident:
-// silence was counted in seconds measured where workers send a heartbeat every 3 s, and
-// machines that send one every 10 s were returned as dead, with their tasks.
+// TestSilenceLimitsFollowTheHeartbeatInterval guards against live machines that are returned as
+// dead, with their tasks. It happens if the limits of silence are fixed numbers of seconds that
+// suit a heartbeat every 3 s, and workers send one every 10 s.
 func TestSilenceLimitsFollowTheHeartbeatInterval(t *testing.T) {
 	for _, heartbeatSeconds := range []float64{1, 3, 5, 10, 30} {
 		var settings Settings
 		settings.Deployment.Workers.ReportS = heartbeatSeconds
-		// A quarter late, its answer lost for 4 s, then another controller tried
-		// a second later: alive all the same.
+		// A live worker can be silent for this long: its heartbeat is late by a quarter of
+		// the interval, the answer is lost, which takes 4 s, and the worker tries another
+		// controller a second later.
 		if late := seconds(1.25*heartbeatSeconds + 4 + 1 + 0.5); settings.WorkerDeadAfter() <= late {
-			t.Errorf("heartbeats every %g s: dead after %v, alive within %v", heartbeatSeconds, settings.WorkerDeadAfter(), late)
+			t.Errorf("heartbeats every %g s: a worker counts as dead after %v, want more than %v", heartbeatSeconds, settings.WorkerDeadAfter(), late)
 		}
 		for _, machines := range []int{1, 9, 10, 2000} {
 			if longest := seconds(1.25 * heartbeatSeconds); settings.OwnerSilenceLimit(machines) <= longest {
-				t.Errorf("heartbeats every %g s: %d machines silent for %v mean nothing", heartbeatSeconds, machines, settings.OwnerSilenceLimit(machines))
+				t.Errorf("heartbeats every %g s, %d machines: owner counts as partitioned after %v, want more than %v", heartbeatSeconds, machines, settings.OwnerSilenceLimit(machines), longest)
 			}
 		}
 	}
 }
 
-// TestShardCountFollowsTheDeploymentSize: small deployments keep one shard, large ones have
-// no more than controllers.
+// TestShardCountFollowsTheDeploymentSize checks that small deployments have one shard and that
+// large ones have several, but no more than controllers.
 func TestShardCountFollowsTheDeploymentSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var settings Settings
@@ -103,13 +106,14 @@
 		}
 		shards := settings.ShardCount()
 		if shards < 1 || shards > len(settings.Seeds)+1 || (sum < 2*tuning.CPUsPerShard && shards > 1) || (sum >= 2*tuning.CPUsPerShard && len(settings.Seeds) > 0 && shards == 1) {
-			t.Fatalf("%d shards for %g processors and %d controllers", shards, sum, len(settings.Seeds)+1)
+			t.Fatalf("got %d shards for %g guaranteed processors and %d controllers", shards, sum, len(settings.Seeds)+1)
 		}
 	})
 }
 
-// TestNextLimitsApplyFromTheStart: what the state service will allow later counts from the
-// start; without it, or a part of it, nothing changes; nonsense is refused.
+// TestNextLimitsApplyFromTheStart checks that future limits of the state service that are lower
+// than the current ones apply from the start, that limits left out do not change, and that
+// invalid ones are refused with an error that names the field.
 func TestNextLimitsApplyFromTheStart(t *testing.T) {
 	parse := func(next string) (*Settings, error) {
 		return Parse([]byte(strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12,"next":`+next, 1)))
@@ -125,11 +129,11 @@
 	} {
 		settings, err := parse(next)
 		if err != nil {
-			t.Errorf("%s: %v", next, err)
+			t.Errorf("next %s is refused: %v", next, err)
 			continue
 		}
 		if bytes := int(want.kilobytes * 1024 * tuning.ValueLimitShare); settings.MaxOperations() != want.operations || settings.MaxValueBytes() != bytes || settings.FutureWriteShare() != want.writeShare {
-			t.Errorf("%s: %d changes, %d bytes, %g", next, settings.MaxOperations(), settings.MaxValueBytes(), settings.FutureWriteShare())
+			t.Errorf("next %s: %d operations, %d bytes, write share %g; want %d, %d, %g", next, settings.MaxOperations(), settings.MaxValueBytes(), settings.FutureWriteShare(), want.operations, bytes, want.writeShare)
 		}
 	}
 	for next, name := range map[string]string{
@@ -137,15 +141,16 @@
 		`{"write_rps":0}`: "next.write_rps", `{"rps":-4}`: "next.rps", `{"txn_ops":"x"}`: "next.txn_ops", `7`: "next",
 	} {
 		if _, err := parse(next); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", next, err)
+			t.Errorf("next %s: error %v, want one that names %s", next, err, name)
 		}
 	}
 }
 
-// TestCancelLimitAllowsTimeToLearnOfCancellations: settings under which no owner could learn of a
-// cancellation in time are refused with the field and the reason, and under all others
-// the answers end in time: the newest answer on the oldest knowledge, the worker's
-// lease with its drift and the slack still fit into cancel_s.
+// TestCancelLimitAllowsTimeToLearnOfCancellations guards against tasks that run longer than
+// cancel_s after their cancellation. Settings under which no owner could learn of a cancellation
+// in time must be refused with an error that names the field. Under all others, the maximum age
+// of the knowledge with which a heartbeat is answered, the worker's lease with its drift and the
+// reserve must together fit into cancel_s.
 func TestCancelLimitAllowsTimeToLearnOfCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaseSeconds := float64(rapid.IntRange(5, 120).Draw(t, "lease"))
@@ -155,34 +160,34 @@
 		driftSeconds := leaseSeconds * tuning.DriftPerMille / 1000
 		reserveSeconds := min(tuning.KnowledgeReserve.Seconds(), (cancelSeconds-leaseSeconds)*tuning.KnowledgeReserveShare)
 		if leftSeconds := cancelSeconds - leaseSeconds - driftSeconds - reserveSeconds - tuning.MinKnowledgeAgeLimit.Seconds(); (err != nil) != (leftSeconds < 0) && (leftSeconds < -1e-6 || leftSeconds > 1e-6) {
-			t.Fatalf("lease %g, cancel %g: %v", leaseSeconds, cancelSeconds, err)
+			t.Fatalf("lease_s %g, cancel_s %g: error %v, with %g s left of the minimum to learn of a cancellation", leaseSeconds, cancelSeconds, err, leftSeconds)
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), "cancel_s") {
-				t.Fatalf("the field is not named: %v", err)
+				t.Fatalf("lease_s %g, cancel_s %g: the error does not name the field cancel_s: %v", leaseSeconds, cancelSeconds, err)
 			}
 			return
 		}
 		if end := settings.MaxKnowledgeAge().Seconds() + leaseSeconds + driftSeconds; end > cancelSeconds-reserveSeconds+1e-6 || reserveSeconds <= 0 {
-			t.Fatalf("lease %g, cancel %g: tasks may last %g s", leaseSeconds, cancelSeconds, end)
+			t.Fatalf("lease_s %g, cancel_s %g: tasks may run for %g s after their cancellation, with a reserve of %g s", leaseSeconds, cancelSeconds, end, reserveSeconds)
 		}
 	})
 }
 
-// TestErrorsAreTyped: a caller can tell which field or setting is wrong.
+// TestErrorsAreTyped checks that callers can find the invalid field or setting by errors.As.
 func TestErrorsAreTyped(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(validSettings, `"rps":80`, `"rps":0`, 1)))
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "deployment.state.rps" || err.Error() != `settings: field "deployment.state.rps": missing or not above 0` {
-		t.Errorf("a field out of range: %v", err)
+		t.Errorf("field out of range: error %v", err)
 	}
 	_, err = Parse([]byte(strings.Replace(validSettings, `"rps":80`, `"rps":"80"`, 1)))
 	if !errors.As(err, &field) || err.Error() != `settings: field "deployment.state.rps": want float64, not string` {
-		t.Errorf("a field of another type: %v", err)
+		t.Errorf("field of another type: error %v", err)
 	}
 	_, err = ParseOperator("x.hcl", []byte("\nidle_keep_s = 86401\n"))
 	var setting *OperatorError
 	if !errors.As(err, &setting) || setting.Line != 2 || err.Error() != "x.hcl:2: idle_keep_s: 86401 is outside 0 to 86400" {
-		t.Errorf("a setting out of range: %v", err)
+		t.Errorf("setting out of range: error %v", err)
 	}
 }
--- a/internal/settings/surface_test.go
+++ b/internal/settings/surface_test.go
@@ -7,7 +7,7 @@
 	"lemonmoor/internal/wiretest"
 )
 
-// TestSurfaceSettings: every field of the platform's settings file, by its name there.
+// TestSurfaceSettings checks the name of every field of the platform's settings file.
 func TestSurfaceSettings(t *testing.T) {
 	const file = `{"node":"n0","area":"area-a","serve_on":"10.0.0.1:8080","peer_bind":"10.0.0.1:8081",` +
 		`"seeds":[{"node":"n1","area":"area-b","endpoint":"10.0.0.2:8081"}],"external":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},` +
@@ -24,7 +24,7 @@
 	wiretest.CheckEncoding(t, parsed, file)
 }
 
-// TestSurfaceOperator: every name of the operators' settings.
+// TestSurfaceOperator checks the name of every setting of the operators' file.
 func TestSurfaceOperator(t *testing.T) {
 	const file = `
 wait_bound_s = 12.5
@@ -54,42 +54,42 @@
 		t.Fatal(err)
 	}
 	if *operator.WaitBoundS != 12.5 || *operator.IdleKeepS != 90 {
-		t.Errorf("%+v", operator)
+		t.Errorf("parsed %+v, want wait_bound_s 12.5 and idle_keep_s 90", operator)
 	}
 	drains := operator.Drains
 	if *drains.MachinesAtOnce != 3 || drains.WaitOrDefault() != 45500*time.Millisecond || drains.TraceFile != "trace.json" || len(drains.Teams) != 2 {
-		t.Fatalf("%+v", drains)
+		t.Fatalf("drains: parsed %+v, want 3 machines at once, a wait of 45.5 s, trace.json and 2 teams", drains)
 	}
 	if l := drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128.5 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
-		t.Errorf("default: %+v", l)
+		t.Errorf("budget of default: parsed %+v", l)
 	}
 	if l := drains.Teams[0].Limits; drains.Teams[0].Name != "red" || *l.Tasks != 2 || *l.CPUs != 16.5 || *l.Share != 0.1 || *l.ReplicasUp != 4 {
-		t.Errorf("red: %+v", drains.Teams[0])
+		t.Errorf("budget of red: parsed %+v", drains.Teams[0])
 	}
 	if l := drains.Teams[1].Limits; drains.Teams[1].Name != "blue" || l.Tasks != nil || l.CPUs != nil || l.Share != nil || l.ReplicasUp != nil {
-		t.Errorf("blue: %+v", drains.Teams[1])
+		t.Errorf("budget of blue: parsed %+v, want no limits", drains.Teams[1])
 	}
 }
 
-// TestSurfaceOperatorDefaults: every one of the operators' settings may be left out, and
-// without the block there are no drains.
+// TestSurfaceOperatorDefaults checks that every setting of the operators can be left out, and
+// that drains are disabled without their block.
 func TestSurfaceOperatorDefaults(t *testing.T) {
 	operator, err := ParseOperator("operator.hcl", nil)
 	if err != nil || operator.WaitBoundS != nil || operator.IdleKeepS != nil || operator.Drains != nil {
-		t.Errorf("%+v, %v", operator, err)
+		t.Errorf("empty file: parsed %+v, %v; want no setting", operator, err)
 	}
 	operator, err = ParseOperator("operator.hcl", []byte("drains {\n}\n"))
 	if err != nil || operator.Drains == nil || operator.Drains.MachinesAtOnce != nil || operator.Drains.WaitS != nil ||
 		operator.Drains.TraceFile != "" || operator.Drains.Default != nil || operator.Drains.Teams != nil {
-		t.Errorf("%+v, %v", operator.Drains, err)
+		t.Errorf("empty drains block: parsed %+v, %v; want a block without settings", operator.Drains, err)
 	}
 }
 
-// TestSurfaceTeamLabel: how a team's budget without a name is refused.
+// TestSurfaceTeamLabel checks the error for a team's budget without the team's name.
 func TestSurfaceTeamLabel(t *testing.T) {
 	_, err := ParseOperator("operator.hcl", []byte("drains {\n  team {\n  }\n}\n"))
 	const want = "operator.hcl:2: Missing name for team: All team blocks must have 1 labels (name)."
 	if err == nil || err.Error() != want {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,6 +1,6 @@
-// Package testseed runs tests with a fixed seed of their generated inputs, so that CI sees
-// the same ones each time. `go test ./internal/NAME -rapid.seed N -rapid.checks 3000`
-// searches elsewhere.
+// Package testseed runs tests with a fixed seed for their generated inputs, so that CI tests
+// the same inputs each time. To test other inputs, run
+// `go test ./internal/NAME -rapid.seed N -rapid.checks 3000`.
 package testseed
 
 import (
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// defaultSeed is the one that is used unless the command line names another.
+// defaultSeed is used unless the command line sets another seed.
 const defaultSeed = "20261202"
 
-// Main runs a package's tests; its TestMain calls it.
+// Main runs the tests of a package and exits; it is called by the package's TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/wiretest/wiretest.go
+++ b/internal/wiretest/wiretest.go
@@ -1,4 +1,4 @@
-// Package wiretest checks, in tests, messages against examples of their JSON.
+// Package wiretest provides test helpers that compare messages with examples of their JSON.
 package wiretest
 
 import (
@@ -9,43 +9,45 @@
 	"testing"
 )
 
-// Same decodes an example into message, a pointer, which must know all of its names,
-// and encodes it again to the same bytes. The example must give every field a value
-// other than zero, so that each is shown to arrive and to be sent, and every field must have
-// a tag, so that renaming it does not rename what is sent.
+// CheckRoundTrip decodes an example into message, a pointer, whose type must have a field for
+// each name of the example, and checks that message is encoded to the same bytes again. The
+// example must give every field a value other than zero, which shows that each field is
+// received and sent. Every field must have a tag, so that renaming the Go field does not change
+// the name that is sent.
 func CheckRoundTrip(t testing.TB, example string, message any) {
 	t.Helper()
 	CheckDecoding(t, example, message)
-	if again, err := json.Marshal(message); err != nil || string(again) != example {
-		t.Errorf("%T\nread    %s\nwritten %s (%v)", message, example, again, err)
+	if encoded, err := json.Marshal(message); err != nil || string(encoded) != example {
+		t.Errorf("%T\ndecoded %s\nencoded %s (%v)", message, example, encoded, err)
 	}
 }
 
-// Read decodes an example into message, a pointer, which must know all of its names. The
-// example must give every field a value other than zero.
+// CheckDecoding decodes an example into message, a pointer, whose type must have a field for
+// each name of the example. The example must give every field a value other than zero, and
+// every field must have a tag.
 func CheckDecoding(t testing.TB, example string, message any) {
 	t.Helper()
 	decoder := json.NewDecoder(bytes.NewReader([]byte(example)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(message); err != nil {
-		t.Fatalf("%T: %s: %v", message, example, err)
+		t.Fatalf("%T: decode %s: %v", message, example, err)
 	}
 	for _, name := range unset(fmt.Sprintf("%T", message), reflect.ValueOf(message)) {
-		t.Errorf("not set by the example, or without a tag: %s", name)
+		t.Errorf("field not set by the example, or without a json tag: %s", name)
 	}
 }
 
-// Written encodes a message, which must give exactly the expected text.
+// CheckEncoding checks that a message is encoded to exactly the expected text.
 func CheckEncoding(t testing.TB, message any, expected string) {
 	t.Helper()
-	if raw, err := json.Marshal(message); err != nil || string(raw) != expected {
-		t.Errorf("%T\nwritten %s (%v)\nwant    %s", message, raw, err, expected)
+	if encoded, err := json.Marshal(message); err != nil || string(encoded) != expected {
+		t.Errorf("%T\nencoded %s (%v)\nwant    %s", message, encoded, err, expected)
 	}
 }
 
-// unset names the exported fields under a value that are zero, or would be sent under
-// their Go names for want of a tag. Of a list, a field may
-// be zero in some elements but not in all.
+// unset returns the names of the exported fields in a value that are zero, or that would be
+// sent under their Go names because they have no tag. In the elements of a list or map, a
+// field may be zero in some but not in all.
 func unset(name string, value reflect.Value) []string {
 	switch value.Kind() { //nolint:exhaustive // only kinds that hold fields or elements matter
 	case reflect.Pointer:
@@ -82,21 +84,22 @@
 	return nil
 }
 
-// unsetInAll names what is zero in each element of a list or map.
+// unsetInAll returns the names of the fields that are zero, or have no tag, in every element of
+// a list or map.
 func unsetInAll(name string, list reflect.Value) []string {
 	count, size := map[string]int{}, list.Len()
-	note := func(element reflect.Value) {
+	countUnset := func(element reflect.Value) {
 		for _, field := range unset(name, element) {
 			count[field]++
 		}
 	}
 	if list.Kind() == reflect.Map {
 		for _, key := range list.MapKeys() {
-			note(list.MapIndex(key))
+			countUnset(list.MapIndex(key))
 		}
 	} else {
 		for i := range size {
-			note(list.Index(i))
+			countUnset(list.Index(i))
 		}
 	}
 	var names []string
