--- a/cmd/lemonmoor/drain.go
+++ b/cmd/lemonmoor/drain.go
@@ -27,7 +27,7 @@
 	timeout     time.Duration
 	request     drain.Request
 	machineKind string
-	namesFile   string // of machines, one a line
+	namesFile   string // file with one machine name per line
 }
 
 // drainVerb is a subcommand of `lemonmoor drain`.
@@ -40,12 +40,12 @@
 
 // drainVerbs are the subcommands of `lemonmoor drain`.
 var drainVerbs = []drainVerb{
-	{drain.VerbPlan, "Tell what a drain would disturb; changes nothing", true, false},
-	{drain.VerbStart, "Start a drain; the same id and selection again starts no second one", true, false},
-	{drain.VerbStatus, "Show the drains, what they wait for, and how the budgets stand", false, false},
-	{drain.VerbPause, "Begin nothing more; what is granted is carried out", false, true},
-	{drain.VerbResume, "Go on with a paused drain", false, true},
-	{drain.VerbCancel, "Give a drain up: its machines take tasks again", false, true},
+	{drain.VerbPlan, "Show what a drain would disturb, without changing anything", true, false},
+	{drain.VerbStart, "Start a drain; repeating the same id and selection has no further effect", true, false},
+	{drain.VerbStatus, "Show the drains, what they wait for, and how much of the budgets is used", false, false},
+	{drain.VerbPause, "Pause a drain: steps already granted are completed, no new ones begin", false, true},
+	{drain.VerbResume, "Resume a paused drain", false, true},
+	{drain.VerbCancel, "Cancel a drain: its machines accept tasks again", false, true},
 }
 
 func newDrainCommand(config *configFlags) *cobra.Command {
@@ -55,7 +55,7 @@
 		Short: "Empty and replace machines in steps, within the teams' budgets",
 	}
 	root.PersistentFlags().BoolVar(&command.asJSON, "json", false, "print the answer as JSON")
-	root.PersistentFlags().DurationVar(&command.timeout, "timeout", tuning.DefaultOperatorTimeout, "how long to look for a leader")
+	root.PersistentFlags().DurationVar(&command.timeout, "timeout", tuning.DefaultOperatorTimeout, "how long to keep looking for a leader")
 	for _, verb := range drainVerbs {
 		root.AddCommand(command.newSubcommand(verb))
 	}
@@ -85,7 +85,7 @@
 func (d *drainCommand) addSelectionFlags(subcommand *cobra.Command) {
 	flags, selection := subcommand.Flags(), &d.request.Selection
 	flags.StringSliceVar(&selection.Machines, "machine", nil, "machines by `NAME`")
-	flags.StringVar(&d.namesFile, "from", "", "machines named in a `FILE`, one a line")
+	flags.StringVar(&d.namesFile, "from", "", "machines named in a `FILE`, one per line")
 	flags.StringSliceVar(&selection.Zones, "zone", nil, "machines in these `ZONES`")
 	flags.StringSliceVar(&selection.Types, "type", nil, "machines of these `TYPES`")
 	flags.StringSliceVar(&selection.Prefixes, "prefix", nil, "machines with addresses in these IP `PREFIXES`")
@@ -93,12 +93,13 @@
 	flags.BoolVar(&d.request.Replace, "replace", false, "rent a replacement for each machine first")
 }
 
-// run asks the controllers and prints the answer.
+// run sends the request to the controllers and prints the answer.
 func (d *drainCommand) run(out io.Writer) error {
 	if d.config.platformFile == "" {
 		return refuse("config", errConfigMissing)
 	}
-	// Only the addresses of the controllers are needed, not the operators' settings.
+	// Of the settings only the addresses of the controllers are needed, so the operators' file
+	// is not read.
 	loaded, err := settings.Load(d.config.platformFile, "")
 	if err != nil {
 		return &exitError{exitRefused, err}
@@ -124,7 +125,8 @@
 	return printResponse(out, response)
 }
 
-// prepareRequest completes the request from what the flags name.
+// prepareRequest adds to the request what the flags do not set directly: the kind, the machines
+// named in a file, and a random id for a start without one.
 func (d *drainCommand) prepareRequest() error {
 	d.request.Selection.Kind = drain.MachineKind(d.machineKind)
 	if d.namesFile != "" {
@@ -140,14 +142,14 @@
 	return nil
 }
 
-// readNames reads machines' names from a file, one a line; # begins a comment. A file
-// without any is a *noMachinesError.
+// readNames reads the names of machines from a file, one per line; # starts a comment. A file
+// without names is a *noMachinesError.
 func readNames(path string) ([]string, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // the file is only read
 	var names []string
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
@@ -165,8 +167,8 @@
 	return names, nil
 }
 
-// ask sends the request to one controller after the other until one gives an answer that
-// is final.
+// send sends the request to the controllers in turn until one gives a final answer. The error
+// has the exit status exitNoAnswer if none does.
 func (d *drainCommand) send(settings *settings.Settings) (*drain.Response, error) {
 	var response drain.Response
 	client := adminclient.NewClient(peer.NewClient(), adminclient.Nodes(settings), d.timeout)
--- a/cmd/lemonmoor/drain_output.go
+++ b/cmd/lemonmoor/drain_output.go
@@ -10,10 +10,10 @@
 	"lemonmoor/internal/drain"
 )
 
-// columnPadding is the space between two columns of a table.
+// columnPadding is the number of spaces between two columns of a table.
 const columnPadding = 2
 
-// printResponse writes an answer for people.
+// printResponse writes a controller's answer in human-readable form.
 func printResponse(out io.Writer, response *drain.Response) error {
 	if response.Plan != nil {
 		return printPlan(out, response.Plan)
--- a/cmd/lemonmoor/exit.go
+++ b/cmd/lemonmoor/exit.go
@@ -7,27 +7,27 @@
 
 // Exit statuses of the program.
 const (
-	exitFailure  = 1 // anything without a status of its own
-	exitRefused  = 2 // the operator's request makes no sense, or was refused for good
-	exitNoAnswer = 3 // no leader was reachable in time
+	exitFailure  = 1 // any failure without its own status
+	exitRefused  = 2 // the operator's request is invalid or was refused permanently
+	exitNoAnswer = 3 // no leader was reachable within the timeout
 )
 
-// errConfigNeeded refuses a command that needs the platform's settings.
+// errConfigNeeded reports that a command needs the platform's settings file.
 var errConfigNeeded = errors.New("--config FILE is needed")
 
-// exitError ends the process with a status.
+// exitError is an error that ends the process with a given exit status.
 type exitError struct {
 	status int
 	err    error
 }
 
-// Error is the text of the error that ends the process.
+// Error returns the text of the wrapped error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error that ends the process.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// statusOf is the exit status for an error.
+// statusOf returns the exit status for an error.
 func statusOf(err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
@@ -36,31 +36,32 @@
 	return exitFailure
 }
 
-// requestError says which part of an operator's request is wrong.
+// requestError reports an invalid field of an operator's request.
 type requestError struct {
 	field string
 	err   error
 }
 
-// Error names the part and what is wrong with it.
+// Error returns the field and what is wrong with it.
 func (e *requestError) Error() string { return fmt.Sprintf("%s: %v", e.field, e.err) }
 
-// Unwrap returns what is wrong with the part.
+// Unwrap returns what is wrong with the field.
 func (e *requestError) Unwrap() error { return e.err }
 
-// What can be wrong with an operator's request before it is sent.
+// Errors in an operator's request that are found before it is sent.
 var (
 	errConfigMissing  = errors.New("missing, name a controller's settings file with --config")
 	errDrainIDMissing = errors.New("missing, name the drain with --id")
 )
 
-// noMachinesError says that a file of machines' names has none.
+// noMachinesError reports that a file that should name machines has no names.
 type noMachinesError struct{ path string }
 
-// Error names the file.
+// Error returns a text with the file's path.
 func (e *noMachinesError) Error() string { return e.path + " names no machine" }
 
-// refuse ends the process for a wrong part of an operator's request.
+// refuse returns the error for an invalid field of an operator's request, with exit status
+// exitRefused.
 func refuse(field string, err error) error {
 	return &exitError{exitRefused, &requestError{field, err}}
 }
--- a/cmd/lemonmoor/main.go
+++ b/cmd/lemonmoor/main.go
@@ -1,5 +1,5 @@
-// Command lemonmoor is one controller of the cluster scheduler, and the operators' commands
-// that ask the controllers for something.
+// Command lemonmoor runs one controller of the cluster scheduler. Its subcommands check settings
+// files and send operators' requests to the controllers.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"lemonmoor/internal/settings"
 )
 
-// version of the program.
+// version is the version of the program.
 const version = "0.1.0"
 
 func main() {
@@ -23,13 +23,13 @@
 	}
 }
 
-// configFlags names the settings files of a command.
+// configFlags are the flags with the paths of the settings files.
 type configFlags struct {
 	platformFile string // JSON, from the platform
 	operatorFile string // HCL, from the operators; may be empty
 }
 
-// load reads the settings files.
+// load reads and checks the settings files.
 func (c *configFlags) load() (*settings.Settings, error) {
 	if c.platformFile == "" {
 		return nil, errConfigNeeded
@@ -37,13 +37,13 @@
 	return settings.Load(c.platformFile, c.operatorFile)
 }
 
-// newRootCommand is the whole command line: without a subcommand the program runs a
-// controller. Operators' tools get commands of their own beside these.
+// newRootCommand returns the root command with all subcommands. Without a subcommand the
+// program runs a controller; each tool for operators is a subcommand.
 func newRootCommand() *cobra.Command {
 	config := &configFlags{}
 	root := &cobra.Command{
 		Use:           "lemonmoor --config FILE",
-		Short:         "A cluster scheduler: users, workers, cloud, and what runs where",
+		Short:         "A cluster scheduler: runs users' jobs on machines rented from a cloud",
 		Args:          cobra.NoArgs,
 		SilenceErrors: true,
 		SilenceUsage:  true,
--- a/cmd/lemonmoor/serve.go
+++ b/cmd/lemonmoor/serve.go
@@ -18,14 +18,14 @@
 	"lemonmoor/internal/tuning"
 )
 
-// bytesPerMB is that of the platform's quota.
+// bytesPerMB is the number of bytes in a megabyte of the platform's memory quota.
 const bytesPerMB = 1e6
 
-// nonceDiscardedBits leaves a nonce below 2^50, exact wherever JSON numbers are read as
-// floating point.
+// nonceDiscardedBits is the number of random bits discarded from a nonce. The nonce stays below
+// 2^50 and so is exact where JSON numbers are decoded as floating point.
 const nonceDiscardedBits = 14
 
-// serve runs the node until the process is killed or cannot listen.
+// serve runs the node. It returns only if ctx is done or a listener fails.
 func serve(ctx context.Context, settings *settings.Settings) error {
 	limitMemory(settings.Deployment.Quota.MemMB)
 	log := newLogger(settings.Node)
@@ -54,15 +54,16 @@
 	return context.Cause(ctx)
 }
 
-// limitMemory keeps the process within the platform's quota of memory.
+// limitMemory sets the memory limit and garbage collection target of the Go runtime, so that
+// the process stays within the platform's memory quota.
 func limitMemory(quotaMB float64) {
 	quotaBytes := quotaMB * bytesPerMB
 	debug.SetMemoryLimit(int64(quotaBytes * tuning.GoMemoryShare))
 	debug.SetGCPercent(tuning.GCPercent)
 }
 
-// userAndWorkerHandler posts requests to the loop in their lane, and refuses users' while
-// too many of theirs wait.
+// userAndWorkerHandler returns a handler that posts requests to their lane of the loop. It
+// refuses users' requests while more than tuning.MaxQueuedUserRequests are queued.
 func userAndWorkerHandler(loop *eventloop.Loop, node *controller.Node) http1.Handler {
 	return func(request *http1.Request, respond http1.ResponseWriter) {
 		lane := controller.RequestLane(request)
@@ -78,14 +79,15 @@
 	return controller.RequestLane(request) == eventloop.UserLane
 }
 
-// peerHandler posts messages of other controllers to the loop.
+// peerHandler returns a handler that posts messages from other controllers to the loop.
 func peerHandler(loop *eventloop.Loop, node *controller.Node) peer.Handler {
 	return func(path string, body []byte, answer func(body []byte, ok bool)) {
 		loop.Post(eventloop.HeartbeatLane, func() { node.HandlePeer(path, body, answer) })
 	}
 }
 
-// newLogger writes to standard error at the level that LOG_LEVEL names.
+// newLogger returns a logger that writes to standard error at the level in the environment
+// variable LOG_LEVEL, by default info.
 func newLogger(node string) *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/lemonmoor/surface_test.go
+++ b/cmd/lemonmoor/surface_test.go
@@ -20,7 +20,7 @@
 	"lemonmoor/internal/peer"
 )
 
-// program is the built program, made once for all tests.
+// program is the path of the executable, which is built once for all tests.
 var program string
 
 func TestMain(m *testing.M) {
@@ -37,13 +37,13 @@
 	os.Exit(status)
 }
 
-// result is how the program ended.
+// result is the exit status and the output of the program.
 type result struct {
 	status         int
 	stdout, stderr string
 }
 
-// run runs the program to its end.
+// run runs the program with arguments until it exits.
 func run(t *testing.T, args ...string) result {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -57,8 +57,9 @@
 	return result{command.ProcessState.ExitCode(), out.String(), errs.String()}
 }
 
-// configOf writes a settings file of a controller whose peers listen at an address, and
-// which names another one that does not answer.
+// configOf writes the settings file of a controller that listens for peers on an address and
+// knows no other controller, and returns the file's path. Nothing answers at its addresses of
+// the cloud and the state service.
 func configOf(t *testing.T, address string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -73,11 +74,11 @@
 	return path
 }
 
-// flagLine is a line of a command's help on a flag: its name, what it takes, and its
-// default if it has one.
+// flagLine matches the line of a command's help about a flag: its name, the type of its value,
+// and its default if it has one.
 var flagLine = regexp.MustCompile(`(?m)^ +--([a-z-]+)(?: ([A-Za-z]+))? {2,}.*?(?: \(default (.*)\))?$`)
 
-// TestSurfaceCommands: each command with its flags, what they take, and their defaults.
+// TestSurfaceCommands checks the names of all commands, and their flags with types and defaults.
 func TestSurfaceCommands(t *testing.T) {
 	drainFlags := []string{"json", "timeout duration=20s"}
 	selection := []string{"from FILE", "kind KIND", "machine NAME", "prefix PREFIXES", "replace", "type TYPES", "zone ZONES"}
@@ -108,7 +109,7 @@
 		slices.Sort(flags)
 		expected, known := want[command.CommandPath()]
 		if !known || !slices.Equal(flags, expected) || len(flags) != strings.Count(usages, "\n") {
-			t.Errorf("%s: %q, not %q", command.CommandPath(), flags, expected)
+			t.Errorf("%s: flags %q, want %q", command.CommandPath(), flags, expected)
 		}
 		delete(want, command.CommandPath())
 		for _, sub := range command.Commands() {
@@ -117,20 +118,21 @@
 	}
 	walk(newRootCommand())
 	for path := range want {
-		t.Errorf("%s is missing", path)
+		t.Errorf("command %s is missing", path)
 	}
 }
 
-// exitCase is a command line and how it ends.
+// exitCase is a command line with its expected exit status and output.
 type exitCase struct {
 	args   string
 	status int
-	stdout string // regular expressions of the whole
-	stderr string
+	stdout string // regular expression for the whole output
+	stderr string // the same
 }
 
-// exitCases are command lines with a good settings file (config), one that is missing, an
-// operators' file with an unknown setting (bad), and a file without machines' names (empty).
+// exitCases returns command lines that use a valid settings file (config), a path at which no
+// file exists (missing), an operators' file with an unknown setting (bad), and a file without
+// names of machines (empty).
 func exitCases(config, missing, bad, empty string) []exitCase {
 	return []exitCase{
 		{"version", 0, `lemonmoor 0\.1\.0 go1\.[0-9a-z.-]+\n`, ``},
@@ -163,7 +165,8 @@
 	}
 }
 
-// TestSurfaceExits: exit statuses and the one line that says why.
+// TestSurfaceExits checks the exit statuses and outputs of command lines, among them the one-line
+// errors.
 func TestSurfaceExits(t *testing.T) {
 	config := configOf(t, "127.0.0.1:1")
 	bad := filepath.Join(t.TempDir(), "bad.hcl")
@@ -178,17 +181,17 @@
 	for _, test := range exitCases(config, missing, bad, empty) {
 		ended := run(t, strings.Fields(test.args)...)
 		if ended.status != test.status {
-			t.Errorf("lemonmoor %s: status %d, not %d", test.args, ended.status, test.status)
+			t.Errorf("lemonmoor %s: exit status %d, want %d", test.args, ended.status, test.status)
 		}
 		for what, pair := range map[string][2]string{"standard output": {ended.stdout, test.stdout}, "standard error": {ended.stderr, test.stderr}} {
 			if !regexp.MustCompile(`^(?:` + pair[1] + `)$`).MatchString(pair[0]) {
-				t.Errorf("lemonmoor %s: %s is %q", test.args, what, pair[0])
+				t.Errorf("lemonmoor %s: %s is %q, want a match of %q", test.args, what, pair[0], pair[1])
 			}
 		}
 	}
 }
 
-// What a controller answers, and what the command prints of it.
+// Answers of a controller, and the text that the command prints for each.
 const (
 	drainsAnswer = `{"status":"ok","node":"n0","drains":[{"id":"d-1","phase":"running","replace":true,"machines":5,"states":{"waiting":3,"closed":2},` +
 		`"disturbed":4,"waits":["no room"]}],"teams":{"red":{"running":{"tasks":1,"cpus":2.5},"chosen":{"tasks":3,"cpus":4.5},` +
@@ -200,10 +203,10 @@
 	planText   = "1 machines, with tasks of 5 jobs\nteam  tasks  CPUs  budget used up at least  budget\nred   2      3.5   4 times                  cpus 9\n"
 )
 
-// message is what the command sends to a controller.
+// message is a message that the command sends to a controller.
 type message struct{ path, body string }
 
-// scriptedController answers the command's messages one after the other.
+// scriptedController answers the command's messages with scripted answers, in order.
 type scriptedController struct {
 	address string
 	asked   chan message
@@ -237,15 +240,16 @@
 	return controller
 }
 
-// drainCase is what the command sends, what it is answered, and how it ends.
+// drainCase is a command line, the request it must send, the answer to it, and the exit status
+// and output that must follow.
 type drainCase struct {
 	args, sent, answer string
 	status             int
 	stdout, stderr     string
 }
 
-// drainCases are commands of each verb, to a controller at an address; names is a file
-// with the names vm-3 and vm-4.
+// drainCases returns command lines for each verb, sent to a controller at an address. names is
+// the path of a file with the names vm-3 and vm-4.
 func drainCases(address, names string) []drainCase {
 	return []drainCase{
 		{
@@ -270,8 +274,8 @@
 	}
 }
 
-// TestSurfaceDrain: what the command sends to a controller, and what it prints of the
-// answer.
+// TestSurfaceDrain checks the requests that the command sends to a controller, and its output
+// for the answers.
 func TestSurfaceDrain(t *testing.T) {
 	controller := newScriptedController(t)
 	config := configOf(t, controller.address)
@@ -283,10 +287,10 @@
 		controller.answers <- test.answer
 		ended := run(t, append([]string{"drain", "--config", config}, strings.Fields(test.args)...)...)
 		if ended != (result{test.status, test.stdout, test.stderr}) {
-			t.Errorf("drain %s: %+v", test.args, ended)
+			t.Errorf("drain %s: ended with %+v, want %+v", test.args, ended, result{test.status, test.stdout, test.stderr})
 		}
 		if sent := <-controller.asked; sent != (message{"/operator/drain", test.sent}) {
-			t.Errorf("drain %s sends %+v", test.args, sent)
+			t.Errorf("drain %s: sent %+v, want %s to /operator/drain", test.args, sent, test.sent)
 		}
 	}
 	t.Run("prints JSON", func(t *testing.T) {
@@ -296,17 +300,17 @@
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, []byte(ended.stdout)); err != nil || ended.status != 0 || ended.stderr != "" ||
 			compact.String() != strings.Replace(drainsAnswer, `{"waiting":3,"closed":2}`, `{"closed":2,"waiting":3}`, 1) {
-			t.Errorf("as JSON: %+v (%v)", ended, err)
+			t.Errorf("drain status --json: ended with %+v (%v), want the controller's answer", ended, err)
 		}
 		if !strings.HasPrefix(ended.stdout, "{\n  \"status\": \"ok\",\n") {
-			t.Errorf("not indented: %s", ended.stdout)
+			t.Errorf("drain status --json: output is not indented: %s", ended.stdout)
 		}
 	})
 	t.Run("names a drain without an id", func(t *testing.T) {
 		controller.answers <- drainsAnswer
 		run(t, "drain", "start", "--kind", "spot", "--config", config)
 		if sent := <-controller.asked; !regexp.MustCompile(`^{"verb":"start","id":"d-[0-9a-z]{1,13}","selection":{"kind":"spot"}}$`).MatchString(sent.body) {
-			t.Errorf("a start without an id sends %s", sent.body)
+			t.Errorf("drain start without --id: sent %s, want a random id", sent.body)
 		}
 	})
 }
--- a/deploy/drains.hcl
+++ b/deploy/drains.hcl
@@ -1,18 +1,20 @@
-# Operators' settings that turn stepwise drains on: target/lemonmoor --config FILE
-# --operator deploy/drains.hcl, on every controller. Not named by `run` in service.toml:
-# without this file there are no drains, and none of it costs anything.
+# Operators' settings that enable stepwise drains. To use them, start every controller with
+# target/lemonmoor --config FILE --operator deploy/drains.hcl. `run` in service.toml does not
+# use this file: without it drains are disabled and cost nothing.
 
 drains {
-  # How many machines of a drain are emptied at a time.
+  # Maximum number of machines of a drain that are emptied at a time.
   machines_at_once = 8
 
-  # How long tasks that are about to end are waited for, in seconds.
+  # How long a drain waits for tasks that are about to end, in seconds.
   wait_s = 120
 
-  # Where the steps are traced, as JSON lines of OpenTelemetry spans; no file: no trace.
+  # File to which the steps are traced, as JSON lines of OpenTelemetry spans. Without it there
+  # is no trace.
   # trace_file = "/tmp/lemonmoor-drains.json"
 
-  # How much of a team's work may be disturbed at once, what nobody chose included.
+  # Limits of how much of a team's work may be disturbed at once, including work disturbed by
+  # causes other than drains.
   default {
     tasks       = 8
     cpus        = 128
@@ -20,7 +22,7 @@
     replicas_up = 1
   }
 
-  # What a team's own block leaves out is the default's:
+  # Limits that a team's own block leaves out are those of the default:
   #
   # team "labteam-00" {
   #   tasks = 2
