--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(s.asked, " "); got != "e0 e1 e2 e0 e1 e2 e0 e1" {
-		t.Errorf("endpoints asked: %s", got)
+		t.Errorf("endpoints asked: %s, want e0 e1 e2 twice and then e0 e1", got)
 	}
 }
 
--- a/internal/http1/surface_test.go
+++ b/internal/http1/surface_test.go
@@ -5,7 +5,7 @@
 // TestSurfaceErrorBody checks the JSON body of a refusal, with the reason escaped.
 func TestSurfaceErrorBody(t *testing.T) {
 	if got := string(ErrorBody(`not "this"`)); got != `{"error":"not \"this\""}` {
-		t.Errorf("ErrorBody: got %s", got)
+		t.Errorf("ErrorBody: got %s, want the reason with its quotes escaped", got)
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -160,7 +160,7 @@
 		driftSeconds := leaseSeconds * tuning.DriftPerMille / 1000
 		reserveSeconds := min(tuning.KnowledgeReserve.Seconds(), (cancelSeconds-leaseSeconds)*tuning.KnowledgeReserveShare)
 		if leftSeconds := cancelSeconds - leaseSeconds - driftSeconds - reserveSeconds - tuning.MinKnowledgeAgeLimit.Seconds(); (err != nil) != (leftSeconds < 0) && (leftSeconds < -1e-6 || leftSeconds > 1e-6) {
-			t.Fatalf("lease_s %g, cancel_s %g: error %v, with %g s left of the minimum to learn of a cancellation", leaseSeconds, cancelSeconds, err, leftSeconds)
+			t.Fatalf("lease_s %g, cancel_s %g: error %v, with %g s above the minimum time to learn of a cancellation", leaseSeconds, cancelSeconds, err, leftSeconds)
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), "cancel_s") {
