--- a/internal/settings/durations.go
+++ b/internal/settings/durations.go
@@ -23,7 +23,7 @@
 // before it takes itself to be partitioned.
 func (s *Settings) OwnerSilenceLimit(machines int) time.Duration {
 	intervals := tuning.OwnerSilenceIntervals
-	if machines >= tuning.ManyWorkers {
+	if machines >= tuning.ShortSilenceMinWorkers {
 		intervals /= 2
 	}
 	return time.Duration(intervals*float64(s.HeartbeatInterval())) + tuning.OwnerSilenceSlack
--- a/internal/tuning/leases.go
+++ b/internal/tuning/leases.go
@@ -45,7 +45,7 @@
 	OwnerSilenceSlack     = 1500 * time.Millisecond
 	// ManyWorkers is the number of workers with which one heartbeat interval of silence is
 	// enough.
-	ManyWorkers = 10
+	ShortSilenceMinWorkers = 10
 	// MaxSilenceDoublings is how often the time of silence doubles while the node hears no
 	// worker either when its shards come back to it: sixteen times is longer than any lease.
 	MaxSilenceDoublings = 4
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -33,12 +33,12 @@
 	// DeafHeartbeats is how many answered heartbeats in a row a worker may send without
 	// showing the token of the answers: the next one shows it, but for one on its way and
 	// one lost answer.
-	DeafHeartbeats = 3
+	UnreachableAfterHeartbeats = 3
 	// DeafLaunches is how many launches in a row may never show in a worker's heartbeats:
 	// one may be lost with a connection.
-	DeafLaunches = 2
+	UnreachableAfterLaunches = 2
 	// DeafProbeInterval is the time between two probes whether a deaf worker hears again.
-	DeafProbeInterval = 3 * time.Second
+	UnreachableProbeInterval = 3 * time.Second
 )
 
 // Zones that are cut off (partitioned).
--- a/internal/workers/new_token_test.go
+++ b/internal/workers/new_token_test.go
@@ -44,11 +44,11 @@
 // counts as unreachable after DeafLaunches consecutive launches, sent with answers to its
 // heartbeats, that no heartbeat has listed.
 func TestLostLaunchesMakeAWorkerUnreachable(t *testing.T) {
-	fixture := newRegistryFixture(tuning.DeafLaunches)
+	fixture := newRegistryFixture(tuning.UnreachableAfterLaunches)
 	worker := fixture.exchangeHeartbeats(t)
-	for i := range tuning.DeafLaunches {
+	for i := range tuning.UnreachableAfterLaunches {
 		if worker.Unreachable {
-			t.Fatalf("unreachable after %d lost launches, want after %d", i, tuning.DeafLaunches)
+			t.Fatalf("unreachable after %d lost launches, want after %d", i, tuning.UnreachableAfterLaunches)
 		}
 		fixture.placeTask(i)
 		fixture.now += time.Second
--- a/internal/workers/unreachable_workers.go
+++ b/internal/workers/unreachable_workers.go
@@ -26,7 +26,7 @@
 // worker, so that its machine is returned, if the worker is still unreachable after more than
 // the length of its lease and none of its tasks is left.
 func (r *Registry) checkUnreachableWorker(worker *Worker, now time.Duration) {
-	if now-worker.probedAt >= tuning.DeafProbeInterval {
+	if now-worker.probedAt >= tuning.UnreachableProbeInterval {
 		r.probeUnreachableWorker(worker, now)
 	}
 	if len(worker.Tasks) == 0 && worker.DrainReason == "" && now-worker.unreachableSince > r.settings.WorkerLease() {
--- a/internal/workers/unreachable_workers_test.go
+++ b/internal/workers/unreachable_workers_test.go
@@ -24,14 +24,14 @@
 	}
 	fixture.beginTerm()
 	fixture.calls = nil
-	for range tuning.DeafHeartbeats + 1 {
+	for range tuning.UnreachableAfterHeartbeats + 1 {
 		fixture.now += 5 * time.Second
 		fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	}
 	if status, _ := fixture.registry.HandleHeartbeat(fixture.heartbeat()); !worker.Unreachable || fixture.registry.AcceptsTasks(worker) || status != 503 {
 		t.Fatalf("after heartbeats without the token: unreachable %v, accepts tasks %v, answered %d, want true, false, 503", worker.Unreachable, fixture.registry.AcceptsTasks(worker), status)
 	}
-	fixture.now += tuning.DeafProbeInterval
+	fixture.now += tuning.UnreachableProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
 		t.Fatalf("after the probe interval: %d probes sent, want 1", len(fixture.calls))
@@ -49,7 +49,7 @@
 	fixture := newRegistryFixture(1)
 	worker := fixture.exchangeHeartbeats(t)
 	worker.Unreachable = true
-	fixture.now += tuning.DeafProbeInterval
+	fixture.now += tuning.UnreachableProbeInterval
 	fixture.registry.Tick()
 	if len(fixture.calls) != 1 {
 		t.Fatalf("after the probe interval: %d probes sent, want 1", len(fixture.calls))
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -94,7 +94,7 @@
 
 // seemsUnreachable reports whether the evidence suffices to consider the worker unreachable.
 func (h *Reachability) seemsUnreachable() bool {
-	return h.UnacknowledgedHeartbeats >= tuning.DeafHeartbeats || h.LostLaunches >= tuning.DeafLaunches
+	return h.UnacknowledgedHeartbeats >= tuning.UnreachableAfterHeartbeats || h.LostLaunches >= tuning.UnreachableAfterLaunches
 }
 
 func (h *Reachability) markUnreachable(now time.Duration) {
