--- a/internal/workers/new_token_test.go
+++ b/internal/workers/new_token_test.go
@@ -41,8 +41,8 @@
 }
 
 // TestLostLaunchesMakeAWorkerUnreachable checks that a worker that acknowledges the token still
-// counts as unreachable after DeafLaunches consecutive launches, sent with answers to its
-// heartbeats, that no heartbeat has listed.
+// counts as unreachable after UnreachableAfterLaunches consecutive launches, sent with answers
+// to its heartbeats, that no heartbeat has listed.
 func TestLostLaunchesMakeAWorkerUnreachable(t *testing.T) {
 	fixture := newRegistryFixture(tuning.UnreachableAfterLaunches)
 	worker := fixture.exchangeHeartbeats(t)
--- a/internal/workers/unreachable_workers.go
+++ b/internal/workers/unreachable_workers.go
@@ -22,9 +22,9 @@
 		"unacknowledged_heartbeats", worker.UnacknowledgedHeartbeats, "lost_launches", worker.LostLaunches)
 }
 
-// checkUnreachableWorker probes an unreachable worker every DeafProbeInterval. It drains the
-// worker, so that its machine is returned, if the worker is still unreachable after more than
-// the length of its lease and none of its tasks is left.
+// checkUnreachableWorker probes an unreachable worker every UnreachableProbeInterval. It drains
+// the worker, so that its machine is returned, if the worker is still unreachable after more
+// than the length of its lease and none of its tasks is left.
 func (r *Registry) checkUnreachableWorker(worker *Worker, now time.Duration) {
 	if now-worker.probedAt >= tuning.UnreachableProbeInterval {
 		r.probeUnreachableWorker(worker, now)
