--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -4,39 +4,39 @@
 
 // Requests to the cloud.
 const (
-	// CloudRequestTimeout is when a cloud request counts as unanswered.
+	// CloudRequestTimeout is the time after which a cloud request counts as unanswered.
 	CloudRequestTimeout = 5 * time.Second
-	// CloudRequestShare is the part of the cloud's calls a second that the leader uses.
+	// CloudRequestShare is the fraction of the cloud's calls per second that the leader uses.
 	CloudRequestShare = 0.9
-	// CloudRequestBurst is how much of the calls may be saved up: the cloud allows two
-	// seconds' worth at once (PROTOCOL). With one second's, what a round leaves over is
-	// lost, a sixth of all calls at four a second.
+	// CloudRequestBurst is the time over which unused calls accumulate. The cloud allows two
+	// seconds' worth of calls at once (PROTOCOL). With one second, the calls that a round
+	// does not use are lost: a sixth of all calls at four per second.
 	CloudRequestBurst = 1500 * time.Millisecond
 	// MachineListInterval is the time between two readings of the machine list.
 	MachineListInterval = 5 * time.Second
-	// MachineListRetryDelay is how long a page of the machine list waits when the cloud's
-	// calls are used up.
+	// MachineListRetryDelay is the pause before a page of the machine list is requested again
+	// when the cloud's calls are used up.
 	MachineListRetryDelay = 400 * time.Millisecond
 	// MachineTypesInterval is the time between two readings of the machine types, whose
 	// prices change.
 	MachineTypesInterval = 60 * time.Second
-	// NoCapacityPause is how long no machine of a kind is asked for after the cloud had
-	// none.
+	// NoCapacityPause is how long no machine of a kind is requested after the cloud had too
+	// few of them.
 	NoCapacityPause = 12 * time.Second
-	// MalformedRentalPause is how long no machine of a kind is asked for after the cloud
-	// called a request malformed: the next one would be too.
+	// MalformedRentalPause is how long no machine of a kind is requested after the cloud
+	// refused a request for it as malformed: the next request would be malformed too.
 	MalformedRentalPause = 5 * NoCapacityPause
-	// MaxRentalMachines is the most machines of one rental request (PROTOCOL: 50).
+	// MaxRentalMachines is the maximum number of machines in a rental request (PROTOCOL: 50).
 	MaxRentalMachines = 50
-	// MaxReleaseMachines is the most machines of one release request.
+	// MaxReleaseMachines is the maximum number of machines in a release request.
 	MaxReleaseMachines = 100
-	// MachineListPageSize is the number of machines asked for in one page of the list.
+	// MachineListPageSize is the number of machines requested per page of the machine list.
 	MachineListPageSize = 500
-	// MaxMachineTypesRetryDelay is the longest pause before the machine types are asked for
-	// again: without them nothing is rented.
+	// MaxMachineTypesRetryDelay is the maximum pause before the machine types are requested
+	// again after a failure: without them no machine is rented.
 	MaxMachineTypesRetryDelay = 10 * time.Second
-	// MaxRentalRetryDelay is the longest pause before a rental request that got no answer
-	// is repeated.
+	// MaxRentalRetryDelay is the maximum pause before an unanswered rental request is
+	// repeated.
 	MaxRentalRetryDelay = 8 * time.Second
 )
 
@@ -44,85 +44,92 @@
 const (
 	// FleetRoundInterval is the time between two rounds of renting and releasing.
 	FleetRoundInterval = 1 * time.Second
-	// BootTimeoutFactor times the nominal boot time, plus BootTimeoutSlack, is when a
-	// machine that was never heard of is released.
+	// BootTimeoutFactor times the nominal boot time, plus BootTimeoutSlack, is the time after
+	// which a machine that has never reported is released.
 	BootTimeoutFactor = 2.0
-	// BootTimeoutSlack is added to the nominal boot time times BootTimeoutFactor.
+	// BootTimeoutSlack is added to the nominal boot time times BootTimeoutFactor. A new leader
+	// also waits for at least this time before it releases such a machine.
 	BootTimeoutSlack = 10 * time.Second
-	// UnknownTypeBootSeconds is the nominal boot time of a machine whose type is not known,
-	// in seconds.
+	// UnknownTypeBootSeconds is the nominal boot time in seconds of a machine of an unknown
+	// type.
 	UnknownTypeBootSeconds = 60
-	// MissedListsBeforeRelease is in how many lists in a row a machine must be missing to be
-	// released: a list can be older than the one before.
+	// MissedListsBeforeRelease is the number of consecutive machine lists from which a
+	// machine must be missing before it is released. One list is not enough, since a list
+	// can be older than the one before.
 	MissedListsBeforeRelease = 3
-	// RentBacklogShare is the part of a boot time for which the waiting work must keep the
-	// machines there are busy before others are rented: a queue that is gone by then needs
-	// none.
+	// RentBacklogShare is the fraction of a boot time for which the waiting work must keep
+	// the existing machines busy before more are rented: a queue that is empty by the time
+	// a machine has booted does not need the machine.
 	RentBacklogShare = 0.5
-	// QueueTimeShare is the part of the time that the objectives leave which a queue may
-	// take: estimates are often wrong by half.
+	// QueueTimeShare is the fraction of the time left by the objectives that a queue may
+	// take before machines are rented: estimates are often wrong by half.
 	QueueTimeShare = 0.5
-	// ExpensiveQueueFactor is how many times the work that the machines, up or booting, can
-	// do before an objective's time must wait before a job for expensive machines to be
-	// rented: small jobs go first, so that of a queue half too long most are in time. With
-	// 1, 1.5 and 2 the days of a large deployment scored 0.660, 0.684 and 0.682 (simulated
-	// machines); with 2 a day that loses spot machines had 0.88 of its deadlines instead of
-	// 0.93.
+	// ExpensiveQueueFactor is the ratio of the queued work to the work that the machines, up
+	// or booting, can do before the time of an objective, above which expensive machines
+	// are rented. Small jobs go first, so most jobs of a queue that is half too long are in
+	// time. A smaller value rents expensive machines that are not needed; a larger one
+	// misses more deadlines when spot machines are lost.
 	ExpensiveQueueFactor = 1.5
-	// MaxQueueTime bounds the wait of work for which there is no objective.
+	// MaxQueueTime is the maximum wait of work before spot machines are rented for it. It is
+	// the only bound for work without an objective.
 	MaxQueueTime = 120 * time.Second
-	// MissedObjectiveQueueTime bounds the wait of work that has missed its objectives, or
-	// has none, before expensive machines are rented: it is left to the cheap ones unless
-	// they would take longer.
+	// MissedObjectiveQueueTime is the maximum wait of work that has missed its objectives, or
+	// has none, before expensive machines are rented for it. Such work is left to the cheap
+	// machines unless they would take longer.
 	MissedObjectiveQueueTime = 600 * time.Second
-	// LargeMachinePenalty is the part by which a machine counts as more expensive for each
-	// doubling of its processors: at about the same price, large machines are left to large
-	// tasks.
+	// LargeMachinePenalty is the fraction by which the price of a machine is increased, when
+	// kinds are compared, for each doubling of its processors: at about the same price,
+	// large machines are left to large tasks.
 	LargeMachinePenalty = 0.05
-	// MaxPlannedRentals is the most machines of a kind that one round plans to rent; how
-	// many there are shows only when a request is filled in part.
+	// MaxPlannedRentals is the maximum number of machines of a kind that a round plans to
+	// rent. How many the cloud has becomes known only when it fills a request in part.
 	MaxPlannedRentals = 200
 )
 
 // Releasing machines.
 const (
-	// MachineIdleTimeout is how long a machine without tasks is kept.
+	// MachineIdleTimeout is how long a machine without tasks is retained, unless the
+	// operators set another time.
 	MachineIdleTimeout = 40 * time.Second
-	// MinIdleTimeoutShare is the least part of MachineIdleTimeout for which an ordinary
-	// machine is kept: it costs several times as much as a spot one.
+	// MinIdleTimeoutShare is the minimum fraction of MachineIdleTimeout for which an ordinary
+	// machine is retained. It costs several times as much as a spot machine.
 	MinIdleTimeoutShare = 0.3
-	// IdleMachineShare is the part of the machines that may be idle for all of
-	// MachineIdleTimeout. Beyond it, and beyond MinIdleMachines, they are released as soon
-	// as expensive ones are.
+	// IdleMachineShare is the fraction of the machines that may be idle for the whole of
+	// MachineIdleTimeout. While more are idle, and more than MinIdleMachines, idle machines
+	// are released after MinIdleTimeoutShare of it, as soon as expensive ones are.
 	IdleMachineShare = 0.15
-	// MinIdleMachines is the number of idle machines that IdleMachineShare does not count.
+	// MinIdleMachines is the number of idle machines that are allowed whatever
+	// IdleMachineShare is.
 	MinIdleMachines = 4
-	// ReleasedMachineMemory is how long a released machine is remembered: longer than the
-	// machine list lags behind, or a shard owner stays cut off.
+	// ReleasedMachineMemory is how long a released machine is remembered. It must exceed the
+	// lag of the machine list and the time for which a shard owner may be partitioned.
 	ReleasedMachineMemory = 15 * time.Minute
 )
 
 // Exchange of ordinary machines for spot machines.
 const (
-	// MinExchangePriceRatio is how many times as much a task must cost on an ordinary
-	// machine as on a spot machine that can be had for the one to be rented for the other:
-	// the spot machine is paid while it boots, and may be taken.
+	// MinExchangePriceRatio is the minimum ratio of the price of a task on an ordinary machine
+	// to its price on an available spot machine for which the ordinary machine is
+	// exchanged: the spot machine costs money while it boots, and may be reclaimed.
 	MinExchangePriceRatio = 1.5
-	// ExchangeDelay is how long the prices must have been so, and how long a new leader
-	// observes first.
+	// ExchangeDelay is how long an exchange must have been worthwhile before it begins, and
+	// how long a new leader observes the work before it considers one.
 	ExchangeDelay = 8 * time.Second
-	// ExchangePeakHalfLife is the half-life with which the most work there was is forgotten.
+	// ExchangePeakHalfLife is the half-life of the recorded maximum of the work.
 	ExchangePeakHalfLife = 120 * time.Second
-	// ExchangeWindow is the time over which the least work is taken, once or twice.
+	// ExchangeWindow is the length of a window of the minimum of the work. The minimum covers
+	// the current window and the previous one.
 	ExchangeWindow = 20 * time.Second
-	// MinSteadyWorkShare is the least part of the most work of late that there must have
-	// been all the time: only such work keeps machines busy for longer than they boot.
+	// MinSteadyWorkShare is the minimum fraction of the recent maximum of the work that must
+	// have been present throughout the windows: only such work keeps machines busy for
+	// longer than they take to boot.
 	MinSteadyWorkShare = 0.4
-	// MinExchangeSpotMachines is how many spot machines the steady work must fill. With few,
-	// the waves of work are as large as the machines, and an exchange cost 0.03 of a score
-	// (simulated machines).
+	// MinExchangeSpotMachines is the minimum number of spot machines that the steady work must
+	// fill. With fewer, the fluctuations of the work are as large as the machines, and an
+	// exchange costs more than it gains.
 	MinExchangeSpotMachines = 20
-	// ExchangeReserveShare is the room on ordinary machines that is reserved, as a part of
-	// the work that can run nowhere else: more of it comes, and a machine takes a boot.
+	// ExchangeReserveShare is the capacity reserved on ordinary machines, as a fraction of the
+	// work that can run nowhere else: more of that work may arrive, and a new machine has
+	// to boot first.
 	ExchangeReserveShare = 0.5
 )
--- a/internal/tuning/drains.go
+++ b/internal/tuning/drains.go
@@ -5,42 +5,45 @@
 // Drains of machines by the operators.
 const (
 	// DefaultDrainMachinesAtOnce is how many machines of a drain are emptied at a time if
-	// the operators do not say.
+	// the operators set no number.
 	DefaultDrainMachinesAtOnce = 4
-	// MaxDrainMachinesAtOnce is the most machines that the operators may have emptied at a
-	// time: the status messages list all tasks of closed machines.
+	// MaxDrainMachinesAtOnce is the maximum number of machines that the operators may have
+	// emptied at a time. It bounds the status messages, which list all tasks of closed
+	// machines.
 	MaxDrainMachinesAtOnce = 200
-	// DefaultDrainWait is how long tasks that are about to end are waited for if the
-	// operators do not say: a few times what most tasks of an array take.
+	// DefaultDrainWait is how soon tasks must be expected to end to be waited for, if the
+	// operators set no time. It is a few times the duration of most array tasks.
 	DefaultDrainWait = 2 * time.Minute
-	// DrainWriteShare is the part of the state service's write operations that drains may
-	// take: they are the least urgent of all decisions.
+	// DrainWriteShare is the fraction of the state service's write operations that drains may
+	// use. They are the least urgent of all decisions.
 	DrainWriteShare = 0.2
-	// DrainStuckAfter is how long nothing of a machine could be granted before another
-	// machine is taken in hand besides.
+	// DrainStuckAfter is how long no move off a machine could be granted before another
+	// machine is emptied in addition.
 	DrainStuckAfter = 60 * time.Second
-	// DrainStuckFactor is how many times the machines at once are taken in hand at most
-	// while some are stuck.
+	// DrainStuckFactor is the maximum number of machines that are emptied at a time while
+	// some are stuck, as a multiple of the configured number.
 	DrainStuckFactor = 2
-	// DrainNoRoomAfter is how long there must be no room for a closed machine's tasks
-	// before it is opened again and a machine is rented for them: a few status messages.
+	// DrainNoRoomAfter is how long there must have been no room for a closed machine's tasks
+	// before the machine is reopened and another one is rented for them. It spans a few
+	// status messages.
 	DrainNoRoomAfter = 5 * time.Second
-	// MaxDrainRentalAttempts is how many machines are rented one after the other for one
-	// that is drained, while other work takes their room.
+	// MaxDrainRentalAttempts is the maximum number of machines rented one after the other as
+	// replacement of one drained machine, while other work uses up their room.
 	MaxDrainRentalAttempts = 4
-	// MaxReportedDownServices is the most services of which a shard owner reports replicas
-	// that are not up; with more, no replica may be disturbed at all.
+	// MaxReportedDownServices is the maximum number of services of which a shard owner reports
+	// replicas that are not up. With more, no replica may be disturbed at all.
 	MaxReportedDownServices = 500
-	// MaxDrainWaitReasons is how many reasons for its waiting a drain gives.
+	// MaxDrainWaitReasons is the maximum number of wait reasons that a drain reports.
 	MaxDrainWaitReasons = 12
-	// MaxFinishedDrains is how many finished drains can still be asked about.
+	// MaxFinishedDrains is the number of finished drains that can still be queried.
 	MaxFinishedDrains = 20
 )
 
 // Operators' commands.
 const (
-	// OperatorRetryDelay is when a request that could not be taken is sent again.
+	// OperatorRetryDelay is the minimum pause before a request that no controller could
+	// accept is sent again.
 	OperatorRetryDelay = 1 * time.Second
-	// DefaultOperatorTimeout is how long a command goes on trying if it is not told.
+	// DefaultOperatorTimeout is how long a command retries if no timeout is specified.
 	DefaultOperatorTimeout = 20 * time.Second
 )
--- a/internal/tuning/statestore.go
+++ b/internal/tuning/statestore.go
@@ -4,93 +4,91 @@
 
 // Requests to the state service.
 const (
-	// StateRequestTimeout is when a request counts as unanswered. Answers usually take
-	// 10 ms, now and then a few hundred.
+	// StateRequestTimeout is the time after which a request counts as unanswered. An answer
+	// usually takes 10 ms, occasionally a few hundred.
 	StateRequestTimeout = 1800 * time.Millisecond
-	// MaxCommitTimeout is how long a shard owner's commit is waited for when answers are
-	// slow.
+	// MaxCommitTimeout is the maximum time for which a shard owner's commit is waited for
+	// when answers are slow.
 	MaxCommitTimeout = 8 * time.Second
-	// CommitTimeoutFactor is how many times the usual answer's time a shard owner's commit
-	// is waited for: the slowest answers take some fifty times as long as the usual ones.
+	// CommitTimeoutFactor is the timeout of a shard owner's commit as a multiple of the average
+	// latency: the slowest answers take some fifty times as long as the usual ones.
 	CommitTimeoutFactor = 60
-	// LatencyAverageCount is the number of answers over which the usual answer's time is
-	// averaged.
+	// LatencyAverageCount is the number of answers over which the latency is averaged.
 	LatencyAverageCount = 8
-	// MaxCommitsInFlight is the most commits of one shard owner, or of one node's
-	// submissions, that wait for their answers at a time.
+	// MaxCommitsInFlight is the maximum number of commits in flight of a shard owner, or of a
+	// node's submissions.
 	MaxCommitsInFlight = 4
-	// CommitPipelineDelay is how long a commit is in flight alone before the next one may
-	// follow it.
+	// CommitPipelineDelay is how long a commit is in flight before the next one may be sent
+	// without its answer.
 	CommitPipelineDelay = 60 * time.Millisecond
-	// MinStateBackoff is the first pause after a refused request; it doubles.
+	// MinStateBackoff is the first pause after a refused request. It doubles with each retry.
 	MinStateBackoff = 100 * time.Millisecond
-	// MaxStateBackoff is the longest pause after a refused request.
+	// MaxStateBackoff is the maximum pause after a refused request.
 	MaxStateBackoff = 1 * time.Second
-	// MaxStateBackoffDoublings bounds how often the pause is doubled; MaxStateBackoff is
-	// reached before.
+	// MaxStateBackoffDoublings limits how often the pause is doubled. MaxStateBackoff is
+	// reached with fewer doublings.
 	MaxStateBackoffDoublings = 5
-	// ListPageSize is the number of keys asked for in one listing (PROTOCOL: at most 1000).
+	// ListPageSize is the number of keys requested per listing (PROTOCOL: at most 1000).
 	ListPageSize = 1000
 	// MaxCommitBytes keeps a transaction below the service's 64 KiB (PROTOCOL).
 	MaxCommitBytes = 48 * 1024
-	// SubmissionOverheadBytes is what a submission takes of a commit besides its record: its
-	// key, twice, and the JSON around it.
+	// SubmissionOverheadBytes is the size of a submission in a commit without its record: its
+	// key, twice, and the JSON syntax around it.
 	SubmissionOverheadBytes = 100
 )
 
 // Copies of parts of the state, kept current by watches and checks.
 const (
-	// WatchTimeout is how long a watch stays open on the service's side.
+	// WatchTimeout is how long the service keeps a watch open.
 	WatchTimeout = 10 * time.Second
-	// PassiveWatchPause is how long a node that neither leads nor owns a shard waits after
-	// changes before it opens the watch again; its answers are verified anyway.
+	// PassiveWatchPause is how long a node that neither leads nor owns a shard pauses after
+	// changes before it reopens the watch. Its answers are verified in any case.
 	PassiveWatchPause = 500 * time.Millisecond
-	// FreshnessCheckInterval is the least time between two freshness checks of one node;
-	// polls in between share a check. Where requests are scarce it is longer.
+	// FreshnessCheckInterval is the minimum time between two freshness checks of a node. Polls
+	// in between share a check. The interval is longer where requests are scarce.
 	FreshnessCheckInterval = 150 * time.Millisecond
-	// FreshnessCheckShare is the part of the requests a second that the freshness checks of
-	// all nodes together may take.
+	// FreshnessCheckShare is the fraction of the requests per second that the freshness checks
+	// of all nodes together may use.
 	FreshnessCheckShare = 0.2
-	// WatchRequestShare is the part of the requests a second that the watches of the leader
-	// and the shard owners may take: a watch ends with each change and is opened anew.
+	// WatchRequestShare is the fraction of the requests per second that the watches of the
+	// leader and the shard owners may use: a watch ends with each change and is reopened.
 	WatchRequestShare = 0.4
-	// WatchBurst is how many changes in a row are followed at once after a quiet time. The
-	// service allows bursts of one second's worth of requests.
+	// WatchBurst is the number of consecutive changes after a quiet period that are followed
+	// without a pause. The service allows bursts of one second's worth of requests.
 	WatchBurst = 6
 )
 
-// How the state service's write operations a second are shared.
+// Shares of the state service's write operations per second.
 const (
-	// ShardWriteShare is the part of the write operations that the records of the leader
-	// and the shard owners may use; the rest is for submissions and cancellations.
+	// ShardWriteShare is the fraction of the write operations that the records of the leader
+	// and the shard owners may use. The rest is for submissions and cancellations.
 	ShardWriteShare = 0.45
-	// SubmissionWriteShare is the part of the write operations that the submissions of all
-	// nodes take while writes are throttled, since decisions come before submissions.
-	// Without it three hundred jobs at once kept anything from being dispatched for half a
-	// minute.
+	// SubmissionWriteShare is the fraction of the write operations that the submissions of all
+	// nodes together use while writes are throttled, since decisions have precedence over
+	// submissions. Without this limit, three hundred jobs submitted at once prevent every
+	// dispatch for half a minute.
 	SubmissionWriteShare = 0.45
-	// MinSubmissionWritesPerSecond is what a node may use for submissions however small its
-	// part is.
+	// MinSubmissionWritesPerSecond is the rate of writes that a node may always use for
+	// submissions, however small its share is.
 	MinSubmissionWritesPerSecond = 0.5
-	// WritesThrottledPeriod is how long writes count as throttled after the service has
-	// refused one because there were too many.
+	// WritesThrottledPeriod is how long writes count as throttled after the service refused
+	// one because there were too many.
 	WritesThrottledPeriod = 1500 * time.Millisecond
-	// StalledDispatchGrace is how long after a dispatch that was held up by throttled writes
-	// idle machines are kept: the work for them is to come.
+	// StalledDispatchGrace is how long idle machines are retained after throttled writes
+	// delayed a dispatch: work for them will follow.
 	StalledDispatchGrace = 5 * time.Second
 	// RecordSweepInterval is the time between two removals of records of finished jobs.
 	RecordSweepInterval = 1 * time.Second
-	// RecordSweepWriteShare is the part of the write operations that removals may take.
+	// RecordSweepWriteShare is the fraction of the write operations that removals may use.
 	RecordSweepWriteShare = 0.2
-	// MaxCompletionDelay is how long a completed task may wait to share a commit with
-	// others. Only the worker's memory of the task waits.
+	// MaxCompletionDelay is how long the commit of a completed task may be delayed to share it
+	// with others. Only the worker's memory of the task is retained longer by that.
 	MaxCompletionDelay = 700 * time.Millisecond
-	// WriteShareDecreaseFactor is what the share of the write operations that a node uses
-	// is multiplied by when the service has refused some, where the settings announce lower
-	// limits.
+	// WriteShareDecreaseFactor is the factor applied to a node's share of the write operations
+	// when the service has refused some, if the settings announce lower limits.
 	WriteShareDecreaseFactor = 0.9
-	// WriteShareIncreasePerSecond is how fast that share comes back.
+	// WriteShareIncreasePerSecond is the rate at which that share increases again.
 	WriteShareIncreasePerSecond = 0.01
-	// WriteShareDecreaseInterval is the least time between two decreases.
+	// WriteShareDecreaseInterval is the minimum time between two decreases.
 	WriteShareDecreaseInterval = 500 * time.Millisecond
 )
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -4,33 +4,33 @@
 
 // Users' requests, and HTTP/1.1 in general.
 const (
-	// MaxHeaderBytes is the most bytes of a request before its body.
+	// MaxHeaderBytes is the maximum size of a request up to its body, in bytes.
 	MaxHeaderBytes = 8 * 1024
-	// MaxBodyBytes is the most bytes of a request's body (PROTOCOL).
+	// MaxBodyBytes is the maximum size of a request's body in bytes (PROTOCOL).
 	MaxBodyBytes = 64 * 1024
-	// SlowRequestTimeout is when a request that arrives piecemeal is given up.
+	// SlowRequestTimeout is the time after which an incomplete request is abandoned.
 	SlowRequestTimeout = 10 * time.Second
-	// IdleConnectionTimeout is when a connection without requests is closed.
+	// IdleConnectionTimeout is the time after which a connection without requests is closed.
 	IdleConnectionTimeout = 120 * time.Second
-	// RetryAfterSeconds is what refused users are told to wait, in seconds.
+	// RetryAfterSeconds is the pause, in seconds, that refused users are asked to make.
 	RetryAfterSeconds = 1
-	// MaxQueuedUserRequests is the number of waiting user requests from which on new ones
-	// are refused at once.
+	// MaxQueuedUserRequests is the number of queued user requests above which new ones are
+	// refused immediately.
 	MaxQueuedUserRequests = 256
-	// SubmissionTimeout bounds the tries to make a submission durable; users wait 5 s for
-	// an answer (PROTOCOL).
+	// SubmissionTimeout is how long a submission is retried until it is durable. Users wait
+	// 5 s for an answer (PROTOCOL).
 	SubmissionTimeout = 3500 * time.Millisecond
-	// MaxCancelAttempts is how often a cancellation is tried before its user is told to
-	// come back: each attempt verifies the job anew.
+	// MaxCancelAttempts is the number of attempts at a cancellation before its user is asked
+	// to retry. Each attempt verifies the job again.
 	MaxCancelAttempts = 7
 )
 
-// Health of a node, as the users' load balancer sees it.
+// Health of a node, as reported to the users' load balancer.
 const (
-	// UnhealthyAfter is how long a node may go without any answer from the state service
-	// before it calls itself unhealthy, if a peer has one.
+	// UnhealthyAfter is how long a node may get no answer from the state service before it
+	// reports itself unhealthy, if a peer gets answers.
 	UnhealthyAfter = 4 * time.Second
-	// PeerHealthMaxAge is how long it counts that a peer has said that the state service
-	// answers it: the peers are asked once a second.
+	// PeerHealthMaxAge is how long a peer's reply counts that the state service answers it.
+	// The peers are asked once a second.
 	PeerHealthMaxAge = 2500 * time.Millisecond
 )
