--- a/internal/settings/durations.go
+++ b/internal/settings/durations.go
@@ -23,7 +23,7 @@
 // receive no heartbeat from any of them before it considers itself partitioned.
 func (s *Settings) OwnerSilenceLimit(machines int) time.Duration {
 	intervals := tuning.OwnerSilenceIntervals
-	if machines >= tuning.ManyWorkers {
+	if machines >= tuning.ShortSilenceMinWorkers {
 		intervals /= 2
 	}
 	return time.Duration(intervals*float64(s.HeartbeatInterval())) + tuning.OwnerSilenceSlack
