--- a/internal/controller/drain_measurement_test.go
+++ b/internal/controller/drain_measurement_test.go
@@ -10,20 +10,21 @@
 	"lemonmoor/internal/settings"
 )
 
-// meanBoot is what a machine of the simulated cloud takes to boot, in seconds.
-const meanBoot = 2.5
+// meanBootSeconds is the mean boot time of a machine of the simulated cloud.
+const meanBootSeconds = 2.5
 
-// drainMeasurement is one row of what TestMeasureDrains prints.
+// drainMeasurement is the measurement of one drain; TestMeasureDrains prints means over seeds.
 type drainMeasurement struct {
 	duration     time.Duration
 	halts        int
 	maxDisturbed map[string]int
 	changes      int
-	meanDownTime time.Duration // the mean time from a halt until the task runs again
+	meanDownTime time.Duration // mean time from a halt until the task runs again
 }
 
-// measureDrain drains all machines of a deployment with so many tasks of red, a part as
-// large of blue, and one task to a machine.
+// measureDrain drains all machines of a deployment in which each of the teams red and blue runs
+// the given number of tasks, one per machine. budget is the number of tasks of each team that
+// may be disturbed, atOnce the number of machines drained at once.
 func measureDrain(seed uint64, tasks, budget, atOnce int, replace bool) drainMeasurement {
 	sim := newSimulation(seed)
 	sim.imageFetchTime = 2 * second
@@ -44,15 +45,15 @@
 	for sim.now < began+time.Hour && (sim.countGone(names) < len(names) || len(sim.drainChecker.disturbed) > 0) {
 		sim.runUntil(sim.now + 100*millisecond)
 	}
-	t := drainMeasurement{duration: sim.now - began, halts: sim.drainChecker.halts, maxDisturbed: sim.drainChecker.maxDisturbed, changes: sim.countDrainChanges()}
+	result := drainMeasurement{duration: sim.now - began, halts: sim.drainChecker.halts, maxDisturbed: sim.drainChecker.maxDisturbed, changes: sim.countDrainChanges()}
 	if sim.drainChecker.halts > 0 {
-		t.meanDownTime = sim.drainChecker.downTime / time.Duration(sim.drainChecker.halts)
+		result.meanDownTime = sim.drainChecker.downTime / time.Duration(sim.drainChecker.halts)
 	}
-	return t
+	return result
 }
 
-// measureRelease returns all machines to the cloud at once, as operators would without
-// drains.
+// measureRelease measures the alternative without drains: operators release all machines to the
+// cloud at once.
 func measureRelease(seed uint64, tasks int) drainMeasurement {
 	sim := newSimulation(seed)
 	sim.imageFetchTime = 2 * second
@@ -73,18 +74,18 @@
 			sim.cloud.endRental(worker)
 		}
 	}
-	lost := 2 * tasks
+	lostTasks := 2 * tasks
 	for sim.now < began+time.Hour && sim.usedCPUs("red")+sim.usedCPUs("blue") < 2*float64(tasks)*2.3-0.01 {
 		sim.runUntil(sim.now + 100*millisecond)
 	}
-	return drainMeasurement{duration: sim.now - began, halts: lost, maxDisturbed: map[string]int{"red": tasks, "blue": tasks}}
+	return drainMeasurement{duration: sim.now - began, halts: lostTasks, maxDisturbed: map[string]int{"red": tasks, "blue": tasks}}
 }
 
-// TestMeasureDrains prints how long drains take, with LEMONMOOR_MEASURE set: a
-// measurement, not a test.
+// TestMeasureDrains prints the durations of drains. It is a measurement that checks nothing, and
+// runs only with LEMONMOOR_MEASURE set.
 func TestMeasureDrains(t *testing.T) {
 	if os.Getenv("LEMONMOOR_MEASURE") == "" {
-		t.Skip("a measurement: set LEMONMOOR_MEASURE")
+		t.Skip("a measurement: set LEMONMOOR_MEASURE to run it")
 	}
 	fmt.Println("| machines | budget of each team | at once | replace | seconds | least | disturbed at once | halt to run, s | changes a machine |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -92,17 +93,17 @@
 	for _, replace := range []bool{false, true} {
 		for _, budget := range []int{1, 2, 5} {
 			for _, atOnce := range []int{4, 20} {
-				var took, gap, changes float64
-				most := map[string]int{}
+				var duration, downTime, changes float64
+				maxDisturbed := map[string]int{}
 				for seed := range uint64(seeds) {
 					r := measureDrain(seed+1, tasks, budget, atOnce, replace)
-					took += r.duration.Seconds() / seeds
-					gap += r.meanDownTime.Seconds() / seeds
+					duration += r.duration.Seconds() / seeds
+					downTime += r.meanDownTime.Seconds() / seeds
 					changes += float64(r.changes) / (2 * tasks * seeds)
-					most["red"], most["blue"] = max(most["red"], r.maxDisturbed["red"]), max(most["blue"], r.maxDisturbed["blue"])
+					maxDisturbed["red"], maxDisturbed["blue"] = max(maxDisturbed["red"], r.maxDisturbed["red"]), max(maxDisturbed["blue"], r.maxDisturbed["blue"])
 				}
-				least := meanBoot + gap*float64((tasks+budget-1)/budget)
-				fmt.Printf("| %d | %d | %d | %v | %.1f | %.1f | %d, %d | %.2f | %.1f |\n", 2*tasks, budget, atOnce, replace, took, least, most["red"], most["blue"], gap, changes)
+				minDuration := meanBootSeconds + downTime*float64((tasks+budget-1)/budget)
+				fmt.Printf("| %d | %d | %d | %v | %.1f | %.1f | %d, %d | %.2f | %.1f |\n", 2*tasks, budget, atOnce, replace, duration, minDuration, maxDisturbed["red"], maxDisturbed["blue"], downTime, changes)
 			}
 		}
 	}
--- a/internal/controller/drain_random_faults_test.go
+++ b/internal/controller/drain_random_faults_test.go
@@ -12,12 +12,12 @@
 	"lemonmoor/internal/settings"
 )
 
-// drawLimits draws a team's budget.
+// drawLimits draws the drain budget of a team.
 func drawLimits(t *rapid.T) settings.DrainLimits {
 	return teamBudget(rapid.IntRange(2, 4).Draw(t, "tasks"), float64(rapid.IntRange(2, 6).Draw(t, "cpus")), rapid.IntRange(0, 1).Draw(t, "replicas"))
 }
 
-// drawDrainSimulation draws a deployment with drains on, and its load.
+// drawDrainSimulation draws a simulation with drains enabled, and its load.
 func drawDrainSimulation(t *rapid.T) *simulation {
 	sim := newSimulation(rapid.Uint64().Draw(t, "seed"))
 	sim.cloud.available = rapid.IntRange(10, 24).Draw(t, "available")
@@ -38,16 +38,16 @@
 	return sim
 }
 
-// drawnDrains are the drains of a drawn day: each of the same picks among the machines
-// that are up when it starts.
+// drawnDrains starts the drains of one simulation. Each drain selects machines by the same
+// indexes, picks, from the list of machines that are up when it starts.
 type drawnDrains struct {
 	sim     *simulation
 	replace bool
 	picks   []int
-	refused int // starts
+	refused int // number of starts that were refused
 }
 
-// start has an operator start a drain.
+// start sends an operator's request to start a drain.
 func (d *drawnDrains) start(id string) {
 	var machines []string
 	all := d.sim.workerIDs(nil)
@@ -63,8 +63,8 @@
 		if response.Status == drain.StatusOK {
 			return
 		}
-		// Under faults an operator's request is taken late; a machine that it names may
-		// be gone by then, or a gang there that no budget lets go.
+		// Under faults a controller may process the request late. A machine that it names
+		// may be gone by then, or run a gang that no budget allows to be disturbed.
 		d.refused++
 		if response.Field != "machine" && response.Field != "budget" {
 			d.sim.checker.violated(ruleDrainNotAccepted, "start of %s: %+v", id, response)
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestDrainsUnderRandomFaults: whatever happens meanwhile, no budget is exceeded by what
-// the drains choose to disturb, and no rule is broken.
+// TestDrainsUnderRandomFaults runs drains with drawn faults and operators' requests, and checks
+// that the tasks halted by drains exceed no budget and that no rule is broken.
 func TestDrainsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := drawDrainSimulation(t)
@@ -104,24 +104,25 @@
 		sim.cancelServicesAt(0)
 		sim.schedule(30*second, func() { sim.expectAnswersWithin(60 * second) })
 		sim.runUntil(320 * second)
-		checkDrainedDay(t, sim, len(verbs) > 0, drains.refused > 0)
+		checkDrainResult(t, sim, len(verbs) > 0, drains.refused > 0)
 	})
 }
 
-// checkDrainedDay checks a day at its end: the rules, and, if no verb came between, that
-// nothing was granted twice and, if all starts were accepted, that all machines are gone.
-func checkDrainedDay(t *rapid.T, sim *simulation, interrupted, refused bool) {
+// checkDrainResult checks the rules at the end of a simulation with drains. If no request
+// interrupted the drains, it also checks that no attempt was granted twice and, if all starts
+// were accepted, that all machines are gone.
+func checkDrainResult(t *rapid.T, sim *simulation, interrupted, refused bool) {
 	t.Helper()
 	named := sim.drainChecker.namedMachines
 	if gone := sim.countGone(slices.Collect(maps.Keys(named))); !interrupted && !refused && gone < len(named) {
-		t.Errorf("%d of %d machines are gone; %s", gone, len(named), sim.describeDrains())
+		t.Errorf("%d of %d machines are gone, want all; %s", gone, len(named), sim.describeDrains())
 	}
-	// Without a cancelled drain an attempt is granted once.
+	// An attempt is granted at most once unless a drain is cancelled.
 	if ref, twice := sim.grantedTwice(); twice && !interrupted {
-		t.Errorf("%+v is granted twice", ref)
+		t.Errorf("attempt %+v is granted twice, want at most once", ref)
 	}
 	sim.checkRules(t)
 	if sim.checker.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task was started")
 	}
 }
--- a/internal/controller/drain_scenarios_test.go
+++ b/internal/controller/drain_scenarios_test.go
@@ -10,33 +10,34 @@
 	"lemonmoor/internal/settings"
 )
 
-// The hard cases of drains. Each fails without the guard that it is about.
+// Drains under faults, scarce capacity and exhausted budgets. Each test fails without the guard
+// that it tests.
 
-// TestDrainSurvivesOutageBetweenGrantAndHalt: the state service is down from the first
-// grant on, before anything was halted.
+// TestDrainSurvivesOutageBetweenGrantAndHalt checks that a drain completes although the state
+// service goes down after the first grant and before the first halt.
 func TestDrainSurvivesOutageBetweenGrantAndHalt(t *testing.T) {
 	sim := newDrainSimulation(2, 6)
 	names := sim.startDrainOf(t, "a", nil)
-	met := false
+	beforeHalts := false
 	sim.runWhen(func() bool { return sim.countGrants() > 0 }, func() {
-		met = sim.drainChecker.halts == 0
+		beforeHalts = sim.drainChecker.halts == 0
 		sim.outageFor(20 * second)
 	})
 	sim.runUntil(sim.now + 240*second)
-	if !met {
-		t.Error("the outage came too late")
+	if !beforeHalts {
+		t.Error("the outage began after the first halt, want it between grant and halt")
 	}
 	sim.checkAllGone(t, names)
 }
 
-// TestDrainSurvivesLeaderAndOwnerChange: leader and owner crash at once, at various moments
-// after a grant.
+// TestDrainSurvivesLeaderAndOwnerChange checks that a drain completes although leader and
+// owner crash together, several times, at random moments after a grant.
 func TestDrainSurvivesLeaderAndOwnerChange(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			sim := newDrainSimulation(10+seed, 6)
 			names := sim.startDrainOf(t, "a", nil)
-			for i := range 6 { // at various moments after a grant
+			for i := range 6 {
 				sim.schedule(time.Duration(i)*15*second, func() {
 					sim.runWhen(func() bool { return sim.countGrants() > 0 }, func() {
 						sim.schedule(time.Duration(sim.rng.IntN(1500))*millisecond, func() {
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestDrainSurvivesLostAnswers: commits get no answer and are carried out late, also after
-// their leader has ended.
+// TestDrainSurvivesLostAnswers checks that a drain completes although commits are applied late
+// and without an answer, some of them after the leader that sent them has crashed.
 func TestDrainSurvivesLostAnswers(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -76,32 +77,34 @@
 	}
 }
 
-// TestDrainWaitsForCapacityTakenByUrgentWork: while urgent work takes what is free and
-// nothing can be rented, the drain waits and says so; it goes on when machines can be had.
+// TestDrainWaitsForCapacityTakenByUrgentWork checks that a drain waits while urgent work uses
+// the free capacity and no machine can be rented, that it reports this as its wait reason,
+// and that it continues when machines are available.
 func TestDrainWaitsForCapacityTakenByUrgentWork(t *testing.T) {
 	sim := newDrainSimulation(3, 6)
-	sim.cloud.available = 0 // nothing more can be rented
+	sim.cloud.available = 0 // no further machine can be rented
 	sim.exhaustCloud()
 	names := sim.startDrainOf(t, "a", nil)
 	urgent := newJob(jobSpec{id: "wk-000050", team: "red", tasks: 18, cpus: 1, runTime: 60 * second, estimateSeconds: 60, spot: true, urgent: true})
 	sim.schedule(3*second, func() { sim.submitAndPoll(urgent, 0) })
-	waited := false
-	sim.schedule(20*second, func() { waited = sim.drainWaitsFor("waits for room") || sim.drainWaitsFor("no room") })
+	reportedWaiting := false
+	sim.schedule(20*second, func() { reportedWaiting = sim.drainWaitsFor("waits for room") || sim.drainWaitsFor("no room") })
 	sim.runUntil(sim.now + 40*second)
-	if !waited {
-		t.Errorf("it does not say that it waits for room: %s", sim.describeDrains())
+	if !reportedWaiting {
+		t.Errorf("the drain does not report that it waits for capacity: %s", sim.describeDrains())
 	}
-	gone := sim.countGone(names)
+	goneWhileWaiting := sim.countGone(names)
 	sim.cloud.available = 20
 	sim.runUntil(sim.now + 260*second)
-	if gone == len(names) {
-		t.Error("it did not wait")
+	if goneWhileWaiting == len(names) {
+		t.Errorf("all %d machines were gone before machines were available", len(names))
 	}
 	sim.checkAllGone(t, names)
 }
 
-// TestDrainWaitsWithoutCapacity: where nothing is free and nothing can be rented, nothing is
-// stopped, and the drain says why; it goes on when machines can be had.
+// TestDrainWaitsWithoutCapacity checks that a drain halts no task while no capacity is free
+// and no machine can be rented, that it reports the reason, and that it continues when
+// machines are available.
 func TestDrainWaitsWithoutCapacity(t *testing.T) {
 	sim := newSimulation(14)
 	sim.cloud.available = 6
@@ -112,22 +115,22 @@
 	sim.cloud.available = -100
 	for _, worker := range sim.cloud.workers {
 		if len(worker.tasks) == 0 {
-			worker.die() // what is free
+			worker.die() // so that no capacity is free
 		}
 	}
 	sim.runUntil(sim.now + 20*second)
 	names := sim.startDrainOf(t, "a", nil)
 	sim.runUntil(sim.now + 20*second)
 	if sim.drainChecker.halts > 0 || !sim.drainWaitsFor("the cloud has not given one") {
-		t.Errorf("%d halts; %s", sim.drainChecker.halts, sim.describeDrains())
+		t.Errorf("%d halts without capacity, want 0 and the reason that no machine was rented; %s", sim.drainChecker.halts, sim.describeDrains())
 	}
 	sim.cloud.available = 20
 	sim.runUntil(sim.now + 260*second)
 	sim.checkAllGone(t, names)
 }
 
-// TestDrainWaitsForTasksAboutToEnd: they are not stopped within the time for that, and
-// stopped after it if they have not ended.
+// TestDrainWaitsForTasksAboutToEnd checks that a drain does not halt tasks that are expected to
+// end within wait_s, and halts them after that time if they have not ended.
 func TestDrainWaitsForTasksAboutToEnd(t *testing.T) {
 	for _, ends := range []bool{true, false} {
 		t.Run(fmt.Sprintf("tasks end %v", ends), func(t *testing.T) {
@@ -142,19 +145,19 @@
 			sim.runUntil(25 * second)
 			names := sim.startDrainOf(t, "a", nil)
 			sim.runUntil(sim.now + 18*second)
-			early := sim.drainChecker.halts
+			earlyHalts := sim.drainChecker.halts
 			sim.runUntil(sim.now + 100*second)
-			if early > 0 || (sim.drainChecker.halts > 0) == ends {
-				t.Errorf("ends %v: %d halts at first, %d in all", ends, early, sim.drainChecker.halts)
+			if earlyHalts > 0 || (sim.drainChecker.halts > 0) == ends {
+				t.Errorf("tasks end %v: %d halts within the wait, want 0; %d halts in all, want some only if tasks do not end", ends, earlyHalts, sim.drainChecker.halts)
 			}
 			sim.checkAllGone(t, names)
 		})
 	}
 }
 
-// TestDrainWithReplacementsProceedsWhileUrgentWorkWaits: with replacements a drain takes no
-// room away, and goes on although urgent work that the daemon lets queue waits for room all
-// the time.
+// TestDrainWithReplacementsProceedsWhileUrgentWorkWaits checks that a drain with replacements
+// continues although queued urgent work waits for capacity all the time: such a drain does not
+// reduce the capacity.
 func TestDrainWithReplacementsProceedsWhileUrgentWorkWaits(t *testing.T) {
 	sim := newSimulation(16)
 	sim.cloud.available = 1
@@ -162,23 +165,24 @@
 	long := newJob(jobSpec{id: "wk-000001", team: "red", tasks: 4, cpus: 1, runTime: time.Hour, estimateSeconds: 3600, machineTypes: []string{"small"}})
 	sim.schedule(0, func() { sim.submitAndPoll(long, 0) })
 	sim.runUntil(25 * second)
-	sim.cloud.available = -100 // the urgent job finds no machine
+	sim.cloud.available = -100 // no machine can be rented for the urgent job
 	urgent := newJob(jobSpec{id: "wk-000002", team: "blue", tasks: 8, cpus: 2, runTime: time.Hour, estimateSeconds: 3600, urgent: true, machineTypes: []string{"big"}})
 	sim.submitAndPoll(urgent, 0)
 	sim.runUntil(sim.now + 10*second)
-	waits := sim.leader().node.fleet.HasWaitingWork(jobs.PriorityStandard)
-	sim.cloud.availablePerKind = 1 + len(sim.workerIDs(nil)) // a small one more of each kind, and no big one
+	urgentWaits := sim.leader().node.fleet.HasWaitingWork(jobs.PriorityStandard)
+	sim.cloud.availablePerKind = 1 + len(sim.workerIDs(nil)) // one more small machine of each kind, and no big one
 	sim.cloud.soldOutType = "big"
 	names := sim.workerIDs(hasTasks)
 	sim.requestDrain(startDrain("a", names, true), func(drain.Response) {})
 	sim.runUntil(sim.now + 120*second)
-	if !waits || urgent.startedAt > 0 {
-		t.Errorf("urgent work waits: %v, began at %v", waits, urgent.startedAt)
+	if !urgentWaits || urgent.startedAt > 0 {
+		t.Errorf("urgent work waits before the drain: %v, want true; it started at %v, want 0: never", urgentWaits, urgent.startedAt)
 	}
 	sim.checkAllGone(t, names)
 }
 
-// exhaustCloud has the controllers find out that the cloud has no machines left.
+// exhaustCloud submits urgent jobs until the controllers have learned that the cloud has no
+// capacity left.
 func (s *simulation) exhaustCloud() {
 	for i := range 3 {
 		job := newJob(jobSpec{id: jobID(60 + i), team: "blue", tasks: 5, cpus: 2, runTime: 2 * second, estimateSeconds: 300, spot: i%2 == 0, urgent: true})
@@ -187,8 +191,8 @@
 	s.runUntil(s.now + 5*second)
 }
 
-// TestDrainBudgetCountsOtherDisturbances: what nobody chose to disturb uses the budget up, and
-// the drain goes on by itself when that is over.
+// TestDrainBudgetCountsOtherDisturbances checks that tasks lost to failures count against the
+// budget of a drain, and that the drain continues without a request when they run again.
 func TestDrainBudgetCountsOtherDisturbances(t *testing.T) {
 	sim := newSimulation(4)
 	sim.cloud.available = 30
@@ -196,37 +200,37 @@
 	red := newJob(jobSpec{id: "wk-000001", team: "red", tasks: 8, cpus: 2, zone: "b", runTime: time.Hour, estimateSeconds: 3600, spot: true})
 	sim.schedule(0, func() { sim.submitAndPoll(red, 0) })
 	sim.runUntil(25 * second)
-	sim.cloud.available = -100 // what is lost finds no room
-	lost := 0
+	sim.cloud.available = -100 // lost tasks find no capacity
+	lostTasks := 0
 	for _, worker := range sim.cloud.workers {
-		if !worker.dead && (len(worker.tasks) == 0 || lost < 2) {
-			lost += len(worker.tasks)
+		if !worker.dead && (len(worker.tasks) == 0 || lostTasks < 2) {
+			lostTasks += len(worker.tasks)
 			worker.die()
 		}
 	}
 	sim.runUntil(sim.now + 25*second)
 	names := sim.startDrainOf(t, "a", hasTasks)
 	sim.runUntil(sim.now + 15*second)
-	if lost != 2 || sim.drainChecker.halts > 0 || !sim.drainWaitsFor("budget of team red") {
-		t.Errorf("%d lost, %d halts; %s", lost, sim.drainChecker.halts, sim.describeDrains())
+	if lostTasks != 2 || sim.drainChecker.halts > 0 || !sim.drainWaitsFor("budget of team red") {
+		t.Errorf("%d tasks lost, want 2; %d halts, want 0 while the budget of red is used up; %s", lostTasks, sim.drainChecker.halts, sim.describeDrains())
 	}
 	sim.cloud.available = 20
 	sim.runUntil(sim.now + 260*second)
 	sim.checkAllGone(t, names)
 }
 
-// TestDrainOfFaultyMachines: what is wrong with the machines when the first grant is made
-// keeps no drain from ending, except machines that hang for ever.
+// TestDrainOfFaultyMachines checks that a drain completes whatever fault its machines have when
+// the first grant is made, unless the machines hang forever.
 func TestDrainOfFaultyMachines(t *testing.T) {
 	for name, breakMachine := range map[string]func(sim *simulation, worker *simWorker){
 		"hangs": func(sim *simulation, worker *simWorker) { worker.faults.unresponsiveUntil = sim.now + 25*second },
-		"deaf": func(sim *simulation, worker *simWorker) {
+		"unreachable": func(sim *simulation, worker *simWorker) {
 			worker.faults.inboundBlocked = true
 			sim.schedule(30*second, func() { worker.faults.inboundBlocked = false })
 		},
-		"cut off":        func(sim *simulation, worker *simWorker) { worker.faults.partitionedUntil = sim.now + 30*second },
+		"partitioned":    func(sim *simulation, worker *simWorker) { worker.faults.partitionedUntil = sim.now + 30*second },
 		"dies":           func(_ *simulation, worker *simWorker) { worker.die() },
-		"is taken":       func(_ *simulation, worker *simWorker) { worker.reclaimAfterNotice(8 * second) },
+		"is reclaimed":   func(_ *simulation, worker *simWorker) { worker.reclaimAfterNotice(8 * second) },
 		"hangs for ever": func(sim *simulation, worker *simWorker) { worker.faults.unresponsiveUntil = sim.now + time.Hour },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -241,15 +245,16 @@
 			})
 			sim.runUntil(sim.now + 300*second)
 			if n := sim.countGone(names); n != len(names) && name != "hangs for ever" {
-				t.Errorf("%s: %d of %d machines are gone; %s", name, n, len(names), sim.describeDrains())
+				t.Errorf("%s: %d of %d machines are gone, want all; %s", name, n, len(names), sim.describeDrains())
 			}
 			sim.checkRules(t)
 		})
 	}
 }
 
-// TestDrainKeepsLastReplica: the only place of a service's last replica is not emptied, and
-// the drain says why; with a budget that allows it, it is.
+// TestDrainKeepsLastReplica checks that a drain does not halt the last replica of a service
+// while the budget requires one replica to run, and reports the reason, and that it halts the
+// replica if the budget allows it.
 func TestDrainKeepsLastReplica(t *testing.T) {
 	for _, replicasUp := range []int{1, 0} {
 		t.Run(fmt.Sprintf("replicas up %d", replicasUp), func(t *testing.T) {
@@ -260,25 +265,26 @@
 			sim.runUntil(25 * second)
 			names := sim.startDrainOf(t, "a", nil)
 			sim.runUntil(sim.now + 90*second)
-			if left := len(names) - sim.countGone(names); left != replicasUp || sim.usedCPUs("red") != 1 {
-				t.Errorf("with %d up, %d machines are left and %g replicas", replicasUp, left, sim.usedCPUs("red"))
+			if remaining := len(names) - sim.countGone(names); remaining != replicasUp || sim.usedCPUs("red") != 1 {
+				t.Errorf("with replicas_up %d, %d machines are left, want as many; %g replicas run, want 1", replicasUp, remaining, sim.usedCPUs("red"))
 			}
 			if replicasUp > 0 && !sim.drainWaitsFor("replicas_up: 0 of service wk-000001 would be up, 1 must be") {
-				t.Error(sim.describeDrains())
+				t.Errorf("the drain does not report that it waits for replicas_up: %s", sim.describeDrains())
 			}
 			sim.checkRules(t)
 		})
 	}
 }
 
-// TestDrainBesideVersionWithoutDrains: nodes that know no drains serve beside those that do,
-// and alone afterwards; no rule breaks and no budget is exceeded.
-func TestDrainBesideVersionWithoutDrains(t *testing.T) {
+// TestDrainWithMixedVersions checks a rollback during a drain: nodes of a version without
+// drains run together with nodes that support drains, then alone, and no rule is broken and no
+// budget exceeded. After the upgrade the drain is resumed.
+func TestDrainWithMixedVersions(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			sim := newDrainSimulation(30+seed, 8)
 			names := sim.startDrainOf(t, "a", nil)
-			for i := range 3 { // one after the other goes back to the other version
+			for i := range 3 { // roll the nodes back one after the other
 				sim.schedule(time.Duration(8+10*i)*second, func() {
 					controller := sim.controllers[(int(seed)+i)%3]
 					controller.withoutDrains = true
@@ -287,9 +293,9 @@
 			}
 			sim.runUntil(sim.now + 60*second)
 			if sim.usedCPUs("red") != 8 || sim.usedCPUs("blue") != 8 {
-				t.Errorf("%g and %g tasks run under the other version", sim.usedCPUs("red"), sim.usedCPUs("blue"))
+				t.Errorf("%g and %g tasks run under the version without drains, want 8 and 8", sim.usedCPUs("red"), sim.usedCPUs("blue"))
 			}
-			for _, controller := range sim.controllers { // and forward again: the drain is resumed
+			for _, controller := range sim.controllers { // upgrade again: the drain is resumed
 				controller.withoutDrains = false
 				controller.crash(500 * millisecond)
 			}
@@ -299,8 +305,8 @@
 	}
 }
 
-// TestDrainEmptiesAllMachines: every machine is emptied and replaced, within the
-// budgets, and the work runs on.
+// TestDrainEmptiesAllMachines checks that a drain of all machines empties and releases each of
+// them within the budgets, with and without replacements, and that all tasks run afterwards.
 func TestDrainEmptiesAllMachines(t *testing.T) {
 	for _, replace := range []bool{false, true} {
 		t.Run(fmt.Sprintf("replace %v", replace), func(t *testing.T) {
@@ -308,32 +314,33 @@
 			names := sim.workerIDs(hasTasks)
 			sim.requestDrain(startDrain("rack-1", names, replace), func(response drain.Response) {
 				if response.Status != drain.StatusOK {
-					t.Errorf("start: %+v", response)
+					t.Errorf("start of the drain: %+v, want status %s", response, drain.StatusOK)
 				}
 			})
 			sim.runUntil(sim.now + 240*second)
 			if n := sim.countGone(names); n != len(names) || sim.drainChecker.halts < 20 {
-				t.Errorf("replace %v: %d of %d machines are gone after %d halts", replace, n, len(names), sim.drainChecker.halts)
+				t.Errorf("replace %v: %d of %d machines are gone, want all; %d halts, want at least 20", replace, n, len(names), sim.drainChecker.halts)
 			}
 			if sim.usedCPUs("red") != 10 || sim.usedCPUs("blue") != 10 {
-				t.Errorf("replace %v: %g and %g tasks run on", replace, sim.usedCPUs("red"), sim.usedCPUs("blue"))
+				t.Errorf("replace %v: %g and %g tasks run after the drain, want 10 and 10", replace, sim.usedCPUs("red"), sim.usedCPUs("blue"))
 			}
 			sim.checkRules(t)
-			// Each machine is closed and released, with a replacement also asked for and
-			// named; each grant is made and removed; head, pages and their end take a few.
-			most := 2*len(names) + 2*sim.drainChecker.halts + 8
+			// Each machine takes two changes, closed and released, and two more with a
+			// replacement, requested and named; each grant is made and removed; creating and
+			// removing the head and the pages takes a few.
+			maxChanges := 2*len(names) + 2*sim.drainChecker.halts + 8
 			if replace {
-				most += 2 * len(names)
+				maxChanges += 2 * len(names)
 			}
-			if n := sim.countDrainChanges(); n > most {
-				t.Errorf("replace %v: %d changes for %d machines and %d halts", replace, n, len(names), sim.drainChecker.halts)
+			if n := sim.countDrainChanges(); n > maxChanges {
+				t.Errorf("replace %v: %d changes for %d machines and %d halts, want at most %d", replace, n, len(names), sim.drainChecker.halts, maxChanges)
 			}
 			if ref, twice := sim.grantedTwice(); twice {
-				t.Errorf("replace %v: %+v is granted twice", replace, ref)
+				t.Errorf("replace %v: attempt %+v is granted twice, want once", replace, ref)
 			}
 			sim.requestDrain(drain.Request{Verb: drain.VerbStatus, ID: "rack-1"}, func(response drain.Response) {
 				if len(response.Drains) != 1 || response.Drains[0].Phase != drain.PhaseDone {
-					t.Errorf("status: %+v", response)
+					t.Errorf("status of the drain: %+v, want phase %s", response, drain.PhaseDone)
 				}
 			})
 			sim.runUntil(sim.now + 10*second)
--- a/internal/controller/processes_drain_report_test.go
+++ b/internal/controller/processes_drain_report_test.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// write puts the log of budgets into a directory, as a table and as a plot.
+// write writes the use of the budgets over time to a directory, as a table and as a plot.
 func (r *drainReport) write(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -27,14 +27,15 @@
 	}
 }
 
-// table lists the moments at which a budget's use, or the number of machines, changed.
+// table returns a Markdown table with a row for each change of a budget's use or of the number of
+// machines that are gone.
 func (r *drainReport) table() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# Log of budgets: %d stand-in workers drained and replaced on loopback\n\n", r.Machines)
 	fmt.Fprintf(&text, "Real processes: three controllers; stand-ins of state service, cloud, workers, users.\n")
-	fmt.Fprintf(&text, "Written by `TestDrainOfRealProcesses` from what the workers did; looked at every 50 ms.\n\n")
-	fmt.Fprintf(&text, "- leader killed after %.1f s; all machines gone and all tasks running after %.1f s\n", float64(r.LeaderKilled)/1000, float64(r.EndedMS)/1000)
-	fmt.Fprintf(&text, "- %d tasks stopped by choice; %d changes of the drains' records\n\n", r.Moves, r.Changes)
+	fmt.Fprintf(&text, "Written by `TestDrainOfRealProcesses` from the state of the workers, sampled every 50 ms.\n\n")
+	fmt.Fprintf(&text, "- leader killed after %.1f s; all machines gone and all tasks running after %.1f s\n", float64(r.LeaderKilledMS)/1000, float64(r.EndedMS)/1000)
+	fmt.Fprintf(&text, "- %d tasks halted by the drain; %d changes of the drains' records\n\n", r.Halts, r.Changes)
 	fmt.Fprintf(&text, "| seconds | red disturbed (of %d) | blue disturbed (of %d) | machines gone |\n| --- | --- | --- | --- |\n", r.Limits["red"], r.Limits["blue"])
 	last := ""
 	for _, s := range r.Samples {
@@ -47,7 +48,7 @@
 	return text.String()
 }
 
-// plot draws what is disturbed over time, beside the limits.
+// plot writes a plot of the disturbed tasks of each team over time, with the budgets.
 func (r *drainReport) plot(path string) error {
 	figure := plot.New()
 	figure.Title.Text = "Tasks disturbed by a drain, and the budgets"
--- a/internal/controller/processes_drain_test.go
+++ b/internal/controller/processes_drain_test.go
@@ -14,8 +14,9 @@
 	"lemonmoor/internal/settings"
 )
 
-// liveBudgets are the budgets of the drains on loopback.
-const liveBudgets = `
+// operatorSettings are the operators' settings of the real processes: the budgets of drains and
+// the trace file.
+const operatorSettings = `
 drains {
   machines_at_once = 4
   wait_s           = 0
@@ -31,27 +32,28 @@
 }
 `
 
-// budgetSample is how the budgets stood at a moment.
+// budgetSample is the use of the budgets at one moment after the start of a drain.
 type budgetSample struct {
 	AtMS      int64          `json:"atMs"`
 	Disturbed map[string]int `json:"disturbed"`
 	Gone      int            `json:"machinesGone"`
 }
 
-// drainReport is what TestDrainOfRealProcesses has measured.
+// drainReport is the measurement of TestDrainOfRealProcesses.
 type drainReport struct {
-	Machines     int            `json:"machines"`
-	LeaderKilled int64          `json:"leaderKilledAtMs"`
-	EndedMS      int64          `json:"endedAtMs"`
-	Changes      int            `json:"stateChangesOfDrains"`
-	Moves        int            `json:"halts"`
-	Limits       map[string]int `json:"limits"`
-	Samples      []budgetSample `json:"samples"`
+	Machines       int            `json:"machines"`
+	LeaderKilledMS int64          `json:"leaderKilledAtMs"`
+	EndedMS        int64          `json:"endedAtMs"`
+	Changes        int            `json:"stateChangesOfDrains"`
+	Halts          int            `json:"halts"`
+	Limits         map[string]int `json:"limits"`
+	Samples        []budgetSample `json:"samples"`
 }
 
 // TestDrainOfRealProcesses drains and replaces all machines of a deployment of real processes on
-// loopback, while two teams' work runs, with the leader killed midway. With
-// LEMONMOOR_LIVE_DRAIN=DIR there are twenty machines, and DIR gets the log of budgets.
+// loopback while tasks of two teams run, and kills the leader when half of the machines are
+// gone. With LEMONMOOR_LIVE_DRAIN=DIR it uses twenty machines and writes the use of the budgets
+// over time to DIR.
 func TestDrainOfRealProcesses(t *testing.T) {
 	report := os.Getenv("LEMONMOOR_LIVE_DRAIN")
 	tasks := 2
@@ -65,13 +67,13 @@
 	})
 	program := buildProgram(t, deployment.dir)
 	trace := filepath.Join(deployment.dir, "trace.json")
-	deployment.start(t, program, fmt.Sprintf(liveBudgets, trace))
+	deployment.start(t, program, fmt.Sprintf(operatorSettings, trace))
 	deployment.submit(tasks)
 	deployment.waitFor(t, "all tasks run", 30*time.Second, func() bool { return deployment.running() == 2*tasks })
 	var names []string
-	deployment.do(func() { names = deployment.workerIDs(hasTasks) })
+	deployment.withLock(func() { names = deployment.workerIDs(hasTasks) })
 	deployment.nameMachines(names)
-	deployment.do(func() { deployment.cloud.available += 4 * tasks }) // for the replacements
+	deployment.withLock(func() { deployment.cloud.available += 4 * tasks }) // for the replacements
 
 	result := drainReport{Machines: len(names), Limits: map[string]int{"red": 2, "blue": 1}}
 	began := time.Now()
@@ -82,18 +84,18 @@
 		result.Samples = append(result.Samples, budgetSample{time.Since(began).Milliseconds(), deployment.drainChecker.disturbedNow(), gone})
 		if killed == nil && gone*2 >= len(names) {
 			killed = deployment.killLeader()
-			result.LeaderKilled = time.Since(began).Milliseconds()
+			result.LeaderKilledMS = time.Since(began).Milliseconds()
 		}
 		return gone == len(names)
 	})
 	deployment.waitFor(t, "all tasks run again", 30*time.Second, func() bool { return deployment.running() == 2*tasks })
 	result.EndedMS = time.Since(began).Milliseconds()
-	deployment.do(func() {
-		result.Moves, result.Changes = deployment.drainChecker.halts, deployment.countDrainChanges()
+	deployment.withLock(func() {
+		result.Halts, result.Changes = deployment.drainChecker.halts, deployment.countDrainChanges()
 		deployment.checkRules(t)
 	})
-	if killed == nil || result.Moves < len(names) {
-		t.Errorf("leader killed: %v, %d halts", killed != nil, result.Moves)
+	if killed == nil || result.Halts < len(names) {
+		t.Errorf("leader killed: %v, want true; %d halts, want at least %d", killed != nil, result.Halts, len(names))
 	}
 	deployment.checkCommands(t, program, killed)
 	if report != "" {
@@ -101,9 +103,10 @@
 	}
 }
 
-// submit has one array of long tasks for each team, one task to a machine.
+// submit submits an array of long tasks for each team; the tasks are so large that each runs on a
+// machine of its own.
 func (d *processDeployment) submit(tasks int) {
-	d.do(func() {
+	d.withLock(func() {
 		for i, team := range []string{"red", "blue"} {
 			job := newJob(jobSpec{
 				id: jobID(i + 1), team: team, tasks: tasks, cpus: 2.3, runTime: time.Hour, estimateSeconds: 3600,
@@ -114,7 +117,7 @@
 	})
 }
 
-// running counts the tasks that run, inside do.
+// running returns the number of running tasks. It must be called inside withLock.
 func (d *processDeployment) running() int {
 	n := 0
 	for _, worker := range d.cloud.workers {
@@ -127,26 +130,27 @@
 	return n
 }
 
-// nameMachines notes machines that operators name.
+// nameMachines records in the drain checker the machines that operators name.
 func (d *processDeployment) nameMachines(names []string) {
-	d.do(func() {
+	d.withLock(func() {
 		for _, name := range names {
 			d.drainChecker.namedMachines[name] = true
 		}
 	})
 }
 
-// killLeader ends the leader's process, inside do.
+// killLeader kills the leader's process and returns it, or nil if there is no leader. It must be
+// called inside withLock.
 func (d *processDeployment) killLeader() *controllerProcess {
-	var h struct {
+	var holder struct {
 		Node string `json:"node"`
 	}
 	stored := d.state.keys["lease/lead"]
-	if stored == nil || json.Unmarshal(stored.value, &h) != nil {
+	if stored == nil || json.Unmarshal(stored.value, &holder) != nil {
 		return nil
 	}
 	for _, process := range d.processes {
-		if process.name == h.Node {
+		if process.name == holder.Node {
 			_ = process.command.Process.Kill()
 			return process
 		}
@@ -154,25 +158,26 @@
 	return nil
 }
 
-// drainCLI runs `lemonmoor drain` as an operator does, and returns what it prints.
+// drainCLI runs `lemonmoor drain` as an operator does and returns its output. It fails the test if
+// the exit status is not the expected one.
 func (d *processDeployment) drainCLI(t *testing.T, program string, status int, args ...string) string {
 	t.Helper()
 	args = append([]string{"drain", "--config", d.processes[0].config, "--timeout", "20s"}, args...)
 	out, err := exec.Command(program, args...).CombinedOutput()
-	code := 0
+	exitStatus := 0
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		code = exit.ExitCode()
+		exitStatus = exit.ExitCode()
 	}
-	if code != status {
+	if exitStatus != status {
 		d.dumpLogs(t)
-		t.Fatalf("%v: status %d, not %d: %s", args, code, status, out)
+		t.Fatalf("%v: exit status %d, want %d: %s", args, exitStatus, status, out)
 	}
 	return string(out)
 }
 
-// checkCommands tries the drain commands on the deployment, one of whose controllers is
-// dead.
+// checkCommands checks the output and exit status of drain commands while one controller, killed,
+// is down, and then, after killing the others, while no controller answers.
 func (d *processDeployment) checkCommands(t *testing.T, program string, killed *controllerProcess) {
 	t.Helper()
 	for _, test := range []struct {
@@ -191,7 +196,7 @@
 	} {
 		out := d.drainCLI(t, program, test.status, test.args...)
 		if !strings.Contains(out, test.words) || (test.status != 0 && strings.Count(out, "\n") != 1) {
-			t.Errorf("%v prints %q, without %q", test.args, out, test.words)
+			t.Errorf("%v prints %q, want a text with %q, in one line if the exit status is not 0", test.args, out, test.words)
 		}
 	}
 	for _, process := range d.processes {
@@ -202,7 +207,7 @@
 	out := d.drainCLI(t, program, 3, "status", "--timeout", "3s")
 	for _, process := range d.processes {
 		if !strings.Contains(out, process.peerBind) {
-			t.Errorf("%s is not named: %s", process.name, out)
+			t.Errorf("status with all controllers down does not name %s at %s: %s", process.name, process.peerBind, out)
 		}
 	}
 }
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -20,29 +20,29 @@
 	"lemonmoor/internal/http1"
 )
 
-// processDeployment runs the stand-ins of the simulated deployment on the real clock and on
-// loopback, with controllers that are real processes.
+// processDeployment is a deployment of controllers that are real processes. The stand-ins of the
+// simulation serve them on loopback and run on the real clock.
 type processDeployment struct {
 	*simulation
 	mu           sync.Mutex
 	startedAt    time.Time
 	dir          string
 	processes    []*controllerProcess
-	stateAddress string // addresses
-	cloudAddress string
+	stateAddress string // listening address of the state service's stand-in
+	cloudAddress string // listening address of the cloud's stand-in
 	done         chan struct{}
 }
 
-// controllerProcess is a controller's process.
+// controllerProcess is the process of a controller, with its addresses and its settings file.
 type controllerProcess struct {
 	name, serveOn, peerBind, config string
 	command                         *exec.Cmd
 }
 
-// processTick is how often the stand-ins check the clock.
+// processTick is the interval at which the stand-ins run the events that are due.
 const processTick = 5 * time.Millisecond
 
-// freePort is a port of loopback that nobody listens on.
+// freePort returns a loopback address, with its port, on which nothing listens.
 func freePort(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,55 +53,58 @@
 	return listener.Addr().String()
 }
 
-// buildProgram builds the program as CI does, without the deploy file's linking.
+// buildProgram builds the lemonmoor binary as CI does, without the linker flags of the deploy
+// file, and returns its path.
 func buildProgram(t *testing.T, dir string) string {
 	t.Helper()
 	program := filepath.Join(dir, "lemonmoor")
 	if out, err := exec.Command("go", "build", "-o", program, "lemonmoor/cmd/lemonmoor").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build: %v: %s", err, out)
 	}
 	return program
 }
 
-// newProcessDeployment starts the stand-ins; the controllers are started by start.
-func newProcessDeployment(t *testing.T, change func(*simulation)) *processDeployment {
+// newProcessDeployment starts the stand-ins of a simulation after configure has adapted it; start
+// starts the controllers.
+func newProcessDeployment(t *testing.T, configure func(*simulation)) *processDeployment {
 	sim := newSimulation(1)
 	for _, controller := range sim.controllers {
 		controller.node = nil
 	}
 	sim.events = nil
 	sim.state = newSimStateService(sim)
-	change(sim)
+	configure(sim)
 	deployment := &processDeployment{simulation: sim, startedAt: time.Now(), dir: t.TempDir(), done: make(chan struct{})}
 	sim.realProcesses = deployment
 	deployment.stateAddress = deployment.listen(t, func(request http1.ClientRequest, reply func(http1.Response)) { sim.state.serve("node", request, reply) })
 	deployment.cloudAddress = deployment.listen(t, func(request http1.ClientRequest, reply func(http1.Response)) { reply(sim.cloud.serve(request)) })
-	go deployment.loop()
+	go deployment.runEvents()
 	t.Cleanup(func() { close(deployment.done) })
 	return deployment
 }
 
-// loop lets what is due happen.
-func (d *processDeployment) loop() {
+// runEvents runs the events that are due, every processTick, until the deployment ends.
+func (d *processDeployment) runEvents() {
 	for {
 		select {
 		case <-d.done:
 			return
 		case <-time.After(processTick):
-			d.do(func() {})
+			d.withLock(func() {})
 		}
 	}
 }
 
-// do runs fn with the stand-ins at the present time.
-func (d *processDeployment) do(fn func()) {
+// withLock advances the stand-ins to the present time and then runs fn, under the lock of the
+// deployment.
+func (d *processDeployment) withLock(fn func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.runUntil(time.Since(d.startedAt))
 	fn()
 }
 
-// listen serves a stand-in on a port of its own.
+// listen serves a stand-in on a free port of loopback and returns its address.
 func (d *processDeployment) listen(t interface{ Fatal(...any) }, serve func(http1.ClientRequest, func(http1.Response))) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,7 +116,7 @@
 			return
 		}
 		answered := make(chan http1.Response, 1)
-		d.do(func() {
+		d.withLock(func() {
 			serve(http1.ClientRequest{Method: r.Method, Target: r.URL.RequestURI(), Body: body}, func(response http1.Response) {
 				select {
 				case answered <- response:
@@ -134,7 +137,7 @@
 	return listener.Addr().String()
 }
 
-// machineAddr gives a new machine's worker a port.
+// machineAddr serves the worker of a new machine on a free port and returns its address.
 func (d *processDeployment) machineAddr(worker *simWorker) string {
 	return d.listen(panicOnFatal{}, func(request http1.ClientRequest, reply func(http1.Response)) {
 		if !worker.dead && worker.up {
@@ -143,24 +146,25 @@
 	})
 }
 
-// panicOnFatal ends the test process: inside the stand-ins there is no test to fail.
+// panicOnFatal panics on failures inside the stand-ins, where no testing.T is available.
 type panicOnFatal struct{}
 
-// Fatal ends the test process.
+// Fatal panics with the arguments.
 func (panicOnFatal) Fatal(args ...any) { panic(fmt.Sprint(args...)) }
 
-// request sends a stand-in's request to a controller's process.
+// request sends a request of a stand-in to the process of controller index and passes the answer
+// to fn.
 func (d *processDeployment) request(index int, method, path string, body []byte, timeout time.Duration, fn func(http1.Response, error)) {
 	address := d.processes[index].serveOn
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		answer, err := post(ctx, method, "http://"+address+path, body)
-		d.do(func() { fn(answer, err) })
+		d.withLock(func() { fn(answer, err) })
 	}()
 }
 
-// post sends a request and reads the whole answer.
+// post sends a request and returns the whole answer.
 func post(ctx context.Context, method, url string, body []byte) (http1.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -175,7 +179,8 @@
 	return http1.Response{Status: resp.StatusCode, Body: raw}, err
 }
 
-// start starts the controllers' processes.
+// start starts the controllers' processes with the given operators' settings, and kills them at
+// the end of the test.
 func (d *processDeployment) start(t *testing.T, program, hcl string) {
 	t.Helper()
 	operator := filepath.Join(d.dir, "operator.hcl")
@@ -224,7 +229,8 @@
 	}
 }
 
-// launch starts a controller's process, with its log in a file.
+// launch starts the process of a controller, which appends its log to a file of the deployment's
+// directory.
 func (d *processDeployment) launch(t *testing.T, program, operator string, process *controllerProcess) {
 	t.Helper()
 	log, err := os.OpenFile(filepath.Join(d.dir, process.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -239,21 +245,21 @@
 	}
 }
 
-// waitFor waits for something to hold, and fails the test if it does not in time.
-func (d *processDeployment) waitFor(t *testing.T, what string, limit time.Duration, holds func() bool) {
+// waitFor waits until condition returns true, and fails the test if that takes longer than limit.
+func (d *processDeployment) waitFor(t *testing.T, description string, limit time.Duration, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		held := false
-		d.do(func() { held = holds() })
-		if held {
+		satisfied := false
+		d.withLock(func() { satisfied = condition() })
+		if satisfied {
 			return
 		}
 	}
 	d.dumpLogs(t)
-	t.Fatalf("not in %v: %s", limit, what)
+	t.Fatalf("condition not met within %v: %s", limit, description)
 }
 
-// dumpLogs prints the last lines of the controllers' logs.
+// dumpLogs prints the last 30 lines of each controller's log.
 func (d *processDeployment) dumpLogs(t *testing.T) {
 	for _, process := range d.processes {
 		raw, _ := os.ReadFile(filepath.Join(d.dir, process.name+".log"))
