--- a/internal/controller/incidents_test.go
+++ b/internal/controller/incidents_test.go
@@ -8,16 +8,16 @@
 	"lemonmoor/internal/settings"
 )
 
-// TestSlowStateServiceKeepsShardOwners guards against a fault of an incident: commits that
-// a slow state service answered late were given up, each at the price of a new
-// token and a reading of all records, so that hardly anything was placed.
+// TestSlowStateServiceKeepsShardOwners guards against a fault seen in an incident: if an
+// owner abandons commits that a slow state service answers late, each abandoned commit costs
+// a new token and a read of all records, and hardly any task is placed.
 func TestSlowStateServiceKeepsShardOwners(t *testing.T) {
 	sim := newSimulation(8)
 	for i := range 20 {
 		job := newJob(jobSpec{id: jobID(i), team: "red", tasks: 4, cpus: 1, runTime: 3 * time.Second, spot: true})
 		sim.schedule(time.Duration(i*3)*time.Second, func() { sim.submitAndPoll(job, 0) })
 	}
-	token := func() (sum uint64) {
+	tokenSum := func() (sum uint64) {
 		for _, controller := range sim.controllers {
 			sum += controller.node.leases.ShardToken(0)
 		}
@@ -25,19 +25,19 @@
 	}
 	sim.runUntil(15 * time.Second)
 	sim.stateFaults.latency = 100 * time.Millisecond
-	renewals, last := 0, token()
-	if last == 0 {
-		t.Error("nobody owns the shard")
+	tokenChanges, previous := 0, tokenSum()
+	if previous == 0 {
+		t.Error("no controller owns shard 0 after 15 s")
 	}
 	for now := 15 * time.Second; now <= 65*time.Second; now += 500 * time.Millisecond {
 		sim.runUntil(now)
-		if is := token(); is != last {
-			renewals, last = renewals+1, is
+		if current := tokenSum(); current != previous {
+			tokenChanges, previous = tokenChanges+1, current
 		}
 	}
-	// One may be needed before the pace is known.
-	if renewals > 1 {
-		t.Errorf("%d new tokens in 50 s of slow answers", renewals)
+	// One new token is allowed, for a commit sent before the owner has measured the latency.
+	if tokenChanges > 1 {
+		t.Errorf("%d new shard tokens in 50 s of slow answers, want at most 1", tokenChanges)
 	}
 	sim.stateFaults.latency = 0
 	sim.runUntil(100 * time.Second)
@@ -45,9 +45,10 @@
 	sim.checkAllDone(t)
 }
 
-// TestStoredShardCountOutlivesSettings: the number of shards that work is stored under stays,
-// whatever the settings of a later process say, also of work from before it was
-// stored. Read under another number, tasks on machines would look lost.
+// TestStoredShardCountOutlivesSettings checks that the number of shards under which work is
+// stored stays the same when a later process has other settings, also for work of versions
+// that did not store the number. Read under another number of shards, tasks that run on
+// machines would appear lost.
 func TestStoredShardCountOutlivesSettings(t *testing.T) {
 	for _, stored := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stored %v", stored), func(t *testing.T) {
@@ -59,7 +60,7 @@
 			}
 			sim.runUntil(30 * time.Second)
 			if n := len(sim.controllers[0].node.shardOwners); n != 2 {
-				t.Fatalf("%d shards for the settings", n)
+				t.Fatalf("%d shards with the first settings, want 2", n)
 			}
 			if !stored {
 				delete(sim.state.keys, layoutKey)
@@ -68,13 +69,13 @@
 			for _, controller := range sim.controllers {
 				controller.crash(200 * time.Millisecond)
 			}
-			// One machine is enough by the jobs' estimates, and then needs 300 s.
+			// By the jobs' estimates one machine is enough; it then needs 300 s.
 			sim.runUntil(380 * time.Second)
 			if sim.checker.starts != 48 {
-				t.Errorf("stored %v: %d starts for 48 tasks", stored, sim.checker.starts)
+				t.Errorf("shard count stored %v: %d task starts, want 48: one per task", stored, sim.checker.starts)
 			}
 			if n := len(sim.controllers[0].node.shardOwners); n != 2 {
-				t.Errorf("stored %v: %d shards after settings that make it one", stored, n)
+				t.Errorf("shard count stored %v: %d shards after a restart with settings for one shard, want 2", stored, n)
 			}
 			sim.checkRules(t)
 			sim.checkAllDone(t)
@@ -82,17 +83,17 @@
 	}
 }
 
-// TestBacklogIsWorkedOffAfterOutage guards against a fault of a day with a long outage:
-// with few changes a second, the ends of jobs and the removal of their records
-// came before all dispatches, and commits too large for what was left were refused
-// again and again. Nothing was dispatched for twenty seconds, submissions given
-// up, and the idle machines returned meanwhile.
+// TestBacklogIsWorkedOffAfterOutage guards against a fault seen after a long outage of a
+// state service that allows few writes per second: the ends of jobs and the removal of their
+// records are committed before any dispatch, and commits larger than the remaining writes
+// are refused again and again. Nothing is dispatched for twenty seconds; meanwhile
+// submissions are given up and idle machines are released.
 func TestBacklogIsWorkedOffAfterOutage(t *testing.T) {
 	sim := newSimulation(12)
 	sim.limitWrites(10)
 	sim.restart()
-	submit := func(i int, at, length time.Duration) *simJob {
-		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 3, cpus: 1, runTime: length, spot: true})
+	submit := func(i int, at, runTime time.Duration) *simJob {
+		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 3, cpus: 1, runTime: runTime, spot: true})
 		sim.schedule(at, func() { sim.submitAndPoll(job, 0) })
 		return job
 	}
@@ -100,26 +101,26 @@
 		submit(i, time.Duration(5+i)*time.Second, 5*time.Second)
 	}
 	sim.schedule(36*time.Second, func() { sim.stateFaults.outage = true })
-	const over = 76 * time.Second
-	var late []*simJob
+	const outageEnd = 76 * time.Second
+	var submittedInOutage []*simJob
 	for i := range 30 {
-		late = append(late, submit(100+i, 46*time.Second+time.Duration(i)*time.Second, time.Second))
+		submittedInOutage = append(submittedInOutage, submit(100+i, 46*time.Second+time.Duration(i)*time.Second, time.Second))
 	}
-	sim.schedule(over, func() {
+	sim.schedule(outageEnd, func() {
 		sim.stateFaults.outage = false
 		sim.state.renewAllLeases()
 	})
-	sim.runUntil(over + 10*time.Second)
+	sim.runUntil(outageEnd + 10*time.Second)
 	accepted := 0
-	for _, job := range late {
+	for _, job := range submittedInOutage {
 		if job.accepted {
 			accepted++
 		}
 	}
-	if accepted < len(late) {
-		t.Errorf("%d of %d submissions are accepted 10 s after the outage", accepted, len(late))
+	if accepted < len(submittedInOutage) {
+		t.Errorf("%d of %d submissions of the outage are accepted 10 s after it, want all", accepted, len(submittedInOutage))
 	}
-	sim.runUntil(over + 40*time.Second)
+	sim.runUntil(outageEnd + 40*time.Second)
 	finished := 0
 	for _, job := range sim.jobs {
 		if job.ended() {
@@ -127,17 +128,17 @@
 		}
 	}
 	if finished < len(sim.jobs) {
-		t.Errorf("%d of %d jobs are over 40 s after the outage", finished, len(sim.jobs))
+		t.Errorf("%d of %d jobs have ended 40 s after the outage, want all", finished, len(sim.jobs))
 	}
 	sim.runUntil(200 * time.Second)
 	sim.checkRules(t)
 	sim.checkAllDone(t)
 }
 
-// TestSubmissionFloodLeavesWritesForDispatch guards against a fault of a platform whose
-// machines are up at the start: the submissions of hundreds of jobs took all changes that
-// the state service allows, nothing was dispatched for half a minute, and the machines went
-// back as idle while others were rented for the work that waited.
+// TestSubmissionFloodLeavesWritesForDispatch guards against a fault of deployments whose
+// machines are up at the start: the submissions of hundreds of jobs use all writes that the
+// state service allows, nothing is dispatched for half a minute, and the machines are
+// released as idle while others are rented for the waiting work.
 func TestSubmissionFloodLeavesWritesForDispatch(t *testing.T) {
 	sim := newSimulation(14)
 	sim.limitWrites(12)
@@ -159,31 +160,31 @@
 	sim.runUntil(40 * time.Second)
 	for _, worker := range sim.cloud.workers[:10] {
 		if worker.released {
-			t.Errorf("%s has been returned while work waited", worker.id)
+			t.Errorf("%s was released within 40 s, while work waited for a machine", worker.id)
 		}
 	}
 	if running < 38 {
-		t.Errorf("%g processors of 40 are used after 22 s", running)
+		t.Errorf("%g of 40 CPUs are in use after 22 s, want at least 38", running)
 	}
 	sim.checkRules(t)
 }
 
-// TestDeathOfLoneMachineIsNoticed guards against a fault of a generated day: the only machine
-// died, every owner heard nothing and relinquished the shard, the next one likewise,
-// and no lease ever ran out: the work on it waited for ever.
-func TestDeathOfLoneMachineIsNoticed(t *testing.T) {
+// TestDeathOfOnlyMachineIsDetected guards against a fault found with random faults: the only
+// machine dies, each owner in turn receives no heartbeat and relinquishes the shard before
+// the machine's lease ends, and the machine's work waits forever.
+func TestDeathOfOnlyMachineIsDetected(t *testing.T) {
 	for seed := uint64(30); seed < 45; seed++ {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { loneMachineDies(t, newSimulation(seed)) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { testDeathOfOnlyMachine(t, newSimulation(seed)) })
 	}
 }
 
-// loneMachineDies has every controller own the shard once and hear the machine, and then
-// the machine die.
-func loneMachineDies(t *testing.T, sim *simulation) {
+// testDeathOfOnlyMachine ends the machine after each controller has owned the shard and
+// received a heartbeat of the machine.
+func testDeathOfOnlyMachine(t *testing.T, sim *simulation) {
 	job := newJob(jobSpec{id: "wk-000001", team: "red", tasks: 3, cpus: 1, runTime: 60 * time.Second, spot: true})
 	sim.schedule(time.Second, func() { sim.submitAndPoll(job, 0) })
 	sim.runUntil(15 * time.Second)
-	// Every controller owns the shard once and hears the machine.
+	// Partition the owners one after the other until each controller has owned the shard.
 	owned := map[string]bool{}
 	for sim.now < 150*time.Second && len(owned) < 3 {
 		sim.runUntil(sim.now + 500*time.Millisecond)
@@ -198,13 +199,13 @@
 			sim.network.partitions["workers|"+controller.name] = owned[controller.name] && len(owned) < 3
 			for _, other := range sim.controllers {
 				if other != controller {
-					sim.network.partitions[controller.name+"|"+other.name] = len(owned) < 3 // so that no heartbeat is relayed
+					sim.network.partitions[controller.name+"|"+other.name] = len(owned) < 3 // no heartbeat is relayed
 				}
 			}
 		}
 	}
 	if len(owned) < 3 {
-		t.Fatalf("only %v have owned the shard", owned)
+		t.Fatalf("only controllers %v have owned the shard after 150 s, want 3", owned)
 	}
 	clear(sim.network.partitions)
 	for _, worker := range sim.cloud.workers {
@@ -214,9 +215,8 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestStateLimitsFallDuringWork: the state service takes less from some moment on. What
-// waits is not lost, and nothing is written over the limits that the settings
-// tell.
+// TestStateLimitsFallDuringWork checks that no work is lost when the limits of the state
+// service fall while jobs are queued, and that no write exceeds the limits in the settings.
 func TestStateLimitsFallDuringWork(t *testing.T) {
 	sim := newSimulation(36)
 	ops, kb, rate := 1, 1.0, 8.0
@@ -237,8 +237,8 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestInvalidLayoutStopsAllWork: a stored number of shards that makes no sense is never
-// guessed at: nothing is led, owned or accepted until it is put right.
+// TestInvalidLayoutStopsAllWork checks that controllers do not replace an invalid stored
+// number of shards by a guess: none leads, owns a shard or accepts jobs until it is corrected.
 func TestInvalidLayoutStopsAllWork(t *testing.T) {
 	sim := newSimulation(13)
 	sim.restart()
@@ -250,7 +250,7 @@
 		sim.runUntil(sim.now + 20*time.Second)
 		for _, controller := range sim.controllers {
 			if controller.node.leases.LeaderToken() != 0 || controller.node.isHealthy() {
-				t.Errorf("%s acts under the layout %s", controller.name, bad)
+				t.Errorf("%s leads or is healthy under the invalid layout %s", controller.name, bad)
 			}
 		}
 	}
@@ -259,6 +259,6 @@
 	sim.submitAndPoll(job, 0)
 	sim.runUntil(sim.now + 40*time.Second)
 	if job.reportedPhase != "done" {
-		t.Errorf("put right, the job is %q", job.reportedPhase)
+		t.Errorf("the job is %q 40 s after the layout was corrected, want \"done\"", job.reportedPhase)
 	}
 }
--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -9,95 +9,97 @@
 	"lemonmoor/internal/userapi"
 )
 
-// newAnsweringOwner is a deployment whose shard has an owner that answers its workers.
+// newAnsweringOwner returns a simulation in which a node owns shard 0 and may answer its
+// workers, and that node and its shard owner.
 func newAnsweringOwner(t *testing.T) (*simulation, *Node, *shardOwner) {
 	t.Helper()
 	sim := newSimulation(1)
 	sim.runUntil(15 * time.Second)
 	node := sim.ownerOfShard0().node
 	if owner := node.shardOwners[0]; !node.mayAnswer(owner) {
-		t.Fatal("the owner answers nobody")
+		t.Fatal("the owner of shard 0 may not answer its workers after 15 s")
 	}
 	return sim, node, node.shardOwners[0]
 }
 
-// TestAnswersNeedRecentKnowledgeOfCancellations: an owner whose leases are proven and renewed
-// all the time answers workers no longer than its knowledge of cancellations is young enough.
+// TestAnswersNeedRecentKnowledgeOfCancellations checks that an owner with valid, verified
+// leases stops answering workers when its knowledge of cancellations exceeds MaxKnowledgeAge.
 func TestAnswersNeedRecentKnowledgeOfCancellations(t *testing.T) {
 	sim, node, owner := newAnsweringOwner(t)
 	sim.stateFaults.silentWatchPrefix = userapi.KeyPrefix
 	sim.runUntil(sim.now + sim.settings.MaxKnowledgeAge() - 3*tuning.KnowledgeVerifyInterval)
 	if !node.mayAnswer(owner) {
-		t.Error("answers nobody while its knowledge is young enough")
+		t.Error("the owner may not answer although its knowledge is younger than MaxKnowledgeAge")
 	}
 	sim.runUntil(sim.now + 3*tuning.KnowledgeVerifyInterval)
 	if node.mayAnswer(owner) {
-		proven, _ := node.catalog.VerifiedAt()
-		t.Errorf("answers on knowledge %v old", node.runtime.Now()-proven)
+		verifiedAt, _ := node.catalog.VerifiedAt()
+		t.Errorf("the owner may answer with knowledge of cancellations that is %v old", node.runtime.Now()-verifiedAt)
 	}
 	if node.runtime.Now() >= node.leases.AnswersUntil() {
-		t.Error("its leases alone would have ended that")
+		t.Error("the leases no longer allow answers, so the age of the knowledge is not tested")
 	}
 }
 
-// TestLaunchNeedsRecentVerificationAfterPlacement: a verification of before the placement
-// is none, nor is one that is older than a launch may rest on.
+// TestLaunchNeedsRecentVerificationAfterPlacement checks that a launch is refused if the last
+// verification of cancellations precedes the placement or is older than
+// tuning.MaxLaunchKnowledgeAge.
 func TestLaunchNeedsRecentVerificationAfterPlacement(t *testing.T) {
 	sim, node, _ := newAnsweringOwner(t)
-	proven, known := node.catalog.VerifiedAt()
-	if !known || !node.cancellationsVerifiedSince(proven) {
-		t.Fatalf("known %v, fresh %v", known, node.cancellationsVerifiedSince(proven))
+	verifiedAt, known := node.catalog.VerifiedAt()
+	if !known || !node.cancellationsVerifiedSince(verifiedAt) {
+		t.Fatalf("cancellations known %v, verified recently %v; want true, true", known, node.cancellationsVerifiedSince(verifiedAt))
 	}
-	if node.cancellationsVerifiedSince(proven + time.Millisecond) {
-		t.Error("a verification of before the placement counts")
+	if node.cancellationsVerifiedSince(verifiedAt + time.Millisecond) {
+		t.Error("a verification from before the placement allows a launch")
 	}
-	sim.now += tuning.MaxLaunchKnowledgeAge + time.Second // nothing happens meanwhile
-	if node.cancellationsVerifiedSince(proven) {
-		t.Error("an old verification counts")
+	sim.now += tuning.MaxLaunchKnowledgeAge + time.Second // without playing the events in between
+	if node.cancellationsVerifiedSince(verifiedAt) {
+		t.Error("a verification older than MaxLaunchKnowledgeAge allows a launch")
 	}
 }
 
-// TestNoAnswersUnderARelinquishedToken: from the moment that an owner gives its shard up it
-// answers nobody under that token, also while it still holds the lease: the next owner may
-// begin before this one hears of it.
-func TestNoAnswersUnderARelinquishedToken(t *testing.T) {
+// TestNoAnswersUnderRelinquishedToken checks that an owner stops answering under its token as
+// soon as it relinquishes the shard, although its lease is still valid: the next owner may
+// start before this one learns of it.
+func TestNoAnswersUnderRelinquishedToken(t *testing.T) {
 	_, node, owner := newAnsweringOwner(t)
 	node.leases.RelinquishShards()
 	if node.leases.ShardToken(0) == 0 || !node.leases.LeaseValid() {
-		t.Fatal("the lease is gone at once")
+		t.Fatal("relinquishing the shard ended the token or the lease at once")
 	}
 	if node.mayAnswer(owner) {
-		t.Error("answers under a token that is given up")
+		t.Error("the owner may answer under a relinquished token")
 	}
 }
 
-// TestAnswersEndWithTheLeaseAndItsGracePeriod: an owner that cannot renew its lease answers
-// workers for a bounded time after, which every takeover waits out, though its knowledge of
-// cancellations would be young enough for longer.
-func TestAnswersEndWithTheLeaseAndItsGracePeriod(t *testing.T) {
+// TestAnswersEndAfterLeaseAndGracePeriod checks that an owner that cannot renew its lease
+// stops answering workers at the end of the grace period, for which every takeover waits,
+// although its knowledge of cancellations is still recent enough.
+func TestAnswersEndAfterLeaseAndGracePeriod(t *testing.T) {
 	sim, node, owner := newAnsweringOwner(t)
 	sim.stateFaults.outage = true
 	sim.runUntil(sim.now + time.Second)
-	left := node.leases.AnswersUntil() - node.runtime.Now()
-	if left <= 0 || left > tuning.LeaseTTL+sim.settings.AnswerGracePeriod() {
-		t.Fatalf("answers for %v more", left)
+	remaining := node.leases.AnswersUntil() - node.runtime.Now()
+	if remaining <= 0 || remaining > tuning.LeaseTTL+sim.settings.AnswerGracePeriod() {
+		t.Fatalf("the owner may answer for another %v, want more than 0 and at most %v", remaining, tuning.LeaseTTL+sim.settings.AnswerGracePeriod())
 	}
-	sim.runUntil(sim.now + left - time.Millisecond)
+	sim.runUntil(sim.now + remaining - time.Millisecond)
 	if !node.mayAnswer(owner) {
-		t.Error("answers nobody in the grace period")
+		t.Error("the owner may not answer within the grace period")
 	}
 	sim.runUntil(sim.now + time.Millisecond)
 	if node.mayAnswer(owner) {
-		t.Error("answers after the grace period")
+		t.Error("the owner may answer after the grace period")
 	}
-	if proven, _ := node.catalog.VerifiedAt(); node.runtime.Now() >= proven+sim.settings.MaxKnowledgeAge() {
-		t.Error("its knowledge alone would have ended that")
+	if verifiedAt, _ := node.catalog.VerifiedAt(); node.runtime.Now() >= verifiedAt+sim.settings.MaxKnowledgeAge() {
+		t.Error("the knowledge of cancellations is too old, so the end of the lease is not tested")
 	}
 }
 
-// TestOnlyTheOwnersStatusCounts: a leader takes no status of a shard from a node that does not
-// hold it, whatever token that names.
-func TestOnlyTheOwnersStatusCounts(t *testing.T) {
+// TestLeaderAcceptsStatusOnlyFromOwner checks that a leader ignores the status of a shard
+// from a node that does not own it, whatever token the status names.
+func TestLeaderAcceptsStatusOnlyFromOwner(t *testing.T) {
 	sim, _, _ := newAnsweringOwner(t)
 	var leader *Node
 	for _, controller := range sim.controllers {
@@ -112,37 +114,37 @@
 			Hosts: []fleet.MachineStatus{{ID: "vm-900001-" + controller.name, MachineType: "big", Zone: "a", HasReported: true, AcceptsTasks: true}},
 		}
 		leader.receiveStatus(&statusMessage{ShardStatus: status})
-		if _, known := leader.fleet.Machine(status.Hosts[0].ID); known != (controller.name == holder) {
-			t.Errorf("status of %s, the holder is %s: taken %v", controller.name, holder, known)
+		if _, accepted := leader.fleet.Machine(status.Hosts[0].ID); accepted != (controller.name == holder) {
+			t.Errorf("status of %s while %s owns the shard: accepted %v", controller.name, holder, accepted)
 		}
 	}
 }
 
-// TestOwnerKeepsItsKnowledgeVerified: also when no user asks anything, an owner's knowledge of
-// cancellations is never much older than the interval of its checks.
+// TestOwnerKeepsItsKnowledgeVerified checks that an owner verifies its knowledge of
+// cancellations at about tuning.KnowledgeVerifyInterval also when no user sends a request.
 func TestOwnerKeepsItsKnowledgeVerified(t *testing.T) {
 	sim, node, _ := newAnsweringOwner(t)
-	const checkDelay = 2 * time.Second // the next tick, and the check's pace
+	const checkDelay = 2 * time.Second // until the next tick, and the duration of a verification
 	for range 30 {
 		sim.runUntil(sim.now + time.Second)
 		if verifiedAt, _ := node.catalog.VerifiedAt(); node.runtime.Now()-verifiedAt > tuning.KnowledgeVerifyInterval+checkDelay {
-			t.Fatalf("verified %v ago", node.runtime.Now()-verifiedAt)
+			t.Fatalf("cancellations were last verified %v ago, want at most %v", node.runtime.Now()-verifiedAt, tuning.KnowledgeVerifyInterval+checkDelay)
 		}
 	}
 }
 
-// TestNodeRefusedAloneIsUnhealthy: also just after an outage that its peers shared, a node that
-// the state service refuses while it answers the peers is no place for users.
+// TestNodeRefusedAloneIsUnhealthy checks that a node does not serve users while the state
+// service refuses it but answers its peers, also just after an outage that all nodes shared.
 func TestNodeRefusedAloneIsUnhealthy(t *testing.T) {
 	_, node, _ := newAnsweringOwner(t)
 	members, now := node.membership, node.runtime.Now()
 	members.stateClient.LastResponseAt = now - tuning.UnhealthyAfter
 	members.serviceWideOutageAt = now
 	if !members.mayServeUsers() {
-		t.Error("unhealthy in an outage that the peers share")
+		t.Error("the node may not serve users in an outage that its peers share")
 	}
 	members.nodeOnlyOutageAt = now
 	if members.mayServeUsers() {
-		t.Error("healthy though the peers are answered")
+		t.Error("the node may serve users although the state service answers its peers only")
 	}
 }
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -8,11 +8,11 @@
 	"lemonmoor/internal/tuning"
 )
 
-// longestHarmlessOutage is the longest outage of the state service that surely ends no
-// task: owners answer workers until their lease and the answer grace period after it run
-// out, or their knowledge of cancellations is too old; a worker's lease then runs from its
-// last answered heartbeat, and after the outage an owner needs a moment until it answers
-// again.
+// longestHarmlessOutage returns the longest outage of the state service that is guaranteed to
+// end no task. Owners answer workers until the answer grace period after their lease ends, or
+// until their knowledge of cancellations is too old, whichever is earlier. A worker's lease then
+// runs from its last answered heartbeat. After the outage an owner needs the time recovery until
+// it answers again.
 func (s *simulation) longestHarmlessOutage() time.Duration {
 	const recovery = 3500 * millisecond // a verification, a renewal, and the next heartbeats
 	byLease := tuning.LeaseTTL - tuning.LeaseRenewInterval - tuning.LeaseMargin + s.settings.AnswerGracePeriod()
@@ -20,9 +20,9 @@
 	return min(byLease, byKnowledge) + s.settings.WorkerLease() - s.settings.HeartbeatInterval()*5/4 - recovery
 }
 
-// TestOutageEndsNoReplica: an outage just below longestHarmlessOutage ends no replica,
-// whatever the moment at which it begins. One that is longer than any answer and lease may
-// end all of them, and breaks no rule even when services are cancelled meanwhile.
+// TestOutageEndsNoReplica checks that an outage just below longestHarmlessOutage ends no
+// replica, whatever the moment at which it begins. An outage that exceeds all leases and grace
+// periods may end all replicas, but breaks no rule, also when services are cancelled during it.
 func TestOutageEndsNoReplica(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -37,15 +37,15 @@
 				sim := newSimulation(seed)
 				begin := 25*second + time.Duration(seed)*500*millisecond
 				end := begin + sim.longestHarmlessOutage() + test.longer
-				replicas, ended := sim.playOutageOfServices(begin, end, !test.survive)
+				replicas, endedSessions := sim.playOutageOfServices(begin, end, !test.survive)
 				if replicas != 12 {
-					t.Errorf("%d replicas run when the outage begins, not 12", replicas)
+					t.Errorf("%d replicas run when the outage begins, want 12", replicas)
 				}
-				if test.survive && ended > 0 {
-					t.Errorf("an outage of %v ends the session of %d workers", end-begin, ended)
+				if test.survive && endedSessions > 0 {
+					t.Errorf("an outage of %v ends the sessions of %d workers, want 0", end-begin, endedSessions)
 				}
-				if !test.survive && ended == 0 {
-					t.Errorf("an outage of %v ends no session: the formula is too short", end-begin)
+				if !test.survive && endedSessions == 0 {
+					t.Errorf("an outage of %v ends no session: longestHarmlessOutage is too short", end-begin)
 				}
 				sim.cancelServicesAt(10 * second)
 				sim.runUntil(end + 150*second)
@@ -55,9 +55,10 @@
 	}
 }
 
-// playOutageOfServices plays six services and an outage, until 15 s after it. It returns
-// how many replicas ran when the outage began, and how many workers' sessions have ended.
-func (s *simulation) playOutageOfServices(begin, end time.Duration, cancel bool) (replicas, ended int) {
+// playOutageOfServices runs six services and an outage until 15 s after its end. It returns the
+// number of replicas that ran when the outage began, and the number of workers whose session
+// has ended.
+func (s *simulation) playOutageOfServices(begin, end time.Duration, cancel bool) (replicas, endedSessions int) {
 	for i := range 6 {
 		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 2, cpus: 1, service: true, urgent: true})
 		s.schedule(time.Duration(i)*second, func() { s.submitAndPoll(job, 0) })
@@ -77,15 +78,15 @@
 	s.runUntil(end + 15*second)
 	for _, worker := range s.workers {
 		if worker.session > 1 && !worker.dead {
-			ended++
+			endedSessions++
 		}
 	}
-	return replicas, ended
+	return replicas, endedSessions
 }
 
-// TestSharedOutageKeepsNodesHealthy: in an outage of the state service the nodes stay
-// healthy, since none is better than another; a node that is refused alone does
-// not.
+// TestSharedOutageKeepsNodesHealthy checks that all nodes stay healthy in an outage of the state
+// service, since no node is better placed than another, and that a node that is the only one
+// without access to the state service becomes unhealthy.
 func TestSharedOutageKeepsNodesHealthy(t *testing.T) {
 	sim := newSimulation(4)
 	sim.runUntil(20 * time.Second)
@@ -93,7 +94,7 @@
 	sim.runUntil(32 * time.Second)
 	for _, controller := range sim.controllers {
 		if !controller.node.isHealthy() {
-			t.Errorf("%s is unhealthy in an outage that all share", controller.name)
+			t.Errorf("%s is unhealthy in an outage of the state service that affects all nodes", controller.name)
 		}
 	}
 	sim.stateFaults.outage = false
@@ -102,7 +103,7 @@
 	sim.runUntil(55 * time.Second)
 	for _, controller := range sim.controllers {
 		if got, want := controller.node.isHealthy(), controller.name != "node-1"; got != want {
-			t.Errorf("%s healthy: %v", controller.name, got)
+			t.Errorf("%s healthy: %v, want %v, while only node-1 cannot reach the state service", controller.name, got, want)
 		}
 	}
 }
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -9,7 +9,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// fakeShards counts how often the shards are relinquished.
+// fakeShards is a shardHolder that counts how often the shards are relinquished.
 type fakeShards struct {
 	owned        bool
 	relinquished int
@@ -18,7 +18,8 @@
 func (f *fakeShards) ownsShard() bool   { return f.owned }
 func (f *fakeShards) relinquishShards() { f.relinquished++ }
 
-// peerRuntime is a clock, and peers whose answers the test gives.
+// peerRuntime is a runtime with a fake clock. It retains the requests to peers until the test
+// answers them.
 type peerRuntime struct {
 	eventloop.Runtime
 	now     time.Duration
@@ -31,7 +32,8 @@
 	r.pending = append(r.pending, receive)
 }
 
-// answer gives an answer to the peers' messages, one to each.
+// answer answers the pending requests to peers with one body each; an empty body stands for
+// no answer.
 func (r *peerRuntime) answer(bodies ...string) {
 	pending := r.pending
 	r.pending = nil
@@ -44,6 +46,8 @@
 	}
 }
 
+// newTestMonitor returns the monitor of a node with the given number of peers that has just
+// acquired its shards.
 func newTestMonitor(peers int) (*ownershipMonitor, *fakeShards, *peerRuntime) {
 	runtime, shards := &peerRuntime{now: time.Hour}, &fakeShards{owned: true}
 	var config settings.Settings
@@ -59,21 +63,21 @@
 	return monitor, shards, runtime
 }
 
-// TestSilentOwnerFollowsWhatPeersHear: after a silence the shards are relinquished only if a
-// worker may have come to a peer meanwhile.
-func TestSilentOwnerFollowsWhatPeersHear(t *testing.T) {
+// TestSilentOwnerRelinquishesIfPeersMayReceiveHeartbeats checks that an owner without
+// heartbeats relinquishes its shards only if a worker may have reached a peer in the meantime.
+func TestSilentOwnerRelinquishesIfPeersMayReceiveHeartbeats(t *testing.T) {
 	never := "9223372036854"
 	for name, test := range map[string]struct {
 		answers      [2]string
 		relinquished int
 	}{
-		"no peer hears a worker":        {[2]string{never, never}, 0},
-		"a peer hears workers":          {[2]string{never, "5"}, 1},
-		"a peer heard one before it":    {[2]string{never, "3600000"}, 0},
-		"a peer does not answer":        {[2]string{"", never}, 1},
-		"a peer answers something else": {[2]string{"{}", never}, 1},
-		"the first peer hears a worker": {[2]string{"5", never}, 1},
-		"no peer answers":               {[2]string{"", ""}, 1},
+		"no worker reaches a peer":                   {[2]string{never, never}, 0},
+		"workers reach a peer":                       {[2]string{never, "5"}, 1},
+		"a worker reached a peer before the silence": {[2]string{never, "3600000"}, 0},
+		"a peer does not answer":                     {[2]string{"", never}, 1},
+		"a peer's answer is malformed":               {[2]string{"{}", never}, 1},
+		"a worker reaches the first peer":            {[2]string{"5", never}, 1},
+		"no peer answers":                            {[2]string{"", ""}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			monitor, shards, runtime := newTestMonitor(2)
@@ -82,28 +86,28 @@
 			runtime.now += limit
 			monitor.check(workers)
 			if len(runtime.pending) != 0 {
-				t.Fatal("peers are asked before the limit")
+				t.Fatal("peers are asked before the silence limit has passed")
 			}
 			runtime.now++
 			monitor.check(workers)
 			monitor.check(workers)
 			if len(runtime.pending) != 2 {
-				t.Fatalf("%d messages to two peers", len(runtime.pending))
+				t.Fatalf("%d requests to two peers, want 2", len(runtime.pending))
 			}
 			runtime.answer(test.answers[:]...)
 			if shards.relinquished != test.relinquished || monitor.relinquishmentsSinceHeartbeat != test.relinquished {
-				t.Errorf("relinquished %d times, not %d", shards.relinquished, test.relinquished)
+				t.Errorf("relinquished %d times, counted %d; want %d", shards.relinquished, monitor.relinquishmentsSinceHeartbeat, test.relinquished)
 			}
 			if monitor.lastHeartbeatAt != runtime.now || monitor.peerQueryInFlight {
-				t.Error("the silence does not begin anew")
+				t.Error("the wait for heartbeats does not restart after the peers' answers")
 			}
 		})
 	}
 }
 
-// TestHeartbeatDuringTheQuestionKeepsTheShards: what the peers say counts no more once a
-// heartbeat has come, relayed or not.
-func TestHeartbeatDuringTheQuestionKeepsTheShards(t *testing.T) {
+// TestHeartbeatDuringPeerQueryKeepsShards checks that the peers' answers are ignored if a
+// heartbeat, direct or relayed, arrives before them.
+func TestHeartbeatDuringPeerQueryKeepsShards(t *testing.T) {
 	monitor, shards, runtime := newTestMonitor(1)
 	runtime.now += monitor.settings.OwnerSilenceLimit(1) + 1
 	monitor.check(workerReachability{reporting: 1})
@@ -111,13 +115,13 @@
 	monitor.recordHeartbeat()
 	runtime.answer("5")
 	if shards.relinquished != 0 {
-		t.Error("relinquished though a heartbeat has come")
+		t.Error("the shards are relinquished although a heartbeat arrived during the query")
 	}
 }
 
-// TestDeafWorkersCostTheShards: if more workers are deaf than hear, the shards are
-// relinquished at once.
-func TestDeafWorkersCostTheShards(t *testing.T) {
+// TestUnreachableMajorityOfWorkersRelinquishesShards checks that the shards are relinquished
+// at once if the node's answers do not reach more than half of the reporting workers.
+func TestUnreachableMajorityOfWorkersRelinquishesShards(t *testing.T) {
 	for _, test := range []struct {
 		workers      workerReachability
 		relinquished int
@@ -129,13 +133,13 @@
 		monitor, shards, _ := newTestMonitor(1)
 		monitor.check(test.workers)
 		if shards.relinquished != test.relinquished {
-			t.Errorf("%+v: relinquished %d times, not %d", test.workers, shards.relinquished, test.relinquished)
+			t.Errorf("%+v: relinquished %d times, want %d", test.workers, shards.relinquished, test.relinquished)
 		}
 	}
 }
 
-// TestSilenceLimitDoublesWithEachUnsuccessfulTerm: up to MaxSilenceDoublings; a heartbeat
-// resets it.
+// TestSilenceLimitDoublesWithEachUnsuccessfulTerm checks that the silence limit doubles with
+// each relinquishment, up to tuning.MaxSilenceDoublings times, and that a heartbeat resets it.
 func TestSilenceLimitDoublesWithEachUnsuccessfulTerm(t *testing.T) {
 	monitor, _, runtime := newTestMonitor(1)
 	workers := workerReachability{reporting: 4}
@@ -143,21 +147,21 @@
 		runtime.now = monitor.lastHeartbeatAt + monitor.settings.OwnerSilenceLimit(4)<<min(term, tuning.MaxSilenceDoublings)
 		monitor.check(workers)
 		if len(runtime.pending) != 0 {
-			t.Fatalf("asked too early in term %d", term)
+			t.Fatalf("peers are asked before the silence limit of term %d has passed", term)
 		}
 		runtime.now++
 		monitor.check(workers)
 		if len(runtime.pending) != 1 {
-			t.Fatalf("not asked in term %d", term)
+			t.Fatalf("%d requests after the silence limit of term %d, want 1", len(runtime.pending), term)
 		}
 		runtime.answer("5")
 	}
 	monitor.recordDirectHeartbeat()
 	if monitor.relinquishmentsSinceHeartbeat != 0 {
-		t.Error("a heartbeat does not reset the limit")
+		t.Errorf("%d relinquishments since the last heartbeat after a heartbeat, want 0", monitor.relinquishmentsSinceHeartbeat)
 	}
 	runtime.now++
 	if silence := monitor.workerSilence().duration(); silence != 0 {
-		t.Errorf("a worker came %v ago", silence)
+		t.Errorf("the last direct heartbeat is %v old, want 0", silence)
 	}
 }
--- a/internal/controller/production_messages_test.go
+++ b/internal/controller/production_messages_test.go
@@ -11,7 +11,7 @@
 	"lemonmoor/internal/fleet"
 )
 
-// peerMessage is a message between two controllers, as it was recorded.
+// peerMessage is a recorded message between two controllers.
 type peerMessage struct {
 	Path   string          `json:"path"`
 	Body   json.RawMessage `json:"body"`
@@ -19,7 +19,8 @@
 	OK     bool            `json:"ok"`
 }
 
-// readProductionRecording reads what the version in production has written and sent.
+// readProductionRecording reads the recording of what the version in production has stored and
+// sent.
 func readProductionRecording(t *testing.T, recording any) {
 	t.Helper()
 	raw, err := os.ReadFile("../taskstate/testdata/production.json")
@@ -31,26 +32,26 @@
 	}
 }
 
-// checkSameWhenSentAgain checks that a recorded message keeps all that it says when it is
-// read into a message and encoded again.
-func checkSameWhenSentAgain(t *testing.T, what string, recorded json.RawMessage, message any) {
+// checkRoundTrip checks that a recorded message is unchanged when it is decoded into message and
+// encoded again.
+func checkRoundTrip(t *testing.T, kind string, recorded json.RawMessage, message any) {
 	t.Helper()
 	if err := json.Unmarshal(recorded, message); err != nil {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("decoding a recorded %s: %v", kind, err)
 	}
-	again, err := json.Marshal(message)
+	encoded, err := json.Marshal(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var before, after any
-	if json.Unmarshal(recorded, &before) != nil || json.Unmarshal(again, &after) != nil || !reflect.DeepEqual(before, after) {
-		t.Errorf("%s: was %s, is %s", what, recorded, again)
+	var want, got any
+	if json.Unmarshal(recorded, &want) != nil || json.Unmarshal(encoded, &got) != nil || !reflect.DeepEqual(want, got) {
+		t.Errorf("%s decoded and encoded again: got %s, want %s", kind, encoded, recorded)
 	}
 }
 
-// TestProductionMessagesAreUnderstood: what controllers of the version in production have
-// told each other is read, and told again it is the same.
-func TestProductionMessagesAreUnderstood(t *testing.T) {
+// TestProductionMessagesRoundTrip checks that messages between controllers of the version in
+// production are decoded and encoded again without loss.
+func TestProductionMessagesRoundTrip(t *testing.T) {
 	var recording struct {
 		Peers []peerMessage `json:"peers"`
 	}
@@ -58,29 +59,29 @@
 	statuses := 0
 	for _, message := range recording.Peers {
 		if message.Path != statusPath {
-			t.Errorf("a message of the kind %q", message.Path)
+			t.Errorf("recorded message with path %q, want %q", message.Path, statusPath)
 			continue
 		}
 		statuses++
-		checkSameWhenSentAgain(t, "status message", message.Body, &fleet.ShardStatus{})
+		checkRoundTrip(t, "status message", message.Body, &fleet.ShardStatus{})
 		if message.OK {
-			checkSameWhenSentAgain(t, "reply", message.Answer, &fleet.StatusReply{})
+			checkRoundTrip(t, "reply", message.Answer, &fleet.StatusReply{})
 		}
 	}
 	if statuses < 10 {
-		t.Errorf("%d messages only", statuses)
+		t.Errorf("%d recorded status messages, want at least 10", statuses)
 	}
 }
 
-// TestUnknownPeerMessagesAreRefused: a message that this version does not know, or that
-// does not parse, is refused with an empty answer.
+// TestUnknownPeerMessagesAreRefused checks that a message with an unknown path or a malformed
+// body is refused with an empty answer.
 func TestUnknownPeerMessagesAreRefused(t *testing.T) {
 	sim := newSimulation(60)
 	sim.runUntil(15 * time.Second)
 	for _, controller := range sim.controllers {
 		for path, body := range map[string]string{"/novel": "{}", statusPath: "not JSON", heartbeatPath: "[]"} {
-			if answer, taken := askPeer(t, controller, path, body); taken || strings.TrimSpace(answer) != "" {
-				t.Errorf("%s answers %s to %s", controller.name, answer, path)
+			if answer, accepted := askPeer(t, controller, path, body); accepted || strings.TrimSpace(answer) != "" {
+				t.Errorf("%s answers message %s %s with %q (accepted %v), want it refused with an empty answer", controller.name, path, body, answer, accepted)
 			}
 		}
 	}
--- a/internal/controller/production_state_test.go
+++ b/internal/controller/production_state_test.go
@@ -12,17 +12,19 @@
 	"lemonmoor/internal/userapi"
 )
 
-// largeProductionJob is a job of the recording whose stored spec is larger than the limit.
+// largeProductionJob is a recorded job whose stored spec is larger than the value limit of
+// continueFrom.
 const largeProductionJob = "wk-000102"
 
-// productionSnapshot is what the state service held at some moment, by key.
+// productionSnapshot is the recorded content of the state service at one moment, by key.
 type productionSnapshot struct {
 	Keys map[string]json.RawMessage `json:"keys"`
 }
 
-// TestProductionStateIsTakenOver: the version before has left jobs, records, pages, leases
-// and half-done work, some of it larger than the state service takes by now. All
-// of it is taken over, done and cancelled, and nothing too large is written back.
+// TestProductionStateIsTakenOver checks that controllers take over the state of the version in
+// production: jobs, records, log pages, leases and unfinished work, some of it larger than the
+// present limits of the state service. All jobs are completed or cancelled, and no value above
+// the limits is written back.
 func TestProductionStateIsTakenOver(t *testing.T) {
 	var recording struct {
 		Snapshots []productionSnapshot `json:"snapshots"`
@@ -32,24 +34,25 @@
 		for _, declared := range []bool{true, false} {
 			t.Run(fmt.Sprintf("snapshot %d, limits declared %v", i, declared), func(t *testing.T) {
 				sim := newSimulation(uint64(50 + i))
-				large := sim.continueFrom(snapshot, declared)
+				largeJobs := sim.continueFrom(snapshot, declared)
 				sim.runUntil(400 * time.Second)
 				sim.checkRulesAndCompletion(t)
-				if i == 2 && large == 0 {
-					t.Error("nothing stored is larger than the limit")
+				if i == 2 && largeJobs == 0 {
+					t.Error("snapshot 2 has no job that is larger than the value limit, want some")
 				}
 				if job := sim.jobs[largeProductionJob]; job != nil && job.reportedPhase != "cancelled" {
-					t.Errorf("a job with a large spec is %q, not cancelled", job.reportedPhase)
+					t.Errorf("job %s with a spec above the value limit is %q, want \"cancelled\"", job.id, job.reportedPhase)
 				}
 			})
 		}
 	}
 }
 
-// continueFrom starts the controllers on a snapshot, with low limits of the state service
-// that the settings declare or don't, and has the users of its unfinished jobs go on. It
-// returns how many of these jobs are stored in values that are larger than the limit.
-func (s *simulation) continueFrom(snapshot productionSnapshot, limitsDeclared bool) (large int) {
+// continueFrom restarts the controllers with the state of a snapshot and low limits of the
+// state service, which the settings declare if limitsDeclared is set. The users of the
+// unfinished jobs continue to poll. It returns the number of these jobs whose stored values
+// are larger than the value limit.
+func (s *simulation) continueFrom(snapshot productionSnapshot, limitsDeclared bool) (largeJobs int) {
 	s.stateLimits = stateLimits{operations: 3, valueBytes: 1024, writesPerSecond: 12, undeclared: !limitsDeclared}
 	if limitsDeclared {
 		operations, kilobytes, rate := 3, 1.0, 12.0
@@ -65,7 +68,7 @@
 		}
 		cancelAfter := time.Duration(0)
 		if len(value) > s.stateLimits.valueBytes {
-			large++
+			largeJobs++
 			if id == largeProductionJob {
 				cancelAfter = 6 * time.Second
 			}
@@ -76,18 +79,18 @@
 			s.submitAndPoll(job, cancelAfter)
 		})
 	}
-	return large
+	return largeJobs
 }
 
-// storeSnapshot puts the keys of a snapshot into the state service. Their revisions are not
-// recorded. Whatever they were, every log page was written after the records that it names:
-// a shard owner writes of a record only after it has read it, and a record is written once.
-// So pages come last; otherwise the order is that of the map, another one in every run.
+// storeSnapshot writes the keys of a snapshot to the state service, log pages last: a shard
+// owner writes about a record only after reading it, and a record is written once, so every page
+// was written after the records that it names. The recording does not contain the revisions.
+// Apart from pages, the order is that of the map and differs from run to run.
 func (s *simulation) storeSnapshot(snapshot productionSnapshot) {
 	pages := map[string]json.RawMessage{}
 	for key, value := range snapshot.Keys {
 		switch {
-		case strings.HasPrefix(key, "lease/"): // leases ended with the processes
+		case strings.HasPrefix(key, "lease/"): // leases have ended with their processes
 		case isLogPageKey(key):
 			pages[key] = value
 		default:
@@ -99,13 +102,13 @@
 	}
 }
 
-// isLogPageKey tells the key of a page of a shard's log, work/SHARD/log/NUMBER, from others.
+// isLogPageKey reports whether key is that of a page of a shard's log, work/SHARD/log/NUMBER.
 func isLogPageKey(key string) bool {
 	parts := strings.Split(key, "/")
 	return strings.HasPrefix(key, taskstate.KeyPrefix) && len(parts) == 4 && parts[2] == "log"
 }
 
-// jobOfRecord is a stored job, with short tasks.
+// jobOfRecord returns the job of a stored record, with tasks that run for 100 ms.
 func jobOfRecord(id string, record *userapi.Record) *simJob {
 	spec := record.Spec
 	return newJob(jobSpec{
@@ -114,7 +117,7 @@
 	})
 }
 
-// markCompletedTasks notes which tasks of a job are done by the stored records.
+// markCompletedTasks marks the tasks of a job that are done according to the stored records.
 func (s *simulation) markCompletedTasks(job *simJob) {
 	for _, controller := range s.controllers {
 		controller.node.taskStates.EachRecord(func(record *taskstate.Record) {
--- a/internal/controller/relinquished_shard_test.go
+++ b/internal/controller/relinquished_shard_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRelinquishedShardFindsOwnerUnderRefusals: a shard that its owner gives up because no
-// worker reaches it is not answered for any more, and is another's soon, also when the
-// state service refuses most changes at that moment.
+// TestRelinquishedShardFindsOwnerUnderRefusals checks a shard that its owner relinquishes
+// because no worker reaches it: that owner stops answering for it, and another node acquires it
+// within 8 s, also while the state service refuses most writes.
 func TestRelinquishedShardFindsOwnerUnderRefusals(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -18,31 +18,31 @@
 				sim.schedule(time.Duration(i)*time.Second, func() { sim.submitAndPoll(job, 0) })
 			}
 			sim.runUntil(20 * time.Second)
-			first := sim.ownerOfShard0()
+			firstOwner := sim.ownerOfShard0()
 			for _, controller := range sim.controllers {
-				sim.network.partitions["workers|"+first.name] = true
-				if controller != first {
-					sim.network.partitions[controller.name+"|"+first.name] = true // no heartbeat is relayed
+				sim.network.partitions["workers|"+firstOwner.name] = true
+				if controller != firstOwner {
+					sim.network.partitions[controller.name+"|"+firstOwner.name] = true // no heartbeat is relayed
 				}
 			}
 			sim.stateLimits.writesPerSecond = 2.5
-			given := time.Duration(0)
-			for given == 0 && sim.now < 45*time.Second {
+			relinquishedAt := time.Duration(0)
+			for relinquishedAt == 0 && sim.now < 45*time.Second {
 				sim.runUntil(sim.now + 100*time.Millisecond)
-				if o := first.node.leases; o.Relinquished(0) || o.ShardToken(0) == 0 {
-					given = sim.now
+				if leases := firstOwner.node.leases; leases.Relinquished(0) || leases.ShardToken(0) == 0 {
+					relinquishedAt = sim.now
 				}
-				if first.node.leases.Relinquished(0) && first.node.mayAnswer(first.node.shardOwners[0]) {
-					t.Fatalf("seed %d: answers under a token that is given up", seed)
+				if firstOwner.node.leases.Relinquished(0) && firstOwner.node.mayAnswer(firstOwner.node.shardOwners[0]) {
+					t.Fatalf("seed %d: the owner may answer under a relinquished token", seed)
 				}
 			}
-			for sim.ownerOfShard0() == first || sim.ownerOfShard0() == nil {
+			for sim.ownerOfShard0() == firstOwner || sim.ownerOfShard0() == nil {
 				if sim.runUntil(sim.now + 100*time.Millisecond); sim.now > 70*time.Second {
-					t.Fatalf("seed %d: relinquished at %v, nobody else has the shard at %v", seed, given, sim.now)
+					t.Fatalf("seed %d: no other node owns the shard, which was relinquished at %v (0: never), at %v", seed, relinquishedAt, sim.now)
 				}
 			}
-			if took := sim.now - given; took > 8*time.Second {
-				t.Errorf("seed %d: the shard is another's %v after it was relinquished", seed, took)
+			if took := sim.now - relinquishedAt; took > 8*time.Second {
+				t.Errorf("seed %d: another node owns the shard %v after it was relinquished, want at most 8s", seed, took)
 			}
 			sim.stateLimits.writesPerSecond = 0
 			clear(sim.network.partitions)
