--- a/internal/controller/drain_requests.go
+++ b/internal/controller/drain_requests.go
@@ -8,7 +8,8 @@
 )
 
 // handleOperatorRequest handles an operator's drain request on the leader. Any other node
-// forwards it to the leader.
+// forwards it to the leader, or answers that it is unavailable if it knows no leader or the
+// request was forwarded already. A node without drains refuses it.
 func (n *Node) handleOperatorRequest(body []byte, answer peerAnswer) {
 	var request drain.Request
 	if err := json.Unmarshal(body, &request); err != nil {
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// handleHeartbeat handles POST /agent/beat. It answers workers of the shards that this node
-// owns. Workers of other shards are redirected to the owner, or their heartbeats are relayed.
+// handleHeartbeat handles POST /agent/beat. It answers workers of the shards that this node owns
+// and may answer for (mayAnswer). Other workers are redirected to the owner, or their heartbeats
+// are relayed to it.
 func (n *Node) handleHeartbeat(body []byte, respond http1.ResponseWriter) {
 	heartbeat, err := workers.ParseHeartbeat(body)
 	if err != nil {
@@ -82,8 +83,9 @@
 	n.redirectWorker(ownerNode, respond)
 }
 
-// relayHeartbeat relays a heartbeat to the shard's owner and the owner's answer to the worker.
-// The answer is as valid as one that the worker gets from the owner itself.
+// relayHeartbeat relays a heartbeat to the shard's owner and the owner's answer to the worker,
+// for which it is as valid as an answer received directly. If the owner does not answer, or
+// refuses the heartbeat, the worker is redirected.
 func (n *Node) relayHeartbeat(shardIndex int, endpoint string, body []byte, respond http1.ResponseWriter) {
 	n.runtime.CallPeer(endpoint, heartbeatPath, body, tuning.PeerRequestTimeout, func(answer []byte, err error) {
 		if err != nil {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -36,8 +36,8 @@
 // is unknown or is this one.
 func (m *membership) endpoint(node string) string { return m.endpoints[node] }
 
-// askAll sends an empty message to each peer. receive is called once per peer, with
-// eventloop.ErrNotSent or eventloop.ErrNoAnswer if the peer did not answer.
+// askAll sends an empty message to each peer. receive is called once per peer, with an error if
+// the peer did not answer or refused the message.
 func (m *membership) askAll(path string, receive func(body []byte, err error)) {
 	for _, endpoint := range m.endpoints {
 		m.runtime.CallPeer(endpoint, path, []byte("{}"), tuning.PeerRequestTimeout, receive)
--- a/internal/controller/shard_owner.go
+++ b/internal/controller/shard_owner.go
@@ -58,8 +58,8 @@
 // MayAnswer reports whether workers' heartbeats may be answered.
 func (s *shardOwner) MayAnswer() bool { return s.node.mayAnswer(s) }
 
-// CancellationsVerifiedSince reports whether a recent verification has shown that, up to since
-// or later, no jobs were cancelled but those known to be. If not, it requests a verification.
+// CancellationsVerifiedSince reports whether a recent verification has shown that all
+// cancellations up to since or later are known. If not, it requests a verification.
 func (s *shardOwner) CancellationsVerifiedSince(since time.Duration) bool {
 	return s.node.cancellationsVerifiedSince(since)
 }
@@ -110,7 +110,7 @@
 // RecordsLoaded begins the worker registry's term when the task records have been read.
 func (s *shardOwner) RecordsLoaded() { s.workers.BeginTerm() }
 
-// GangDone ends the tasks of a gang that another shard has found to be done.
+// GangDone completes the tasks of a gang that another shard has found to be done.
 func (s *shardOwner) GangDone(job *taskstate.Job) { s.workers.GangDone(job) }
 
 // DiscardTask removes a task from its worker, because the task's record has been deleted.
--- a/internal/controller/shard_status.go
+++ b/internal/controller/shard_status.go
@@ -17,8 +17,8 @@
 	inFlight   bool                           // a message to another node awaits its answer
 }
 
-// sendStatus sends a shard's status to the leader. It sends nothing if the leader is unknown or
-// has not yet answered the previous message.
+// sendStatus sends a shard's status to the leader. It sends nothing if the shard's records have
+// not been loaded, or if the leader is unknown or has not yet answered the previous message.
 func (n *Node) sendStatus(owner *shardOwner) {
 	if !owner.tasks.IsLoaded() || owner.statuses.inFlight {
 		return
@@ -56,7 +56,8 @@
 }
 
 // receiveStatus processes a shard's status on the leader and returns the leader's instructions
-// to the shard owner. It ignores a message of a node that does not own the shard.
+// to the shard owner. It ignores a malformed message and one of a node that does not own the
+// shard.
 func (n *Node) receiveStatus(message *statusMessage) fleet.StatusReply {
 	if message.ShardStatus == nil || message.Shard < 0 || message.Shard >= len(n.shardOwners) || n.leases.ShardOwner(message.Shard) != message.Node {
 		return fleet.StatusReply{}
--- a/internal/controller/sim_controller_test.go
+++ b/internal/controller/sim_controller_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// CallPeer sends a message to another controller.
+// CallPeer sends a message to another controller. A message that is refused gets no answer, so
+// its call times out.
 func (r *simRuntime) CallPeer(endpoint, path string, body []byte, timeout time.Duration, fn func([]byte, error)) {
 	sim := r.controller.sim
 	for _, other := range sim.controllers {
--- a/internal/controller/sim_dump_test.go
+++ b/internal/controller/sim_dump_test.go
@@ -28,7 +28,7 @@
 		for shard, owner := range controller.node.shardOwners {
 			fmt.Println("  shard", shard, "token", owner.token, "owner", controller.node.leases.ShardOwner(shard), "loaded", owner.tasks.IsLoaded())
 			for _, tracked := range owner.workers.Workers() {
-				fmt.Printf("    %s has reported %v accepts tasks %v deaf %v drain %q lease expired %v token %d last heartbeat %v tasks %d unknown tasks %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Unreachable, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
+				fmt.Printf("    %s has reported %v accepts tasks %v unreachable %v drain %q lease expired %v token %d last heartbeat %v tasks %d unknown tasks %d\n", tracked.ID, tracked.HasReported, owner.workers.AcceptsTasks(tracked), tracked.Unreachable, tracked.DrainReason, tracked.LeaseExpired, tracked.Token, tracked.LastHeartbeatAt, len(tracked.Tasks), tracked.UnknownTasks)
 				for task := range tracked.Tasks {
 					fmt.Printf("      %s %+v\n", task.Name(), *task)
 				}
--- a/internal/controller/sim_heartbeat_test.go
+++ b/internal/controller/sim_heartbeat_test.go
@@ -16,8 +16,9 @@
 	retained      []func() // the retained copies; each call delivers one
 }
 
-// releaseRetainedHeartbeats delivers the retained copies of heartbeats. It is called when a
-// leader or owner acquires its lease; the copies reach all controllers 10 to 400 ms later.
+// releaseRetainedHeartbeats delivers the retained copies of heartbeats. It is called when the
+// lease key of the leader or of a shard is written, that is, when a new term begins. The copies
+// are sent to all controllers 10 to 400 ms later.
 func (s *simulation) releaseRetainedHeartbeats() {
 	deliveries := s.heartbeats.retained
 	s.heartbeats.retained = nil
@@ -122,7 +123,7 @@
 
 // heartbeatAnswered processes the answer to a heartbeat that was sent in a session at a time,
 // and schedules the next heartbeat: to the same controller, after a redirection to the one
-// named, after a failure to the next one.
+// named, after a failure or a redirection that names no other controller to the next one.
 func (w *simWorker) heartbeatAnswered(response http1.Response, err error, session uint64, sentAt time.Duration) {
 	rng := w.sim.rng
 	if err == nil && response.Status == 200 {
--- a/internal/controller/sim_rule_checker_test.go
+++ b/internal/controller/sim_rule_checker_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// checkRulesAndCompletion reports every violation, and every job that has not ended although
-// the faults have.
+// checkRulesAndCompletion reports every violation and every job that has not ended. It is called
+// at the end of a day, long after the last fault.
 func (s *simulation) checkRulesAndCompletion(t reporter) {
 	t.Helper()
 	s.checkRules(t)
--- a/internal/controller/sim_user_test.go
+++ b/internal/controller/sim_user_test.go
@@ -12,7 +12,7 @@
 type simUser struct {
 	sim           *simulation
 	job           *simJob
-	lastPendingAt time.Duration // last answer that the job is pending or running, or the first one with its final phase
+	lastPendingAt time.Duration // time of the last answer that the job is pending or running, or of the first one with its final phase
 }
 
 // submitAndPoll has a user submit a job and poll it until the end of the day. The user cancels
--- a/internal/controller/sim_worker_test.go
+++ b/internal/controller/sim_worker_test.go
@@ -129,7 +129,8 @@
 }
 
 // receiveCommands executes a controller's direct commands, unless a fault delays or loses
-// them. Delayed commands are not answered.
+// them. Delayed commands are not answered, except those of a machine that hangs, which it
+// answers when it resumes.
 func (w *simWorker) receiveCommands(from *simController, request http1.ClientRequest, reply func(http1.Response)) {
 	handleUnanswered := func() {
 		if !w.dead {
@@ -221,9 +222,9 @@
 		return
 	}
 	task.phase = phaseFetching
-	ending := task.generation
+	generation := task.generation
 	w.sim.schedule(w.sim.imageFetchTime/2+time.Duration(w.sim.rng.Int64N(int64(w.sim.imageFetchTime))), func() {
-		if task.generation == ending && !w.dead {
+		if task.generation == generation && !w.dead {
 			task.phase = phaseRunning
 			w.runTask(task, job)
 		}
@@ -260,21 +261,21 @@
 	if job.service {
 		return
 	}
-	index, ending := task.index(), task.generation
+	index, generation := task.index(), task.generation
 	runTime := job.runTime + time.Duration(index)*job.runTimeStep
 	if job.completed[index] {
 		runTime = 10 * time.Millisecond
 	}
 	var complete func()
 	complete = func() {
-		if task.generation != ending || w.dead {
+		if task.generation != generation || w.dead {
 			return
 		}
 		if w.sim.now < w.faults.unresponsiveUntil {
 			w.sim.schedule(w.faults.unresponsiveUntil-w.sim.now, complete)
 			return
 		}
-		if w.expireLease(); task.generation != ending {
+		if w.expireLease(); task.generation != generation {
 			return
 		}
 		task.phase, task.cause = phaseEnded, "done"
--- a/internal/controller/sim_workload_test.go
+++ b/internal/controller/sim_workload_test.go
@@ -5,7 +5,7 @@
 )
 
 // submitMixedJobs submits jobs of several kinds within the next 8 s: jobs that run for runTime,
-// shorter ones, services, and jobs bound to a zone.
+// jobs that run for 1 to 20 s, services, and jobs bound to a zone.
 func (s *simulation) submitMixedJobs(count int, runTime time.Duration) {
 	for i := range count {
 		job := newJob(jobSpec{
@@ -24,8 +24,8 @@
 	}
 }
 
-// cancelServicesAt has the users of all services cancel them after a delay, so that every job
-// ends.
+// cancelServicesAt has the users of all accepted services cancel them after a delay, so that
+// every job ends.
 func (s *simulation) cancelServicesAt(delay time.Duration) {
 	s.schedule(delay, func() {
 		for _, job := range s.jobs {
