--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("direct command while sockets are scarce: %v, want %v", err, errSocketsScarce)
 	}
 	if err := ask(state); err != nil {
-		t.Errorf("call of the state service while sockets are scarce: %v", err)
+		t.Errorf("call of the state service while sockets are scarce: %v, want it answered", err)
 	}
 	if sockets.IsExhausted() {
 		t.Error("sockets count as exhausted, so that workers are refused, while they are only scarce")
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -12,8 +12,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// StatusError reports that a controller did not accept a message: it refused the message, or
-// was too busy to answer in time.
+// StatusError reports that a controller received a message but gave no answer to it: it refused
+// the message, or was too busy to answer in time.
 type StatusError struct {
 	Endpoint string
 	Status   int // HTTP status
@@ -45,7 +45,8 @@
 }
 
 // Send sends a message and waits at most timeout for its answer. A *StatusError means that
-// the message was not accepted; after any other error it may have been.
+// the controller refused the message or did not answer it in time. After any error the message
+// may have been handled nevertheless.
 func (c *Client) Send(endpoint, path string, body []byte, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/settings/drains_test.go
+++ b/internal/settings/drains_test.go
@@ -61,7 +61,7 @@
 	write(platform, validSettings)
 	write(operator, "drains {\n  team \"nobody\" {\n    tasks = 1\n  }\n}\n")
 	if _, err := Load(platform, operator); err == nil || !strings.Contains(err.Error(), "o.hcl:2: drains: team: there is no team \"nobody\"") {
-		t.Errorf("drain budget of an unknown team: error %v", err)
+		t.Errorf("drain budget of an unknown team: error %v, want one that names file, line and team", err)
 	}
 	write(operator, "drains {\n  team \"t\" {\n    tasks = 1\n  }\n}\n")
 	if _, err := Load(platform, operator); err != nil {
--- a/internal/settings/durations.go
+++ b/internal/settings/durations.go
@@ -19,8 +19,8 @@
 	return time.Duration(tuning.DeadWorkerIntervals*float64(s.HeartbeatInterval())) + tuning.DeadWorkerSlack
 }
 
-// OwnerSilenceLimit returns how long the owner of a shard with this number of machines must
-// receive no heartbeat from any of them before it considers itself partitioned.
+// OwnerSilenceLimit returns how long a node that owns shards with this number of reporting
+// machines must receive no heartbeat at all before it suspects that it is partitioned.
 func (s *Settings) OwnerSilenceLimit(machines int) time.Duration {
 	intervals := tuning.OwnerSilenceIntervals
 	if machines >= tuning.ShortSilenceMinWorkers {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -57,7 +57,7 @@
 func TestOperatorSettingsAreParsedOrRefused(t *testing.T) {
 	operator, err := ParseOperator("x.hcl", []byte("wait_bound_s = 12.5\n"))
 	if err != nil || operator.WaitBoundS == nil || *operator.WaitBoundS != 12.5 {
-		t.Fatalf("wait_bound_s = 12.5: parsed %+v, %v", operator, err)
+		t.Fatalf("wait_bound_s = 12.5: parsed %+v, %v; want a WaitBoundS of 12.5", operator, err)
 	}
 	for src, want := range map[string]string{
 		"# c\nunheard_of = 1\n":     "x.hcl:2",
@@ -179,15 +179,15 @@
 	_, err := Parse([]byte(strings.Replace(validSettings, `"rps":80`, `"rps":0`, 1)))
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "deployment.state.rps" || err.Error() != `settings: field "deployment.state.rps": missing or not above 0` {
-		t.Errorf("field out of range: error %v", err)
+		t.Errorf("field out of range: error %v, want a FieldError for deployment.state.rps", err)
 	}
 	_, err = Parse([]byte(strings.Replace(validSettings, `"rps":80`, `"rps":"80"`, 1)))
 	if !errors.As(err, &field) || err.Error() != `settings: field "deployment.state.rps": want float64, not string` {
-		t.Errorf("field of another type: error %v", err)
+		t.Errorf("field of another type: error %v, want a FieldError that names both types", err)
 	}
 	_, err = ParseOperator("x.hcl", []byte("\nidle_keep_s = 86401\n"))
 	var setting *OperatorError
 	if !errors.As(err, &setting) || setting.Line != 2 || err.Error() != "x.hcl:2: idle_keep_s: 86401 is outside 0 to 86400" {
-		t.Errorf("setting out of range: error %v", err)
+		t.Errorf("setting out of range: error %v, want an OperatorError for idle_keep_s in line 2", err)
 	}
 }
--- a/internal/settings/surface_test.go
+++ b/internal/settings/surface_test.go
@@ -61,10 +61,10 @@
 		t.Fatalf("drains: parsed %+v, want 3 machines at once, a wait of 45.5 s, trace.json and 2 teams", drains)
 	}
 	if l := drains.Default.Limits; *l.Tasks != 8 || *l.CPUs != 128.5 || *l.Share != 0.2 || *l.ReplicasUp != 1 {
-		t.Errorf("budget of default: parsed %+v", l)
+		t.Errorf("budget of default: parsed %+v, want 8 tasks, 128.5 CPUs, a share of 0.2 and 1 replica up", l)
 	}
 	if l := drains.Teams[0].Limits; drains.Teams[0].Name != "red" || *l.Tasks != 2 || *l.CPUs != 16.5 || *l.Share != 0.1 || *l.ReplicasUp != 4 {
-		t.Errorf("budget of red: parsed %+v", drains.Teams[0])
+		t.Errorf("budget of red: parsed %+v, want 2 tasks, 16.5 CPUs, a share of 0.1 and 4 replicas up", drains.Teams[0])
 	}
 	if l := drains.Teams[1].Limits; drains.Teams[1].Name != "blue" || l.Tasks != nil || l.CPUs != nil || l.Share != nil || l.ReplicasUp != nil {
 		t.Errorf("budget of blue: parsed %+v, want no limits", drains.Teams[1])
