--- a/internal/workers/cancellations.go
+++ b/internal/workers/cancellations.go
@@ -67,8 +67,8 @@
 	return false
 }
 
-// isCancellationOverdue reports whether a job was cancelled at least MaxKnowledgeAge ago.
-// isCancellationOverdue reports whether a job was cancelled at least MaxKnowledgeAge ago.
+// isCancellationOverdue reports whether a job is cancelled and its user may have known that for
+// MaxKnowledgeAge or longer.
 func (r *Registry) isCancellationOverdue(jobID string) bool {
 	age, cancelled := r.tasks.CancellationAge(jobID)
 	return cancelled && age >= r.settings.MaxKnowledgeAge()
--- a/internal/workers/drains.go
+++ b/internal/workers/drains.go
@@ -33,7 +33,7 @@
 // haltIfMustMove halts a running task of a drained worker that has to continue elsewhere: a
 // replica of a service at once, and a task with checkpoints early enough to write one before
 // the cloud takes the machine. The halt is sent directly, and repeated in each answer to a
-// heartbeat until the task is gone.
+// heartbeat until the task is gone. Tasks of gangs are halted by haltGangBeforeTermination.
 func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
 	if worker.DrainReason == "" || task.Halt.Decided || !task.Observed.Running || task.Job.Gang != nil {
 		return
@@ -62,8 +62,8 @@
 }
 
 // HaltGang halts all tasks of a gang that an operators' drain moves, at the same time. The
-// tasks write a checkpoint only if the gang has started; before that there is no progress to
-// save.
+// tasks write a checkpoint only if the job has checkpoints and the gang has started; before
+// that there is no progress to save.
 func (r *Registry) HaltGang(job *taskstate.Job) {
 	now := r.runtime.Now()
 	r.log.Info("moving gang", "job", job.Spec.ID, "reason", OperatorDrain)
--- a/internal/workers/gangs.go
+++ b/internal/workers/gangs.go
@@ -64,7 +64,7 @@
 		}
 	case PhaseWaiting, PhaseFetching:
 		job.ReportedWaiting(now)
-	case PhaseEnded: // see takeEnded
+	case PhaseEnded: // see processEnded
 	}
 	r.haltEndedAttempt(job, now)
 }
@@ -123,7 +123,7 @@
 // haltGangBeforeTermination halts a gang before the cloud takes one of its machines. All
 // tasks write a checkpoint at the same time, as late as possible. If too little time is left
 // for that, the gang runs on, since it may still complete or write a regular checkpoint. If
-// the gang has not started, only the task on the terminated machine is halted.
+// the gang has not started, only its tasks on that machine are halted, so that they leave it.
 func (r *Registry) haltGangBeforeTermination(job *taskstate.Job, now time.Duration) {
 	for _, task := range job.Tasks {
 		worker := r.workers[task.WorkerID]
--- a/internal/workers/reconcile.go
+++ b/internal/workers/reconcile.go
@@ -147,7 +147,8 @@
 }
 
 // processUnlisted processes the tasks that the records place on this machine and that the
-// heartbeat does not list. It ends the placements of those that this proves gone.
+// heartbeat does not list. It ends the placements of those that this proves gone, and renews
+// the fencing token if a launch is in doubt.
 func (c *reconciliation) processUnlisted(listed taskSet, isLaterSession bool) {
 	registry, worker, heartbeat := c.registry, c.worker, c.heartbeat
 	launchLost := false
--- a/internal/workers/unreachable_workers.go
+++ b/internal/workers/unreachable_workers.go
@@ -10,8 +10,8 @@
 // drainReasonUnreachable is the drain reason of unreachable workers, see Reachability.
 const drainReasonUnreachable = "does not hear"
 
-// detectUnreachable marks a worker unreachable if its heartbeats arrive but the answers to
-// it apparently do not. Heartbeats alone are no proof that the worker is reachable: if it
+// detectUnreachable marks a worker unreachable if its heartbeats arrive but the answers and
+// launches sent to it apparently do not. Heartbeats alone are no proof that the worker is reachable: if it
 // counted as alive, it would be given task after task and run none of them.
 func (r *Registry) detectUnreachable(worker *Worker) {
 	if worker.Unreachable || !worker.seemsUnreachable() {
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -29,7 +29,7 @@
 	fixture.registry.Announce("vm-7", "10.0.0.7:7")
 	fixture.registry.AfterBatch()
 	if len(recorder.sent) != 1 || recorder.sent[0] != `10.0.0.7:7 POST /orders {"baton":9,"shift":1,"orders":[]}` {
-		t.Errorf("announcement: sent %q", recorder.sent)
+		t.Errorf("announcement: sent %q, want one POST /orders to 10.0.0.7:7 with token 9, session 1 and no commands", recorder.sent)
 	}
 }
 
@@ -60,7 +60,7 @@
 	wiretest.CheckEncoding(t, haltCommand("wk-000001/2", 3, 4.5), `{"verb":"halt","piece":"wk-000001/2","try":3,"windDownS":4.5}`)
 	wiretest.CheckEncoding(t, forgetCommand(&ReportedTask{Name: "wk-000001/2", Attempt: 3}), `{"verb":"forget","piece":"wk-000001/2","try":3}`)
 	if string(NotOwnerBody) != `{"error":"not the owner of this machine"}` {
-		t.Errorf("NotOwnerBody is %s", NotOwnerBody)
+		t.Errorf("NotOwnerBody is %s, want the error \"not the owner of this machine\"", NotOwnerBody)
 	}
 }
 
@@ -103,7 +103,7 @@
 	task.PlacementDurable = true
 	fixture.registry.PlacementDurable(task)
 	if status, body := fixture.registry.HandleHeartbeat(fixture.heartbeat()); status != 200 || string(body) != `{"baton":1,"orders":[{"verb":"launch","piece":"wk-1/0","try":1}]}` {
-		t.Errorf("launch in an answer: got %d %s", status, body)
+		t.Errorf("launch in an answer: got %d %s, want status 200 and a launch of wk-1/0, attempt 1, under token 1", status, body)
 	}
 }
 
@@ -116,7 +116,7 @@
 	fixture.now += time.Hour
 	fixture.registry.probeUnreachableWorker(fixture.registry.Worker("vm-1"), fixture.now)
 	if len(recorder.sent) != 1 || recorder.sent[0] != `w:1 POST /orders {"baton":1,"shift":1,"orders":[]}` {
-		t.Errorf("probe: sent %q", recorder.sent)
+		t.Errorf("probe: sent %q, want one POST /orders to w:1 with token 1, session 1 and no commands", recorder.sent)
 	}
 }
 
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -147,7 +147,8 @@
 }
 
 // Free returns the resources of the machine that are available to new tasks. It is zero while
-// the machine's type is not known or while the worker lists tasks that are not in the records.
+// the machine's type is not known or while the worker lists tasks that the records do not place
+// here.
 func (w *Worker) Free() resource.Vector {
 	if w.MachineType == nil || w.UnknownTasks > 0 {
 		return resource.Vector{}
