--- a/internal/statestore/election.go
+++ b/internal/statestore/election.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// isVacant reports whether no live process is recorded as the leader.
+// isVacant reports whether no leader is recorded, or only an earlier process of this node.
 func (e *election) isVacant() bool {
 	leader, held := e.table.holders[LeaderKey]
 	return !held || leader.isEarlierProcess(e.node.process)
--- a/internal/statestore/lease_commit.go
+++ b/internal/statestore/lease_commit.go
@@ -49,8 +49,8 @@
 }
 
 // leaseCommits sends lease changes, one commit at a time per slot. Their effect is learned
-// from the watch alone. Repeating a commit that succeeded is harmless, since its conditions
-// then fail.
+// from the watch alone. Repeating a commit that succeeded is harmless: its conditions then
+// fail, or, for the node's own entry, which has none, it puts the same value.
 type leaseCommits struct {
 	runtime  eventloop.Runtime
 	client   *Client
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -166,10 +166,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			service, manager := newTestManager(t)
 			manager.table.apply(ShardKey(0), holderValue(t, first), 7)
-			before := manager.PreviousOwnerAnswersUntil(0)
+			initial := manager.PreviousOwnerAnswersUntil(0)
 			service.now += time.Hour
 			test.change(manager)
-			want := before
+			want := initial
 			if test.wait > 0 {
 				want = service.now + test.wait
 			}
--- a/internal/statestore/mirror_verify.go
+++ b/internal/statestore/mirror_verify.go
@@ -25,7 +25,7 @@
 // not wait for changes: its answer proves that the mirror is current. At most one check is in
 // flight.
 type checkQueue struct {
-	waiters    []func(error) // called by the next check that is sent
+	waiters    []func(error) // called with the result of the next check to be sent
 	inFlight   bool
 	scheduled  bool
 	lastSentAt time.Duration
--- a/internal/statestore/pacing.go
+++ b/internal/statestore/pacing.go
@@ -14,8 +14,9 @@
 	return max(tuning.StateRequestTimeout, min(tuning.CommitTimeoutFactor*c.averageLatency, tuning.MaxCommitTimeout))
 }
 
-// Backoff returns the pause before a retry, with jitter. attempt is the number of retries so
-// far, from 0; the pause doubles with each up to tuning.MaxStateBackoff.
+// Backoff returns the pause before a retry. attempt is the number of retries so far, from 0;
+// the pause doubles with each up to tuning.MaxStateBackoff, and is then multiplied by a random
+// factor from 0.5 to 1.5.
 func (c *Client) Backoff(attempt int) time.Duration {
 	pause := min(tuning.MinStateBackoff<<min(attempt, tuning.MaxStateBackoffDoublings), tuning.MaxStateBackoff)
 	return time.Duration(float64(pause) * (0.5 + c.runtime.Rand()))
--- a/internal/statestore/shard_assignment.go
+++ b/internal/statestore/shard_assignment.go
@@ -19,8 +19,8 @@
 }
 
 // assign assigns the shards without an owner to the candidates with the fewest shards. If all
-// shards have owners and none has changed for tuning.ShardRebalanceDelay, it moves one shard
-// to the candidate with the fewest.
+// shards have owners and none has changed for tuning.ShardRebalanceDelay, it moves one shard,
+// see shardToMove, to the candidate with the fewest.
 func (a *shardAssigner) assign() {
 	slot := commitSlot{purposeAssign, noShard}
 	if a.commits.isBusy(slot) || a.runtime.Now() < a.election.acquiredAt+tuning.FirstAssignmentDelay {
--- a/internal/statestore/shard_leases.go
+++ b/internal/statestore/shard_leases.go
@@ -95,8 +95,8 @@
 	s.release()
 }
 
-// release deletes the keys of the relinquished shards, so that they have no owner, in as many
-// commits as the limit of operations requires.
+// release marks the node's own entry as abstaining and deletes the keys of the relinquished
+// shards, so that they have no owner, in as many commits as the limit of operations requires.
 func (s *shardLeases) release() {
 	slot := commitSlot{purposeRelinquish, noShard}
 	if s.commits.isBusy(slot) {
