--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -168,7 +168,8 @@
 }
 
 // bestCandidate returns the candidate to assign tasks to next, or nil if none can run any.
-// hasExclusions tells whether some tasks are excluded from some machines.
+// hasExclusions is set if a task has a worker to avoid or was on some worker already, see
+// isExcluded.
 func (s *zoneSearch) bestCandidate(hasExclusions bool) *gangCandidate {
 	var best *gangCandidate
 	bestCount := 0 // unassigned tasks that best can run
--- a/internal/placement/overdue.go
+++ b/internal/placement/overdue.go
@@ -13,8 +13,8 @@
 // priority accepts no other work.
 const aboveAllPriorities = jobs.PriorityCritical + 1
 
-// placeOverdue starts the first tasks of starved jobs, and work that has waited longer than
-// the bound, before anything else. For work that fits nowhere, machines are held: they accept
+// placeOverdue starts the first tasks of starved jobs, and then work that has waited for the
+// bound or longer, before anything else. For work that fits nowhere, machines are held: they accept
 // no other work of its priority or below, or no other work at all if its job is starved.
 // Without holds, small tasks would use every processor that becomes free and the work would
 // never start.
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -11,7 +11,7 @@
 
 // Workers gives a Planner access to the machines of its shard.
 type Workers interface {
-	// AcceptsTasks reports whether tasks may be placed on a machine.
+	// AcceptsTasks reports whether tasks may be placed on a machine now.
 	AcceptsTasks(worker *workers.Worker) bool
 	// Worker returns the machine with a worker ID, or nil if the ID is unknown.
 	Worker(id string) *workers.Worker
--- a/internal/tokenbucket/tokenbucket.go
+++ b/internal/tokenbucket/tokenbucket.go
@@ -34,8 +34,9 @@
 // Spend removes tokens. The bucket may be overdrawn; later refills cover the deficit first.
 func (b *Bucket) Spend(tokens float64) { b.tokens -= tokens }
 
-// UntilNext returns the time until the bucket holds one whole token, at rate tokens per
-// second, rounded down to the nanosecond.
+// UntilNext returns the time from the last refill until the bucket holds one whole token, at
+// rate tokens per second, rounded down to the nanosecond. It is not positive if the bucket
+// holds one already.
 func (b *Bucket) UntilNext(rate float64) time.Duration {
 	return time.Duration((1 - b.tokens) / rate * float64(time.Second))
 }
