--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -12,7 +12,7 @@
 	job     *jobState
 	shard   int
 	tasks   []int
-	retried int // number of tasks that a shard has returned before
+	retried int // number of tasks that were returned to the queue before
 	bytes   int // upper bound of the size of the encoded record
 
 	// Set for the parts of a divided gang only, see taskstate.Record.
@@ -23,7 +23,7 @@
 }
 
 // cost returns an upper bound of the bytes that a task adds to the record. retried is set if
-// a shard has returned the task before.
+// the task was returned to the queue before, so that it may have had an attempt.
 func (b *taskBatch) cost(index int, retried bool) int {
 	switch {
 	case retried:
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -42,12 +42,13 @@
 }
 
 // taskQueue holds the tasks of a job that are not dispatched to a shard: first the tasks that
-// shards have returned, then those that were never dispatched.
+// were returned to the queue, by a shard or because their dispatch was not committed, then
+// those that were never removed from it.
 type taskQueue struct {
 	total    int            // number of tasks of the job
-	nextNew  int            // index of the first task that was never dispatched
-	returned []int          // indexes of returned tasks, in ascending order
-	attempts map[int]uint64 // number of the last attempt of each returned task
+	nextNew  int            // index of the first task that was never removed from the queue
+	returned []int          // indexes of tasks returned to the queue, in ascending order
+	attempts map[int]uint64 // last attempts of tasks that shards have returned, by index
 }
 
 // length returns the number of tasks in the queue.
@@ -61,8 +62,8 @@
 	return q.nextNew + offset - len(q.returned)
 }
 
-// pop removes the next task from the queue and returns its index, and whether a shard has
-// returned the task before.
+// pop removes the next task from the queue and returns its index, and whether the task was
+// returned to the queue before.
 func (q *taskQueue) pop() (index int, retried bool) {
 	index = q.at(0)
 	if len(q.returned) > 0 {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -395,8 +395,8 @@
 }
 
 // TestRecordMadeAgainAfterItsJobEndedIsRemoved guards against records that stay for ever: a
-// dispatch that is carried out again after its job has ended creates a record that no other
-// component removes.
+// dispatch that is carried out again after its job has ended creates a record that no shard
+// owner acts on and no other component removes.
 func TestRecordMadeAgainAfterItsJobEndedIsRemoved(t *testing.T) {
 	service := statetest.New()
 	node := startNode(service)
--- a/internal/shard/pacing.go
+++ b/internal/shard/pacing.go
@@ -13,7 +13,7 @@
 	budget         tokenbucket.Bucket // of operations
 	inFlight       int                // commits sent and not answered
 	sentAt         time.Duration      // when the newest commit was sent
-	refusals       int                // commits refused in a row
+	refusals       int                // consecutive refused commits
 	backingOff     bool               // waiting after a refusal
 	flushScheduled bool
 }
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -6,7 +6,7 @@
 )
 
 // addRecord adds a record to the working copy and returns its group of tasks, nil if its job
-// is unknown or finished.
+// is unknown or done.
 func (s *TaskStore) addRecord(record *taskstate.Record) *taskstate.TaskGroup {
 	entry := s.deps.Catalog.Get(record.Job)
 	if entry == nil || entry.Spec == nil {
--- a/internal/shard/taskstore.go
+++ b/internal/shard/taskstore.go
@@ -124,7 +124,8 @@
 }
 
 // TaskChanged schedules a changed task to be written to the log. A change is urgent if
-// somebody waits for it to become durable; it does not wait for others to share its commit.
+// somebody waits for it to become durable; an urgent change does not wait for others to share
+// its commit.
 func (s *TaskStore) TaskChanged(task *taskstate.Task, urgent bool) {
 	s.writer.taskChanged(task, urgent)
 }
--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -18,7 +18,7 @@
 //	assembling -> start in doubt  a task vanishes (TaskGone): the gang may have started
 //	start in doubt -> assembling  a later heartbeat shows a task waiting (ReportedWaiting)
 //	assembling -> running         a heartbeat shows a task running (ReportedRunning)
-//	any of these -> ended         a lost task is not replaceable, or EndAttempt is called
+//	any of these -> ended         a task is lost that cannot be replaced, or EndAttempt is called
 //	any of these -> idle          the last task is proven gone from its worker (TaskGone)
 //	any -> done                   a task is known to be done
 type Gang struct {
@@ -137,7 +137,7 @@
 	// LossBeforeWaiting means that the task never waited for the others, so that the gang
 	// cannot have started.
 	LossBeforeWaiting Loss = iota
-	// LossVanished means that the task is gone, whatever phase it was in.
+	// LossVanished means that the task is gone. It may have waited for the others or run.
 	LossVanished
 	// LossExited means that the task has exited, and that the others will too.
 	LossExited
@@ -216,8 +216,8 @@
 
 // MustHaltAttempt reports whether the tasks of an attempt that is over have to be halted
 // now. Before the start they are halted immediately. After the start the tasks notice a lost
-// peer themselves within peerTimeout; if they were ordered to save their progress, they also
-// have the job's checkpoint time.
+// peer themselves within peerTimeout, and tuning.GangLossNoticeMargin later they are halted. If
+// they were ordered to save their progress, they have the job's checkpoint time in addition.
 func (j *Job) MustHaltAttempt(now, peerTimeout time.Duration) bool {
 	gang := j.Gang
 	wait := peerTimeout + tuning.GangLossNoticeMargin
--- a/internal/taskstate/gang_placement.go
+++ b/internal/taskstate/gang_placement.go
@@ -122,8 +122,8 @@
 }
 
 // Launchable reports whether a placed task may be launched. A task of a gang may be launched
-// only when the placements of all its tasks are durable, so that no task is on a worker
-// while it is unknown where the others are to run.
+// only when the placements of all its tasks in the shard are durable, so that no task is on a
+// worker while it is unknown where the others are to run.
 func (t *Task) Launchable() bool {
 	if !t.PlacementDurable || t.Launch.Sent || t.Job.Cancelled {
 		return false
--- a/internal/taskstate/record_encoding.go
+++ b/internal/taskstate/record_encoding.go
@@ -35,7 +35,7 @@
 	Attempt  uint64 `json:"t"`
 }
 
-// Encode returns the stored form of a record that is being dispatched. Of the statuses it
+// Encode returns the stored form of a record that is being dispatched. Of the tasks' states it
 // contains only done.
 func (r *Record) Encode() (json.RawMessage, error) {
 	var indexes, lastAttempts, done rangeList
--- a/internal/tuning/leases.go
+++ b/internal/tuning/leases.go
@@ -37,7 +37,7 @@
 // Shard owners that no worker reaches.
 const (
 	// AbstainAfterStepDown is how long a node that relinquished its shards, because no worker
-	// reached it, does not own any.
+	// reached it, abstains from owning any.
 	AbstainAfterStepDown = 20 * time.Second
 	// OwnerSilenceIntervals and OwnerSilenceSlack define how long a shard owner with machines
 	// receives no heartbeat at all before it asks its peers and, if workers may reach them,
--- a/internal/tuning/users.go
+++ b/internal/tuning/users.go
@@ -28,7 +28,7 @@
 // Health of a node, as reported to the users' load balancer.
 const (
 	// UnhealthyAfter is how long a node may get no answer from the state service before it
-	// reports itself unhealthy, if a peer gets answers.
+	// reports itself unhealthy, unless its peers report that they get none either.
 	UnhealthyAfter = 4 * time.Second
 	// PeerHealthMaxAge is how long the reply of a peer that the state service answers it is
 	// considered valid. The peers are asked once a second.
