--- a/internal/gangforecast/gangforecast.go
+++ b/internal/gangforecast/gangforecast.go
@@ -17,9 +17,9 @@
 
 // Class is a class of gangs of which more may be submitted.
 type Class struct {
-	Spec  *jobs.Spec // of the newest gang
+	Spec  *jobs.Spec // of the gang observed last
 	Tasks int        // number of tasks of the largest gang since the class was last removed
-	// SeenAt is when the newest gang was observed, by the loop's clock.
+	// SeenAt is when a gang of the class was last observed, by the loop's clock.
 	SeenAt time.Duration
 }
 
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -33,10 +33,11 @@
 	// MachineListPageSize is the number of machines requested per page of the machine list.
 	MachineListPageSize = 500
 	// MaxMachineTypesRetryDelay is the maximum pause before the machine types are requested
-	// again after a failure: without them no machine is rented.
+	// again after a failure: without them no machine is rented. A random factor between 0.5
+	// and 1.5 is applied to the pause.
 	MaxMachineTypesRetryDelay = 10 * time.Second
 	// MaxRentalRetryDelay is the maximum pause before an unanswered rental request is
-	// repeated.
+	// repeated. The same random factor is applied to it.
 	MaxRentalRetryDelay = 8 * time.Second
 )
 
@@ -115,8 +116,8 @@
 	// to its price on an available spot machine for which the ordinary machine is
 	// exchanged: the spot machine costs money while it boots, and may be reclaimed.
 	MinExchangePriceRatio = 1.5
-	// ExchangeDelay is how long an exchange must have been worthwhile before it begins, and
-	// how long a new leader observes the work before it considers one.
+	// ExchangeDelay is how long an exchange must have been worthwhile before spot machines are
+	// rented for it, and how long a new leader observes the work before it considers one.
 	ExchangeDelay = 8 * time.Second
 	// ExchangePeakHalfLife is the half-life of the recorded maximum of the work.
 	ExchangePeakHalfLife = 120 * time.Second
--- a/internal/tuning/drains.go
+++ b/internal/tuning/drains.go
@@ -11,8 +11,9 @@
 	// emptied at a time. It bounds the status messages, which list all tasks of closed
 	// machines.
 	MaxDrainMachinesAtOnce = 200
-	// DefaultDrainWait is how soon tasks must be expected to end to be waited for, if the
-	// operators set no time. It is a few times the duration of most array tasks.
+	// DefaultDrainWait is how long after the closing of a machine a drain waits for tasks that
+	// are expected to end by then, if the operators set no time. It is a few times the
+	// duration of most array tasks.
 	DefaultDrainWait = 2 * time.Minute
 	// DrainWriteShare is the fraction of the state service's write operations that drains may
 	// use. They are the least urgent of all decisions.
