--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -36,8 +36,8 @@
 	// again after a failure: without them no machine is rented. A random factor between 0.5
 	// and 1.5 is applied to the pause.
 	MaxMachineTypesRetryDelay = 10 * time.Second
-	// MaxRentalRetryDelay is the maximum pause before an unanswered rental request is
-	// repeated. The same random factor is applied to it.
+	// MaxRentalRetryDelay is the maximum pause before a rental request is repeated that was not
+	// answered or failed on the cloud's side. The same random factor is applied to it.
 	MaxRentalRetryDelay = 8 * time.Second
 )
 
