--- a/internal/tuning/leases.go
+++ b/internal/tuning/leases.go
@@ -30,14 +30,14 @@
 	// one shard is moved for balance.
 	ShardRebalanceDelay = 30 * time.Second
 	// ElectionJitter spreads the attempts of different nodes to acquire a vacant leadership:
-	// each node pauses for its rank plus a random fraction, times this.
+	// each node pauses for this time, multiplied by its rank plus a random number below 1.
 	ElectionJitter = 150 * time.Millisecond
 )
 
 // Shard owners that no worker reaches.
 const (
 	// AbstainAfterStepDown is how long a node that relinquished its shards, because no worker
-	// reached it, does not own any.
+	// reached it, abstains from owning any.
 	AbstainAfterStepDown = 20 * time.Second
 	// OwnerSilenceIntervals and OwnerSilenceSlack define how long a shard owner with machines
 	// receives no heartbeat at all before it asks its peers and, if workers may reach them,
@@ -45,8 +45,8 @@
 	// messages on their way.
 	OwnerSilenceIntervals = 2.5
 	OwnerSilenceSlack     = 1500 * time.Millisecond
-	// ShortSilenceMinWorkers is the number of workers from which half of OwnerSilenceIntervals,
-	// about one heartbeat interval, is enough.
+	// ShortSilenceMinWorkers is the minimum number of workers with which half of
+	// OwnerSilenceIntervals, about one heartbeat interval, is enough.
 	ShortSilenceMinWorkers = 10
 	// MaxSilenceDoublings limits how often the allowed silence doubles while the node receives
 	// no heartbeat even after its shards return to it. Sixteen times the allowed silence is
