--- a/internal/drain/advance.go
+++ b/internal/drain/advance.go
@@ -113,7 +113,7 @@
 		case r.cluster.IsGone(machine.Replacement):
 			r.editMachine(drain, position, stepReplacementLost, func(m *Machine) { m.Replacement, m.RentalAttempts = "", m.RentalAttempts+1 })
 		default:
-			r.addWaitReason(drain, fmt.Sprintf("replacement %s for machine %s is booting", machine.Replacement, machine.ID))
+			r.addWaitReason(drain, fmt.Sprintf("replacement %s for machine %s is not up yet or does not accept tasks: machine %s stays open", machine.Replacement, machine.ID, machine.ID))
 		}
 	})
 }
@@ -128,7 +128,7 @@
 	}
 	replacement, isKnown := r.cluster.RentMachine(rentalName(drain, machine), info)
 	if !isKnown {
-		r.addWaitReason(drain, fmt.Sprintf("no replacement for %s yet: the cloud has not given one", machine.ID))
+		r.addWaitReason(drain, fmt.Sprintf("no replacement for machine %s yet: the cloud has not given one", machine.ID))
 		return
 	}
 	r.editMachine(drain, position, stepReplacementRented, func(m *Machine) { m.Replacement = replacement })
@@ -137,7 +137,7 @@
 // missingMachineReason returns the wait reason for a machine that the cluster does not list,
 // though it is not known to be gone.
 func missingMachineReason(machine *Machine) string {
-	return fmt.Sprintf("the leader has no information on machine %s at present", machine.ID)
+	return fmt.Sprintf("the leader has no information on machine %s at present: its drain does not proceed", machine.ID)
 }
 
 // closeMachine is the edit of a machine's entry that closes the machine to new tasks.
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -89,7 +89,8 @@
 	// Limit is the name of the limit, as in the settings: tasks, cpus, share or replicas_up.
 	Limit string
 	// Used, Requested and Max are tasks or processors. For replicas_up, Requested is the
-	// number of replicas that would stay up and Max the number that must; Used is 0.
+	// number of replicas that would stay up (0 if the reports of lost replicas are incomplete)
+	// and Max the number that must; Used is 0.
 	Used      float64
 	Requested float64
 	Max       float64
@@ -99,7 +100,7 @@
 // Error returns the reason as operators read it.
 func (e *ShortageError) Error() string {
 	if e.Limit == limitReplicasUp {
-		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be", e.Team, e.Limit, e.Requested, e.Service, e.Max)
+		return fmt.Sprintf("budget of team %s: %s: %g of service %s would be up, %g must be (a replica of unknown state does not count as up)", e.Team, e.Limit, e.Requested, e.Service, e.Max)
 	}
 	return fmt.Sprintf("budget of team %s: %s: %g in use, %g more requested, %g allowed", e.Team, e.Limit, e.Used, e.Requested, e.Max)
 }
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -104,7 +104,7 @@
 		return
 	}
 	if !c.canAct() {
-		answer(c.requests.unavailable("this controller does not lead, or has not loaded all machines and tasks yet"))
+		answer(c.requests.unavailable("this controller does not lead, or has not loaded all drains, machines and tasks yet"))
 		return
 	}
 	c.requests.handle(request, answer)
@@ -112,7 +112,7 @@
 
 // HandleShardReport processes the report that a shard owner sent under its fencing token.
 // The report is nil if drains are off in the owner's settings, or while its records show no
-// drain. A report that is older than the newest one received for the shard is dropped.
+// active drain and no grant. A report that is older than the newest one received for the shard is dropped.
 func (c *Coordinator) HandleShardReport(shardIndex int, token, sequence uint64, report *ShardReport) {
 	if !c.committer.hasTerm() {
 		return
--- a/internal/drain/executor.go
+++ b/internal/drain/executor.go
@@ -70,8 +70,8 @@
 // left.
 func (e *Executor) Report() *ShardReport { return e.reporter.report() }
 
-// HaltGranted halts the granted attempts that still run, provided that the shard's lease is
-// held.
+// HaltGranted halts the attempts that still run and that active drains have granted, provided
+// that the shard's lease is held.
 func (e *Executor) HaltGranted() {
 	if !e.isLeaseHeld() {
 		return
--- a/internal/drain/executor_report.go
+++ b/internal/drain/executor_report.go
@@ -148,7 +148,7 @@
 	report.Teams[job.Spec.Team] = team
 }
 
-// addReplicaDown counts a replica that is not up. At most MaxReportedDownServices services
+// addReplicaDown counts an interrupted replica. At most MaxReportedDownServices services
 // are listed, which bounds the size of the report.
 func addReplicaDown(report *ShardReport, job string) {
 	if _, isListed := report.ReplicasDown[job]; !isListed && len(report.ReplicasDown) >= tuning.MaxReportedDownServices {
--- a/internal/drain/executor_test.go
+++ b/internal/drain/executor_test.go
@@ -151,14 +151,14 @@
 		prepare func(*testing.T, *executorFixture)
 		halts   int
 	}{
-		"granted attempt":  {func(*testing.T, *executorFixture) {}, 1},
-		"later attempt":    {func(_ *testing.T, f *executorFixture) { f.shard.task.Attempt = 4 }, 0},
-		"not launched":     {func(_ *testing.T, f *executorFixture) { f.shard.task.Launch.Sent = false }, 0},
-		"halted already":   {func(_ *testing.T, f *executorFixture) { f.shard.task.Halt.Decided = true }, 0},
-		"job is cancelled": {func(_ *testing.T, f *executorFixture) { f.shard.job.Cancelled = true }, 0},
-		"drain is paused":  {func(t *testing.T, f *executorFixture) { f.setPhase(t, PhasePaused) }, 1},
-		"drain is over":    {func(t *testing.T, f *executorFixture) { f.setPhase(t, PhaseCancelled) }, 0},
-		"lease is lost":    {func(_ *testing.T, f *executorFixture) { f.shard.isLeaseHeld = false }, 0},
+		"granted attempt":    {func(*testing.T, *executorFixture) {}, 1},
+		"later attempt":      {func(_ *testing.T, f *executorFixture) { f.shard.task.Attempt = 4 }, 0},
+		"not launched":       {func(_ *testing.T, f *executorFixture) { f.shard.task.Launch.Sent = false }, 0},
+		"halted already":     {func(_ *testing.T, f *executorFixture) { f.shard.task.Halt.Decided = true }, 0},
+		"job is cancelled":   {func(_ *testing.T, f *executorFixture) { f.shard.job.Cancelled = true }, 0},
+		"drain is paused":    {func(t *testing.T, f *executorFixture) { f.setPhase(t, PhasePaused) }, 1},
+		"drain is cancelled": {func(t *testing.T, f *executorFixture) { f.setPhase(t, PhaseCancelled) }, 0},
+		"lease is lost":      {func(_ *testing.T, f *executorFixture) { f.shard.isLeaseHeld = false }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fixture := newExecutorFixture(t)
--- a/internal/drain/grants.go
+++ b/internal/drain/grants.go
@@ -27,8 +27,8 @@
 	closedFor       time.Duration // how long the machine has been closed
 }
 
-// lostCPUSeconds estimates the work that is lost when the move is granted, in
-// processor-seconds.
+// lostCPUSeconds estimates the work that is lost when the task or gang is halted, in processor
+// seconds: the time since its start, or that of a checkpoint if it writes any.
 func (m *pendingMove) lostCPUSeconds() float64 {
 	seconds := m.runningFor.Seconds()
 	if m.spec.CheckpointIntervalSeconds > 0 {
@@ -89,7 +89,7 @@
 	}
 	closed := r.reports.closedMachine(info.Shard, info.ID)
 	if closed == nil {
-		r.addWaitReason(drain, fmt.Sprintf("machine %s is missing from the report of shard %d: its tasks count as disturbed until they are proven gone", machine.ID, info.Shard))
+		r.addWaitReason(drain, fmt.Sprintf("machine %s is missing from the drain report of shard %d: nothing more is granted on it, and without heartbeats its tasks count as disturbed until they are proven gone", machine.ID, info.Shard))
 		return
 	}
 	moves := r.pendingMoves(machine, info, closed)
@@ -203,7 +203,7 @@
 // error texts.
 func (r *reconcilePass) checkMove(machine *Machine, move *pendingMove) error {
 	if move.isAboutToEnd(r.settings.WaitOrDefault()) {
-		return fmt.Errorf("tasks of job %s are expected to end soon", move.spec.ID)
+		return fmt.Errorf("tasks of job %s are expected to end soon: they are not halted yet", move.spec.ID)
 	}
 	team := move.spec.Team
 	budget := r.budgets.ForTeam(team)
@@ -241,11 +241,11 @@
 // finds no room.
 func (r *reconcilePass) checkRoom(machine *Machine, move *pendingMove) error {
 	if machine.Replacement == "" && r.cluster.HasUrgentWaiting(move.spec.Priority()) {
-		return fmt.Errorf("work of a higher priority than job %s waits for room", move.spec.ID)
+		return fmt.Errorf("tasks of job %s are not moved while work of a higher priority waits for room", move.spec.ID)
 	}
 	availableCPUs := float64(r.cluster.CapacityFor(move.spec, move.destinationZone)) * move.spec.CPUs
 	if availableCPUs-r.usage.movingCPUs+resource.Epsilon >= move.requiredCPUs() {
 		return nil
 	}
-	return fmt.Errorf("%w on open machines for tasks of job %s", errNoRoom, move.spec.ID)
+	return fmt.Errorf("%w for tasks of job %s on the open machines that they may move to", errNoRoom, move.spec.ID)
 }
--- a/internal/drain/operator_requests.go
+++ b/internal/drain/operator_requests.go
@@ -85,7 +85,7 @@
 // superseded returns the answer to a request whose commit failed on a condition: the drain's
 // records or the leader have changed.
 func (h *requestHandler) superseded() Response {
-	return h.unavailable("the request conflicted with another change of the drains or of the leader")
+	return h.unavailable("the drains or the leader changed while the request was being committed")
 }
 
 // unknownDrain returns the answer to a request for a drain that does not exist.
@@ -102,8 +102,8 @@
 	return response
 }
 
-// view returns a drain as operators see it. The states of an ended drain whose pages are
-// removed are taken from its head.
+// view returns a drain as operators see it. If the pages of an ended drain are removed, only
+// the number of released machines is known, from its head.
 func (h *requestHandler) view(drain *Drain) View {
 	states := map[string]int{}
 	for state, count := range drain.CountByState() {
--- a/internal/drain/shard_report.go
+++ b/internal/drain/shard_report.go
@@ -9,7 +9,8 @@
 	Granted []GrantedTask `json:"granted,omitempty"`
 	// Teams is, by team, the shard's running work and the work disturbed without a grant.
 	Teams map[string]TeamWork `json:"teams,omitempty"`
-	// ReplicasDown is, by service, the number of replicas that are placed but not up.
+	// ReplicasDown is, by service, the number of placed replicas that are interrupted, see
+	// reporter.isInterrupted. A replica that starts for the first time is not counted.
 	ReplicasDown map[string]int `json:"down,omitempty"`
 	// ReplicasDownIsPartial is set if ReplicasDown was truncated, so that no replica may be
 	// counted as up.
--- a/internal/drain/surface_test.go
+++ b/internal/drain/surface_test.go
@@ -70,7 +70,7 @@
 // TestSurfaceBudgetWords pins the names of the limits, which are those of the settings.
 func TestSurfaceBudgetWords(t *testing.T) {
 	if got := (Budget{Tasks: 8, CPUs: 128.5, Share: 0.2, ReplicasUp: 1}).String(); got != "tasks 8, cpus 128.5, share 0.2, replicas_up 1" {
-		t.Errorf("budget reads %q", got)
+		t.Errorf("Budget.String() = %q, want %q", got, "tasks 8, cpus 128.5, share 0.2, replicas_up 1")
 	}
 }
 
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -89,7 +89,8 @@
 // budgetUsage is the usage of the teams' budgets and of the room on open machines.
 type budgetUsage struct {
 	teams map[string]*TeamUsage
-	// movingCPUs is the number of processors of granted tasks that are not placed again yet.
+	// movingCPUs is the number of processors of granted tasks that are not placed again yet, and
+	// of granted gangs that do not run again yet.
 	movingCPUs float64
 	// replicasDown is, by service, the number of replicas that are granted or were lost. If
 	// replicasUnknown is set it is incomplete, and no replica counts as up.
--- a/internal/drain/wire_test.go
+++ b/internal/drain/wire_test.go
@@ -85,10 +85,10 @@
 		Zones:    []string{"yard-a"}, Types: []string{"g8"}, Kind: SpotKind, Prefixes: []string{"10.0.0.0/8"},
 	}}
 	if got := request.Digest(); got != "6d1777ec38c522073beebbd5d3f4298e" {
-		t.Errorf("digest of the request: %s", got)
+		t.Errorf("digest of the request: %s, want 6d1777ec38c522073beebbd5d3f4298e", got)
 	}
 	if got := (&Request{}).Digest(); got != "5a56e004cba19c3c3db41ce32987073c" {
-		t.Errorf("digest of the empty request: %s", got)
+		t.Errorf("digest of the empty request: %s, want 5a56e004cba19c3c3db41ce32987073c", got)
 	}
 }
 
@@ -97,6 +97,6 @@
 func TestWireReplacementName(t *testing.T) {
 	d := &Drain{ID: "d-1", Head: Head{CreatedAtMS: 1700000000001}}
 	if got := rentalName(d, &Machine{ID: "vm-000001", RentalAttempts: 2}); got != "drain-d-1-1700000000001-vm-000001-2" {
-		t.Errorf("rental name %q", got)
+		t.Errorf("rentalName() = %q, want %q", got, "drain-d-1-1700000000001-vm-000001-2")
 	}
 }
