--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -114,8 +114,8 @@
 }
 
 // retryDelay returns the pause before a call is retried, where attempt is the number of earlier
-// retries. It starts at one second, doubles up to limit, and has a jitter of half its length
-// either way.
+// retries. It starts at one second and doubles with each retry, up to limit and to 16 seconds at
+// most, with a jitter of half its length either way.
 func (c *cloudClient) retryDelay(attempt int, limit time.Duration) time.Duration {
 	const maxDoublings = 4
 	pause := min(time.Second<<min(attempt, maxDoublings), limit)
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -64,7 +64,7 @@
 }
 
 // wasStalled reports whether dispatch was stalled within tuning.StalledDispatchGrace. Idle
-// machines will then be used as soon as dispatch goes on.
+// machines will then be used as soon as dispatch resumes.
 func (d *demandState) wasStalled(now time.Duration) bool {
 	return d.stalledAt > 0 && now-d.stalledAt < tuning.StalledDispatchGrace
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -108,7 +108,7 @@
 }
 
 // runRound releases and rents machines, and schedules the next round. While the lease is not
-// valid it does neither.
+// valid it neither releases nor rents any, and rents none before the machine list has been read.
 func (f *Fleet) runRound() {
 	f.runtime.After(tuning.FleetRoundInterval, f.term.counter.Guard(f.runRound))
 	if !f.leases.LeaseValid() {
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -117,7 +117,7 @@
 
 // setOwnerFresh records a message from the owner of the only shard at the current time.
 func (f *Fleet) setOwnerFresh() {
-	f.shards[0].owner = ownerStatus{token: 1, seq: 1, heardAt: f.runtime.Now(), known: true}
+	f.shards[0].owner = ownerStatus{token: 1, seq: 1, lastMessageAt: f.runtime.Now(), known: true}
 }
 
 // addBusyMachine adds a machine that has reported and runs tasks.
--- a/internal/fleet/rental_plan.go
+++ b/internal/fleet/rental_plan.go
@@ -144,8 +144,9 @@
 	return int(math.Ceil(cpus / empty.MachineType.CPUs))
 }
 
-// maxQueueSeconds returns the number of seconds that a queue may take before a machine of a type
-// is rented for a demand. maxWait bounds the wait, also of a demand with no objective left.
+// maxQueueSeconds returns the number of seconds that a queue may take before it is worth booting
+// a machine of a type for a demand. maxWait bounds the wait for an objective, and replaces it if
+// the demand has none left.
 func maxQueueSeconds(demand *Demand, machineType *jobs.MachineType, maxWait time.Duration) float64 {
 	ready := readySeconds(demand, machineType)
 	return max(tuning.RentBacklogShare*machineType.BootSeconds, tuning.QueueTimeShare*(demand.objectiveWait(ready, maxWait.Seconds())-ready))
--- a/internal/fleet/shard_status.go
+++ b/internal/fleet/shard_status.go
@@ -28,7 +28,7 @@
 	Token          uint64          `json:"token"`          // the owner's fencing token
 	Seq            uint64          `json:"seq"`            // incremented with each message under a token
 	Full           bool            `json:"full,omitempty"` // Hosts contains all machines of the shard
-	ReachableZones []string        `json:"lit,omitempty"`  // zones that the owner has just heard from
+	ReachableZones []string        `json:"lit,omitempty"`  // zones from which the owner has just received heartbeats
 	Hosts          []MachineStatus `json:"hosts"`
 }
 
@@ -66,13 +66,13 @@
 type ownerStatus struct {
 	known           bool // a message has been received in this term
 	token, seq      uint64
-	heardAt         time.Duration
+	lastMessageAt   time.Duration
 	respondingSince time.Duration // start of the period without a gap in this owner's messages
 }
 
 // isFresh reports whether the owner's last message is younger than tuning.StatusStaleAfter.
 func (o *ownerStatus) isFresh(now time.Duration) bool {
-	return o.known && now-o.heardAt < tuning.StatusStaleAfter
+	return o.known && now-o.lastMessageAt < tuning.StatusStaleAfter
 }
 
 // isLate reports whether a message was delayed, so that one at least as new is already known.
@@ -88,10 +88,10 @@
 // observe records the receipt of a message.
 func (o *ownerStatus) observe(message *ShardStatus, now time.Duration) {
 	since := o.respondingSince
-	if !o.known || o.token != message.Token || now-o.heardAt > tuning.StatusStaleAfter {
+	if !o.known || o.token != message.Token || now-o.lastMessageAt > tuning.StatusStaleAfter {
 		since = now
 	}
-	*o = ownerStatus{known: true, token: message.Token, seq: message.Seq, heardAt: now, respondingSince: since}
+	*o = ownerStatus{known: true, token: message.Token, seq: message.Seq, lastMessageAt: now, respondingSince: since}
 }
 
 // HandleStatus processes a shard owner's status message and returns the reply. Machines in the
@@ -112,7 +112,7 @@
 		reply.Full = true // its content is valid, but a previous message is missing
 	}
 	for _, zone := range message.ReachableZones {
-		f.zones.heardAt[zone] = now
+		f.zones.reachableAt[zone] = now
 	}
 	// If this reply is lost, the owner's next message is a full one. It contains the released
 	// machines, so they are reported again.
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -11,8 +11,8 @@
 // zoneTracker records which zones the shard owners receive heartbeats from.
 type zoneTracker struct {
 	settings *settings.Settings
-	// heardAt is the time at which an owner last heard from a zone, by zone.
-	heardAt map[string]time.Duration
+	// reachableAt is the time at which an owner last reported a zone as reachable, by zone.
+	reachableAt map[string]time.Duration
 	// expected is the number of machines that should send heartbeats, by zone.
 	expected map[string]int
 	// partitionedAt is the last time at which a zone was partitioned, by zone.
@@ -21,13 +21,13 @@
 
 func newZoneTracker(settings *settings.Settings) zoneTracker {
 	return zoneTracker{
-		settings: settings, heardAt: map[string]time.Duration{}, expected: map[string]int{},
+		settings: settings, reachableAt: map[string]time.Duration{}, expected: map[string]int{},
 		partitionedAt: map[string]time.Duration{},
 	}
 }
 
 func (z *zoneTracker) reset() {
-	clear(z.heardAt)
+	clear(z.reachableAt)
 	clear(z.expected)
 	clear(z.partitionedAt)
 }
@@ -36,10 +36,10 @@
 // leader's lease has been valid without a gap.
 type zoneMoment struct{ now, actingSince time.Duration }
 
-// silence returns the time since an owner last heard from a zone, or since the leader has been
-// acting if that is shorter.
+// silence returns the time since an owner last reported a zone as reachable, or since the
+// leader's lease has been valid if that is shorter.
 func (z *zoneTracker) silence(zone string, moment zoneMoment) time.Duration {
-	return moment.now - max(z.heardAt[zone], moment.actingSince)
+	return moment.now - max(z.reachableAt[zone], moment.actingSince)
 }
 
 // isPartitioned reports whether a zone is unreachable for the shard owners while others are
@@ -47,7 +47,8 @@
 // there; see tuning.ZonePartitionRetention.
 func (z *zoneTracker) isPartitioned(zone string, moment zoneMoment) bool {
 	silence := z.silence(zone, moment)
-	// A zone that was partitioned just before stays so, however few machines are left there.
+	// A zone that was partitioned just before remains so even if the machines left there are
+	// too few for IsZonePartitioned.
 	wasPartitioned := z.wasPartitionedWithin(zone, tuning.ZonePartitionAfter, moment.now)
 	if !wasPartitioned && !z.settings.IsZonePartitioned(z.expected[zone], silence) {
 		return false
@@ -55,7 +56,7 @@
 	if silence <= tuning.ZonePartitionAfter {
 		return false
 	}
-	for other := range z.heardAt {
+	for other := range z.reachableAt {
 		if z.silence(other, moment) <= tuning.ZonePartitionAfter {
 			return true
 		}
--- a/internal/fleet/zones_test.go
+++ b/internal/fleet/zones_test.go
@@ -41,7 +41,7 @@
 	return test
 }
 
-// advance simulates one second in which the owner hears from the given zones.
+// advance simulates one second in which the owner receives heartbeats from the given zones.
 func (z *zoneTest) advance(reachable ...string) {
 	z.runtime.now += time.Second
 	z.message.Seq++
@@ -50,8 +50,8 @@
 	z.fleet.evaluateMachines()
 }
 
-// markSilent makes the owner request the release of the machines of a zone that it has not heard
-// from for long enough, a number of seconds after it last heard from any of them. Every other
+// markSilent makes the owner request the release of those machines of a zone that have been
+// silent for long enough, a number of seconds after the zone's last heartbeat. Every other
 // machine may have urgent tasks.
 func (z *zoneTest) markSilent(zone string, seconds int) {
 	for i := range z.message.Hosts {
