--- a/internal/jobs/rank_test.go
+++ b/internal/jobs/rank_test.go
@@ -23,7 +23,7 @@
 		t.Fatal("of two new jobs the larger one goes first, want the smaller one")
 	}
 	if !largeRank.Update(large, nodeSettings, 30_000, 1) || smallRank.Update(small, nodeSettings, 30_000, 20) {
-		t.Fatal("want Update to report a change only for the job whose remaining work changed")
+		t.Fatal("Update reports no change of the large job's remaining work, or one of the unchanged small job")
 	}
 	if !largeRank.Before(&smallRank) || smallRank.Before(&largeRank) {
 		t.Error("the job with one unfinished task goes after the job with twenty, want before")
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -62,7 +62,8 @@
 }
 
 // commit writes the cancelled record on condition that the job's record has not changed since
-// it was read, and retries the cancellation if the commit fails without effect.
+// it was read, and retries the cancellation if the commit fails without effect. If the outcome
+// of the commit is unknown it responds with 503.
 func (c *cancellations) commit(entry *Entry, value json.RawMessage, respond http1.ResponseWriter, attempt int) {
 	id := entry.ID
 	conditions := []statestore.Condition{{Key: KeyPrefix + id, Revision: entry.Revision}}
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -44,7 +44,7 @@
 	return catalog
 }
 
-// SetWatchPause sets the pause before the watch is opened again after changes, see
+// SetWatchPause sets the average pause before the watch is opened again after changes, see
 // statestore.Mirror.SetWatchPause.
 func (c *Catalog) SetWatchPause(pause func() time.Duration) { c.mirror.SetWatchPause(pause) }
 
--- a/internal/userapi/submissions.go
+++ b/internal/userapi/submissions.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// submit handles a submission. It responds without a commit if the job is invalid or already
-// known or the node is not ready, and otherwise when the job has been committed or the attempt
-// to commit it has failed.
+// submit handles a submission. It responds without a commit if the job is invalid, infeasible,
+// too large or already known, or the node is not ready. Otherwise it responds when the job has
+// been committed, the outcome of the commit is unknown or the submission has expired.
 func (s *submissions) submit(body []byte, respond http1.ResponseWriter) {
 	job, err := jobs.Parse(body)
 	if err != nil {
