--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -9,7 +9,8 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Demand is a set of tasks of one job that do not fit on the available machines.
+// Demand is a set of tasks of one job that do not fit on the available machines, a reserve for
+// an expected gang, or, with Tasks 0, only tasks that a quota holds back.
 type Demand struct {
 	Spec  *jobs.Spec
 	Zone  string // zone chosen at dispatch, "" for any
@@ -55,8 +56,8 @@
 // demandState is the result of the leader's latest dispatch round.
 type demandState struct {
 	list []Demand
-	// movableJob is the job with the most running work that could run on spot machines
-	// instead, nil if there is none.
+	// movableJob is, of the jobs that could run on any spot machine, the one whose placed tasks
+	// use the most processors, nil if there is none.
 	movableJob *jobs.Spec
 	// stalledAt is the last time at which work could not be dispatched because of the state
 	// service's write limits, 0 if there was none in this term.
@@ -73,9 +74,9 @@
 // state service's limits keep from being dispatched.
 func (f *Fleet) RecordStalledDispatch() { f.demand.stalledAt = f.runtime.Now() }
 
-// SetDemand sets the tasks for which there is no room, and the job with the most running work
-// that could run on spot machines instead, nil if there is none. The fleet takes ownership of
-// the slice and sorts it.
+// SetDemand sets the demand for machines, and the job that could run on any spot machine and
+// whose placed tasks use the most processors, nil if there is none. The fleet takes ownership
+// of the slice and sorts it.
 func (f *Fleet) SetDemand(demands []Demand, movableJob *jobs.Spec) {
 	// A demand waits only behind work that precedes it in the dispatch order. The list begins
 	// with tasks that are queued already, whatever their rank. Without the sort, services,
