--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -69,9 +69,8 @@
 	// ExpensiveQueueFactor is the ratio of the queued work to the work that the machines, up
 	// or booting, can do before the time of an objective, above which expensive machines
 	// are rented. Small jobs go first, so most jobs of a queue that is half too long are in
-	// time. Of the values 1, 1.5 and 2, tried on days of a large deployment with simulated
-	// machines, 1 was the worst. 2 was about as good as 1.5 there, but met fewer deadlines on
-	// a day that loses spot machines.
+	// time. A larger factor leaves more work to the cheap machines, but meets fewer deadlines
+	// when spot machines are lost.
 	ExpensiveQueueFactor = 1.5
 	// MaxQueueTime bounds the wait of work when it is decided whether to rent spot machines
 	// for it. An objective may require a shorter wait; for work without one this is the only
@@ -129,8 +128,8 @@
 	// longer than they take to boot.
 	MinSteadyWorkShare = 0.4
 	// MinExchangeSpotMachines is the minimum number of spot machines that the steady work must
-	// fill. With few, the fluctuations of the work are as large as the machines, and an
-	// exchange made the results of simulated days worse.
+	// fill. With few spot machines, the fluctuations of the work are as large as the machines,
+	// so an exchange does not pay.
 	MinExchangeSpotMachines = 20
 	// ExchangeReserveShare is the capacity reserved on ordinary machines, as a fraction of the
 	// work that can run nowhere else: more of that work may arrive, and a new machine has
