--- a/cmd/lemonmoor/surface_test.go
+++ b/cmd/lemonmoor/surface_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// TestSurfaceExits checks the exit statuses and outputs of command lines, among them the one-line
-// errors.
+// TestSurfaceExits checks the exit statuses and outputs of command lines, among them the
+// one-line errors.
 func TestSurfaceExits(t *testing.T) {
 	config := configOf(t, "127.0.0.1:1")
 	bad := filepath.Join(t.TempDir(), "bad.hcl")
--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,8 +1,8 @@
 // Package adminclient sends operators' requests to the controllers, over the same kind of
 // HTTP/2 streams as the controllers use among themselves. It asks the controllers in turn, and
 // starts over some time after the last one, until one gives a final answer or the timeout has
-// passed. It retains no state beyond one request, and must not interpret requests or answers: its
-// caller evaluates the answers.
+// passed. It retains no state beyond one request, and must not interpret requests or answers:
+// its caller evaluates the answers.
 package adminclient
 
 import (
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -68,8 +68,8 @@
 }
 
 // check relinquishes the shards if this node's answers do not reach more than half of the
-// reporting workers. If no heartbeat has arrived here within the silence limit, it asks the peers
-// whether workers reach them. The limit doubles with each relinquishment since the last
+// reporting workers. If no heartbeat has arrived here within the silence limit, it asks the
+// peers whether workers reach them. The limit doubles with each relinquishment since the last
 // heartbeat, up to tuning.MaxSilenceDoublings times. Without reporting workers check does
 // nothing.
 func (m *ownershipMonitor) check(workers workerReachability) {
@@ -133,9 +133,9 @@
 	return silence.duration() < m.runtime.Now()-since
 }
 
-// peersAnswered relinquishes the shards if a worker may have reached a peer. If none has, it keeps
-// them and restarts the wait for heartbeats. It does nothing if a heartbeat has arrived at this
-// node in the meantime, or if the node no longer owns a shard.
+// peersAnswered relinquishes the shards if a worker may have reached a peer. If none has, it
+// keeps them and restarts the wait for heartbeats. It does nothing if a heartbeat has arrived
+// at this node in the meantime, or if the node no longer owns a shard.
 func (m *ownershipMonitor) peersAnswered(silentSince time.Duration, mayReachPeer bool) {
 	if !m.shards.ownsShard() || m.lastHeartbeatAt != silentSince {
 		return
--- a/internal/controller/peer_messages.go
+++ b/internal/controller/peer_messages.go
@@ -86,8 +86,8 @@
 	answer(body, err == nil)
 }
 
-// handleStatusMessage handles a shard owner's status message. It refuses the message if this node
-// is not the leader.
+// handleStatusMessage handles a shard owner's status message. It refuses the message if this
+// node is not the leader.
 func (n *Node) handleStatusMessage(body []byte, answer peerAnswer) {
 	var message statusMessage
 	if err := json.Unmarshal(body, &message); err != nil || n.leases.LeaderToken() == 0 {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -151,7 +151,8 @@
 
 // refuse sends an error response on the event loop and closes the connection.
 func refuse(connection gnet.Conn, status int, reason string, retryAfter int) gnet.Action {
-	_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(reason), retryAfter, true)) // the connection is closed in any case
+	// A write error is ignored: the connection is closed in any case.
+	_, _ = connection.Write(AppendResponse(nil, status, ErrorBody(reason), retryAfter, true))
 	return gnet.Close
 }
 
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -105,7 +105,9 @@
 // dispatchJobs dispatches as many tasks as quotas and capacity allow, job by job in dispatch
 // order.
 func (r *dispatchRound) dispatchJobs() {
-	exhausted := map[string]bool{} // teams whose further jobs must not overtake one that waits for the quota
+	// exhausted contains the teams whose further jobs must not overtake one that waits for the
+	// quota.
+	exhausted := map[string]bool{}
 	reserveForUrgent(r.leader.teams, r.leader.jobs.ordered, r.leader.runtime.Now())
 	for _, job := range r.leader.jobs.ordered {
 		if job.cancelled || job.ending || job.pending.length() == 0 || job.team == nil {
--- a/internal/placement/machine_order.go
+++ b/internal/placement/machine_order.go
@@ -7,11 +7,12 @@
 	"lemonmoor/internal/workers"
 )
 
-// compareForArrays orders machines for tasks that run to completion. On-demand machines with
-// replicas of services come last: replicas stay until they are cancelled, so such a machine
-// cannot be returned, and its room is left to further replicas. Otherwise smaller machines come first, since large tasks fit only on
-// large ones. Of equal size, spot machines come first, then the fullest, so that expensive
-// machines and others run empty and can be returned.
+// compareForArrays orders machines for tasks that run to completion. On-demand machines
+// with replicas of services come last: replicas stay until they are cancelled, so such a
+// machine cannot be returned, and its room is left to further replicas. Otherwise smaller
+// machines come first, since large tasks fit only on large ones. Of equal size, spot
+// machines come first, then the fullest, so that expensive machines and others run empty
+// and can be returned.
 func compareForArrays(first, second *workers.Worker) int {
 	if onDemandA, onDemandB := isOnDemandWithServices(first), isOnDemandWithServices(second); onDemandA != onDemandB {
 		return trueFirst(onDemandB)
--- a/internal/placement/overdue.go
+++ b/internal/placement/overdue.go
@@ -14,10 +14,10 @@
 const aboveAllPriorities = jobs.PriorityCritical + 1
 
 // placeOverdue starts the first tasks of starved jobs, and then work that has waited for the
-// bound or longer, before anything else. For work that fits nowhere, machines are held: they accept
-// no other work of its priority or below, or no other work at all if its job is starved.
-// Without holds, small tasks would use every processor that becomes free and the work would
-// never start.
+// bound or longer, before anything else. For work that fits nowhere, machines are held: they
+// accept no other work of its priority or below, or no other work at all if its job is
+// starved. Without holds, small tasks would use every processor that becomes free and the work
+// would never start.
 func (p *Planner) placeOverdue(round *placementRound) {
 	round.heldMinPriority = map[*workers.Worker]jobs.Priority{}
 	var lastHolder *taskstate.Job // its tasks are skipped: one held machine per job is enough
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,8 +76,8 @@
 			WriteRPS float64 `json:"write_rps"` // changes a second
 			ValueKB  float64 `json:"value_kb"`
 			TxnOps   int     `json:"txn_ops"` // operations in a commit
-			// Next is the limits that come into force at a later time. If Next is
-			// nil, no limit changes; if one of its fields is nil, that limit does not.
+			// Next is the limits that come into force at a later time. If Next is nil, no
+			// limit changes; if one of its fields is nil, that limit does not.
 			Next *NextLimits `json:"next"`
 		} `json:"state"`
 		Cloud struct {
--- a/internal/statestore/answer_deadlines.go
+++ b/internal/statestore/answer_deadlines.go
@@ -16,8 +16,8 @@
 }
 
 // ownerChanged records that the owner of a shard changed, now or earlier. A previous owner
-// whose lease has expired may answer for another grace period. If its lease may still
-// be valid, it may answer until its copy of the leases is too old, which takes up to
+// whose lease has expired may answer for another grace period. If its lease may still be
+// valid, it may answer until its copy of the leases is too old, which takes up to
 // tuning.LeaseTTL, and then for the grace period, see LeaseManager.AnswersUntil.
 func (d *answerDeadlines) ownerChanged(shard int, leaseMayBeValid bool) {
 	until := d.runtime.Now() + d.gracePeriod
--- a/internal/statestore/leases_test.go
+++ b/internal/statestore/leases_test.go
@@ -117,8 +117,8 @@
 	check("renewal", sentAt)
 }
 
-// TestExpiredNodeLeaseEndsShardOwnership checks that a process whose node lease has expired owns no
-// shard, even while its copy of the leases still shows its old entries.
+// TestExpiredNodeLeaseEndsShardOwnership checks that a process whose node lease has expired
+// owns no shard, even while its copy of the leases still shows its old entries.
 func TestExpiredNodeLeaseEndsShardOwnership(t *testing.T) {
 	service, manager := newTestManager(t)
 	service.reply(t, "/grants", `{"permit":5}`)
--- a/internal/statestore/limits.go
+++ b/internal/statestore/limits.go
@@ -53,8 +53,8 @@
 }
 
 // writeThrottle controls the share of the service's writes per second that this node uses.
-// The share decreases by a factor on refusals and increases at a constant rate
-// (additive increase, multiplicative decrease).
+// The share decreases by a factor on refusals and increases at a constant rate (additive
+// increase, multiplicative decrease).
 type writeThrottle struct {
 	share           float64 // as of shareUpdatedAt
 	shareUpdatedAt  time.Duration
--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -5,8 +5,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Announce queues a direct message with the current token to a worker, unless the worker has
-// shown that token, is unreachable or runs on a released machine. AfterBatch sends it. The worker sends a heartbeat as soon as it learns of a token, so that it accepts tasks
+// Announce queues a direct message with the current token to a worker, unless the worker
+// has shown that token, is unreachable or runs on a released machine. AfterBatch sends it.
+// The worker sends a heartbeat as soon as it learns of a token, so that it accepts tasks
 // again without waiting for its next regular heartbeat, which may be ten seconds away.
 func (r *Registry) Announce(id, addr string) {
 	if addr == "" || r.released[id] {
--- a/internal/workers/commands_test.go
+++ b/internal/workers/commands_test.go
@@ -137,8 +137,10 @@
 		t.Error("after an unanswered command: the worker accepts tasks, want none until its next heartbeat")
 	}
 	fixture.now += time.Second
-	fixture.registry.HandleHeartbeat(fixture.heartbeat()) // the launch in doubt makes the registry renew the token
-	task.Launch.InDoubt = false                           // as after reloading the records under the new token
+	// The launch in doubt makes the registry renew the token.
+	fixture.registry.HandleHeartbeat(fixture.heartbeat())
+	// As after reloading the records under the new token.
+	task.Launch.InDoubt = false
 	fixture.worker.token = fixture.token
 	fixture.registry.HandleHeartbeat(fixture.heartbeat())
 	if !fixture.registry.AcceptsTasks(worker) {
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -62,7 +62,8 @@
 	fixture.onTaskWaiting = func(*taskstate.Task) { goneAt = fixture.now }
 	fixture.now += time.Second
 	fixture.registry.HandleHeartbeat(copied)
-	leaseEnd := fixture.previousOwnerAnswersUntil + fixture.registry.settings.WorkerLease() // the worker may run until then
+	// The worker may run its tasks until leaseEnd.
+	leaseEnd := fixture.previousOwnerAnswersUntil + fixture.registry.settings.WorkerLease()
 	for ; fixture.now < leaseEnd+time.Minute && goneAt == 0; fixture.now += 100 * time.Millisecond {
 		fixture.registry.Tick()
 	}
--- a/internal/workers/task_ends.go
+++ b/internal/workers/task_ends.go
@@ -31,8 +31,8 @@
 	case CauseAlone:
 		// Counts as a failure of neither the machine nor the job.
 	case CauseMatesGone:
-		// Counts as a failure of neither the machine nor the job, but shows that the
-		// gang had started.
+		// Counts as a failure of neither the machine nor the job, but shows that the gang
+		// had started.
 		if task.Job.Gang != nil {
 			task.Job.Gang.Started = true
 		}
--- a/internal/workers/unreachable_workers.go
+++ b/internal/workers/unreachable_workers.go
@@ -11,8 +11,8 @@
 const drainReasonUnreachable = "does not hear"
 
 // detectUnreachable marks a worker unreachable if its heartbeats arrive but the answers and
-// launches sent to it apparently do not. Heartbeats alone are no proof that the worker is reachable: if it
-// counted as alive, it would be given task after task and run none of them.
+// launches sent to it apparently do not. Heartbeats alone are no proof that the worker is
+// reachable: if it counted as alive, it would be given task after task and run none of them.
 func (r *Registry) detectUnreachable(worker *Worker) {
 	if worker.Unreachable || !worker.seemsUnreachable() {
 		return
--- a/internal/workers/wire_test.go
+++ b/internal/workers/wire_test.go
@@ -150,7 +150,8 @@
 			fixture := newGangFixture(2)
 			fixture.phase = "novel"
 			fixture.placeAndLaunchAll(t)
-			fixture.job.Gang.StartInDoubtSince = fixture.now // as if a task had been lost before the next heartbeat
+			// As if a task had been lost before the next heartbeat.
+			fixture.job.Gang.StartInDoubtSince = fixture.now
 			fixture.reportAll(t, phase, "")
 			if started, waits := fixture.job.Gang.Started, fixture.job.Gang.StartInDoubtSince == 0 && !fixture.job.Gang.AttemptOver; started != want.started || waits != want.waits {
 				t.Errorf("phase %s: started %v, waits %v, want %v, %v", phase, started, waits, want.started, want.waits)
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -136,10 +136,12 @@
 
 // commandDelivery is the state of the direct messages to a worker.
 type commandDelivery struct {
-	inFlight           bool          // a direct message is in flight, and no other may be sent
-	unansweredAt       time.Duration // when a direct message last went unanswered
-	taskProbeDue       bool          // a direct message is due even without commands, for the task list in its answer
-	announcementQueued bool          // see Registry.announceQueue
+	inFlight     bool          // a direct message is in flight, and no other may be sent
+	unansweredAt time.Duration // when a direct message last went unanswered
+	// taskProbeDue is set when a direct message is due even without commands, for the task
+	// list in its answer.
+	taskProbeDue       bool
+	announcementQueued bool // see Registry.announceQueue
 	// pendingHalts are added to the next direct message. They halt the tasks of cancelled
 	// jobs in a heartbeat that must not be answered, including tasks that are not in the
 	// records.
