--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestLanesAreServedInPriorityOrder checks that each lane is one batch and that lanes run in
-// the order of their priority, whatever the order of the posts.
+// the order of their priority, regardless of the order of the posts.
 func TestLanesAreServedInPriorityOrder(t *testing.T) {
 	loop := NewLoop()
 	var served []string
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -87,7 +87,7 @@
 
 // closeConnection closes a connection and returns its socket to the budget.
 func (c *Client) closeConnection(conn net.Conn) {
-	_ = conn.Close() // the connection is not used again, whatever the result
+	_ = conn.Close() // an error does not matter: the connection is not used again
 	c.sockets.countClosed()
 }
 
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -97,7 +97,7 @@
 
 // updateStarved sets starved if no task of the job is placed or done and the age of the job
 // exceeds the limit, and resets it once a task is. It reports whether starved has changed.
-// Starved jobs are dispatched first, so that no job is passed over for ever.
+// Starved jobs are dispatched first, so that no job waits indefinitely.
 func (j *jobState) updateStarved(age time.Duration, limit time.Duration) bool {
 	begun := j.counts.placed+j.counts.done > 0
 	switch {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -182,7 +182,7 @@
 				submit(t, service, spec)
 			}
 			node.run(100 * time.Millisecond)
-			for range 3 { // no watch reports changes meanwhile
+			for range 3 { // no watch reports changes in this time
 				service.AdvanceClock(time.Second)
 				node.runRound()
 			}
@@ -352,7 +352,7 @@
 }
 
 // TestJobEndIsReportedOnlyWhenDurable guards against users being told of the end of a job before
-// it is durable, and against an end that overwrites a cancellation stored meanwhile.
+// it is durable, and against an end that overwrites a cancellation stored in the meantime.
 func TestJobEndIsReportedOnlyWhenDurable(t *testing.T) {
 	service := statetest.New()
 	service.Hold = isJobEnd
@@ -394,7 +394,7 @@
 	}
 }
 
-// TestRecordMadeAgainAfterItsJobEndedIsRemoved guards against records that stay for ever: a
+// TestRecordMadeAgainAfterItsJobEndedIsRemoved guards against records that stay indefinitely: a
 // dispatch that is carried out again after its job has ended creates a record that no shard
 // owner acts on and no other component removes.
 func TestRecordMadeAgainAfterItsJobEndedIsRemoved(t *testing.T) {
--- a/internal/leader/record_commit.go
+++ b/internal/leader/record_commit.go
@@ -107,8 +107,8 @@
 }
 
 // dropUnlessStored verifies the copy of the records and drops the records that it does not
-// have. It is called when the last attempt failed for good. After a conflict some of the keys
-// exist: an earlier attempt was carried out, and RecordAdded has counted its records.
+// have. It is called when the last attempt failed permanently. After a conflict some of the
+// keys exist: an earlier attempt was carried out, and RecordAdded has counted its records.
 func (c *recordCommit) dropUnlessStored() {
 	leader := c.leader
 	leader.commits.verify(leader.records, func(err error) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -43,8 +43,8 @@
 }
 
 // serveMessage passes one message to the handler and writes the handler's answer. A message
-// that is not answered within 2*tuning.PeerRequestTimeout is refused, because its sender has
-// given up by then.
+// that is not answered within 2*tuning.PeerRequestTimeout is refused, because its sender no
+// longer waits for the answer by then.
 func serveMessage(w http.ResponseWriter, r *http.Request, handle Handler, log *slog.Logger) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, tuning.MaxPeerMessageBytes))
 	if err != nil {
--- a/internal/placement/gangs.go
+++ b/internal/placement/gangs.go
@@ -10,10 +10,10 @@
 	"lemonmoor/internal/workers"
 )
 
-// A gang is one unit of the policy: in one round, either all of its tasks that need a machine
-// are placed or none is. It waits as a unit of the extra queue, since it may need several
-// machines, and goes first among the work of its priority. Of the machines with room, those
-// that cache its image are preferred, and as few of them as possible.
+// The planner places a gang as one unit: in one round, either all of its tasks that need a
+// machine are placed or none is. It waits as a unit of the extra queue, since it may need
+// several machines, and precedes the other work of its priority. Of the machines with room,
+// those that cache its image are preferred, and as few of them as possible.
 
 // pendingGang contains the tasks of a job that must be placed together.
 type pendingGang struct {
--- a/internal/placement/pull.go
+++ b/internal/placement/pull.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// fillFromQueues starts queued tasks on a machine for as long as any of the samples fits.
+// fillFromQueues starts queued tasks on a machine while any of the samples fits.
 func (p *Planner) fillFromQueues(filter *pullFilter, samples []*taskstate.Task) {
 	fitsHere := func(task *taskstate.Task) bool { return fits(task, filter.worker) }
 	for slices.ContainsFunc(samples, fitsHere) {
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -13,7 +13,7 @@
 // taskQueue contains waiting tasks, sorted by taskBefore.
 type taskQueue []*taskstate.Task
 
-// taskBefore reports whether a goes before b in a queue: by the ranks of their jobs, and
+// taskBefore reports whether a precedes b in a queue: by the ranks of their jobs, and
 // within a job by index.
 func taskBefore(a, b *taskstate.Task) bool {
 	if a.Job != b.Job {
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -79,7 +79,7 @@
 }
 
 // isStarved reports whether a job was submitted more than tuning.StarvedAfter ago and none
-// of its tasks has been placed yet. Such a job goes before all others.
+// of its tasks has been placed yet. Such a job precedes all others.
 func (r *placementRound) isStarved(job *taskstate.Job) bool {
 	return !job.HasPlacedTask && r.wallMS-job.SubmittedMS > tuning.StarvedAfter.Milliseconds()
 }
--- a/internal/placement/services_test.go
+++ b/internal/placement/services_test.go
@@ -42,9 +42,9 @@
 }
 
 // TestReplicasOfAServiceGoToDifferentMachines checks that the replicas of a service are spread
-// over machines only where that costs little: no replica starts later than if they were packed,
-// none goes to a machine without services while one with services has room, and none to a
-// machine without the image while one that caches it has room.
+// over machines only where that costs little: no replica starts later than if they were
+// packed, none is placed on a machine without services while one with services has room, and
+// none on a machine without the image while one that caches it has room.
 func TestReplicasOfAServiceGoToDifferentMachines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fixture := newPlannerFixture(drawMachineTypes(t, 1, 8)...)
--- a/internal/shard/log_pages_test.go
+++ b/internal/shard/log_pages_test.go
@@ -28,8 +28,8 @@
 }
 
 // TestPageWithNewestStatusIsNeverOverwritten guards against losing the newest status of a
-// task: its page must not be overwritten, however commits overlap and in whatever order they
-// are answered. The log must also stay short.
+// task: its page must not be overwritten, regardless of how commits overlap and of the
+// order in which they are answered. The log must also stay short.
 func TestPageWithNewestStatusIsNeverOverwritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := pagesModel{
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -186,11 +186,11 @@
 	m.mirror.Verify(func(error) { fn() })
 }
 
-// Relinquished reports whether this process is giving up a shard and must not answer under
+// Relinquished reports whether this process is relinquishing a shard and must not answer under
 // the shard's token any more. The next owner may start before the watch shows this process
 // that the shard is released.
 func (m *LeaseManager) Relinquished(shard int) bool { return m.shards.isRelinquished(shard) }
 
-// RelinquishShards gives up all shards because no worker reaches this node, and abstains
+// RelinquishShards relinquishes all shards because no worker reaches this node, and abstains
 // from owning shards for tuning.AbstainAfterStepDown.
 func (m *LeaseManager) RelinquishShards() { m.shards.relinquishAll() }
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -44,7 +44,7 @@
 }
 
 // outcomeOfStatus returns the outcome for the HTTP status of an answer. A status that the
-// protocol does not define proves nothing, so it gives OutcomeUnknown.
+// protocol does not define proves nothing, so the outcome is OutcomeUnknown.
 func outcomeOfStatus(status int) Outcome {
 	switch status {
 	case 200, 201, 204:
--- a/internal/statestore/shard_leases.go
+++ b/internal/statestore/shard_leases.go
@@ -81,7 +81,7 @@
 	s.commits.send(slot, []Condition{{key, token}}, []Operation{s.node.attach(key)})
 }
 
-// relinquishAll gives up all shards and abstains from owning any for
+// relinquishAll relinquishes all shards and abstains from owning any for
 // tuning.AbstainAfterStepDown.
 func (s *shardLeases) relinquishAll() {
 	if len(s.tokens) == 0 || s.commits.isBusy(commitSlot{purposeRelinquish, noShard}) {
--- a/internal/taskstate/gang.go
+++ b/internal/taskstate/gang.go
@@ -31,7 +31,7 @@
 	// gone.
 	AttemptOver      bool
 	AttemptOverSince time.Duration
-	// Checkpointing is set when the attempt is over because the gang was ordered to save
+	// Checkpointing is set when the attempt has ended because the gang was ordered to save
 	// its progress.
 	Checkpointing bool
 	// StartInDoubtSince is when a task vanished while it was unknown whether the gang had
@@ -63,7 +63,7 @@
 	GangStartInDoubt
 	// GangRunning is the phase after the start: no task can be replaced.
 	GangRunning
-	// GangEnded is the phase in which the attempt is over but not all of its tasks are
+	// GangEnded is the phase in which the attempt has ended but not all of its tasks are
 	// proven gone from their workers.
 	GangEnded
 	// GangDone is the final phase.
@@ -214,7 +214,7 @@
 	}
 }
 
-// MustHaltAttempt reports whether the tasks of an attempt that is over have to be halted
+// MustHaltAttempt reports whether the tasks of an attempt that has ended have to be halted
 // now. Before the start they are halted immediately. After the start the tasks notice a lost
 // peer themselves within peerTimeout, and tuning.GangLossNoticeMargin later they are halted. If
 // they were ordered to save their progress, they have the job's checkpoint time in addition.
--- a/internal/taskstate/gang_placement.go
+++ b/internal/taskstate/gang_placement.go
@@ -76,7 +76,7 @@
 }
 
 // ChosenAttemptOver reports whether the attempt that the leader has chosen for a part of a
-// divided gang is over. The part is then to be returned to the leader.
+// divided gang has ended. The part is then to be returned to the leader.
 func (j *Job) ChosenAttemptOver() bool {
 	gang := j.Gang
 	if gang == nil || gang.Attempt != 0 || gang.Done || j.Cancelled {
--- a/internal/taskstate/gang_rules_test.go
+++ b/internal/taskstate/gang_rules_test.go
@@ -25,7 +25,7 @@
 }
 
 // TestGangTasksAreLaunchedInAnOpenAttemptOnly guards against launching tasks of an attempt
-// that is over, or of one that may have started before one of its tasks was lost.
+// that has ended, or of one that may have started before one of its tasks was lost.
 func TestGangTasksAreLaunchedInAnOpenAttemptOnly(t *testing.T) {
 	for _, test := range []struct {
 		gang Gang
--- a/internal/taskstate/page_test.go
+++ b/internal/taskstate/page_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestAttemptsOfDoneTasksAreNotStored checks that completed tasks are stored as one range,
-// whatever their attempts were.
+// regardless of their attempt numbers.
 func TestAttemptsOfDoneTasksAreNotStored(t *testing.T) {
 	job := &Job{Spec: &jobs.Spec{ID: "wk-1"}, Tasks: map[int]*Task{}, Groups: map[string]*TaskGroup{}}
 	tasks := LoadRecord(job, NewRecord(0, "wk-1", 0, []int{0, 1, 2}, nil, nil)).Tasks
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -4,9 +4,9 @@
 
 // Dispatch to the shards, and placement on machines.
 const (
-	// WaitBound is the wait in the extra queue after which a task goes first on the next free
-	// machine, unless the operators set another time. The users' design note proposes 30 s
-	// to start with.
+	// WaitBound is the wait in the extra queue after which a task has precedence on the
+	// next free machine, unless the operators set another time. The users' design note
+	// proposes 30 s to start with.
 	WaitBound = 30 * time.Second
 	// MaxQueuedShare is the maximum amount of work in a shard's queues, as a fraction of its
 	// machines' processors. The rest waits with the leader, which can dispatch it to any
--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -45,8 +45,9 @@
 		if worker.Token >= token || r.workers[worker.ID] != worker || r.isZonePartitioned(worker.Zone) {
 			continue
 		}
-		// The session of a worker that has not reported to this process is a guess.
-		// If it is wrong, the worker refuses the message, which does no harm.
+		// The session of a worker that has not reported to this process is assumed to be 1.
+		// If that is wrong, the worker refuses the message and learns the token with its
+		// next heartbeat.
 		body, ok := r.encodeMessage(worker, CommandMessage{
 			Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{}),
 		})
--- a/internal/workers/cancellations.go
+++ b/internal/workers/cancellations.go
@@ -18,7 +18,7 @@
 
 // appendCancellationHalts appends halts for the tasks of cancelled jobs that a worker may
 // have. They are repeated, with any kind of message to the worker, until each task is proven
-// gone. A repeated or late halt does no harm, since it names the attempt.
+// gone. A repeated or late halt cannot end a later attempt, since it names the attempt.
 func (r *Registry) appendCancellationHalts(worker *Worker, commands []Command) []Command {
 	now := r.runtime.Now()
 	for task := range worker.Tasks {
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -129,8 +129,8 @@
 }
 
 // appendHalts appends to a message the halts that have not been sent to the worker yet and
-// those that are due to be repeated. A repeated or late halt does no harm, since it names the
-// attempt.
+// those that are due to be repeated. A repeated or late halt cannot end a later attempt, since
+// it names the attempt.
 func (r *Registry) appendHalts(worker *Worker, message *CommandMessage) {
 	for task := range worker.Tasks {
 		if task.Halt.Decided && task.Observed.Reported && !task.Halt.Sent && len(message.Commands) < tuning.MaxCommandsPerMessage {
--- a/internal/workers/drains.go
+++ b/internal/workers/drains.go
@@ -32,7 +32,7 @@
 
 // haltIfMustMove halts a running task of a drained worker that has to continue elsewhere: a
 // replica of a service at once, and a task with checkpoints early enough to write one before
-// the cloud takes the machine. The halt is sent directly, and repeated in each answer to a
+// the cloud reclaims the machine. The halt is sent directly, and repeated in each answer to a
 // heartbeat until the task is gone. Tasks of gangs are halted by haltGangBeforeTermination.
 func (r *Registry) haltIfMustMove(worker *Worker, task *taskstate.Task, now time.Duration) {
 	if worker.DrainReason == "" || task.Halt.Decided || !task.Observed.Running || task.Job.Gang != nil {
--- a/internal/workers/drains_test.go
+++ b/internal/workers/drains_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestTasksLeaveDrainedWorkers checks that replicas of services leave a drained worker, that
-// tasks with checkpoints are halted in time before the cloud takes their machine, and that
+// tasks with checkpoints are halted in time before the cloud reclaims their machine, and that
 // other tasks run on.
 func TestTasksLeaveDrainedWorkers(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/internal/workers/gangs.go
+++ b/internal/workers/gangs.go
@@ -105,7 +105,7 @@
 }
 
 // checkGang is called once a second. It halts tasks that have to leave their machines before
-// the cloud takes them, and ends an attempt whose start has been in doubt for too long.
+// the cloud reclaims them, and ends an attempt whose start has been in doubt for too long.
 func (r *Registry) checkGang(job *taskstate.Job, now time.Duration) {
 	gang := job.Gang
 	if gang.Attempt == 0 || job.Cancelled {
@@ -120,7 +120,7 @@
 	r.haltEndedAttempt(job, now)
 }
 
-// haltGangBeforeTermination halts a gang before the cloud takes one of its machines. All
+// haltGangBeforeTermination halts a gang before the cloud reclaims one of its machines. All
 // tasks write a checkpoint at the same time, as late as possible. If too little time is left
 // for that, the gang runs on, since it may still complete or write a regular checkpoint. If
 // the gang has not started, only its tasks on that machine are halted, so that they leave it.
@@ -148,7 +148,7 @@
 }
 
 // latestCheckpointAt returns the latest time at which a task of a job can begin a checkpoint
-// and finish it before the cloud takes its machine.
+// and finish it before the cloud reclaims its machine.
 func latestCheckpointAt(worker *Worker, job *taskstate.Job) time.Duration {
 	checkpointDuration := time.Duration(job.Spec.CheckpointSeconds * float64(time.Second))
 	return worker.TerminationAt - checkpointDuration - tuning.SpotNoticeReserve
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestHeartbeatOfAReleasedMachineIsRefused checks that a heartbeat that was in flight when the
-// cloud took the machine back does not add its worker to the registry again.
+// cloud reclaimed the machine does not add its worker to the registry again.
 func TestHeartbeatOfAReleasedMachineIsRefused(t *testing.T) {
 	fixture := newRegistryFixture(1)
 	fixture.exchangeHeartbeats(t)
--- a/internal/workers/properties_test.go
+++ b/internal/workers/properties_test.go
@@ -177,7 +177,7 @@
 // TestCancelledTasksEndWithinTheLimit checks that no task of a job is on its machine, nor
 // started there by a message in flight, more than cancel_s after the user was told that the job
 // is cancelled. This holds whichever messages are lost, delayed or repeated, however long the
-// owner goes without a verification, and if another owner takes over.
+// owner cannot verify its knowledge, and also if another owner acquires the shard.
 func TestCancelledTasksEndWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exchange := &randomExchange{registryFixture: newRegistryFixture(3), t: t}
--- a/internal/workers/reconcile_test.go
+++ b/internal/workers/reconcile_test.go
@@ -112,8 +112,8 @@
 }
 
 // TestUnknownPhasesAndCausesProveNothingGone checks that a phase or a cause that this version
-// does not know never proves a task gone, and does not block it for ever either: a task with an
-// unknown cause is forgotten by the worker, and is gone once it is no longer listed.
+// does not know never proves a task gone, and does not block it indefinitely either: a task
+// with an unknown cause is forgotten by the worker, and is gone once it is no longer listed.
 func TestUnknownPhasesAndCausesProveNothingGone(t *testing.T) {
 	fixture := newRegistryFixture(2)
 	worker := fixture.placeAndLaunchAll(t)
--- a/internal/workers/release.go
+++ b/internal/workers/release.go
@@ -52,10 +52,10 @@
 		}
 		return ReleaseSilent
 	case worker.TerminationAt != 0:
-		return "" // the cloud will take it back
+		return "" // the cloud will reclaim it
 	case worker.DrainReason != "":
-		// Unrecorded tasks on an unreachable worker end with its lease at the latest, so
-		// they do not delay its return.
+		// Unrecorded tasks on an unreachable worker end no later than its lease, so they do
+		// not delay its return.
 		if worker.isEmpty() || (len(worker.Tasks) == 0 && worker.DrainReason == drainReasonUnreachable) {
 			return worker.DrainReason
 		}
--- a/internal/workers/worker.go
+++ b/internal/workers/worker.go
@@ -108,7 +108,7 @@
 // Health holds the reasons not to place tasks on a worker that is reachable.
 type Health struct {
 	DrainReason         string          // why it gets no new tasks, "" if it is not drained
-	TerminationAt       time.Duration   // when the cloud takes the spot machine, 0 without a notice
+	TerminationAt       time.Duration   // when the cloud reclaims the spot machine, 0 without a notice
 	RefusesUntil        time.Duration   // it gets no tasks before, since it refused one as full
 	ConsecutiveFailures int             // tasks that failed on it since one last completed
 	FailedJobs          map[string]bool // IDs of the jobs of those tasks
