--- a/internal/workers/announcements.go
+++ b/internal/workers/announcements.go
@@ -5,8 +5,9 @@
 	"lemonmoor/internal/tuning"
 )
 
-// Announce queues a direct message with the current token to a worker, unless the worker has
-// shown that token, is unreachable or runs on a released machine. AfterBatch sends it. The worker sends a heartbeat as soon as it learns of a token, so that it accepts tasks
+// Announce queues a direct message with the current token to a worker, unless the worker
+// has shown that token, is unreachable or runs on a released machine. AfterBatch sends it.
+// The worker sends a heartbeat as soon as it learns of a token, so that it accepts tasks
 // again without waiting for its next regular heartbeat, which may be ten seconds away.
 func (r *Registry) Announce(id, addr string) {
 	if addr == "" || r.released[id] {
@@ -44,8 +45,9 @@
 		if worker.Token >= token || r.workers[worker.ID] != worker || r.isZonePartitioned(worker.Zone) {
 			continue
 		}
-		// The session of a worker that has not reported to this process is a guess.
-		// If it is wrong, the worker refuses the message, which does no harm.
+		// The session of a worker that has not reported to this process is assumed to be 1.
+		// If that is wrong, the worker refuses the message and learns the token with its
+		// next heartbeat.
 		body, ok := r.encodeMessage(worker, CommandMessage{
 			Token: token, Session: max(worker.Session, 1), Commands: r.appendCancellationHalts(worker, []Command{}),
 		})
