--- a/internal/controller/drain_measurement_test.go
+++ b/internal/controller/drain_measurement_test.go
@@ -13,7 +13,8 @@
 // meanBootSeconds is the mean boot time of a machine of the simulated cloud.
 const meanBootSeconds = 2.5
 
-// drainMeasurement is the measurement of one drain; TestMeasureDrains prints means over seeds.
+// drainMeasurement is the measurement of one drain, or of the release of all machines at once.
+// TestMeasureDrains prints means over the seeds of a drain, and the maximum of maxDisturbed.
 type drainMeasurement struct {
 	duration     time.Duration
 	halts        int
--- a/internal/controller/drain_requests_test.go
+++ b/internal/controller/drain_requests_test.go
@@ -14,8 +14,8 @@
 // the invalid field and that a refused request stores nothing.
 func TestRefusedDrainRequestNamesField(t *testing.T) {
 	sim := newDrainSimulation(11, 4)
-	machine := sim.workerIDs(hasTasks)[:1]
-	sim.requestDrain(startDrain("known", machine, false), func(drain.Response) {})
+	machines := sim.workerIDs(hasTasks)[:1]
+	sim.requestDrain(startDrain("known", machines, false), func(drain.Response) {})
 	sim.runUntil(sim.now + 5*second)
 	for _, test := range []struct {
 		request      drain.Request
@@ -23,8 +23,8 @@
 	}{
 		{startDrain("a", []string{"vm-999999"}, false), "machine", "vm-999999"},
 		{startDrain("a", nil, false), "selection", "empty"},
-		{startDrain("Ä", machine, false), "id", "Ä"},
-		{startDrain("", machine, false), "id", ""},
+		{startDrain("Ä", machines, false), "id", "Ä"},
+		{startDrain("", machines, false), "id", ""},
 		{drain.Request{Verb: drain.VerbStart, ID: "a", Selection: drain.Selection{Prefixes: []string{"10.0.0.0/40"}}}, "prefix", "10.0.0.0/40"},
 		{drain.Request{Verb: drain.VerbStart, ID: "a", Selection: drain.Selection{Zones: []string{"nowhere"}}}, "selection", "no machine"},
 		{drain.Request{Verb: drain.VerbStart, ID: "a", Selection: drain.Selection{Kind: "cheap"}}, "kind", "cheap"},
@@ -68,8 +68,8 @@
 	sim.checkRules(t)
 }
 
-// TestRepeatedDrainStartIsIdempotent checks that a start that is repeated, at any node and after
-// lost answers, starts one drain.
+// TestRepeatedDrainStartIsIdempotent checks that a start that is sent six times, to random nodes
+// and while half of the state service's answers to commits are lost, starts one drain.
 func TestRepeatedDrainStartIsIdempotent(t *testing.T) {
 	sim := newDrainSimulation(13, 4)
 	sim.stateFaults.lostAnswerShare = 0.5
--- a/internal/controller/drain_scenarios_test.go
+++ b/internal/controller/drain_scenarios_test.go
@@ -170,7 +170,8 @@
 	sim.submitAndPoll(urgent, 0)
 	sim.runUntil(sim.now + 10*second)
 	urgentWaits := sim.leader().node.fleet.HasWaitingWork(jobs.PriorityStandard)
-	sim.cloud.availablePerKind = 1 + len(sim.workerIDs(nil)) // one more small machine of each kind, and no big one
+	// From now on at least one more small machine of each zone and price can be rented, no big one.
+	sim.cloud.availablePerKind = 1 + len(sim.workerIDs(nil))
 	sim.cloud.soldOutType = "big"
 	names := sim.workerIDs(hasTasks)
 	sim.requestDrain(startDrain("a", names, true), func(drain.Response) {})
@@ -181,8 +182,8 @@
 	sim.checkAllGone(t, names)
 }
 
-// exhaustCloud submits urgent jobs until the controllers have learned that the cloud has no
-// capacity left.
+// exhaustCloud submits three urgent jobs and runs the simulation for 5 s, in which the controllers
+// learn that the cloud has no capacity left.
 func (s *simulation) exhaustCloud() {
 	for i := range 3 {
 		job := newJob(jobSpec{id: jobID(60 + i), team: "blue", tasks: 5, cpus: 2, runTime: 2 * second, estimateSeconds: 300, spot: i%2 == 0, urgent: true})
@@ -192,7 +193,7 @@
 }
 
 // TestDrainBudgetCountsOtherDisturbances checks that tasks lost to failures count against the
-// budget of a drain, and that the drain continues without a request when they run again.
+// budget of a drain, and that the drain continues by itself when they run again.
 func TestDrainBudgetCountsOtherDisturbances(t *testing.T) {
 	sim := newSimulation(4)
 	sim.cloud.available = 30
@@ -219,8 +220,9 @@
 	sim.checkAllGone(t, names)
 }
 
-// TestDrainOfFaultyMachines checks that a drain completes whatever fault its machines have when
-// the first grant is made, unless the machines hang forever.
+// TestDrainOfFaultyMachines checks that a drain completes although its busy machines hang, are
+// unreachable, partitioned or reclaimed, or die when the first grant is made. If they hang
+// forever, the drain need not complete, but no rule may be broken.
 func TestDrainOfFaultyMachines(t *testing.T) {
 	for name, breakMachine := range map[string]func(sim *simulation, worker *simWorker){
 		"hangs": func(sim *simulation, worker *simWorker) { worker.faults.unresponsiveUntil = sim.now + 25*second },
--- a/internal/controller/gang_scenarios_test.go
+++ b/internal/controller/gang_scenarios_test.go
@@ -53,13 +53,14 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestGangMemberLostBeforeStartIsReplaced checks that a task whose machine is lost before its
-// gang has started is replaced under the same attempt: the gang starts without a second one.
+// TestGangMemberLostBeforeStartIsReplaced checks that a gang that loses a machine before its start
+// completes with at most two attempts. A lost task is replaced under the same attempt as long as
+// others of the gang remain; if the machine had all of them, a second attempt begins.
 func TestGangMemberLostBeforeStartIsReplaced(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			sim := newSimulation(40 + seed)
-			job := newGang(1, 4, 4) // one on each machine
+			job := newGang(1, 4, 4) // a small machine has room for one task, a big one for all
 			sim.schedule(2*time.Second, func() { sim.submitAndPoll(job, 0) })
 			reclaimed := false
 			for at := 2 * time.Second; at < 60*time.Second && !reclaimed; at += 10 * time.Millisecond {
--- a/internal/controller/incidents_test.go
+++ b/internal/controller/incidents_test.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// testDeathOfOnlyMachine ends the machine after each controller has owned the shard and
-// received a heartbeat of the machine.
+// testDeathOfOnlyMachine kills the machine after each controller has owned the shard and received
+// a heartbeat of the machine, and checks that the machine's work is completed elsewhere.
 func testDeathOfOnlyMachine(t *testing.T, sim *simulation) {
 	job := newJob(jobSpec{id: "wk-000001", team: "red", tasks: 3, cpus: 1, runTime: 60 * time.Second, spot: true})
 	sim.schedule(time.Second, func() { sim.submitAndPoll(job, 0) })
@@ -237,8 +237,9 @@
 	sim.checkRulesAndCompletion(t)
 }
 
-// TestInvalidLayoutStopsAllWork checks that controllers do not replace an invalid stored
-// number of shards by a guess: none leads, owns a shard or accepts jobs until it is corrected.
+// TestInvalidLayoutStopsAllWork guards against controllers that replace an invalid stored number
+// of shards by a guess and then lead, own shards or accept jobs under it. It checks that none
+// leads or is healthy while the number is invalid, and that a job is done after its correction.
 func TestInvalidLayoutStopsAllWork(t *testing.T) {
 	sim := newSimulation(13)
 	sim.restart()
--- a/internal/controller/knowledge_test.go
+++ b/internal/controller/knowledge_test.go
@@ -23,7 +23,8 @@
 }
 
 // TestAnswersNeedRecentKnowledgeOfCancellations checks that an owner with valid, verified
-// leases stops answering workers when its knowledge of cancellations exceeds MaxKnowledgeAge.
+// leases stops answering workers when its knowledge of cancellations is older than
+// MaxKnowledgeAge.
 func TestAnswersNeedRecentKnowledgeOfCancellations(t *testing.T) {
 	sim, node, owner := newAnsweringOwner(t)
 	sim.stateFaults.silentWatchPrefix = userapi.KeyPrefix
@@ -34,7 +35,7 @@
 	sim.runUntil(sim.now + 3*tuning.KnowledgeVerifyInterval)
 	if node.mayAnswer(owner) {
 		verifiedAt, _ := node.catalog.VerifiedAt()
-		t.Errorf("the owner may answer with knowledge of cancellations that is %v old", node.runtime.Now()-verifiedAt)
+		t.Errorf("the owner may answer with knowledge of cancellations that is %v old, want less than %v", node.runtime.Now()-verifiedAt, sim.settings.MaxKnowledgeAge())
 	}
 	if node.runtime.Now() >= node.leases.AnswersUntil() {
 		t.Error("the leases no longer allow answers, so the age of the knowledge is not tested")
@@ -53,7 +54,7 @@
 	if node.cancellationsVerifiedSince(verifiedAt + time.Millisecond) {
 		t.Error("a verification from before the placement allows a launch")
 	}
-	sim.now += tuning.MaxLaunchKnowledgeAge + time.Second // without playing the events in between
+	sim.now += tuning.MaxLaunchKnowledgeAge + time.Second // without running the events in between
 	if node.cancellationsVerifiedSince(verifiedAt) {
 		t.Error("a verification older than MaxLaunchKnowledgeAge allows a launch")
 	}
@@ -115,7 +116,7 @@
 		}
 		leader.receiveStatus(&statusMessage{ShardStatus: status})
 		if _, accepted := leader.fleet.Machine(status.Hosts[0].ID); accepted != (controller.name == holder) {
-			t.Errorf("status of %s while %s owns the shard: accepted %v", controller.name, holder, accepted)
+			t.Errorf("status of %s while %s owns the shard: accepted %v, want %v", controller.name, holder, accepted, controller.name == holder)
 		}
 	}
 }
--- a/internal/controller/outage_test.go
+++ b/internal/controller/outage_test.go
@@ -9,10 +9,10 @@
 )
 
 // longestHarmlessOutage returns the longest outage of the state service that is guaranteed to
-// end no task. Owners answer workers until the answer grace period after their lease ends, or
-// until their knowledge of cancellations is too old, whichever is earlier. A worker's lease then
-// runs from its last answered heartbeat. After the outage an owner needs the time recovery until
-// it answers again.
+// end no task. Owners answer workers until the end of the answer grace period, which follows
+// their lease, or until their knowledge of cancellations is too old, whichever is earlier. A
+// worker's lease then runs from its last answered heartbeat. After the outage an owner needs up
+// to recovery until it answers again.
 func (s *simulation) longestHarmlessOutage() time.Duration {
 	const recovery = 3500 * millisecond // a verification, a renewal, and the next heartbeats
 	byLease := tuning.LeaseTTL - tuning.LeaseRenewInterval - tuning.LeaseMargin + s.settings.AnswerGracePeriod()
@@ -21,8 +21,9 @@
 }
 
 // TestOutageEndsNoReplica checks that an outage just below longestHarmlessOutage ends no
-// replica, whatever the moment at which it begins. An outage that exceeds all leases and grace
-// periods may end all replicas, but breaks no rule, also when services are cancelled during it.
+// replica, at any of several moments at which it begins. An outage that exceeds all leases and
+// grace periods ends the session of at least one worker and may end all replicas, but breaks no
+// rule, also when services are cancelled during it.
 func TestOutageEndsNoReplica(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -56,8 +57,9 @@
 }
 
 // playOutageOfServices runs six services and an outage until 15 s after its end. It returns the
-// number of replicas that ran when the outage began, and the number of workers whose session
-// has ended.
+// number of replicas that ran when the outage began, and the number of live workers whose first
+// session has ended. If cancel is set, two running services are cancelled 5 s before the end of
+// the outage.
 func (s *simulation) playOutageOfServices(begin, end time.Duration, cancel bool) (replicas, endedSessions int) {
 	for i := range 6 {
 		job := newJob(jobSpec{id: jobID(i), team: teamOf(i), tasks: 2, cpus: 1, service: true, urgent: true})
--- a/internal/controller/ownership_test.go
+++ b/internal/controller/ownership_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// newTestMonitor returns the monitor of a node with the given number of peers that has just
-// acquired its shards.
+// newTestMonitor returns the monitor of a node that has just acquired its shards and has the given
+// number of peers, at most two, with its fake shards and runtime.
 func newTestMonitor(peers int) (*ownershipMonitor, *fakeShards, *peerRuntime) {
 	runtime, shards := &peerRuntime{now: time.Hour}, &fakeShards{owned: true}
 	var config settings.Settings
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestUnreachableMajorityOfWorkersRelinquishesShards checks that the shards are relinquished
-// at once if the node's answers do not reach more than half of the reporting workers.
+// TestUnreachableMajorityOfWorkersRelinquishesShards checks that the shards are relinquished at
+// once if more than half of the reporting workers are not reached by the node's answers.
 func TestUnreachableMajorityOfWorkersRelinquishesShards(t *testing.T) {
 	for _, test := range []struct {
 		workers      workerReachability
--- a/internal/controller/processes_drain_test.go
+++ b/internal/controller/processes_drain_test.go
@@ -51,9 +51,9 @@
 }
 
 // TestDrainOfRealProcesses drains and replaces all machines of a deployment of real processes on
-// loopback while tasks of two teams run, and kills the leader when half of the machines are
-// gone. With LEMONMOOR_LIVE_DRAIN=DIR it uses twenty machines and writes the use of the budgets
-// over time to DIR.
+// loopback while tasks of two teams run, and kills the leader when at least half of the
+// machines are gone. With LEMONMOOR_LIVE_DRAIN=DIR it uses twenty machines and writes the use of
+// the budgets over time to DIR.
 func TestDrainOfRealProcesses(t *testing.T) {
 	report := os.Getenv("LEMONMOOR_LIVE_DRAIN")
 	tasks := 2
--- a/internal/controller/processes_test.go
+++ b/internal/controller/processes_test.go
@@ -42,8 +42,8 @@
 // processTick is the interval at which the stand-ins run the events that are due.
 const processTick = 5 * time.Millisecond
 
-// freePort returns a loopback address, with its port, on which nothing listens.
-func freePort(t *testing.T) string {
+// freeAddress returns a loopback address with a port on which nothing listens.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	for _, controller := range d.controllers {
-		d.processes = append(d.processes, &controllerProcess{name: controller.name, serveOn: freePort(t), peerBind: freePort(t)})
+		d.processes = append(d.processes, &controllerProcess{name: controller.name, serveOn: freeAddress(t), peerBind: freeAddress(t)})
 	}
 	for _, process := range d.processes {
 		d.writeSettings(t, process)
--- a/internal/controller/production_state_test.go
+++ b/internal/controller/production_state_test.go
@@ -50,8 +50,9 @@
 
 // continueFrom restarts the controllers with the state of a snapshot and low limits of the
 // state service, which the settings declare if limitsDeclared is set. The users of the
-// unfinished jobs continue to poll. It returns the number of these jobs whose stored values
-// are larger than the value limit.
+// unfinished jobs submit them again and poll; the user of largeProductionJob, if it is
+// unfinished and above the value limit, cancels it after 6 s. continueFrom returns the number of
+// unfinished jobs whose stored values are larger than the value limit.
 func (s *simulation) continueFrom(snapshot productionSnapshot, limitsDeclared bool) (largeJobs int) {
 	s.stateLimits = stateLimits{operations: 3, valueBytes: 1024, writesPerSecond: 12, undeclared: !limitsDeclared}
 	if limitsDeclared {
@@ -82,10 +83,10 @@
 	return largeJobs
 }
 
-// storeSnapshot writes the keys of a snapshot to the state service, log pages last: a shard
-// owner writes about a record only after reading it, and a record is written once, so every page
-// was written after the records that it names. The recording does not contain the revisions.
-// Apart from pages, the order is that of the map and differs from run to run.
+// storeSnapshot writes the keys of a snapshot, except leases, to the state service, log pages
+// last: a shard owner writes about a record only after reading it, and a record is written once,
+// so every page was written after the records that it names. The recording does not contain the
+// revisions. Apart from pages, the order is that of the map and differs from run to run.
 func (s *simulation) storeSnapshot(snapshot productionSnapshot) {
 	pages := map[string]json.RawMessage{}
 	for key, value := range snapshot.Keys {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -8,7 +8,8 @@
 )
 
 // randomFaultsEnd is the simulated time by which the faults of TestRulesHoldUnderRandomFaults
-// have ended.
+// have ended, except those of single machines: hangs, failing tasks and reclaim notices may last
+// longer.
 const randomFaultsEnd = 70 * time.Second
 
 // randomFault is one drawn occurrence of a fault.
--- a/internal/controller/scenarios_test.go
+++ b/internal/controller/scenarios_test.go
@@ -58,8 +58,8 @@
 }
 
 // TestUnreachableMachineGetsFewTasksAndIsReleased checks a machine whose heartbeats arrive
-// while answers and commands to it are lost: it is not assigned one task after another, its
-// tasks run on other machines, and it is released.
+// while answers and commands to it are lost: it is released, its tasks run on other machines, and
+// it is not assigned one task after another, so that no task is dispatched more than six times.
 func TestUnreachableMachineGetsFewTasksAndIsReleased(t *testing.T) {
 	sim := newSimulation(6)
 	for i := range 12 {
