--- a/internal/controller/drain_cluster.go
+++ b/internal/controller/drain_cluster.go
@@ -94,8 +94,8 @@
 // RentMachine requests a machine of the same type, zone and spot property as another one. It is
 // idempotent: a repeated call with the same name rents no further machine. isKnown is false
 // until the ID of the rented machine is known.
-func (c *drainCluster) RentMachine(name string, like drain.MachineInfo) (machineID string, isKnown bool) {
-	return c.node.fleet.RentNamed(name, fleet.MachineKind{MachineType: like.Type, Zone: like.Zone, Spot: like.Spot})
+func (c *drainCluster) RentMachine(name string, template drain.MachineInfo) (machineID string, isKnown bool) {
+	return c.node.fleet.RentNamed(name, fleet.MachineKind{MachineType: template.Type, Zone: template.Zone, Spot: template.Spot})
 }
 
 // KeepIdle excludes exactly these machines from the release of idle machines; it replaces the
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -38,17 +38,17 @@
 	unbounded := Budget{Tasks: math.MaxInt32, CPUs: math.Inf(1), Share: math.Inf(1)}
 	budgets := Budgets{Default: unbounded, Teams: map[string]Budget{}}
 	if drainSettings.Default != nil {
-		budgets.Default = overlay(unbounded, &drainSettings.Default.Limits)
+		budgets.Default = withLimits(unbounded, &drainSettings.Default.Limits)
 	}
 	for i := range drainSettings.Teams {
 		// A limit that the team's block leaves out is taken from the default budget.
-		budgets.Teams[drainSettings.Teams[i].Name] = overlay(budgets.Default, &drainSettings.Teams[i].Limits)
+		budgets.Teams[drainSettings.Teams[i].Name] = withLimits(budgets.Default, &drainSettings.Teams[i].Limits)
 	}
 	return budgets
 }
 
-// overlay returns base with the limits replaced that are set.
-func overlay(base Budget, limits *settings.DrainLimits) Budget {
+// withLimits returns base with the limits replaced that are set.
+func withLimits(base Budget, limits *settings.DrainLimits) Budget {
 	if limits.Tasks != nil {
 		base.Tasks = *limits.Tasks
 	}
--- a/internal/drain/cluster.go
+++ b/internal/drain/cluster.go
@@ -50,10 +50,10 @@
 	CapacityFor(spec *jobs.Spec, zone string) int
 	// HasUrgentWaiting reports whether tasks of a higher priority wait for room.
 	HasUrgentWaiting(priority jobs.Priority) bool
-	// RentMachine requests a machine of the same type, zone and spot kind as another one. It
+	// RentMachine requests a machine of the same type, zone and spot kind as template. It
 	// is idempotent: a call with the same name rents no further machine. isKnown is false
 	// until the cloud has named the machine.
-	RentMachine(name string, like MachineInfo) (machineID string, isKnown bool)
+	RentMachine(name string, template MachineInfo) (machineID string, isKnown bool)
 	// KeepIdle exempts exactly these machines from release while they are idle; it replaces
 	// the set of the previous call.
 	KeepIdle(machines map[string]bool)
--- a/internal/drain/grants.go
+++ b/internal/drain/grants.go
@@ -142,8 +142,8 @@
 // in it that have ended.
 func (r *reconcilePass) unusedGrantNumber(drain *Drain) uint64 {
 	number := uint64(1)
-	if taken := drain.grantNumbers(); len(taken) > 0 {
-		number = taken[len(taken)-1] + 1
+	if usedNumbers := drain.grantNumbers(); len(usedNumbers) > 0 {
+		number = usedNumbers[len(usedNumbers)-1] + 1
 	}
 	for r.changes.puts(GrantKey(drain.ID, number)) {
 		number++
--- a/internal/fleet/capacity.go
+++ b/internal/fleet/capacity.go
@@ -129,9 +129,9 @@
 		up -= b.cpus
 		sum += b.cpus * max(0, seconds-b.readySeconds-fetchSeconds-demand.Spec.EstimateSeconds)
 	}
-	below := c.used.CPUsBelow(demand.Spec.Priority())
-	busy := c.used.CPUs - below
-	return sum + max(0, up-below)*seconds - busy*min(seconds, demand.Spec.EstimateSeconds/2)
+	lowerPriorityCPUs := c.used.CPUsBelow(demand.Spec.Priority())
+	busyCPUs := c.used.CPUs - lowerPriorityCPUs
+	return sum + max(0, up-lowerPriorityCPUs)*seconds - busyCPUs*min(seconds, demand.Spec.EstimateSeconds/2)
 }
 
 // occupied returns the processors that a demand cannot count on. For a job that is no service
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -141,16 +141,16 @@
 
 // readListPage reads the page of the machine list that begins after a machine ID, "" for the
 // first page.
-func (c *cloudClient) readListPage(after string, done func(machineListPage, error)) {
+func (c *cloudClient) readListPage(afterID string, done func(machineListPage, error)) {
 	target := "/rentals?limit=" + strconv.Itoa(tuning.MachineListPageSize)
-	if after != "" {
-		target += "&since=" + url.QueryEscape(after)
+	if afterID != "" {
+		target += "&since=" + url.QueryEscape(afterID)
 	}
 	c.call(http.MethodGet, target, nil, func(body []byte, err error) {
 		var page machineListPage
 		if err == nil {
 			if err = json.Unmarshal(body, &page); err != nil {
-				err = fmt.Errorf("parse machine list after %q: %w", after, err)
+				err = fmt.Errorf("parse machine list after %q: %w", afterID, err)
 			}
 		}
 		done(page, err)
--- a/internal/fleet/exchange.go
+++ b/internal/fleet/exchange.go
@@ -58,7 +58,7 @@
 	if machineType := f.MachineType(kind.MachineType); machineType != nil {
 		cpusEach = float64(tasksOn(machineType, spec)) * spec.CPUs
 	}
-	needed, worthwhile := f.spotCPUsNeeded(f.surveyMovable(spec, cost), cpusEach)
+	neededCPUs, worthwhile := f.spotCPUsNeeded(f.surveyMovable(spec, cost), cpusEach)
 	if !worthwhile {
 		f.exchange.worthwhileSince = 0
 		return
@@ -71,7 +71,7 @@
 	if now-f.exchange.worthwhileSince < tuning.ExchangeDelay || !f.cloud.spendCall() {
 		return
 	}
-	f.rent(kind, min(tuning.MaxRentalMachines, int(needed/cpusEach)))
+	f.rent(kind, min(tuning.MaxRentalMachines, int(neededCPUs/cpusEach)))
 }
 
 // cheapestSpot returns the rentable kind of spot machine with the lowest price per task of a
@@ -104,7 +104,7 @@
 	ordinaryCPUs    float64            // of all ordinary machines that are up
 	unmovableCPUs   float64            // used on ordinary machines by work that cannot run elsewhere
 	movableCPUs     float64            // used or waited for by work that could run on spot machines
-	workWaits       bool               // work waits for room
+	hasWaitingWork  bool               // work waits for room
 }
 
 // surveyMovable surveys all available machines and the demand. spotCost is the price per task of
@@ -114,7 +114,7 @@
 	f.EachAvailable(func(available *AvailableMachine) { f.surveyMachine(survey, available, spec, spotCost) })
 	for i := range f.demand.list {
 		if demand := &f.demand.list[i]; demand.Tasks > 0 {
-			survey.workWaits = true
+			survey.hasWaitingWork = true
 			if demand.Spec.Spot {
 				survey.movableCPUs += float64(demand.Tasks) * demand.Spec.CPUs
 			}
@@ -158,14 +158,14 @@
 // be rented.
 func (f *Fleet) spotCPUsNeeded(survey *movableSurvey, cpusEach float64) (cpus float64, worthwhile bool) {
 	now := f.runtime.Now()
-	steady := f.exchange.updateSteady(survey.movableCPUs, now)
-	if cpusEach == 0 || steady < max(tuning.MinSteadyWorkShare*f.exchange.peakCPUs, tuning.MinExchangeSpotMachines*cpusEach) {
+	steadyCPUs := f.exchange.updateSteady(survey.movableCPUs, now)
+	if cpusEach == 0 || steadyCPUs < max(tuning.MinSteadyWorkShare*f.exchange.peakCPUs, tuning.MinExchangeSpotMachines*cpusEach) {
 		return 0, false // the work fluctuates: machines booted for it would be up too late
 	}
-	if survey.workWaits || f.demand.wasStalled(now) || now-f.term.beganAt < tuning.ExchangeDelay {
+	if survey.hasWaitingWork || f.demand.wasStalled(now) || now-f.term.beganAt < tuning.ExchangeDelay {
 		return 0, false // every machine is needed
 	}
-	cpus = min(f.drainExpensive(survey), steady-survey.spotCPUs-survey.bootingSpotCPUs)
+	cpus = min(f.drainExpensive(survey), steadyCPUs-survey.spotCPUs-survey.bootingSpotCPUs)
 	return cpus, cpus >= cpusEach
 }
 
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -63,8 +63,8 @@
 	return &machine{id: id, shard: shard, kind: kind, rentedAt: rentedAt}
 }
 
-// observe updates the machine from an entry of the machine list.
-func (m *machine) observe(listed *listedMachine, now time.Duration) {
+// applyListEntry updates the machine from an entry of the machine list.
+func (m *machine) applyListEntry(listed *listedMachine, now time.Duration) {
 	m.address = listed.Address
 	m.listing.listed, m.listing.missedLists = true, 0
 	m.listing.booting = listed.Phase == phaseBooting
--- a/internal/fleet/machine_list.go
+++ b/internal/fleet/machine_list.go
@@ -25,12 +25,12 @@
 
 // readListPage reads the page that begins after a machine ID, "" for the first. It retries
 // while the cloud's request budget is used up.
-func (f *Fleet) readListPage(list *listing, after string) {
+func (f *Fleet) readListPage(list *listing, afterID string) {
 	if !f.cloud.spendCall() {
-		f.runtime.After(tuning.MachineListRetryDelay, f.term.counter.Guard(func() { f.readListPage(list, after) }))
+		f.runtime.After(tuning.MachineListRetryDelay, f.term.counter.Guard(func() { f.readListPage(list, afterID) }))
 		return
 	}
-	f.cloud.readListPage(after, term.GuardResult(&f.term.counter, func(page machineListPage, err error) {
+	f.cloud.readListPage(afterID, term.GuardResult(&f.term.counter, func(page machineListPage, err error) {
 		f.handleListPage(list, page, err)
 	}))
 }
@@ -66,7 +66,7 @@
 		machine = newMachine(listed.ID, f.shardIndex(listed.ID), listed.kind(), askedAt-age)
 		f.machines.byID[listed.ID] = machine
 	}
-	machine.observe(listed, f.runtime.Now())
+	machine.applyListEntry(listed, f.runtime.Now())
 	if listed.Phase == phaseFailed && !machine.listing.failed {
 		machine.listing.failed = true
 		f.requestRelease(machine, "failed")
--- a/internal/fleet/shard_status.go
+++ b/internal/fleet/shard_status.go
@@ -80,13 +80,13 @@
 	return o.known && (message.Token < o.token || (message.Token == o.token && message.Seq <= o.seq))
 }
 
-// follows reports whether a message is full or the direct successor of the last one.
-func (o *ownerStatus) follows(message *ShardStatus) bool {
+// hasNoGapBefore reports whether a message is full or the direct successor of the last one.
+func (o *ownerStatus) hasNoGapBefore(message *ShardStatus) bool {
 	return message.Full || o.known && o.token == message.Token && message.Seq == o.seq+1
 }
 
-// observe records the receipt of a message.
-func (o *ownerStatus) observe(message *ShardStatus, now time.Duration) {
+// recordMessage records the receipt of a message.
+func (o *ownerStatus) recordMessage(message *ShardStatus, now time.Duration) {
 	since := o.respondingSince
 	if !o.known || o.token != message.Token || now-o.lastMessageAt > tuning.StatusStaleAfter {
 		since = now
@@ -106,8 +106,8 @@
 		// capacity forever, and nothing would be rented for the tasks that wait for it.
 		return reply
 	}
-	if shard.owner.follows(message) {
-		shard.owner.observe(message, now)
+	if shard.owner.hasNoGapBefore(message) {
+		shard.owner.recordMessage(message, now)
 	} else {
 		reply.Full = true // its content is valid, but a previous message is missing
 	}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -32,24 +32,24 @@
 	clear(z.partitionedAt)
 }
 
-// zoneMoment is the time at which zones are evaluated, and the start of the period in which the
-// leader's lease has been valid without a gap.
-type zoneMoment struct{ now, actingSince time.Duration }
+// zoneTimes holds the time at which zones are evaluated, and the start of the period in which
+// the leader's lease has been valid without a gap.
+type zoneTimes struct{ now, actingSince time.Duration }
 
 // silence returns the time since an owner last reported a zone as reachable, or since the
 // leader's lease has been valid if that is shorter.
-func (z *zoneTracker) silence(zone string, moment zoneMoment) time.Duration {
-	return moment.now - max(z.reachableAt[zone], moment.actingSince)
+func (z *zoneTracker) silence(zone string, times zoneTimes) time.Duration {
+	return times.now - max(z.reachableAt[zone], times.actingSince)
 }
 
 // isPartitioned reports whether a zone is unreachable for the shard owners while others are
 // reachable. The machines of a partitioned zone do not count as capacity and none are rented
 // there; see tuning.ZonePartitionRetention.
-func (z *zoneTracker) isPartitioned(zone string, moment zoneMoment) bool {
-	silence := z.silence(zone, moment)
+func (z *zoneTracker) isPartitioned(zone string, times zoneTimes) bool {
+	silence := z.silence(zone, times)
 	// A zone that was partitioned just before remains so even if the machines left there are
 	// too few for IsZonePartitioned.
-	wasPartitioned := z.wasPartitionedWithin(zone, tuning.ZonePartitionAfter, moment.now)
+	wasPartitioned := z.wasPartitionedWithin(zone, tuning.ZonePartitionAfter, times.now)
 	if !wasPartitioned && !z.settings.IsZonePartitioned(z.expected[zone], silence) {
 		return false
 	}
@@ -57,7 +57,7 @@
 		return false
 	}
 	for other := range z.reachableAt {
-		if z.silence(other, moment) <= tuning.ZonePartitionAfter {
+		if z.silence(other, times) <= tuning.ZonePartitionAfter {
 			return true
 		}
 	}
@@ -80,10 +80,10 @@
 	return float64(z.expected[zone]) <= tuning.SmallZoneShare*float64(all)
 }
 
-func (f *Fleet) zoneMoment() zoneMoment { return zoneMoment{f.runtime.Now(), f.term.actingSince} }
+func (f *Fleet) zoneTimes() zoneTimes { return zoneTimes{f.runtime.Now(), f.term.actingSince} }
 
 // isPartitioned reports whether a zone is partitioned now.
-func (f *Fleet) isPartitioned(zone string) bool { return f.zones.isPartitioned(zone, f.zoneMoment()) }
+func (f *Fleet) isPartitioned(zone string) bool { return f.zones.isPartitioned(zone, f.zoneTimes()) }
 
 // recordPartitions records, and logs, the zones that are partitioned now.
 func (f *Fleet) recordPartitions() {
@@ -104,13 +104,13 @@
 // Machines that may run urgent tasks are not retained if the zone is small, because they can
 // then be replaced by machines in other zones.
 func (f *Fleet) isRetained(machine *machine) bool {
-	zone, moment := machine.kind.Zone, f.zoneMoment()
-	if !f.zones.isPartitioned(zone, moment) {
+	zone, times := machine.kind.Zone, f.zoneTimes()
+	if !f.zones.isPartitioned(zone, times) {
 		// After a partition the machines get time to send heartbeats. If they were evaluated
 		// as soon as the first one reports, most of them would be released.
-		return f.zones.wasPartitionedWithin(zone, f.settings.WorkerDeadAfter(), moment.now)
+		return f.zones.wasPartitionedWithin(zone, f.settings.WorkerDeadAfter(), times.now)
 	}
-	if f.zones.silence(zone, moment) > tuning.ZonePartitionRetention {
+	if f.zones.silence(zone, times) > tuning.ZonePartitionRetention {
 		return false
 	}
 	return machine.status.ReleaseReason != workers.ReleaseSilentUrgent || !f.zones.isSmall(zone)
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -84,11 +84,11 @@
 	if !errors.As(err, &typeError) {
 		return fmt.Errorf("not a JSON object: %w", err)
 	}
-	wanted := typeError.Type.String()
+	wantedType := typeError.Type.String()
 	if typeError.Type == reflect.TypeFor[submission]() {
-		wanted = submissionTypeName
+		wantedType = submissionTypeName
 	}
-	return &FieldError{typeError.Field, fmt.Sprintf("want %s, not %s", wanted, typeError.Value)}
+	return &FieldError{typeError.Field, fmt.Sprintf("want %s, not %s", wantedType, typeError.Value)}
 }
 
 // spec converts a submission without missing fields to a Spec. Nullable fields are rejected
--- a/internal/leader/capacity.go
+++ b/internal/leader/capacity.go
@@ -125,7 +125,7 @@
 		}
 		capacity := machineCapacity{
 			available: usage.available(machine.ID, machine.MachineType),
-			cache:     usage.observe(machine.ID, machine.MachineType, now),
+			cache:     usage.recordAvailable(machine.ID, machine.MachineType, now),
 		}
 		if capacity.hasRoom() {
 			group.machines = append(group.machines, capacity)
@@ -206,9 +206,9 @@
 	return count
 }
 
-// shardsByPreference returns all shards: home first, then the others by the free processors
+// shardsByPreference returns all shards: homeShard first, then the others by the free processors
 // of their machines that are up, the most first.
-func (v *capacityView) shardsByPreference(home int) []int {
+func (v *capacityView) shardsByPreference(homeShard int) []int {
 	shards := make([]int, len(v.totalCPUs))
 	free := make([]float64, len(v.totalCPUs))
 	for shard := range shards {
@@ -222,7 +222,7 @@
 		}
 	}
 	sort.SliceStable(shards, func(i, j int) bool {
-		if a, b := shards[i] == home, shards[j] == home; a != b {
+		if a, b := shards[i] == homeShard, shards[j] == homeShard; a != b {
 			return a
 		}
 		return free[shards[i]] > free[shards[j]]
@@ -241,16 +241,16 @@
 	return serving
 }
 
-// shardToQueueIn returns the shard in whose queues a task should wait: home if its queues are
-// not full, else the shard whose queues are the shortest relative to its processors. It
+// shardToQueueIn returns the shard in whose queues a task should wait: homeShard if its queues
+// are not full, else the shard whose queues are the shortest relative to its processors. It
 // returns -1 if the queues of all shards that could run the task are full.
-func (v *capacityView) shardToQueueIn(spec *jobs.Spec, zone string, home int) int {
+func (v *capacityView) shardToQueueIn(spec *jobs.Spec, zone string, homeShard int) int {
 	best, bestLoad := -1, 0.0
 	for shard, serving := range v.servingShards(spec, zone) {
 		if !serving || (v.queuedCPUs[shard] > 0 && v.queuedCPUs[shard]+spec.CPUs > tuning.MaxQueuedShare*v.totalCPUs[shard]) {
 			continue
 		}
-		if shard == home {
+		if shard == homeShard {
 			return shard
 		}
 		if load := v.queuedCPUs[shard] / v.totalCPUs[shard]; best < 0 || load < bestLoad {
--- a/internal/leader/dispatch.go
+++ b/internal/leader/dispatch.go
@@ -62,8 +62,8 @@
 	age := float64(r.nowMS-job.entry.SubmittedMS) / 1000
 	var slacks []float64
 	spec := job.spec
-	r.leader.settings.EachObjectiveDeadline(spec.Class, spec.EstimateSeconds, spec.DeadlineSeconds, func(latest float64) {
-		if remaining := latest - age; remaining > 0 {
+	r.leader.settings.EachObjectiveDeadline(spec.Class, spec.EstimateSeconds, spec.DeadlineSeconds, func(deadlineSeconds float64) {
+		if remaining := deadlineSeconds - age; remaining > 0 {
 			slacks = append(slacks, remaining)
 		}
 	})
@@ -168,7 +168,7 @@
 // room.
 func (r *dispatchRound) dispatchTasks(job *jobState, limit int) {
 	zone := taskstate.ZoneOf(job.zones, 0)
-	home := r.leader.machines.homeShard(job.spec.Image)
+	homeShard := r.leader.machines.homeShard(job.spec.Image)
 	assign := func(shard, tasks int) {
 		r.addTasks(job, shard, tasks)
 		limit -= tasks
@@ -176,7 +176,7 @@
 	for _, booting := range []bool{false, true} {
 		// Filling one shard after the other needs few task records, and writes to the state
 		// service are scarce.
-		for _, shard := range r.capacity.shardsByPreference(home) {
+		for _, shard := range r.capacity.shardsByPreference(homeShard) {
 			if limit > 0 {
 				r.capacity.allocate(job, machineSet{zone, shard, booting}, limit, assign)
 			}
@@ -184,7 +184,7 @@
 	}
 	r.addDemand(job, zone, limit)
 	for limit > 0 {
-		shard := r.capacity.shardToQueueIn(job.spec, zone, home)
+		shard := r.capacity.shardToQueueIn(job.spec, zone, homeShard)
 		if shard < 0 {
 			return
 		}
@@ -197,7 +197,7 @@
 // dispatchSpreadTasks is dispatchTasks for a job whose tasks are bound to several zones in
 // turn. It finds a shard for each task separately.
 func (r *dispatchRound) dispatchSpreadTasks(job *jobState, limit int) {
-	home := r.leader.machines.homeShard(job.spec.Image)
+	homeShard := r.leader.machines.homeShard(job.spec.Image)
 	assign := func(shard, tasks int) {
 		r.addTasks(job, shard, tasks)
 		limit -= tasks
@@ -208,7 +208,7 @@
 			r.capacity.allocate(job, machineSet{zone, anyShard, true}, 1, assign) > 0 {
 			continue
 		}
-		shard := r.capacity.shardToQueueIn(job.spec, zone, home)
+		shard := r.capacity.shardToQueueIn(job.spec, zone, homeShard)
 		if shard < 0 {
 			break
 		}
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -42,10 +42,10 @@
 	}
 	l.RequestRound()
 	job := l.jobs.byID[record.Job]
-	if unseen := l.unseenRecords[record.Key]; unseen != nil {
+	if unseenRecord := l.unseenRecords[record.Key]; unseenRecord != nil {
 		delete(l.unseenRecords, record.Key)
 		if job != nil {
-			l.countRecord(job, unseen, -1)
+			l.countRecord(job, unseenRecord, -1)
 		}
 	}
 	if job != nil {
--- a/internal/leader/gang_capacity.go
+++ b/internal/leader/gang_capacity.go
@@ -97,11 +97,11 @@
 	return gangPlace{}, false
 }
 
-// findPlaceIfEmpty returns, of the places that could hold a gang if the machines that are up
-// were empty, the one with the most room, and reports whether there is any. The owner of the
-// shard then collects the room as it becomes free.
-func (l *Leader) findPlaceIfEmpty(job *jobState, tasks int) (place gangPlace, found bool) {
-	room := l.roomIfEmpty(job.spec)
+// findPlaceOnEmptyMachines returns, of the places that could hold a gang if the machines that
+// are up were empty, the one with the most room, and reports whether there is any. The owner of
+// the shard then collects the room as it becomes free.
+func (l *Leader) findPlaceOnEmptyMachines(job *jobState, tasks int) (place gangPlace, found bool) {
+	room := l.emptyMachineRoom(job.spec)
 	bestRoom := 0
 	for _, zones := range l.zoneChoices(job) {
 		for shard := range l.settings.ShardCount() {
@@ -125,9 +125,9 @@
 	zone  string
 }
 
-// roomIfEmpty returns how many tasks of a gang the machines that are up would hold if they
+// emptyMachineRoom returns how many tasks of a gang the machines that are up would hold if they
 // were empty, by shard and zone.
-func (l *Leader) roomIfEmpty(spec *jobs.Spec) map[shardZone]int {
+func (l *Leader) emptyMachineRoom(spec *jobs.Spec) map[shardZone]int {
 	room := map[shardZone]int{}
 	l.fleet.EachAvailable(func(machine *fleet.AvailableMachine) {
 		if !machine.Booting && machine.CouldRun(spec, "") {
--- a/internal/leader/gang_dispatch.go
+++ b/internal/leader/gang_dispatch.go
@@ -47,7 +47,7 @@
 		}
 	}
 	age := r.leader.age(job)
-	place, wouldFit := r.leader.findPlaceIfEmpty(job, tasks)
+	place, wouldFit := r.leader.findPlaceOnEmptyMachines(job, tasks)
 	if !wouldFit && age > tuning.GangDivideAfter && r.divideGang(job, tasks) {
 		return
 	}
--- a/internal/leader/gang_queue.go
+++ b/internal/leader/gang_queue.go
@@ -69,7 +69,7 @@
 		return false
 	}
 	// The machines that were to boot for the gang in this shard may have failed to.
-	_, wouldFit := r.leader.findPlaceIfEmpty(job, job.spec.Tasks)
+	_, wouldFit := r.leader.findPlaceOnEmptyMachines(job, job.spec.Tasks)
 	return !wouldFit
 }
 
--- a/internal/leader/job_state.go
+++ b/internal/leader/job_state.go
@@ -99,11 +99,11 @@
 // exceeds the limit, and resets it once a task is. It reports whether starved has changed.
 // Starved jobs are dispatched first, so that no job waits indefinitely.
 func (j *jobState) updateStarved(age time.Duration, limit time.Duration) bool {
-	begun := j.counts.placed+j.counts.done > 0
+	hasStarted := j.counts.placed+j.counts.done > 0
 	switch {
-	case !j.starved && !j.cancelled && !begun && age > limit:
+	case !j.starved && !j.cancelled && !hasStarted && age > limit:
 		j.starved = true
-	case j.starved && begun:
+	case j.starved && hasStarted:
 		j.starved = false
 	default:
 		return false
--- a/internal/leader/machine_usage.go
+++ b/internal/leader/machine_usage.go
@@ -71,9 +71,9 @@
 	return available
 }
 
-// observe records that a machine of the given type is available. It returns the machine's
-// cache, nil if no cached image is known.
-func (u *MachineUsage) observe(machineID string, machineType *jobs.MachineType, now time.Duration) *machineCache {
+// recordAvailable records that a machine of the given type is available. It returns the
+// machine's cache, nil if no cached image is known.
+func (u *MachineUsage) recordAvailable(machineID string, machineType *jobs.MachineType, now time.Duration) *machineCache {
 	cache := u.caches[machineID]
 	if cache != nil {
 		cache.machineType, cache.seenAt = machineType, now
--- a/internal/shard/log_pages.go
+++ b/internal/shard/log_pages.go
@@ -88,8 +88,8 @@
 
 // release records that no commit of the pages is in flight any more. revision is that of the
 // commit, 0 if it was not executed.
-func (p *logPages) release(numbers []int, revision uint64) {
-	for _, number := range numbers {
+func (p *logPages) release(pageNumbers []int, revision uint64) {
+	for _, number := range pageNumbers {
 		page := &p.pages[number]
 		page.beingWritten = false
 		if revision > 0 {
--- a/internal/statestore/election.go
+++ b/internal/statestore/election.go
@@ -39,6 +39,6 @@
 
 // isVacant reports whether no leader is recorded, or only an earlier process of this node.
 func (e *election) isVacant() bool {
-	leader, held := e.table.holders[LeaderKey]
-	return !held || leader.isEarlierProcess(e.node.process)
+	leader, hasLeader := e.table.holders[LeaderKey]
+	return !hasLeader || leader.isEarlierProcess(e.node.process)
 }
--- a/internal/taskstate/record.go
+++ b/internal/taskstate/record.go
@@ -31,8 +31,8 @@
 // stateOrder gives the order of the states within an attempt.
 var stateOrder = [...]int{StatePlaced: 0, StateWaiting: 1, StateReturned: 2, StateDropped: 2, StateDone: 3}
 
-// notLogged is the log page number of a status that is only in the record itself.
-const notLogged = -1
+// noLogPage is the log page number of a status that is only in the record itself.
+const noLogPage = -1
 
 // Record is a set of tasks of a job that were dispatched to one shard. The leader writes it
 // once and removes it when all of its tasks are closed; the status changes in between are on
@@ -86,7 +86,7 @@
 func (r *Record) clearStatuses() {
 	r.Statuses, r.LogPages = make([]TaskStatus, len(r.TaskIndexes)), make([]int32, len(r.TaskIndexes))
 	for i := range r.LogPages {
-		r.LogPages[i] = notLogged
+		r.LogPages[i] = noLogPage
 	}
 }
 
--- a/internal/userapi/submission_commits.go
+++ b/internal/userapi/submission_commits.go
@@ -33,7 +33,7 @@
 		s.flushAfter(wait)
 		return
 	}
-	maxBatch, wait := s.budget.allow(now, s.writesPerSecond(), s.client.WritesThrottled())
+	maxBatch, wait := s.budget.allowance(now, s.writesPerSecond(), s.client.WritesThrottled())
 	if wait > 0 {
 		s.flushAfter(wait)
 		return
@@ -174,9 +174,9 @@
 // writeBudget limits the rate of committed submissions while writes are throttled.
 type writeBudget struct{ bucket tokenbucket.Bucket }
 
-// allow returns the maximum number of submissions in the next commit, or the time to wait until
-// one is allowed. rate is in submissions per second and applies only while throttled.
-func (b *writeBudget) allow(now time.Duration, rate float64, throttled bool) (count int, wait time.Duration) {
+// allowance returns the maximum number of submissions in the next commit, or the time to wait
+// until one is allowed. rate is in submissions per second and applies only while throttled.
+func (b *writeBudget) allowance(now time.Duration, rate float64, throttled bool) (count int, wait time.Duration) {
 	if !throttled {
 		b.bucket.Reset(now, max(1, rate))
 		return math.MaxInt, 0
