--- a/internal/userapi/api.go
+++ b/internal/userapi/api.go
@@ -12,22 +12,24 @@
 	"lemonmoor/internal/tuning"
 )
 
-// TaskProgress counts the tasks of jobs, for display.
+// TaskProgress provides the task counts of jobs that are shown to users.
 type TaskProgress interface {
-	// Progress returns how many tasks of a job are done and how many are on machines.
+	// Progress returns the numbers of the job's tasks that are done and that are placed on
+	// machines.
 	Progress(jobID string) (done, placed int)
-	// RunningGangTasks returns how many tasks of a job have started. Tasks of a gang may be on
-	// machines and wait for each other.
+	// RunningGangTasks returns the number of the job's tasks that have started. It can be lower
+	// than the number of placed tasks, because tasks of a gang wait on their machines for each
+	// other.
 	RunningGangTasks(jobID string) int
 }
 
-// MachineTypes lists the machine types of the deployment.
+// MachineTypes provides the machine types of the deployment.
 type MachineTypes interface {
-	// MachineTypes returns the machine types, nil while they are not known.
+	// MachineTypes returns the machine types, or nil while they are not known.
 	MachineTypes() []jobs.MachineType
 }
 
-// Config is what the user API works with.
+// Config holds the dependencies of the user API.
 type Config struct {
 	Runtime  eventloop.Runtime
 	Client   *statestore.Client
@@ -37,7 +39,7 @@
 	Machines MachineTypes
 }
 
-// API answers users. Every request is answered exactly once.
+// API serves users' requests. It answers every request exactly once.
 type API struct {
 	submissions   *submissions
 	polls         *polls
@@ -63,8 +65,8 @@
 // Cancel serves POST /work/{id}/cancel.
 func (a *API) Cancel(id string, respond http1.ResponseWriter) { a.cancellations.cancel(id, respond, 0) }
 
-// Route serves a user's request; it reports false, and does not answer, for paths that are
-// not the users'.
+// Route serves a request to a path under /work. For any other path it returns false and does
+// not respond.
 func (a *API) Route(request *http1.Request, respond http1.ResponseWriter) bool {
 	if request.Path == "/work" {
 		if request.Method != "POST" {
@@ -96,17 +98,19 @@
 	return true
 }
 
-// respondError answers with a status that is final for this request.
+// respondError responds with an error status that is final for this request, without a retry
+// interval.
 func respondError(respond http1.ResponseWriter, status int, reason string) {
 	respond(status, http1.ErrorBody(reason), 0)
 }
 
-// respondUnavailable answers that the request cannot be served now and may be repeated.
+// respondUnavailable responds that the request cannot be served now: with 503, the reason and
+// the interval after which it may be retried.
 func respondUnavailable(respond http1.ResponseWriter, reason string) {
 	respond(503, http1.ErrorBody(reason), tuning.RetryAfterSeconds)
 }
 
-// The reasons why a request cannot be served now.
+// Reasons given in 503 responses.
 const (
 	reasonStateNotReached = "state service not reached"
 	reasonStateNoAnswer   = "state service did not answer"
@@ -115,7 +119,7 @@
 	reasonRecordRefused   = "state service refused the record"
 )
 
-// jobStatus is a job as its user sees it.
+// jobStatus is the response body that describes a job to its user.
 type jobStatus struct {
 	ID      string `json:"id"`
 	Phase   Phase  `json:"phase"`
@@ -123,13 +127,13 @@
 	Running int    `json:"running"`
 }
 
-// acceptedJob is the answer to a submission that has been stored.
+// acceptedJob is the response body for a stored submission.
 type acceptedJob struct {
 	ID    string `json:"id"`
 	Phase Phase  `json:"phase"`
 }
 
-// encodeAccepted returns the body of the answer to a submission that has been stored.
+// encodeAccepted returns the encoded acceptedJob of a stored submission.
 func encodeAccepted(id string) []byte {
 	body, err := json.Marshal(acceptedJob{id, phasePending})
 	if err != nil {
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -9,7 +9,7 @@
 	"lemonmoor/internal/tuning"
 )
 
-// cancellations store that jobs are cancelled.
+// cancellations handles cancellation requests: it stores the final phase of cancelled jobs.
 type cancellations struct {
 	runtime eventloop.Runtime
 	client  *statestore.Client
@@ -17,8 +17,8 @@
 	polls   *polls
 }
 
-// cancel stores that a job is cancelled and answers when that is durable, or when the job
-// has a final phase already. attempt counts from 0.
+// cancel stores the job as cancelled. It responds once the cancellation is durable, or with the
+// current status if the job already has a final phase. attempt counts the attempts from 0.
 func (c *cancellations) cancel(id string, respond http1.ResponseWriter, attempt int) {
 	if attempt >= tuning.MaxCancelAttempts {
 		respondUnavailable(respond, reasonStateNotReached)
@@ -47,20 +47,22 @@
 	})
 }
 
-// encodeCancelled returns the record of a job cancelled now.
+// encodeCancelled returns the encoded record of the job, cancelled at the current time.
 func (c *cancellations) encodeCancelled(entry *Entry) (json.RawMessage, error) {
 	record := entry.Record
 	record.Phase, record.CancelledMS = PhaseCancelled, c.runtime.WallClock().UnixMilli()
 	value, err := json.Marshal(record)
 	if err == nil && len(value) > c.client.MaxValueBytes() && record.Spec != nil {
-		// Stored when values could be larger. What a cancelled job still needs is what its
-		// tasks take of the machines that have them.
+		// The record was stored under a higher limit for values. A cancelled job needs only
+		// the part of its spec with the resources that its tasks still occupy on machines.
 		record.Spec = record.Spec.WithoutStartFields()
 		value, err = json.Marshal(record)
 	}
 	return value, err
 }
 
+// commit writes the cancelled record on condition that the job's record has not changed since
+// it was read, and retries the cancellation if the commit fails without effect.
 func (c *cancellations) commit(entry *Entry, value json.RawMessage, respond http1.ResponseWriter, attempt int) {
 	id := entry.ID
 	conditions := []statestore.Condition{{Key: KeyPrefix + id, Revision: entry.Revision}}
--- a/internal/userapi/catalog.go
+++ b/internal/userapi/catalog.go
@@ -12,13 +12,13 @@
 	"lemonmoor/internal/statestore"
 )
 
-// JobObserver is told of jobs.
+// JobObserver receives changes of job records.
 type JobObserver interface {
-	// JobChanged is called, on the event loop, for every new and every changed record.
+	// JobChanged is called on the event loop for every new and every changed record.
 	JobChanged(entry *Entry)
 }
 
-// Catalog is the copy of all job records.
+// Catalog is a local copy of all job records, updated by a watch on the state service.
 type Catalog struct {
 	runtime  eventloop.Runtime
 	log      *slog.Logger
@@ -26,11 +26,12 @@
 	mirror   *statestore.Mirror
 
 	entries    map[string]*Entry
-	unfinished map[string]*Entry // without a final phase
+	unfinished map[string]*Entry // jobs without a final phase
 	teams      map[string]settings.Team
 }
 
-// NewCatalog returns an empty catalog; observer is told of every change from Start on.
+// NewCatalog returns an empty catalog. Once Start is called, observer is notified of every
+// change.
 func NewCatalog(runtime eventloop.Runtime, client *statestore.Client, teams []settings.Team, log *slog.Logger, observer JobObserver) *Catalog {
 	catalog := &Catalog{
 		runtime: runtime, log: log, observer: observer,
@@ -43,29 +44,31 @@
 	return catalog
 }
 
-// SetWatchPause sets how long the catalog waits between changes, see
+// SetWatchPause sets the pause before the watch is opened again after changes, see
 // statestore.Mirror.SetWatchPause.
 func (c *Catalog) SetWatchPause(pause func() time.Duration) { c.mirror.SetWatchPause(pause) }
 
-// Start begins to read the job records.
+// Start starts reading the job records.
 func (c *Catalog) Start() { c.mirror.Start() }
 
-// Ready tells whether all job records have been read.
+// Ready reports whether all job records have been read.
 func (c *Catalog) Ready() bool { return c.mirror.IsReady() }
 
-// Verify calls fn once the catalog is shown to hold everything that was committed before
-// the call, or with statestore.ErrNotVerified.
+// Verify calls fn with nil once the catalog is known to contain everything that was committed
+// before the call, or with statestore.ErrNotVerified if that cannot be confirmed.
 func (c *Catalog) Verify(fn func(error)) { c.mirror.Verify(fn) }
 
-// VerifiedAt returns the latest moment of which it is shown that all cancellations before
-// it are known here, see statestore.Mirror.
+// VerifiedAt returns the latest time for which the catalog is known to contain all earlier
+// cancellations; known is false if there is none yet. See statestore.Mirror.VerifiedAt.
 func (c *Catalog) VerifiedAt() (at time.Duration, known bool) { return c.mirror.VerifiedAt() }
 
-// VerifyIfOlder verifies the catalog unless VerifiedAt is younger than age.
+// VerifyIfOlder starts a verification of the catalog unless VerifiedAt is less than age ago.
 func (c *Catalog) VerifyIfOlder(age time.Duration) { c.mirror.VerifyIfOlder(age) }
 
-// CancellationAge returns how long ago, at most, the user of a job can have been told that
-// it is cancelled, if it is. maxClockSkew bounds the difference between two nodes' clocks.
+// CancellationAge returns an upper bound of the time since the job's user may have been told
+// that it is cancelled; cancelled is false if it is not. The age is math.MaxInt64 if the
+// record has no cancellation time. maxClockSkew is the maximum difference between two nodes'
+// clocks.
 func (c *Catalog) CancellationAge(id string, maxClockSkew time.Duration) (age time.Duration, cancelled bool) {
 	entry := c.entries[id]
 	if entry == nil || entry.Phase != PhaseCancelled {
@@ -77,22 +80,23 @@
 	return max(0, time.Duration(c.runtime.WallClock().UnixMilli()-entry.CancelledMS)*time.Millisecond) + maxClockSkew, true
 }
 
-// Get returns a job, nil if it is not known here.
+// Get returns the job with the given ID, or nil if the catalog does not contain it.
 func (c *Catalog) Get(id string) *Entry { return c.entries[id] }
 
-// EachUnfinished calls fn for every job without a final phase, in no order.
+// EachUnfinished calls fn for every job without a final phase, in unspecified order.
 func (c *Catalog) EachUnfinished(fn func(*Entry)) {
 	for _, entry := range c.unfinished {
 		fn(entry)
 	}
 }
 
-// Observe applies what this process has committed itself, ahead of the watch.
+// Observe applies a record that this process has committed, before the watch delivers it.
 func (c *Catalog) Observe(id string, value json.RawMessage, revision uint64) {
 	c.apply(KeyPrefix+id, value, revision)
 }
 
-// apply takes a record in, unless it is older than what is known or contradicts it.
+// apply stores a record in the catalog and notifies the observer. It ignores a record that is
+// not newer than the known one, and logs an error for one that contradicts a final phase.
 func (c *Catalog) apply(key string, value json.RawMessage, revision uint64) {
 	id := strings.TrimPrefix(key, KeyPrefix)
 	if value == nil {
@@ -109,8 +113,8 @@
 		return
 	}
 	if entry != nil && entry.Phase != "" && entry.Phase != record.Phase {
-		// A final phase never changes; this guards what users were told against a record
-		// that contradicts it.
+		// A final phase never changes. A record that contradicts it is ignored, because users
+		// may have been told the final phase already.
 		c.log.Error("job record contradicts its final phase", "job", id, "known", string(entry.Phase), "stored", string(record.Phase))
 		return
 	}
--- a/internal/userapi/poll.go
+++ b/internal/userapi/poll.go
@@ -6,14 +6,14 @@
 	"lemonmoor/internal/http1"
 )
 
-// polls tells users how their jobs stand.
+// polls answers users' requests for the status of their jobs.
 type polls struct {
 	catalog  *Catalog
 	progress TaskProgress
 }
 
-// poll answers with a job's status once the catalog is verified. It never goes back behind
-// what another node has answered before.
+// poll responds with the job's status once the catalog is verified, so that the answer is never
+// older than one that another node has given before.
 func (p *polls) poll(id string, respond http1.ResponseWriter) {
 	p.catalog.Verify(func(err error) {
 		if err != nil {
@@ -22,7 +22,8 @@
 		}
 		entry := p.catalog.Get(id)
 		if entry == nil {
-			// The catalog holds every job record and has just been verified.
+			// The job does not exist: the catalog contains every job record and has just been
+			// verified.
 			respondError(respond, 404, "no such job")
 			return
 		}
@@ -30,7 +31,7 @@
 	})
 }
 
-// respondStatus answers with the status of a job, which the caller has verified.
+// respondStatus responds with the job's status. The caller has verified the entry.
 func (p *polls) respondStatus(respond http1.ResponseWriter, entry *Entry) {
 	body, err := json.Marshal(p.status(entry))
 	if err != nil {
@@ -40,6 +41,8 @@
 	respond(200, body, 0)
 }
 
+// status returns the job's status for its user. Of a job without a final phase, the phase is
+// running if any task runs, else pending.
 func (p *polls) status(entry *Entry) jobStatus {
 	status := jobStatus{ID: entry.ID, Phase: entry.Phase}
 	if entry.Phase == PhaseDone {
--- a/internal/userapi/quota.go
+++ b/internal/userapi/quota.go
@@ -2,7 +2,7 @@
 
 import "lemonmoor/internal/resource"
 
-// quotaVerdict is whether a job was within its team's guaranteed quota when it was new.
+// quotaVerdict says whether a job fitted its team's guaranteed quota when the job was new.
 type quotaVerdict int8
 
 const (
@@ -11,8 +11,9 @@
 	beyondQuota
 )
 
-// WithinQuota tells whether a job fits into its team's guaranteed quota together with the
-// team's earlier unfinished jobs. It is evaluated once, when it is first asked for.
+// WithinQuota reports whether the job, together with the team's earlier unfinished jobs, fits
+// its team's guaranteed quota. The result is computed on the first call and does not change
+// afterwards.
 func (c *Catalog) WithinQuota(entry *Entry) bool {
 	if entry.quota == quotaUnknown && entry.Spec != nil {
 		entry.quota = c.evaluateQuota(entry)
@@ -20,6 +21,8 @@
 	return entry.quota == withinQuota
 }
 
+// evaluateQuota compares the resources of the job and of its team's earlier unfinished jobs,
+// all tasks of each counted, with the team's guaranteed quota.
 func (c *Catalog) evaluateQuota(entry *Entry) quotaVerdict {
 	var cpus, gpus float64
 	for _, other := range c.unfinished {
@@ -36,7 +39,8 @@
 	return beyondQuota
 }
 
-// isLaterThan orders jobs by their submission, then by their IDs.
+// isLaterThan reports whether the job comes after the other in the order by submission time,
+// then by ID.
 func (e *Entry) isLaterThan(other *Entry) bool {
 	return e.SubmittedMS > other.SubmittedMS || (e.SubmittedMS == other.SubmittedMS && e.ID > other.ID)
 }
--- a/internal/userapi/record.go
+++ b/internal/userapi/record.go
@@ -2,10 +2,10 @@
 
 import "lemonmoor/internal/jobs"
 
-// KeyPrefix is the prefix of the keys of all job records.
+// KeyPrefix is the key prefix of all job records in the state service.
 const KeyPrefix = "job/"
 
-// Phase is a job's phase as it is stored: "" until it is final.
+// Phase is the phase of a job. The stored phase is "" until it is final.
 type Phase string
 
 // The final phases of a job.
@@ -14,26 +14,26 @@
 	PhaseCancelled Phase = "cancelled"
 )
 
-// The phases of an unfinished job as its user sees it. They are never stored.
+// The phases shown to users for an unfinished job. They are never stored.
 const (
 	phasePending Phase = "pending"
 	phaseRunning Phase = "running"
 )
 
-// Record is a job as it is stored.
+// Record is the stored form of a job.
 type Record struct {
 	Phase       Phase      `json:"phase,omitempty"`
-	SubmittedMS int64      `json:"at"` // ms since the epoch, by the clock of the accepting node
+	SubmittedMS int64      `json:"at"` // milliseconds since the Unix epoch, by the accepting node's clock
 	Spec        *jobs.Spec `json:"job,omitempty"`
-	// TaskCount is the number of tasks of a job that is done, whose spec is dropped.
+	// TaskCount is the number of tasks of a job in phase done, whose record has no Spec.
 	TaskCount int `json:"n,omitempty"`
-	// CancelledMS is when a cancelled job was cancelled, in ms since the epoch by the clock
-	// of the node that wrote it, from before the commit; 0 if the record is of a version
-	// that did not tell.
+	// CancelledMS is the time at which the job was cancelled, in milliseconds since the Unix
+	// epoch, read from the committing node's clock before the commit. It is 0 in records of
+	// versions that did not store it.
 	CancelledMS int64 `json:"off,omitempty"`
 }
 
-// Entry is a job record in memory.
+// Entry is a job record in the catalog, with the revision at which it was stored.
 type Entry struct {
 	ID       string
 	Revision uint64
--- a/internal/userapi/submissions.go
+++ b/internal/userapi/submissions.go
@@ -12,21 +12,22 @@
 	"lemonmoor/internal/tuning"
 )
 
-// submission is a job on its way to the state service.
+// submission is a submitted job that is not known to be stored yet.
 type submission struct {
 	jobID     string
-	value     json.RawMessage // its record
-	expiresAt time.Duration   // refused if it is not in a commit by then
-	refusals  int             // of commits that it was in
-	sent      bool            // in a commit whose answer is awaited
+	value     json.RawMessage // encoded Record
+	expiresAt time.Duration   // refused if not sent in a commit by this time
+	refusals  int             // number of refused commits that contained it
+	sent      bool            // has been sent in a commit
 	waiters   []http1.ResponseWriter
-	// lateWaiters have asked after it was sent. Another node may have read the job by then,
-	// told its user and even cancelled it: they get what is verified after their question.
+	// lateWaiters are the requests that arrived after the submission was sent. By then another
+	// node may have read the job, told its user and even cancelled it, so these requests are
+	// answered with a status that is verified after they arrived.
 	lateWaiters []http1.ResponseWriter
 }
 
-// submissions accepts jobs: it checks them, gathers those that arrive together and commits
-// them in batches, see submission_commits.go.
+// submissions handles submitted jobs: it validates them, collects those that arrive together
+// and commits them in batches, see submission_commits.go.
 type submissions struct {
 	runtime  eventloop.Runtime
 	client   *statestore.Client
@@ -35,8 +36,8 @@
 	machines MachineTypes
 	polls    *polls
 
-	queue   []*submission          // those that are in no commit
-	pending map[string]*submission // all that are not answered, by job
+	queue   []*submission          // submissions that are not in a commit
+	pending map[string]*submission // all unanswered submissions, by job ID
 	commits commitPipeline
 	budget  writeBudget
 }
@@ -50,8 +51,9 @@
 	}
 }
 
-// submit answers a submission, at once if it cannot be accepted or is known, else when it
-// has been committed.
+// submit handles a submission. It responds without a commit if the job is invalid or already
+// known or the node is not ready, and otherwise when the job has been committed or the attempt
+// to commit it has failed.
 func (s *submissions) submit(body []byte, respond http1.ResponseWriter) {
 	job, err := jobs.Parse(body)
 	if err != nil {
@@ -87,8 +89,8 @@
 	s.enqueue(job.ID, value, respond)
 }
 
-// rejectUnlessKnown rejects a job for a reason that lies in it, unless it has been accepted
-// elsewhere, when it was feasible.
+// rejectUnlessKnown rejects a job that cannot be accepted, unless the verified catalog contains
+// it: another node may have accepted it earlier, when it was feasible.
 func (s *submissions) rejectUnlessKnown(id string, status int, reason string, respond http1.ResponseWriter) {
 	s.catalog.Verify(func(err error) {
 		switch entry := s.catalog.Get(id); {
@@ -102,8 +104,9 @@
 	})
 }
 
-// encodeRecord returns the record of a new job. If it is too large for the state service it
-// keeps, of a long list of machine types, only those that there are, which says the same.
+// encodeRecord returns the encoded record of a new job. If the record is too large for the
+// state service, machine types that do not exist are removed from the job's list of allowed
+// ones, which does not change its meaning.
 func (s *submissions) encodeRecord(job *jobs.Spec, machineTypes []jobs.MachineType) (json.RawMessage, error) {
 	record := Record{SubmittedMS: s.runtime.WallClock().UnixMilli(), Spec: job}
 	value, err := json.Marshal(record)
@@ -114,6 +117,7 @@
 	return value, err
 }
 
+// enqueue adds a new submission to the queue and flushes the queue.
 func (s *submissions) enqueue(id string, value json.RawMessage, respond http1.ResponseWriter) {
 	submitted := &submission{
 		jobID: id, value: value, expiresAt: s.runtime.Now() + tuning.SubmissionTimeout,
@@ -124,7 +128,7 @@
 	s.flush()
 }
 
-// addWaiter takes note of a repetition of the submission.
+// addWaiter adds the request that repeats the submission, to be answered together with it.
 func (s *submission) addWaiter(respond http1.ResponseWriter) {
 	if s.sent {
 		s.lateWaiters = append(s.lateWaiters, respond)
@@ -133,7 +137,8 @@
 	}
 }
 
-// finish answers all who wait for a submission.
+// finish removes a submission from the pending ones and answers all requests that wait for it:
+// those that arrived before it was sent by respond, later ones by respondLate.
 func (s *submissions) finish(finished *submission, respond, respondLate func(http1.ResponseWriter)) {
 	delete(s.pending, finished.jobID)
 	for _, waiter := range finished.waiters {
@@ -144,19 +149,21 @@
 	}
 }
 
-// refuse answers all who wait for a submission that it cannot be accepted now.
+// refuse answers all requests that wait for a submission with 503 and the reason.
 func (s *submissions) refuse(refused *submission, reason string) {
 	respond := func(waiter http1.ResponseWriter) { respondUnavailable(waiter, reason) }
 	s.finish(refused, respond, respond)
 }
 
-// pollInstead answers all who wait for a submission with the job that is stored.
+// pollInstead answers all requests that wait for a submission with the status of the stored
+// job.
 func (s *submissions) pollInstead(known *submission) {
 	respond := func(waiter http1.ResponseWriter) { s.polls.poll(known.jobID, waiter) }
 	s.finish(known, respond, respond)
 }
 
-// accept answers that a submission is stored.
+// accept adds a stored submission to the catalog and answers all requests that wait for it: 201
+// to those that arrived before it was sent, the verified status to later ones.
 func (s *submissions) accept(stored *submission, revision uint64) {
 	s.catalog.Observe(stored.jobID, stored.value, revision)
 	s.finish(stored,
